--- a/manners/manners.go
+++ b/backoff/manners.go
@@ -1,12 +1,12 @@
 // Package manners decides when a director asks a service that hundreds of others ask too: calls are spread over the fleet from the
 // first one on, after news as after errors, so that a service that is short is not held down by those it serves. It does no I/O;
 // chance comes from the instance's seed. docs/start.md works out how long a director may be blind in each case.
-package manners
+package backoff
 
 import (
 	"cmp"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // Ending is how a call ended.
--- a/manners/manners_test.go
+++ b/backoff/manners_test.go
@@ -1,4 +1,4 @@
-package manners
+package backoff
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 const ms = d.Second / 1000
--- a/cmd/tallylab/main.go
+++ b/cmd/tallybench/main.go
@@ -1,4 +1,4 @@
-// Command tallylab plays load and experiments against directors that it starts and stand-ins of all they talk to.
+// Command tallybench plays load and experiments against directors that it starts and stand-ins of all they talk to.
 package main
 
 import (
@@ -12,7 +12,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"tallyproxy/internal/lab"
+	"tallyproxy/internal/experiment"
 )
 
 type command struct {
@@ -25,7 +25,7 @@
 }
 
 type fleetCommand struct {
-	lab.FleetSim
+	experiment.FleetSim
 }
 
 // Run plays changes of fleets under faults.
@@ -59,7 +59,7 @@
 }
 
 type startCommand struct {
-	lab.Start
+	experiment.Start
 }
 
 // Run plays a start.
@@ -79,7 +79,7 @@
 }
 
 type peersCommand struct {
-	lab.Peers
+	experiment.Peers
 	Verbose bool `short:"v" help:"Show the directors' log."`
 }
 
@@ -99,7 +99,7 @@
 		fmt.Println("directors faults    schedules rules lost over fallen unended | parts  death p50   p99 ms  one view | wrong/h  " +
 			"packets/s  bytes/s   MB | share   recovery ms  cold peak")
 		for _, x := range r.Runs {
-			for i, y := range []*lab.PeersRun{x, x.Fixed} {
+			for i, y := range []*experiment.PeersRun{x, x.Fixed} {
 				if y != nil {
 					fmt.Printf("%9d %-9s %9d %5d %4d %4d %6d %7d | %5.2f %10.0f %8.0f %9.0f | %7.1f %10.1f %8.0f %4.0f | %.4f %11.0f %10.3f%s\n",
 						y.Instances, y.Faults, y.Schedules, y.Rules, y.Lost, y.Over, y.Fallen, y.Unended, y.PartsPeak, y.DeathP50, y.DeathP99,
@@ -114,7 +114,7 @@
 }
 
 type planCommand struct {
-	lab.Work
+	experiment.Work
 }
 
 // Run plans work.
@@ -127,7 +127,7 @@
 }
 
 type coresCommand struct {
-	lab.Cores
+	experiment.Cores
 }
 
 // Run measures a director on several cores.
@@ -140,7 +140,7 @@
 		return err
 	}
 	if c.Plot != "" {
-		if err := lab.DrawCores(c.Plot, r); err != nil {
+		if err := experiment.DrawCores(c.Plot, r); err != nil {
 			return fmt.Errorf("--plot: %w", err)
 		}
 	}
@@ -154,19 +154,19 @@
 }
 
 type stormCommand struct {
-	lab.Storm
+	experiment.Storm
 	Verbose bool `short:"v" help:"Show the directors' log."`
 }
 
 func main() {
 	var c command
-	k := kong.Parse(&c, kong.Name("tallylab"), kong.Description("Load and experiments on loopback. Exit code 0: every rule "+
+	k := kong.Parse(&c, kong.Name("tallybench"), kong.Description("Load and experiments on loopback. Exit code 0: every rule "+
 		"held; 1: one broke, or it could not be played; 2: the arguments."), kong.UsageOnError())
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	k.BindTo(ctx, (*context.Context)(nil))
 	if err := k.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "tallylab:", err)
+		fmt.Fprintln(os.Stderr, "tallybench:", err)
 		os.Exit(1)
 	}
 }
@@ -214,7 +214,7 @@
 		return err
 	}
 	if c.Plot != "" {
-		if err := lab.DrawStorm(c.Plot, r); err != nil {
+		if err := experiment.DrawStorm(c.Plot, r); err != nil {
 			return fmt.Errorf("--plot: %w", err)
 		}
 	}
--- a/cmd/tallyctl/change.go
+++ b/cmd/tallyctl/change.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"tallyproxy/fleet"
 	"tallyproxy/internal/config"
 	"tallyproxy/internal/ctl"
 	"tallyproxy/internal/fleetpb"
+	"tallyproxy/rollout"
 )
 
 func (c *command) print(v any, people func()) error {
@@ -30,14 +30,14 @@
 	Director []string `placeholder:"NAME,..." help:"Only these directors."`
 }
 
-func (w which) has(p fleet.Place) bool {
+func (w which) has(p rollout.Place) bool {
 	return (len(w.Depot) == 0 || slices.Contains(w.Depot, p.Depot)) && (len(w.Director) == 0 || slices.Contains(w.Director, p.Instance))
 }
 
 func sum(script string) string { return config.Sum([]byte(script)) }
 
 // plan makes a change of scripts from a file.
-func (w which) plan(v *ctl.View, script, by, note string, limit int) (*fleet.Change, error) {
+func (w which) plan(v *ctl.View, script, by, note string, limit int) (*rollout.Change, error) {
 	raw, err := os.ReadFile(script)
 	if err != nil {
 		return nil, err
@@ -45,17 +45,17 @@
 	if _, err := config.ReadOperator(script, raw); err != nil {
 		return nil, err
 	}
-	return w.edit(v, by, note, limit, func(fleet.Place) (string, error) { return string(raw), nil })
+	return w.edit(v, by, note, limit, func(rollout.Place) (string, error) { return string(raw), nil })
 }
 
 // edit makes a change by editing what is in force.
-func (w which) edit(v *ctl.View, by, note string, limit int, edit func(fleet.Place) (string, error)) (*fleet.Change, error) {
+func (w which) edit(v *ctl.View, by, note string, limit int, edit func(rollout.Place) (string, error)) (*rollout.Change, error) {
 	places, err := v.Places()
 	if err != nil {
 		return nil, fmt.Errorf("%w: nothing is changed while one can't be reached", err)
 	}
 	var failed error
-	change := fleet.Plan(ctl.NewID(), by, note, places, limit, sum, func(p fleet.Place) string {
+	change := rollout.Plan(ctl.NewID(), by, note, places, limit, sum, func(p rollout.Place) string {
 		if !w.has(p) {
 			return p.Script
 		}
@@ -88,7 +88,7 @@
 	return c.print(change, func() {
 		places, _ := v.Places()
 		for _, t := range change.Targets {
-			i := slices.IndexFunc(places, func(p fleet.Place) bool { return p.Instance == t.Instance })
+			i := slices.IndexFunc(places, func(p rollout.Place) bool { return p.Instance == t.Instance })
 			fmt.Printf("%s\n", t.Instance)
 			old, now := strings.Split(places[i].Script, "\n"), strings.Split(t.Script, "\n")
 			for _, line := range old {
@@ -141,9 +141,9 @@
 }
 
 // run takes a change through and tells what came of it.
-func (g going) run(ctx context.Context, c *command, f *ctl.Fleet, change *fleet.Change, v ctl.View) error {
+func (g going) run(ctx context.Context, c *command, f *ctl.Fleet, change *rollout.Change, v ctl.View) error {
 	if change != nil && len(change.Targets) == 0 {
-		return c.print(fleet.Result{}, func() { fmt.Println("nothing to change") })
+		return c.print(rollout.Result{}, func() { fmt.Println("nothing to change") })
 	}
 	base, _ := v.Health(ctl.View{})
 	last := v
@@ -157,9 +157,9 @@
 		}
 		return ""
 	}
-	step := func(s fleet.Step, wave int) {
-		if !c.JSON && s != fleet.Ended {
-			if s == fleet.Waving && change != nil && change.Waves() > 1 {
+	step := func(s rollout.Step, wave int) {
+		if !c.JSON && s != rollout.Ended {
+			if s == rollout.Waving && change != nil && change.Waves() > 1 {
 				fmt.Printf("%v, wave %d of %d\n", s, wave, change.Waves())
 			} else {
 				fmt.Println(s)
@@ -183,7 +183,7 @@
 }
 
 // tell says what came of each director.
-func tell(r fleet.Result) {
+func tell(r rollout.Result) {
 	if r.Holder != "" {
 		fmt.Printf("held by %s for %.0f s, for %.0f s more\n", r.Holder, float64(r.Held)/1e6, float64(r.Left)/1e6)
 	}
@@ -241,7 +241,7 @@
 	} else if err := v.Listed(d.Box); err != nil {
 		return err
 	}
-	change, err := d.edit(&v, f.Me, note, d.Limit, func(p fleet.Place) (string, error) { return ctl.Avoiding(p.Script, d.Box, !d.Back) })
+	change, err := d.edit(&v, f.Me, note, d.Limit, func(p rollout.Place) (string, error) { return ctl.Avoiding(p.Script, d.Box, !d.Back) })
 	if err != nil {
 		return err
 	}
@@ -265,7 +265,7 @@
 	if of == nil {
 		return fmt.Errorf("%s: no agent that answers knows it", u.ID)
 	}
-	return u.run(ctx, c, f, fleet.Undo(ctl.NewID(), f.Me, of, before, sum), v)
+	return u.run(ctx, c, f, rollout.Undo(ctl.NewID(), f.Me, of, before, sum), v)
 }
 
 type resumeCommand struct {
--- a/cmd/tallyproxy/main.go
+++ b/cmd/tallyproxy/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"tallyproxy/internal/serve"
+	"tallyproxy/internal/server"
 )
 
-func main() { os.Exit(serve.Main(os.Args[1:])) }
+func main() { os.Exit(server.Main(os.Args[1:])) }
--- a/keys/keys.go
+++ b/dedup/keys.go
@@ -1,10 +1,10 @@
 // Package keys remembers which deduped downloads may have had their effect, over their clients' own retries: by the
 // client's key, when the first pull of it that may have run went out. It does no I/O and takes the clock as a value.
-package keys
+package dedup
 
 import (
-	d "tallyproxy/director"
-	"tallyproxy/wheel"
+	d "tallyproxy/policy"
+	"tallyproxy/timerwheel"
 )
 
 // Settings are the operator's.
@@ -20,7 +20,7 @@
 	Zone, Cell int      // of the node that it went to: the group that drops repeats
 	pulls      int      // that may have run
 	last       d.Micros // when the last one went out
-	item       wheel.Item[string]
+	item       timerwheel.Item[string]
 }
 
 // Table holds marks. Each leaves by the wheel, so many windows after the last pull of its key, or at once when all of
@@ -28,7 +28,7 @@
 type Table struct {
 	s     Settings
 	marks map[string]*Mark
-	wheel *wheel.Wheel[string]
+	wheel *timerwheel.Wheel[string]
 	full  int // downloads that found no room for a mark
 }
 
@@ -41,9 +41,9 @@
 // advance lets go what is due.
 func (t *Table) advance(now d.Micros, window d.Micros) {
 	if t.wheel == nil { // a tick is a ratio to the first window met
-		t.wheel = wheel.New[string](max(1, int64(window)/64), int64(now))
+		t.wheel = timerwheel.New[string](max(1, int64(window)/64), int64(now))
 	}
-	t.wheel.Advance(int64(now), func(i *wheel.Item[string]) { delete(t.marks, i.Value) })
+	t.wheel.Advance(int64(now), func(i *timerwheel.Item[string]) { delete(t.marks, i.Value) })
 }
 
 // Find gives a key's mark; nil where no pull of it is known that may have run.
--- a/keys/keys_test.go
+++ b/dedup/keys_test.go
@@ -1,4 +1,4 @@
-package keys
+package dedup
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 const window = 3 * d.Second
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -12,8 +12,8 @@
 	"path/filepath"
 	"time"
 
-	"tallyproxy/internal/lab"
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/experiment"
+	"tallyproxy/internal/fakes"
 )
 
 func main() {
@@ -35,14 +35,14 @@
 	if err := os.RemoveAll(dir); err != nil {
 		log.Fatal(err)
 	}
-	spec := standin.Depot(4, 3)
+	spec := fakes.Depot(4, 3)
 	spec.Cold = false
-	w, err := standin.New(spec)
+	w, err := fakes.New(spec)
 	if err != nil {
 		log.Fatal(err)
 	}
 	defer w.Close()
-	f, err := lab.NewFleet(w, dir, 3, 1, []string{director}, "storm(mode = \"guard\")\n", *peers)
+	f, err := experiment.NewFleet(w, dir, 3, 1, []string{director}, "storm(mode = \"guard\")\n", *peers)
 	if err != nil {
 		log.Fatal(err)
 	}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -12,13 +12,13 @@
 	"strings"
 	"time"
 
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
 )
 
 func main() {
-	spec := standin.Depot(3, 1)
+	spec := fakes.Depot(3, 1)
 	spec.Cold, spec.Parents = false, 1
-	spec.Types = []standin.Type{{Name: "clip", Aim: 400 * time.Millisecond, Limit: 5 * time.Second, Value: 1,
+	spec.Types = []fakes.Type{{Name: "clip", Aim: 400 * time.Millisecond, Limit: 5 * time.Second, Value: 1,
 		Work: 20 * time.Millisecond, Sigma: 0.5, Share: 1}}
 	spec.Listen = map[string]string{
 		"box-0": "127.0.0.1:9001", "box-1": "127.0.0.1:9002", "box-2": "127.0.0.1:9003", "parent-0": "127.0.0.1:9004",
@@ -29,7 +29,7 @@
 		slog.Info("answered", "node", node, "asset", fields["asset"], "from", fields["from"], "oldest", fields["oldest"],
 			"word", words[1], "fields", words[2])
 	}
-	w, err := standin.New(spec)
+	w, err := fakes.New(spec)
 	if err != nil {
 		slog.Error("failed", "err", err)
 		os.Exit(1)
--- a/dissemination/dissemination.go
+++ b/gossip/dissemination.go
@@ -2,7 +2,7 @@
 // that can't reach the channel go on hearing through those that can. What binds careful (a purge, a drain, a node that is gone) may
 // come from another director; what lets go comes from the channel alone. It does no I/O, and the clock is given. docs/dissemination.md has
 // the argument why nothing that comes twice, late or from one that is itself behind undoes anything.
-package dissemination
+package gossip
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"math"
 	"slices"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // Item is one thing that the channel told. Numbers of events are each director's own, so an item is known by what it says.
--- a/dissemination/dissemination_test.go
+++ b/gossip/dissemination_test.go
@@ -1,4 +1,4 @@
-package dissemination
+package gossip
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 const ms = d.Second / 1000
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,13 +21,13 @@
 	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
 
-	d "tallyproxy/director"
-	"tallyproxy/fleet"
 	"tallyproxy/internal/authority"
 	"tallyproxy/internal/config"
 	"tallyproxy/internal/fleetpb"
-	"tallyproxy/internal/peering"
-	"tallyproxy/peers"
+	"tallyproxy/internal/gossipnet"
+	"tallyproxy/membership"
+	d "tallyproxy/policy"
+	"tallyproxy/rollout"
 )
 
 // Agent is a running agent.
@@ -46,9 +46,9 @@
 	calls chan struct{} // places for calls to others under way
 
 	mu      sync.Mutex
-	a       *fleet.Agent
-	settler *fleet.Settler
-	talk    atomic.Pointer[peering.Talk] // none where the inventory has no key for it
+	a       *rollout.Agent
+	settler *rollout.Settler
+	talk    atomic.Pointer[gossipnet.Talk] // none where the inventory has no key for it
 }
 
 const (
@@ -100,10 +100,10 @@
 		}
 		s.InForce[name], ok = string(raw), false
 	}
-	a.a = fleet.NewAgent(a.now(), a.me.Name, s, a.inv.Lease, check, sum)
-	times := fleet.DefaultTimes()
+	a.a = rollout.NewAgent(a.now(), a.me.Name, s, a.inv.Lease, check, sum)
+	times := rollout.DefaultTimes()
 	times.Lease = a.inv.Lease
-	a.settler = fleet.NewSettler(a.now(), a.a, a.inv.AgentNames(), times)
+	a.settler = rollout.NewSettler(a.now(), a.a, a.inv.AgentNames(), times)
 	if !ok {
 		return a.store.Save(a.a.State)
 	}
@@ -177,7 +177,7 @@
 		case err := <-served:
 			return err
 		case <-tick.C:
-			a.settle(func() ([]fleet.Send, []fleet.Command) { return a.settler.Tick(a.now()) })
+			a.settle(func() ([]rollout.Send, []rollout.Command) { return a.settler.Tick(a.now()) })
 		}
 	}
 }
@@ -197,10 +197,10 @@
 			o.Seeds = append(o.Seeds, other.Talk)
 		}
 	}
-	s := peers.Derive(a.me.Name, uint64(time.Now().UnixMicro()), d.Settings{
+	s := membership.Derive(a.me.Name, uint64(time.Now().UnixMicro()), d.Settings{
 		ConnectTimeout: meetTime, Instances: len(a.inv.Agents), Directors: len(a.inv.Agents),
 	})
-	talk, err := peering.Start(o, s, a.now, peering.Ears{})
+	talk, err := gossipnet.Start(o, s, a.now, gossipnet.Ears{})
 	if err == nil {
 		a.talk.Store(talk)
 	}
@@ -211,7 +211,7 @@
 
 // keepUp starts a director again that ended by itself, with the script that it was given last.
 func (a *Agent) keepUp(ctx context.Context, dir *Director) {
-	var k fleet.Keeper
+	var k rollout.Keeper
 	tick := time.NewTicker(lookAgain)
 	defer tick.Stop()
 	for {
@@ -250,7 +250,7 @@
 }
 
 // carry carries commands out, each on its own.
-func (a *Agent) carry(do []fleet.Command) {
+func (a *Agent) carry(do []rollout.Command) {
 	for _, c := range do {
 		a.work.Go(func() {
 			dir := a.directors[c.Instance]
@@ -305,8 +305,8 @@
 		return nil, status.Error(codes.Unauthenticated, err.Error())
 	}
 	needs := []authority.Role{authority.See, authority.Change, authority.Keys, authority.Agent}
-	if say, ok := req.(*fleetpb.SayRequest); ok && fleet.Verb(say.GetVerb()) != fleet.Ask {
-		if needs = []authority.Role{authority.Change, authority.Agent}; fleet.Verb(say.GetVerb()) == fleet.Prepare {
+	if say, ok := req.(*fleetpb.SayRequest); ok && rollout.Verb(say.GetVerb()) != rollout.Ask {
+		if needs = []authority.Role{authority.Change, authority.Agent}; rollout.Verb(say.GetVerb()) == rollout.Prepare {
 			needs = needs[:1] // agents end what is open; they begin nothing
 		}
 		if b := say.GetBallot().GetHolder(); b != "" && !strings.HasPrefix(b, name+"/") {
@@ -333,7 +333,7 @@
 		return nil, status.Errorf(codes.ResourceExhausted, "%s can't store it: %v", a.me.Name, err)
 	}
 	a.carry(do)
-	if m.Verb == fleet.Prepare || m.Verb == fleet.Accept || m.Verb == fleet.Promise || len(do) > 0 {
+	if m.Verb == rollout.Prepare || m.Verb == rollout.Accept || m.Verb == rollout.Promise || len(do) > 0 {
 		who, _, _ := a.caller(ctx)
 		id := m.ID
 		if m.Change != nil {
@@ -347,17 +347,17 @@
 	return fleetpb.FromReply(r), nil
 }
 
-var verbs = map[fleet.Verb]string{
-	fleet.Promise: "take", fleet.Prepare: "prepare", fleet.Accept: "decide", fleet.Learn: "put in force",
+var verbs = map[rollout.Verb]string{
+	rollout.Promise: "take", rollout.Prepare: "prepare", rollout.Accept: "decide", rollout.Learn: "put in force",
 }
 
 // Status tells how this agent and its directors are.
 func (a *Agent) Status(ctx context.Context, _ *fleetpb.StatusRequest) (*fleetpb.StatusReply, error) {
 	out := &fleetpb.StatusReply{Name: a.me.Name, Members: map[string]string{}}
 	a.mu.Lock()
-	r, _ := a.a.Handle(a.now(), fleet.Message{Verb: fleet.Ask})
+	r, _ := a.a.Handle(a.now(), rollout.Message{Verb: rollout.Ask})
 	for _, e := range a.a.State.Entries {
-		out.Entries = append(out.Entries, fleetpb.FromEntries([]fleet.Entry{*e})...)
+		out.Entries = append(out.Entries, fleetpb.FromEntries([]rollout.Entry{*e})...)
 	}
 	scripts := maps.Clone(a.a.State.InForce)
 	a.mu.Unlock()
@@ -404,7 +404,7 @@
 }
 
 // settle has the settler do something. What it says leaves once what it rests on is stored.
-func (a *Agent) settle(act func() ([]fleet.Send, []fleet.Command)) {
+func (a *Agent) settle(act func() ([]rollout.Send, []rollout.Command)) {
 	a.mu.Lock()
 	sends, do := act()
 	err := a.save()
@@ -429,7 +429,7 @@
 			ctx, leave := context.WithTimeout(a.ctx, callTimeout)
 			defer leave()
 			if r, err := a.peers.Say(ctx, s.To, s.Message); err == nil {
-				a.settle(func() ([]fleet.Send, []fleet.Command) { return a.settler.Got(a.now(), s.To, r) })
+				a.settle(func() ([]rollout.Send, []rollout.Command) { return a.settler.Got(a.now(), s.To, r) })
 			}
 		})
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"tallyproxy/fleet"
 	"tallyproxy/internal/authority"
 	"tallyproxy/internal/config"
+	"tallyproxy/rollout"
 )
 
 // An agent that is told to end while it stores a promise ends once that is done: whoever opens the store next finds it whole, and
@@ -64,7 +64,7 @@
 	callers := NewPeers(inv, op)
 	defer callers.Close()
 	say := func(n int64) error {
-		_, err := callers.Say(t.Context(), "a0", fleet.Message{Verb: fleet.Promise, Ballot: fleet.Ballot{N: n, Holder: "op/1"}, Lease: 1})
+		_, err := callers.Say(t.Context(), "a0", rollout.Message{Verb: rollout.Promise, Ballot: rollout.Ballot{N: n, Holder: "op/1"}, Lease: 1})
 		return err
 	}
 	if err := say(1); err != nil {
--- a/internal/agent/director.go
+++ b/internal/agent/director.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/state"
+	"tallyproxy/internal/status"
 )
 
 // Director is one that an agent looks after.
@@ -82,7 +82,7 @@
 		}
 		return pid, nil
 	}
-	if r, err := state.Read(context.Background(), d.Socket); err == nil { // an agent before this one started it
+	if r, err := status.Read(context.Background(), d.Socket); err == nil { // an agent before this one started it
 		return r.PID, nil
 	}
 	return 0, errors.New("it is not running")
@@ -115,8 +115,8 @@
 }
 
 // Report is what it tells of itself.
-func (d *Director) Report(ctx context.Context) (state.Report, error) {
-	return state.Read(ctx, d.Socket)
+func (d *Director) Report(ctx context.Context) (status.Report, error) {
+	return status.Read(ctx, d.Socket)
 }
 
 // Start starts it, where it does not run, and waits until it tells how it is.
@@ -127,7 +127,7 @@
 		return nil
 	}
 	if running, _ := d.process(); running { // another one would only find its address taken
-		return d.until(ctx, takes, func(state.Report) (bool, string) { return true, "" })
+		return d.until(ctx, takes, func(status.Report) (bool, string) { return true, "" })
 	}
 	if len(d.Command) == 0 {
 		return errors.New("it does not run, and its inventory has no command")
@@ -146,7 +146,7 @@
 	d.mu.Lock()
 	d.cmd, d.ended = cmd, ended
 	d.mu.Unlock()
-	return d.until(ctx, takes, func(state.Report) (bool, string) { return true, "" })
+	return d.until(ctx, takes, func(status.Report) (bool, string) { return true, "" })
 }
 
 // Stop ends it once all it had taken is answered.
@@ -163,7 +163,7 @@
 }
 
 // until waits for the director to tell what is asked for, or why it can't be.
-func (d *Director) until(ctx context.Context, within time.Duration, holds func(state.Report) (bool, string)) error {
+func (d *Director) until(ctx context.Context, within time.Duration, holds func(status.Report) (bool, string)) error {
 	why := "it does not tell how it is"
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(lookEvery) {
 		if ctx.Err() != nil {
@@ -228,7 +228,7 @@
 	}
 	refused, reloads := r.Refused, r.Reloads
 	signalled := time.Now()
-	return d.until(ctx, takes, func(r state.Report) (bool, string) {
+	return d.until(ctx, takes, func(r status.Report) (bool, string) {
 		if r.Settings == want {
 			return true, ""
 		}
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -10,10 +10,10 @@
 	"google.golang.org/grpc/backoff"
 	"google.golang.org/grpc/credentials"
 
-	"tallyproxy/fleet"
 	"tallyproxy/internal/authority"
 	"tallyproxy/internal/config"
 	"tallyproxy/internal/fleetpb"
+	"tallyproxy/rollout"
 )
 
 // Peers calls agents by their names in the inventory, over one connection each.
@@ -55,14 +55,14 @@
 }
 
 // Say says a message to an agent.
-func (p *Peers) Say(ctx context.Context, to string, m fleet.Message) (fleet.Reply, error) {
+func (p *Peers) Say(ctx context.Context, to string, m rollout.Message) (rollout.Reply, error) {
 	c, err := p.Client(to)
 	if err != nil {
-		return fleet.Reply{}, err
+		return rollout.Reply{}, err
 	}
 	r, err := c.Say(ctx, fleetpb.FromMessage(m))
 	if err != nil {
-		return fleet.Reply{}, err
+		return rollout.Reply{}, err
 	}
 	return fleetpb.ToReply(r), nil
 }
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -13,7 +13,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"tallyproxy/fleet"
+	"tallyproxy/rollout"
 )
 
 var (
@@ -50,7 +50,7 @@
 func (s *Store) Close() error { return s.db.Close() }
 
 // Load gives what was saved last; ok is false where nothing was.
-func (s *Store) Load() (state fleet.State, ok bool, err error) {
+func (s *Store) Load() (state rollout.State, ok bool, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if bad := recover(); bad != nil {
@@ -79,7 +79,7 @@
 }
 
 // Save keeps a state; an error means that the one before is still there.
-func (s *Store) Save(state fleet.State) error {
+func (s *Store) Save(state rollout.State) error {
 	text, err := json.Marshal(state)
 	if err != nil {
 		return err
--- a/internal/agent/store_test.go
+++ b/internal/agent/store_test.go
@@ -12,7 +12,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"tallyproxy/fleet"
+	"tallyproxy/rollout"
 )
 
 func TestStore(t *testing.T) {
@@ -24,7 +24,7 @@
 	if _, ok, err := s.Load(); ok || err != nil {
 		t.Errorf("a new one has something: %v", err)
 	}
-	want := fleet.State{Promised: fleet.Ballot{N: 3, Holder: "op"}, InForce: map[string]string{"n0": "log()"}}
+	want := rollout.State{Promised: rollout.Ballot{N: 3, Holder: "op"}, InForce: map[string]string{"n0": "log()"}}
 	for i := range 50 {
 		want.Promised.N = int64(i)
 		if err := s.Save(want); err != nil {
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state := fleet.State{InForce: map[string]string{}}
+	state := rollout.State{InForce: map[string]string{}}
 	for i := range 200 {
 		state.InForce[fmt.Sprint("n", i)] = fmt.Sprintf("# %0200d", i)
 	}
--- a/internal/pool/pool.go
+++ b/internal/bufpool/pool.go
@@ -1,5 +1,5 @@
 // Package pool lends buffers of a few sizes, up to what memory allows, and keeps bodies in them.
-package pool
+package bufpool
 
 import (
 	"sync"
--- a/internal/pool/pool_test.go
+++ b/internal/bufpool/pool_test.go
@@ -1,4 +1,4 @@
-package pool
+package bufpool
 
 import (
 	"bytes"
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"tallyproxy/director"
+	"tallyproxy/policy"
 )
 
 const good = `{"name":"n3","listen":"127.0.0.1:8443","seed":"8c1f30d27a5be964","channel":"127.0.0.2:8500","new":1,
@@ -33,7 +33,7 @@
 	}
 	clip := c.Site.Settings.Types[0]
 	if c.Name != "n3" || c.Site.Seed != 0x8c1f30d27a5be964 || c.Site.ConnectTimeout != 400_000 || c.Site.Streams != 100 ||
-		clip.Repeat != director.Deduped || clip.Scope != director.ScopeCell || clip.Fresh != 500_000 ||
+		clip.Repeat != policy.Deduped || clip.Scope != policy.ScopeCell || clip.Fresh != 500_000 ||
 		c.Site.Types[0] != "clip" || c.Limits.Clients() != 256 || c.Limits.Dials() != 153 {
 		t.Errorf("read as %+v", c)
 	}
--- a/internal/config/inventory.go
+++ b/internal/config/inventory.go
@@ -11,16 +11,16 @@
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 
-	"tallyproxy/director"
+	"tallyproxy/policy"
 )
 
 // Inventory is what a fleet is made of: agents, each on a machine, and the directors that they look after. It is a Starlark
 // script beside the operator's file, read by the tool and by every agent.
 type Inventory struct {
 	Path      string
-	Lease     director.Micros // of the right to change
-	Authority string          // folder with the authority's certificate and the list of those revoked
-	TalkKey   string          // file of the key with which agents find out who of them is there; empty for not at all
+	Lease     policy.Micros // of the right to change
+	Authority string        // folder with the authority's certificate and the list of those revoked
+	TalkKey   string        // file of the key with which agents find out who of them is there; empty for not at all
 	Agents    []AgentEntry
 	Directors []DirectorEntry
 }
@@ -83,7 +83,7 @@
 
 // ReadInventory reads a script; the path is for its errors.
 func ReadInventory(path string, raw []byte) (*Inventory, error) {
-	inv := &Inventory{Path: path, Lease: 3 * director.Second}
+	inv := &Inventory{Path: path, Lease: 3 * policy.Second}
 	if len(raw) > largestFile {
 		return nil, fmt.Errorf("%s: over %d bytes", path, largestFile)
 	}
--- a/internal/config/inventory_test.go
+++ b/internal/config/inventory_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"tallyproxy/director"
+	"tallyproxy/policy"
 )
 
 const inventory = `
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(inv.Agents) != 3 || len(inv.Directors) != 6 || inv.Lease != 20*director.Second || inv.Agent("a2").Depot != "south" ||
+	if len(inv.Agents) != 3 || len(inv.Directors) != 6 || inv.Lease != 20*policy.Second || inv.Agent("a2").Depot != "south" ||
 		len(inv.Of("a1")) != 2 || inv.Of("a1")[1].Settings != "n11.star" || inv.Agent("x") != nil {
 		t.Errorf("%+v", inv)
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -20,20 +20,20 @@
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 
-	"tallyproxy/director"
-	"tallyproxy/keys"
-	"tallyproxy/storm"
+	"tallyproxy/dedup"
+	"tallyproxy/overload"
+	"tallyproxy/policy"
 )
 
 // Operator is what the operator's own file says: a Starlark script that calls each section's function at most once. What
 // it does not name has its default.
 type Operator struct {
-	Storm storm.Settings
-	Keys  keys.Settings
+	Storm overload.Settings
+	Keys  dedup.Settings
 	Log   slog.Level
 	// Settle is how long nothing must have come after the signal to stop before the director ends; 0 for the margin's
 	// figure.
-	Settle director.Micros
+	Settle policy.Micros
 	Cores  int      // 0: not said
 	Avoid  []string // boxes that are taken for draining, whatever the list says
 	State  string   // path of the socket at which the director tells how it is; empty for none
@@ -82,7 +82,7 @@
 )
 
 // Marks is the settings of keys, with as many marks as memory allows where the file says none.
-func (o Operator) Marks(l Limits) keys.Settings {
+func (o Operator) Marks(l Limits) dedup.Settings {
 	k := o.Keys
 	if k.Most < 0 {
 		k.Most = int(l.Memory() / markPart / markBytes)
@@ -116,7 +116,7 @@
 
 // DefaultOperator is what holds without a file: fixed advice, and marks of deduped downloads.
 func DefaultOperator() Operator {
-	return Operator{Storm: storm.Defaults(), Keys: keys.Settings{Most: -1, Remember: 20}}
+	return Operator{Storm: overload.Defaults(), Keys: dedup.Settings{Most: -1, Remember: 20}}
 }
 
 // LoadOperator reads the file; with no path it gives the defaults. Errors name file, line and key.
@@ -174,8 +174,8 @@
 			return nil
 		}},
 		"storm": {keys: []key{
-			choice("mode", &o.Storm.Mode, map[string]storm.Mode{
-				"guard": storm.Guards, "fixed": storm.Fixed, "silent": storm.Silent,
+			choice("mode", &o.Storm.Mode, map[string]overload.Mode{
+				"guard": overload.Guards, "fixed": overload.Fixed, "silent": overload.Silent,
 			}),
 			ratio("reach", &o.Storm.Reach, 0.1, 1),
 			count("windows", &o.Storm.Windows, 2, 1000),
@@ -239,7 +239,7 @@
 }
 
 // timed takes a time with its unit; a bare number is refused.
-func timed(name string, to *director.Micros, least, most time.Duration) key {
+func timed(name string, to *policy.Micros, least, most time.Duration) key {
 	return key{name, func(v starlark.Value) error {
 		t, ok := v.(duration)
 		if !ok {
@@ -248,7 +248,7 @@
 		if d := time.Duration(t); d < least || d > most {
 			return fmt.Errorf("%v is not from %v to %v", d, least, most)
 		}
-		*to = director.Micros(time.Duration(t) / time.Microsecond)
+		*to = policy.Micros(time.Duration(t) / time.Microsecond)
 		return nil
 	}}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math"
 
-	"tallyproxy/director"
+	"tallyproxy/policy"
 )
 
 // params are the start-up settings in the wire's words; keys that are not named here are skipped.
@@ -67,7 +67,7 @@
 
 // Site is the settings with the names that the protocols use for what is counted there.
 type Site struct {
-	director.Settings
+	policy.Settings
 	Types, Zones, Kinds []string
 	Weights, NoteLevel  string // as they were given, for the check of the shape
 	Peers               bool   // directors may talk to each other
@@ -80,12 +80,12 @@
 	notesShape   = map[string]string{"": "old", "all": "old", "hit": "old", "silent": "new"}
 )
 
-var repeats = map[string]director.Repeat{
-	"free": director.Retriable, "guarded": director.Deduped, "single_shot": director.NonRetriable,
+var repeats = map[string]policy.Repeat{
+	"free": policy.Retriable, "guarded": policy.Deduped, "single_shot": policy.NonRetriable,
 }
 
-var scopes = map[string]director.Scope{
-	"": director.ScopeAll, "all": director.ScopeAll, "zone": director.ScopeZone, "cell": director.ScopeCell,
+var scopes = map[string]policy.Scope{
+	"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
 }
 
 // ParseSite reads the settings' JSON, the same for the bench's wire and for sockets.
@@ -112,8 +112,8 @@
 		s.Directors += n
 	}
 	s.MostPulls, s.PaceKB = p.Limits.TryLimit, sp.Pace
-	s.Edge = director.Warming{From: c.ColdFrom, Time: span(c.Cold), Multiple: c.Multiple, Window: span(c.Window)}
-	s.Parent = director.Warming{
+	s.Edge = policy.Warming{From: c.ColdFrom, Time: span(c.Cold), Multiple: c.Multiple, Window: span(c.Window)}
+	s.Parent = policy.Warming{
 		From: sp.ColdFrom, Time: span(sp.WarmsIn), Multiple: sp.FallMultiple, Window: span(c.Window),
 	}
 	s.AnswerGrace, s.ConnectTimeout = span(c.Grace), span(p.Limits.Connect)
@@ -133,7 +133,7 @@
 			return s, fmt.Errorf("lanes[%d].dedup-scope: %q is not known", i, lane.DedupScope)
 		}
 		s.Types = append(s.Types, lane.Name)
-		s.Settings.Types = append(s.Settings.Types, &director.ContentType{
+		s.Settings.Types = append(s.Settings.Types, &policy.ContentType{
 			TargetTime: span(lane.Aim), Stretch: lane.Stretch, Expiry: span(lane.HardLimit),
 			Repeat: repeat, Scope: scope, Window: span(lane.DedupWindow),
 			Benefit: lane.Value, LateBenefit: lane.LateWorth,
@@ -144,7 +144,7 @@
 	return s, nil
 }
 
-func span(ms float64) director.Micros { return director.Micros(math.Round(ms * 1000)) }
+func span(ms float64) policy.Micros { return policy.Micros(math.Round(ms * 1000)) }
 
 // at gives a list's entry, or the zero value where the list is shorter.
 func at[T any](list []T, i int) (value T) {
--- a/internal/ctl/boxes_test.go
+++ b/internal/ctl/boxes_test.go
@@ -4,14 +4,14 @@
 	"strings"
 	"testing"
 
-	"tallyproxy/internal/state"
-	"tallyproxy/logic"
+	"tallyproxy/internal/status"
+	"tallyproxy/routing"
 )
 
 func TestListed(t *testing.T) {
 	tells := func(names ...string) (d Director) {
 		for _, name := range names {
-			d.Report.Beliefs = append(d.Report.Beliefs, logic.View{ID: name})
+			d.Report.Beliefs = append(d.Report.Beliefs, routing.View{ID: name})
 		}
 		return d
 	}
@@ -21,7 +21,7 @@
 		want      string
 	}{
 		{"in one list", "box-2", []Director{tells("box-1"), tells("box-1", "box-2")}, ""},
-		{"nobody tells", "box-2", []Director{{}, {Report: state.Report{}}}, ""},
+		{"nobody tells", "box-2", []Director{{}, {Report: status.Report{}}}, ""},
 		{"mistyped", "bx-12", []Director{tells("parent-0", "box-1", "box-2", "box-12", "box-7")}, "bx-12: no director's list has it; nearest are box-12, box-1, box-2"},
 		{"one known", "x", []Director{tells("box-1")}, "nearest are box-1"},
 	} {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -14,13 +14,13 @@
 	"sync"
 	"time"
 
-	d "tallyproxy/director"
-	"tallyproxy/fleet"
 	"tallyproxy/internal/agent"
 	"tallyproxy/internal/authority"
 	"tallyproxy/internal/config"
 	"tallyproxy/internal/fleetpb"
-	"tallyproxy/internal/state"
+	"tallyproxy/internal/status"
+	d "tallyproxy/policy"
+	"tallyproxy/rollout"
 )
 
 // Fleet is one as an operator reaches it.
@@ -29,12 +29,12 @@
 	Me        string // this tool: the operator's name and a number of its own
 	peers     *agent.Peers
 	start     time.Time
-	times     fleet.Times
+	times     rollout.Times
 }
 
 // Open reaches the fleet of an inventory as the owner of a certificate.
 func Open(inv *config.Inventory, id *authority.Identity) *Fleet {
-	t := fleet.DefaultTimes()
+	t := rollout.DefaultTimes()
 	t.Lease = inv.Lease
 	return &Fleet{
 		Inventory: inv, Me: id.Name() + "/" + random(4), peers: agent.NewPeers(inv, id), start: time.Now(), times: t,
@@ -55,16 +55,16 @@
 
 // Director is how one is.
 type Director struct {
-	Name     string       `json:"name"`
-	Agent    string       `json:"agent"`
-	Depot    string       `json:"depot"`
-	Up       bool         `json:"up"`
-	Why      string       `json:"why,omitempty"`
-	Script   string       `json:"script"` // that its agent takes to be in force
-	Drifted  bool         `json:"drifted"`
-	Known    bool         `json:"known"` // its agent answers
-	Report   state.Report `json:"report"`
-	Settings string       `json:"settings"` // sum of what it runs
+	Name     string        `json:"name"`
+	Agent    string        `json:"agent"`
+	Depot    string        `json:"depot"`
+	Up       bool          `json:"up"`
+	Why      string        `json:"why,omitempty"`
+	Script   string        `json:"script"` // that its agent takes to be in force
+	Drifted  bool          `json:"drifted"`
+	Known    bool          `json:"known"` // its agent answers
+	Report   status.Report `json:"report"`
+	Settings string        `json:"settings"` // sum of what it runs
 }
 
 // View is how a fleet is.
@@ -80,7 +80,7 @@
 
 type entryOf struct {
 	agent string
-	fleet.Entry
+	rollout.Entry
 }
 
 // AgentView is how one agent is.
@@ -126,7 +126,7 @@
 	all.Wait()
 	var v View
 	known := map[string]*fleetpb.DirectorStatus{}
-	var promised fleet.Ballot
+	var promised rollout.Ballot
 	for i, a := range f.Inventory.Agents {
 		av := AgentView{Name: a.Name, Depot: a.Depot, Answers: answers[i].err == nil}
 		if err := answers[i].err; err != nil {
@@ -183,7 +183,7 @@
 			v.Changes = append(v.Changes, c)
 		}
 		c := &v.Changes[i]
-		if e.Outcome != fleet.Open {
+		if e.Outcome != rollout.Open {
 			c.Outcome = e.Outcome.String()
 		}
 		c.Open = c.Open || !e.Settled()
@@ -198,7 +198,7 @@
 }
 
 // Change is one, as an agent that knows it tells it, with what was in force before at each director that is known.
-func (v *View) Change(id string) (c *fleet.Change, before map[string]string) {
+func (v *View) Change(id string) (c *rollout.Change, before map[string]string) {
 	before = map[string]string{}
 	for _, e := range v.entries {
 		if e.Change.ID != id {
@@ -206,7 +206,7 @@
 		}
 		c = e.Change
 		for name, l := range e.Local {
-			if l.Phase == fleet.InForce {
+			if l.Phase == rollout.InForce {
 				before[name] = l.Before
 			}
 		}
@@ -215,19 +215,19 @@
 }
 
 // Places are the directors for planning. An error names one whose agent does not answer.
-func (v *View) Places() (places []fleet.Place, err error) {
+func (v *View) Places() (places []rollout.Place, err error) {
 	for _, x := range v.Directors {
 		if !x.Known {
 			return nil, fmt.Errorf("%s: %s", x.Name, x.Why)
 		}
-		places = append(places, fleet.Place{Instance: x.Name, Agent: x.Agent, Depot: x.Depot, Script: x.Script})
+		places = append(places, rollout.Place{Instance: x.Name, Agent: x.Agent, Depot: x.Depot, Script: x.Script})
 	}
 	return places, nil
 }
 
 // Health is the share of the directors' answers that were no success, over those since another look.
 func (v *View) Health(since View) (bad float64, answers int64) {
-	before := map[string]state.Report{}
+	before := map[string]status.Report{}
 	for _, x := range since.Directors {
 		before[x.Name] = x.Report
 	}
@@ -253,10 +253,10 @@
 // Run takes a change through, or with none settles what others left open. Step, where given, hears how far it is; worse says
 // between waves why to stop. It ends in a bounded time whoever answers (docs/fleet.md), and at once where the context does: the
 // right to change is given back, and the agents settle what is open.
-func (f *Fleet) Run(ctx context.Context, change *fleet.Change, worse func() string, step func(fleet.Step, int)) (fleet.Result, error) {
+func (f *Fleet) Run(ctx context.Context, change *rollout.Change, worse func() string, step func(rollout.Step, int)) (rollout.Result, error) {
 	for tries := 0; ; tries++ {
 		r, err := f.run(ctx, change, worse, step)
-		if err != nil || !fleet.Settles(r.Holder) && !r.Resume || tries == settlingTries {
+		if err != nil || !rollout.Settles(r.Holder) && !r.Resume || tries == settlingTries {
 			return r, err
 		}
 		select { // an agent settles what a tool left: that is no other operator, and soon over
@@ -295,23 +295,23 @@
 	}
 }
 
-func (f *Fleet) run(ctx context.Context, change *fleet.Change, worse func() string, step func(fleet.Step, int)) (fleet.Result, error) {
+func (f *Fleet) run(ctx context.Context, change *rollout.Change, worse func() string, step func(rollout.Step, int)) (rollout.Result, error) {
 	n, err := f.ballot(ctx)
 	if err != nil {
-		return fleet.Result{}, err
+		return rollout.Result{}, err
 	}
 	names := f.Inventory.AgentNames()
-	c := fleet.NewCoordinator(f.Me, n, names, change, f.times, judge(worse))
+	c := rollout.NewCoordinator(f.Me, n, names, change, f.times, judge(worse))
 	type came struct {
 		from string
-		r    fleet.Reply
+		r    rollout.Reply
 	}
 	work, leave := context.WithCancel(context.WithoutCancel(ctx)) // what is said last must still be heard
 	defer leave()
 	replies := make(chan came, 4*len(names)+16)
 	var calls sync.WaitGroup
 	places := make(chan struct{}, 4*len(names)+16) // calls under way
-	say := func(sends []fleet.Send) {
+	say := func(sends []rollout.Send) {
 		for _, s := range sends {
 			select {
 			case places <- struct{}{}:
@@ -335,7 +335,7 @@
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	say(c.Start(now()))
-	for last, wave := fleet.Step(-1), 0; c.Step() != fleet.Ended; {
+	for last, wave := rollout.Step(-1), 0; c.Step() != rollout.Ended; {
 		if step != nil && (c.Step() != last || c.Wave() != wave) {
 			last, wave = c.Step(), c.Wave()
 			step(last, wave)
@@ -376,7 +376,7 @@
 		all.Go(func() {
 			ctx, leave := context.WithTimeout(ctx, 2*time.Second)
 			defer leave()
-			r, err := f.peers.Say(ctx, a.Name, fleet.Message{Verb: fleet.Ask})
+			r, err := f.peers.Say(ctx, a.Name, rollout.Message{Verb: rollout.Ask})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/ctl/views_test.go
+++ b/internal/ctl/views_test.go
@@ -4,16 +4,16 @@
 	"strings"
 	"testing"
 
-	"tallyproxy/internal/state"
-	"tallyproxy/peers"
+	"tallyproxy/internal/status"
+	"tallyproxy/membership"
 	"tallyproxy/relays"
 )
 
 func TestViews(t *testing.T) {
-	director := func(name, sum, standing string, rows ...peers.Row) Director {
-		return Director{Name: name, Up: true, Report: state.Report{Peers: &peers.Report{Sum: sum, Standing: standing, Zone: 1, Fleet: 1.25, Peers: rows}}}
+	director := func(name, sum, standing string, rows ...membership.Row) Director {
+		return Director{Name: name, Up: true, Report: status.Report{Peers: &membership.Report{Sum: sum, Standing: standing, Zone: 1, Fleet: 1.25, Peers: rows}}}
 	}
-	gone := peers.Row{Name: "n2", State: "failed", Since: 4_000_000}
+	gone := membership.Row{Name: "n2", State: "failed", Since: 4_000_000}
 	cases := []struct {
 		name      string
 		directors []Director
--- a/internal/feed/feed.go
+++ b/internal/discovery/feed.go
@@ -1,5 +1,5 @@
 // Package feed follows the command channel: purges and changes of the list of nodes, as numbered events.
-package feed
+package discovery
 
 import (
 	"context"
@@ -16,17 +16,17 @@
 	"sync"
 	"time"
 
-	"tallyproxy/director"
+	"tallyproxy/backoff"
 	"tallyproxy/internal/config"
-	"tallyproxy/manners"
-	"tallyproxy/pulse"
+	"tallyproxy/policy"
+	"tallyproxy/stall"
 )
 
 const largest = 8 << 20 // bytes of one answer
 
 // Node is an entry of the list, with its address.
 type Node struct {
-	director.Node
+	policy.Node
 	Addr string
 }
 
@@ -38,7 +38,7 @@
 	Nodes    []Node
 	Object   string
 	Group    int
-	At       director.Micros
+	At       policy.Micros
 }
 
 type answer struct {
@@ -66,8 +66,8 @@
 	} `json:"cmds"`
 }
 
-var states = map[string]director.State{
-	"up": director.Ready, "draining": director.Draining, "removed": director.Gone,
+var states = map[string]policy.State{
+	"up": policy.Ready, "draining": policy.Draining, "removed": policy.Gone,
 }
 
 // Feed holds where it stands in the channel.
@@ -88,9 +88,9 @@
 
 // Own is how a director looks after its own time: it hears of the calls, and says whether one is needed now.
 type Own interface {
-	Read() pulse.Reading
-	Turn(pulse.Reading)
-	Answered(began, now pulse.Reading, ok bool)
+	Read() stall.Reading
+	Turn(stall.Reading)
+	Answered(began, now stall.Reading, ok bool)
 	Doubted() bool
 }
 
@@ -181,7 +181,7 @@
 			e.Listed, e.Complete = true, cmd.Nodes.Snapshot || cmd.Cursor == 1
 			for _, row := range cmd.Nodes.Endpoints {
 				n := Node{Addr: row.Address}
-				n.ID, n.Cell, n.Weight, n.Started = row.Name, row.Group, 1, director.Micros(row.Since*1000)
+				n.ID, n.Cell, n.Weight, n.Started = row.Name, row.Group, 1, policy.Micros(row.Since*1000)
 				if row.Weight != nil {
 					n.Weight = *row.Weight
 				}
@@ -190,14 +190,14 @@
 				if !ok || row.Name == "" || strings.ContainsAny(row.Name, " ,=\r\n") {
 					return nil, fmt.Errorf("cmds[%d].nodes: status %q of name %q can't be used", i, row.Status, row.Name)
 				}
-				if state != director.Gone && (n.Zone < 0 || n.Kind < 0) {
+				if state != policy.Gone && (n.Zone < 0 || n.Kind < 0) {
 					return nil, fmt.Errorf("cmds[%d].nodes: zone %q or type %q is not in the settings", i, row.Zone, row.Type)
 				}
 				n.State = state
 				e.Nodes = append(e.Nodes, n)
 			}
 		case cmd.Drop != nil:
-			e.Object, e.At = cmd.Drop.ID, director.Micros(cmd.Drop.When*1000)
+			e.Object, e.At = cmd.Drop.ID, policy.Micros(cmd.Drop.When*1000)
 			if cmd.Drop.Family != nil {
 				e.Group = *cmd.Drop.Family
 			}
@@ -235,17 +235,17 @@
 
 // Follow asks the channel for what comes next until the context ends, each time at the address that Move named last.
 // Each answer's events are handed on together and in order. When it asks is for manners to say, but in doubt, when it is at once.
-func (f *Feed) Follow(ctx context.Context, m director.Margins, apply func([]Event)) {
+func (f *Feed) Follow(ctx context.Context, m policy.Margins, apply func([]Event)) {
 	client := &http.Client{
 		Timeout:   span(m.Block) + 2*span(m.Connect),
 		Transport: &http.Transport{MaxConnsPerHost: 2, DisableCompression: true, DialContext: dialIPv4(span(m.Connect))},
 	}
 	defer client.CloseIdleConnections()
-	times := manners.Derive(f.site.Settings, m)
+	times := backoff.Derive(f.site.Settings, m)
 	if f.may != nil {
 		times = times.Few()
 	}
-	failed, caller, asked := false, manners.New(times, f.seed), ""
+	failed, caller, asked := false, backoff.New(times, f.seed), ""
 	pause, poll := caller.First()
 	f.rest(ctx, pause)
 	for ctx.Err() == nil {
@@ -274,7 +274,7 @@
 		if quick {
 			wait, bound = 0, span(m.Connect)
 		}
-		var began pulse.Reading
+		var began stall.Reading
 		if f.own != nil {
 			began = f.own.Read()
 			f.own.Turn(began)
@@ -292,27 +292,27 @@
 		if f.own != nil && (err == nil || call.Err() == nil) {
 			f.own.Answered(began, f.own.Read(), err == nil)
 		}
-		end, back := manners.Nothing, time.Duration(0)
+		end, back := backoff.Nothing, time.Duration(0)
 		switch {
 		case err == nil && len(events) > 0:
-			end = manners.News
+			end = backoff.News
 		case call.Err() != nil:
-			end = manners.GivenUp
+			end = backoff.GivenUp
 		case err != nil:
 			end, back = ending(err)
 		}
 		if err == nil && failed {
 			slog.Info("feed_back", "cursor", f.cursor)
-		} else if err != nil && !failed && end != manners.GivenUp {
+		} else if err != nil && !failed && end != backoff.GivenUp {
 			slog.Warn("feed_failed", "cursor", f.cursor, "how", end.String(), "err", err)
 		}
-		failed = err != nil && (failed || end != manners.GivenUp)
+		failed = err != nil && (failed || end != backoff.GivenUp)
 		f.mu.Lock()
 		f.fails = failed
 		f.mu.Unlock()
 		late := time.Since(begun) - wait
-		if pause, poll = caller.Next(end, director.Micros(late/time.Microsecond), director.Micros(back/time.Microsecond)); wait == 0 {
-			pause = m.Retry * director.Micros(bit(err != nil)) // in doubt
+		if pause, poll = caller.Next(end, policy.Micros(late/time.Microsecond), policy.Micros(back/time.Microsecond)); wait == 0 {
+			pause = m.Retry * policy.Micros(bit(err != nil)) // in doubt
 		}
 		f.rest(call, pause)
 		leave()
@@ -320,7 +320,7 @@
 }
 
 // rest waits; it ends early with the context, which another address or a doubt ends too.
-func (f *Feed) rest(ctx context.Context, pause director.Micros) {
+func (f *Feed) rest(ctx context.Context, pause policy.Micros) {
 	if pause <= 0 {
 		return
 	}
@@ -332,7 +332,7 @@
 	}
 }
 
-func span(t director.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func span(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
 func bit(on bool) int {
 	if on {
@@ -352,22 +352,22 @@
 var errHalf = errors.New("half an answer")
 
 // ending says how a call failed, and after how long the service has said to come back.
-func ending(err error) (manners.Ending, time.Duration) {
+func ending(err error) (backoff.Ending, time.Duration) {
 	var u unwell
 	var timed net.Error
 	switch {
 	case errors.As(err, &u) && (u.status >= 500 || u.status == http.StatusTooManyRequests):
-		return manners.Busy, u.back
+		return backoff.Busy, u.back
 	case errors.As(err, &u):
-		return manners.Rubbish, 0
+		return backoff.Rubbish, 0
 	case errors.Is(err, context.DeadlineExceeded), errors.As(err, &timed) && timed.Timeout():
-		return manners.Hung, 0
+		return backoff.Hung, 0
 	case errors.Is(err, errHalf):
-		return manners.HalfWay, 0
+		return backoff.HalfWay, 0
 	case errors.Is(err, errCall):
-		return manners.Refused, 0
+		return backoff.Refused, 0
 	}
-	return manners.Rubbish, 0
+	return backoff.Rubbish, 0
 }
 
 var errCall = errors.New("no answer")
--- a/internal/feed/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"tallyproxy/director"
+	"tallyproxy/backoff"
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/standin"
-	"tallyproxy/manners"
-	"tallyproxy/pulse"
+	"tallyproxy/internal/fakes"
+	"tallyproxy/policy"
+	"tallyproxy/stall"
 )
 
 var site = config.Site{Zones: []string{"east", "west"}, Kinds: []string{"std", "parent"}}
@@ -36,13 +36,13 @@
 		t.Fatalf("%+v, %v", events, err)
 	}
 	want := Event{Cursor: 1, Listed: true, Complete: true, Group: -1, Nodes: []Node{
-		{director.Node{ID: "s1", Zone: 1, Cell: 2, Weight: 4}, "10.1.0.9:1"},
-		{director.Node{ID: "p1", Kind: 1, State: director.Draining, Weight: 1, Started: 1764576000123000}, "10.1.0.9:2"},
+		{policy.Node{ID: "s1", Zone: 1, Cell: 2, Weight: 4}, "10.1.0.9:1"},
+		{policy.Node{ID: "p1", Kind: 1, State: policy.Draining, Weight: 1, Started: 1764576000123000}, "10.1.0.9:2"},
 	}}
 	if !reflect.DeepEqual(events[0], want) {
 		t.Errorf("got %+v, want %+v", events[0], want)
 	}
-	if e := events[1]; e.Complete || e.Nodes[0].State != director.Gone {
+	if e := events[1]; e.Complete || e.Nodes[0].State != policy.Gone {
 		t.Errorf("a change read as %+v", e)
 	}
 	if e := events[2]; e.Listed || e.Object != "7f3a9c21e0b4d655" || e.Group != -1 || e.At != 1764576000123000 {
@@ -103,7 +103,7 @@
 	events, ended := make(chan Event, 9), make(chan struct{})
 	f := New(site)
 	f.Move(strings.TrimPrefix(server.URL, "http://"))
-	m := director.Margins{Block: 1200_000, Connect: director.Second, Retry: 1000}
+	m := policy.Margins{Block: 1200_000, Connect: policy.Second, Retry: 1000}
 	go func() {
 		f.Follow(ctx, m, func(batch []Event) {
 			for _, e := range batch {
@@ -152,7 +152,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	events := make(chan []Event, 1)
-	m := director.Margins{Block: director.Second / 20, Connect: director.Second / 20, Retry: 1000}
+	m := policy.Margins{Block: policy.Second / 20, Connect: policy.Second / 20, Retry: 1000}
 	f := New(site)
 	f.Move(strings.TrimPrefix(server.URL, "http://"))
 	go f.Follow(ctx, m, func(batch []Event) {
@@ -191,7 +191,7 @@
 	f.Move(strings.TrimPrefix(older.URL, "http://"))
 	var cursors []int64
 	go func() {
-		f.Follow(ctx, director.Margins{Block: 60 * director.Second, Connect: director.Second}, func(batch []Event) {
+		f.Follow(ctx, policy.Margins{Block: 60 * policy.Second, Connect: policy.Second}, func(batch []Event) {
 			for _, e := range batch {
 				cursors = append(cursors, e.Cursor)
 			}
@@ -243,28 +243,28 @@
 	cases := []struct {
 		name  string
 		serve http.HandlerFunc // nil: nobody listens
-		want  manners.Ending
+		want  backoff.Ending
 		back  time.Duration
 	}{
-		{"nobody listens", nil, manners.Refused, 0},
-		{"closed before an answer", func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }, manners.Refused, 0},
-		{"short", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, manners.Busy, 0},
+		{"nobody listens", nil, backoff.Refused, 0},
+		{"closed before an answer", func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }, backoff.Refused, 0},
+		{"short", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, backoff.Busy, 0},
 		{"short, with a time", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "5")
 			w.WriteHeader(http.StatusTooManyRequests)
-		}, manners.Busy, 5 * time.Second},
+		}, backoff.Busy, 5 * time.Second},
 		{"short, with a time that is none", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "-5")
 			w.WriteHeader(http.StatusServiceUnavailable)
-		}, manners.Busy, 0},
-		{"not found", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }, manners.Rubbish, 0},
+		}, backoff.Busy, 0},
+		{"not found", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }, backoff.Rubbish, 0},
 		{"broken off", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "999")
 			fmt.Fprint(w, `{"cursor":2,`)
-		}, manners.HalfWay, 0},
-		{"half, and said to be whole", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"cursor":2,"cmds":[`) }, manners.HalfWay, 0},
-		{"rubbish", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"cursor":"x"}`) }, manners.Rubbish, 0},
-		{"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, manners.Hung, 0},
+		}, backoff.HalfWay, 0},
+		{"half, and said to be whole", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"cursor":2,"cmds":[`) }, backoff.HalfWay, 0},
+		{"rubbish", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"cursor":"x"}`) }, backoff.Rubbish, 0},
+		{"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, backoff.Hung, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -287,17 +287,17 @@
 
 // own is a director whose time has jumped while a call was under way.
 type own struct {
-	now     director.Micros
+	now     policy.Micros
 	doubted bool
-	ended   chan [2]director.Micros // of calls: begun, and whether it answered
+	ended   chan [2]policy.Micros // of calls: begun, and whether it answered
 }
 
-func (o *own) Read() pulse.Reading { o.now++; return pulse.Reading{Mono: o.now, Wall: o.now} }
-func (o *own) Turn(pulse.Reading)  {}
+func (o *own) Read() stall.Reading { o.now++; return stall.Reading{Mono: o.now, Wall: o.now} }
+func (o *own) Turn(stall.Reading)  {}
 func (o *own) Doubted() bool       { return o.doubted }
-func (o *own) Answered(began, _ pulse.Reading, ok bool) {
+func (o *own) Answered(began, _ stall.Reading, ok bool) {
 	o.doubted = o.doubted && !ok
-	o.ended <- [2]director.Micros{began.Mono, map[bool]director.Micros{true: 1}[ok]}
+	o.ended <- [2]policy.Micros{began.Mono, map[bool]policy.Micros{true: 1}[ok]}
 }
 
 // In doubt the call under way is given up, and the next one is answered at once; its events are in force before it is said to
@@ -315,7 +315,7 @@
 		}
 	}))
 	defer server.Close()
-	f, o := New(site), &own{ended: make(chan [2]director.Micros, 99)}
+	f, o := New(site), &own{ended: make(chan [2]policy.Micros, 99)}
 	f.Watch(o)
 	f.Move(strings.TrimPrefix(server.URL, "http://"))
 	ctx, leave := context.WithCancel(t.Context())
@@ -323,7 +323,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.Follow(ctx, director.Margins{Block: 9 * director.Second, Connect: director.Second / 10, Retry: 1}, func([]Event) {
+		f.Follow(ctx, policy.Margins{Block: 9 * policy.Second, Connect: policy.Second / 10, Retry: 1}, func([]Event) {
 			got <- len(o.ended) == 1
 		})
 	}()
@@ -350,7 +350,7 @@
 // A dial that nobody answers ends with its time, though the call that began it was given up before: two may be under way, and
 // would keep back all calls after them.
 func TestDialThatNobodyAnswers(t *testing.T) {
-	l, err := standin.Unheard()
+	l, err := fakes.Unheard()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -372,12 +372,12 @@
 
 // A channel that was away without a word is asked as soon as it is there again, however many calls hung meanwhile.
 func TestChannelBackFromSilence(t *testing.T) {
-	l, err := standin.Unheard()
+	l, err := fakes.Unheard()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	m := director.Margins{Connect: director.Second / 20, Retry: director.Second / 100, Block: director.Second / 20}
+	m := policy.Margins{Connect: policy.Second / 20, Retry: policy.Second / 100, Block: policy.Second / 20}
 	f := New(site)
 	f.Move(l.Addr().String())
 	events := make(chan []Event, 16)
@@ -454,7 +454,7 @@
 	had := make(chan struct{}, 16)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	m := director.Margins{Connect: 10 * director.Second, Retry: director.Second / 100, Block: 3600 * director.Second}
+	m := policy.Margins{Connect: 10 * policy.Second, Retry: policy.Second / 100, Block: 3600 * policy.Second}
 	go f.Follow(ctx, m, func([]Event) {
 		f.Move(newer.Listener.Addr().String()) // as the answer is taken: its connection rests from here on
 		had <- struct{}{}
--- a/internal/route/rare_test.go
+++ b/internal/dispatch/rare_test.go
@@ -1,4 +1,4 @@
-package route
+package dispatch
 
 import (
 	"fmt"
@@ -9,21 +9,21 @@
 
 	"github.com/tidwall/redcon"
 
-	"tallyproxy/director"
-	"tallyproxy/internal/back"
+	"tallyproxy/internal/upstream"
+	"tallyproxy/policy"
 )
 
 // barred is a module that stands still over an object until it is let go, and says what it is told then.
 type barred struct {
 	*script
-	stands chan string                             // objects that it stands still over
-	let    chan director.Answer                    // what to say
-	after  chan director.Outcome                   // ends that it heard of
-	then   func() director.Answer                  // what to say to those
-	bound  func(d director.Micros) director.Micros // of what is let go, from now
+	stands chan string                         // objects that it stands still over
+	let    chan policy.Answer                  // what to say
+	after  chan policy.Outcome                 // ends that it heard of
+	then   func() policy.Answer                // what to say to those
+	bound  func(d policy.Micros) policy.Micros // of what is let go, from now
 }
 
-func (m *barred) Where(now director.Micros, dl *director.Download) director.Answer {
+func (m *barred) Where(now policy.Micros, dl *policy.Download) policy.Answer {
 	m.stands <- dl.Object
 	a := <-m.let
 	if m.bound != nil {
@@ -32,10 +32,10 @@
 	return a
 }
 
-func (m *barred) After(_ director.Micros, dl *director.Download, out director.Outcome) director.Answer {
+func (m *barred) After(_ policy.Micros, dl *policy.Download, out policy.Outcome) policy.Answer {
 	m.after <- out
 	if out.Last {
-		return director.Answer{}
+		return policy.Answer{}
 	}
 	return m.then()
 }
@@ -43,8 +43,8 @@
 func newBarred(t *testing.T) (*bed, *barred) {
 	b := newBed(t, 0)
 	m := &barred{
-		script: b.script, stands: make(chan string, 2000), let: make(chan director.Answer), after: make(chan director.Outcome, 64),
-		then: func() director.Answer { return director.Answer{Verb: director.Throttle} },
+		script: b.script, stands: make(chan string, 2000), let: make(chan policy.Answer), after: make(chan policy.Outcome, 64),
+		then: func() policy.Answer { return policy.Answer{Verb: policy.Throttle} },
 	}
 	b.Do(func() { b.Router.module = m })
 	return b, m
@@ -136,7 +136,7 @@
 		})
 		t.Run("a further attempt, "+l.name, func(t *testing.T) {
 			b, m := newBarred(t)
-			m.then = func() director.Answer { return pulls }
+			m.then = func() policy.Answer { return pulls }
 			c := b.another()
 			askOver(c, "1")
 			get(t, m.stands)
@@ -149,7 +149,7 @@
 			b.ask("3", "") // and it stands still again behind that
 			b.readOn()
 			l.do(b, c)
-			m.let <- director.Answer{Verb: director.Abandon}
+			m.let <- policy.Answer{Verb: policy.Abandon}
 			b.answered("2 500  ")
 			if got := get(t, m.stands); got != id("o", "3") {
 				t.Fatalf("stands over %s", got)
@@ -170,11 +170,11 @@
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
 			b, m := newBarred(t)
-			m.bound = func(now director.Micros) director.Micros {
+			m.bound = func(now policy.Micros) policy.Micros {
 				if late {
 					return now
 				}
-				return now + 60*director.Second
+				return now + 60*policy.Second
 			}
 			b.ask("1", "")
 			get(t, m.stands)
@@ -185,7 +185,7 @@
 				b.answered("1 200  ")
 				return
 			}
-			if out := get(t, m.after); out.Ending != director.Recalled {
+			if out := get(t, m.after); out.Ending != policy.Recalled {
 				t.Errorf("ended as %d", out.Ending)
 			}
 			b.answered("1 503  ")
@@ -220,7 +220,7 @@
 	}
 	c.Close()
 	b.waitGone(1)
-	m.let <- director.Answer{Verb: director.Abandon}
+	m.let <- policy.Answer{Verb: policy.Abandon}
 	b.answered("1 500  ")
 	if len(m.stands) != 0 {
 		t.Errorf("asked about %s", <-m.stands)
@@ -235,7 +235,7 @@
 	m.let <- pulls
 	b.nodeHears("want " + id("t", "1"))
 	b.Router.Close(time.Now())
-	if out := get(t, m.after); out.Ending != director.TimedOut {
+	if out := get(t, m.after); out.Ending != policy.TimedOut {
 		t.Errorf("ended as %d", out.Ending)
 	}
 	b.answered("1 503  ")
@@ -250,13 +250,13 @@
 			}
 		}
 	}
-	m.let <- director.Answer{Verb: director.Throttle}
+	m.let <- policy.Answer{Verb: policy.Throttle}
 	b.answered("2 503  ")
 }
 
 // That no connection could be had is no word of the node.
 func TestNoConnectionIsNoWordOfTheNode(t *testing.T) {
-	if got := ending(back.Answer{}, &back.Error{Stage: back.NotConnected, Err: back.ErrNoRoom}); got != director.NeverSent {
+	if got := ending(upstream.Answer{}, &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrNoRoom}); got != policy.NeverSent {
 		t.Errorf("got %d", got)
 	}
 }
@@ -284,7 +284,7 @@
 		nc.Close()
 	}
 	b.waitGone(1)
-	m.let <- director.Answer{Verb: director.Abandon}
+	m.let <- policy.Answer{Verb: policy.Abandon}
 	b.answered("1 500  ")
 	b.ask("2", "")
 	if got := get(t, m.stands); got != id("o", "2") {
--- a/internal/route/route.go
+++ b/internal/dispatch/route.go
@@ -1,7 +1,7 @@
 // Package route stands between clients, nodes and the decisions. A router has one module and one list; its shards, a goroutine
 // each, own the downloads of their clients with pulls and timers. They ask the module in turn, do what its answer says, and
 // decide nothing.
-package route
+package dispatch
 
 import (
 	"errors"
@@ -13,33 +13,33 @@
 	"sync/atomic"
 	"time"
 
-	"tallyproxy/director"
-	"tallyproxy/internal/back"
-	"tallyproxy/internal/feed"
-	"tallyproxy/internal/front"
+	"tallyproxy/internal/discovery"
+	"tallyproxy/internal/downstream"
+	"tallyproxy/internal/upstream"
+	"tallyproxy/policy"
 	"tallyproxy/shard"
-	"tallyproxy/wheel"
+	"tallyproxy/timerwheel"
 )
 
 const waiting = 1024 // messages that may wait for a shard before their senders do
 
 // Router holds what all shards share. Its methods may be called from any goroutine.
 type Router struct {
-	margins director.Margins
-	fleet   *back.Fleet
+	margins policy.Margins
+	fleet   *upstream.Fleet
 	start   time.Time
-	offset  director.Micros // the system's clock at the start
+	offset  policy.Micros // the system's clock at the start
 	shards  []*Shard
 	ids     *shard.Ids    // of downloads, until their pulls have ended too
 	epochs  *shard.Epochs // of lists and purges
 	purges  atomic.Int64  // epoch of the last purge
 	open    atomic.Int64  // downloads without a final answer
 	mu      sync.Mutex    // one shard at a time asks the module; a download's decisions take less than a microsecond
-	module  director.Director
+	module  policy.Director
 	own     Own
-	peers   map[string]*peer     // by node; emptied by the list
-	listed  map[string]feed.Node // as the list has it; emptied by it
-	avoided map[string]bool      // taken for draining, whatever the list says; the operator's
+	peers   map[string]*peer          // by node; emptied by the list
+	listed  map[string]discovery.Node // as the list has it; emptied by it
+	avoided map[string]bool           // taken for draining, whatever the list says; the operator's
 
 	fulfilled, throttled, abandoned, pulled, recalled atomic.Int64
 }
@@ -47,9 +47,9 @@
 // peer is one process of a node. Each shard has connections of its own to it, within the fleet's one limit: shared ones
 // would have all shards wait for each other's locks.
 type peer struct {
-	of      []*back.Peer // by shard
+	of      []*upstream.Peer // by shard
 	addr    string
-	started director.Micros
+	started policy.Micros
 }
 
 func (p *peer) leave() {
@@ -90,42 +90,42 @@
 	done   chan struct{}
 
 	// owned by the goroutine
-	downloads map[*front.Conn]map[uint64]*download // emptied as they end
-	timers    *wheel.Wheel[*download]
-	end       director.Micros // when all is to be answered; 0 for no such time
+	downloads map[*downstream.Conn]map[uint64]*download // emptied as they end
+	timers    *timerwheel.Wheel[*download]
+	end       policy.Micros // when all is to be answered; 0 for no such time
 }
 
 // download is one in hand, until its final answer is out and its pulls have ended.
 type download struct {
-	director.Download
+	policy.Download
 	shard *Shard
-	conn  *front.Conn
+	conn  *downstream.Conn
 	tag   uint64
-	ask   front.Ask
+	ask   downstream.Ask
 	pulls []*pull
-	wake  director.Micros // when to ask the module again; 0 for not
-	due   director.Micros // its place among the timers; 0 for none
-	timer wheel.Item[*download]
+	wake  policy.Micros // when to ask the module again; 0 for not
+	due   policy.Micros // its place among the timers; 0 for none
+	timer timerwheel.Item[*download]
 }
 
 type pull struct {
-	*back.Pull
-	until director.Micros
+	*upstream.Pull
+	until policy.Micros
 	over  bool
 }
 
 // New makes a router of so many shards; Run lets it work.
-func New(module director.Director, m director.Margins, fleet *back.Fleet, shards int) *Router {
+func New(module policy.Director, m policy.Margins, fleet *upstream.Fleet, shards int) *Router {
 	r := &Router{
 		module: module, margins: m, fleet: fleet, start: time.Now(), peers: map[string]*peer{}, ids: shard.NewIds(),
-		epochs: shard.NewEpochs(shards), listed: map[string]feed.Node{},
+		epochs: shard.NewEpochs(shards), listed: map[string]discovery.Node{},
 	}
-	r.offset = director.Micros(r.start.UnixMicro())
+	r.offset = policy.Micros(r.start.UnixMicro())
 	for i := range shards {
 		r.shards = append(r.shards, &Shard{
 			Router: r, number: i, calls: shard.NewQueue[func()](waiting), done: make(chan struct{}),
-			downloads: map[*front.Conn]map[uint64]*download{},
-			timers:    wheel.New[*download](timerTick, int64(r.offset)),
+			downloads: map[*downstream.Conn]map[uint64]*download{},
+			timers:    timerwheel.New[*download](timerTick, int64(r.offset)),
 		})
 	}
 	return r
@@ -137,14 +137,14 @@
 func (r *Router) Shards() []*Shard { return r.shards }
 
 // at is a moment on the module's clock: one reading of the system's clock, then the monotonic one.
-func (r *Router) at(t time.Time) director.Micros {
-	return r.offset + director.Micros(t.Sub(r.start)/time.Microsecond)
+func (r *Router) at(t time.Time) policy.Micros {
+	return r.offset + policy.Micros(t.Sub(r.start)/time.Microsecond)
 }
 
-func (r *Router) now() director.Micros { return r.at(time.Now()) }
+func (r *Router) now() policy.Micros { return r.at(time.Now()) }
 
 // Now is the time on the module's clock.
-func (r *Router) Now() director.Micros { return r.now() }
+func (r *Router) Now() policy.Micros { return r.now() }
 
 // Run works until Stop.
 func (r *Router) Run() {
@@ -178,7 +178,7 @@
 			return
 		}
 		now := time.Now()
-		s.timers.Advance(int64(s.at(now)), func(i *wheel.Item[*download]) { s.due(i.Value) })
+		s.timers.Advance(int64(s.at(now)), func(i *timerwheel.Item[*download]) { s.due(i.Value) })
 		s.epochs.Take(s.number, epoch) // what was decided before has been handed on
 		if s.timers.Len() == 0 {
 			continue
@@ -244,14 +244,14 @@
 
 // Apply takes events of the command channel. When it returns, the module heeds them; each shard shows with its next turn that
 // nothing decided before is left in its hands.
-func (r *Router) Apply(events []feed.Event) {
+func (r *Router) Apply(events []discovery.Event) {
 	for _, e := range events {
 		r.Do(func() { r.apply(e) })
 	}
 	r.nudge()
 }
 
-func (r *Router) apply(e feed.Event) {
+func (r *Router) apply(e discovery.Event) {
 	defer r.epochs.Tell()
 	if !e.Listed {
 		if e.At > 0 {
@@ -259,23 +259,23 @@
 		}
 		return
 	}
-	rows, named := make([]director.Node, len(e.Nodes)), map[string]bool{}
+	rows, named := make([]policy.Node, len(e.Nodes)), map[string]bool{}
 	for i, n := range e.Nodes {
-		if r.listed[n.ID] = n; n.State == director.Gone {
+		if r.listed[n.ID] = n; n.State == policy.Gone {
 			delete(r.listed, n.ID)
 		}
-		if r.avoided[n.ID] && n.State == director.Ready {
-			n.State = director.Draining
+		if r.avoided[n.ID] && n.State == policy.Ready {
+			n.State = policy.Draining
 		}
 		rows[i], named[n.ID] = n.Node, true
 		p := r.peers[n.ID]
-		if p != nil && (n.State == director.Gone || p.addr != n.Addr || p.started != n.Started) {
+		if p != nil && (n.State == policy.Gone || p.addr != n.Addr || p.started != n.Started) {
 			p.leave()
 			delete(r.peers, n.ID)
 			p = nil
 		}
-		if p == nil && n.State != director.Gone {
-			p = &peer{make([]*back.Peer, len(r.shards)), n.Addr, n.Started}
+		if p == nil && n.State != policy.Gone {
+			p = &peer{make([]*upstream.Peer, len(r.shards)), n.Addr, n.Started}
 			for i := range p.of {
 				p.of[i] = r.fleet.Peer(n.Addr)
 			}
@@ -283,7 +283,7 @@
 		}
 		if p != nil {
 			for _, q := range p.of {
-				q.Shun(n.State != director.Ready)
+				q.Shun(n.State != policy.Ready)
 			}
 		}
 	}
@@ -298,14 +298,14 @@
 }
 
 // void has copies be void from now on that are older than a time.
-func (r *Router) void(object string, group int, at director.Micros) {
+func (r *Router) void(object string, group int, at policy.Micros) {
 	r.purges.Add(1)
 	r.module.Purged(r.now(), object, group, at)
 }
 
 // Void has all copies be void that are older than a time; 0: none any more but those that events void.
-func (r *Router) Void(at director.Micros) {
-	r.Do(func() { r.void("", director.All, at) })
+func (r *Router) Void(at policy.Micros) {
+	r.Do(func() { r.void("", policy.All, at) })
 	r.nudge()
 }
 
@@ -323,7 +323,7 @@
 		for _, id := range ids {
 			r.avoided[id] = true
 		}
-		e := feed.Event{Listed: true}
+		e := discovery.Event{Listed: true}
 		for _, id := range slices.Sorted(maps.Keys(r.listed)) {
 			if before[id] != r.avoided[id] {
 				e.Nodes = append(e.Nodes, r.listed[id])
@@ -353,24 +353,24 @@
 
 // decided is an answer of the module with what belongs to it.
 type decided struct {
-	director.Answer
-	at       director.Micros
-	wait     director.Micros
+	policy.Answer
+	at       policy.Micros
+	wait     policy.Micros
 	source   string // of a pull; read while the module is at rest, which changes its nodes as the list tells
 	to, from *peer  // nil where the list has just lost them
 	purges   int64
 }
 
 // decide asks the module, and how long to wait then.
-func (r *Router) decide(dl *download, ask func(now director.Micros) director.Answer) (d decided) {
+func (r *Router) decide(dl *download, ask func(now policy.Micros) policy.Answer) (d decided) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d.at = r.now() // within the lock, so that the module's clock never goes back
 	d.Answer = ask(d.at)
 	switch d.Verb {
-	case director.Throttle, director.Abandon:
+	case policy.Throttle, policy.Abandon:
 		return d
-	case director.Pull:
+	case policy.Pull:
 		d.source = d.Source.ID
 		d.to, d.from, d.purges = r.peers[d.Node.ID], r.peers[d.source], r.purges.Load()
 	}
@@ -381,7 +381,7 @@
 }
 
 // Ask takes a download from a client. It never waits: the connection's reader must go on, to see that its client leaves.
-func (s *Shard) Ask(c *front.Conn, tag uint64, a front.Ask) {
+func (s *Shard) Ask(c *downstream.Conn, tag uint64, a downstream.Ask) {
 	taken := s.calls.Try(func() {
 		if !c.Waits(tag) {
 			a.Body.Free()
@@ -402,7 +402,7 @@
 			came = came.Add(-s.own.Late(came))
 		}
 		dl.Arrived = s.at(came)
-		dl.Leaves = dl.Arrived + director.Micros(a.Limit/time.Microsecond) - s.margins.Answer
+		dl.Leaves = dl.Arrived + policy.Micros(a.Limit/time.Microsecond) - s.margins.Answer
 		if s.end > 0 {
 			dl.Leaves = min(dl.Leaves, s.end)
 		}
@@ -426,7 +426,7 @@
 		s.finish(dl)
 		return
 	}
-	s.act(dl, s.decide(dl, func(now director.Micros) director.Answer { return s.module.Where(now, &dl.Download) }))
+	s.act(dl, s.decide(dl, func(now policy.Micros) policy.Answer { return s.module.Where(now, &dl.Download) }))
 }
 
 // caught ends a download and its connection alone where a call about it panicked; events are of no download.
@@ -441,12 +441,12 @@
 }
 
 // Opened says that a client has connected.
-func (s *Shard) Opened(*front.Conn) {
+func (s *Shard) Opened(*downstream.Conn) {
 	s.Do(func() { s.module.Connected(s.now()) })
 }
 
 // NeverMind says that a client no longer waits for a download.
-func (s *Shard) NeverMind(c *front.Conn, tag uint64) {
+func (s *Shard) NeverMind(c *downstream.Conn, tag uint64) {
 	s.calls.Push(func() {
 		if dl := s.downloads[c][tag]; dl != nil {
 			s.finish(dl)
@@ -455,7 +455,7 @@
 }
 
 // Closed says that a client is gone with all it asked for.
-func (s *Shard) Closed(c *front.Conn) {
+func (s *Shard) Closed(c *downstream.Conn) {
 	s.calls.Push(func() {
 		for _, dl := range s.downloads[c] {
 			s.finish(dl)
@@ -494,17 +494,17 @@
 // act does what the module says.
 func (s *Shard) act(dl *download, a decided) {
 	switch a.Verb {
-	case director.Pull:
+	case policy.Pull:
 		s.pull(dl, a)
-	case director.Cancel:
+	case policy.Cancel:
 		if p := dl.pulls[a.Pull]; !p.over {
 			p.GiveUp(true)
 		}
-	case director.Throttle, director.Abandon:
+	case policy.Throttle, policy.Abandon:
 		if a.NoUse {
 			dl.conn.Useless()
 		}
-		if a.Verb == director.Throttle {
+		if a.Verb == policy.Throttle {
 			s.throttled.Add(1)
 			dl.conn.Throttle(dl.tag, span(a.ComeBack))
 		} else {
@@ -523,7 +523,7 @@
 }
 
 func (s *Shard) pull(dl *download, a decided) {
-	w := back.Want{
+	w := upstream.Want{
 		ID: dl.ask.Txn, Sort: dl.ask.Sort, Asset: dl.Object, Slice: dl.Part, Patience: span(a.TimeOut),
 		Key: dl.ask.Key, Rank: a.Keep, Oldest: span(a.Oldest), Join: a.Join, Held: a.Held, Renew: a.Renew,
 		Seen: dl.ask.Held, Body: dl.ask.Body,
@@ -543,37 +543,37 @@
 	s.pulled.Add(1)
 	p := &pull{until: a.at + a.TimeOut}
 	number := len(dl.pulls)
-	var before []*back.Pull
+	var before []*upstream.Pull
 	for _, earlier := range dl.pulls {
 		before = append(before, earlier.Pull)
 	}
 	dl.pulls = append(dl.pulls, p)
 	if a.to == nil { // the list has just lost it
-		p.Pull = &back.Pull{}
-		s.calls.Push(func() { s.ended(dl, number, director.Recalled, back.Answer{}) })
+		p.Pull = &upstream.Pull{}
+		s.calls.Push(func() { s.ended(dl, number, policy.Recalled, upstream.Answer{}) })
 		return
 	}
-	p.Pull = a.to.of[s.number].Send(w, func(answer back.Answer, err error) {
+	p.Pull = a.to.of[s.number].Send(w, func(answer upstream.Answer, err error) {
 		s.calls.Push(func() { s.ended(dl, number, ending(answer, err), answer) })
 	}, before...)
 }
 
 // ended takes a pull's end.
-func (s *Shard) ended(dl *download, number int, how director.Ending, answer back.Answer) {
+func (s *Shard) ended(dl *download, number int, how policy.Ending, answer upstream.Answer) {
 	p := dl.pulls[number]
 	if p.over {
 		answer.Body.Free()
 		return
 	}
 	p.over = true
-	if how == director.Recalled {
+	if how == policy.Recalled {
 		s.recalled.Add(1)
 	}
 	defer caught(dl)
 	defer s.forget(dl)
-	if !dl.Over && how == director.Fulfilled {
+	if !dl.Over && how == policy.Fulfilled {
 		s.fulfilled.Add(1)
-		dl.conn.Fulfil(dl.tag, answer.Body, answer.Word == back.Unchanged)
+		dl.conn.Fulfil(dl.tag, answer.Body, answer.Word == upstream.Unchanged)
 		s.finish(dl)
 	} else {
 		answer.Body.Free()
@@ -581,8 +581,8 @@
 	if !dl.Over && !dl.conn.Waits(dl.tag) {
 		s.finish(dl)
 	}
-	out := director.Outcome{Pull: number, Ending: how, Filling: fillings[answer.Note], Last: dl.Over}
-	s.act(dl, s.decide(dl, func(now director.Micros) director.Answer { return s.module.After(now, &dl.Download, out) }))
+	out := policy.Outcome{Pull: number, Ending: how, Filling: fillings[answer.Note], Last: dl.Over}
+	s.act(dl, s.decide(dl, func(now policy.Micros) policy.Answer { return s.module.After(now, &dl.Download, out) }))
 }
 
 // due does what time has come for.
@@ -593,7 +593,7 @@
 	for i, p := range dl.pulls {
 		if !p.over && p.until <= now && !dl.Over {
 			p.GiveUp(false)
-			s.ended(dl, i, director.TimedOut, back.Answer{})
+			s.ended(dl, i, policy.TimedOut, upstream.Answer{})
 		}
 	}
 	if !dl.Over && dl.wake > 0 && dl.wake <= now {
@@ -621,39 +621,39 @@
 	}
 }
 
-var endings = map[back.Word]director.Ending{
-	back.Data: director.Fulfilled, back.Unchanged: director.Fulfilled, back.Absent: director.Missing,
-	back.Full: director.TurnedAway, back.Failed: director.Failed, back.Moot: director.NeverSent,
+var endings = map[upstream.Word]policy.Ending{
+	upstream.Data: policy.Fulfilled, upstream.Unchanged: policy.Fulfilled, upstream.Absent: policy.Missing,
+	upstream.Full: policy.TurnedAway, upstream.Failed: policy.Failed, upstream.Moot: policy.NeverSent,
 }
 
-var fillings = map[string]director.Filling{
-	"local": director.Hit, "pulled": director.Filled, "pulled_far": director.FilledByOrigin,
-	"rode": director.Joined, "expired": director.Stale, "turned_away": director.SourceRefused,
-	"cut_off": director.SourceLost, "not_there": director.SourceLacks, "no_place": director.NoPlace,
-	"far_fault": director.OriginFailed,
+var fillings = map[string]policy.Filling{
+	"local": policy.Hit, "pulled": policy.Filled, "pulled_far": policy.FilledByOrigin,
+	"rode": policy.Joined, "expired": policy.Stale, "turned_away": policy.SourceRefused,
+	"cut_off": policy.SourceLost, "not_there": policy.SourceLacks, "no_place": policy.NoPlace,
+	"far_fault": policy.OriginFailed,
 }
 
 // ending is what the module hears of a pull: one that was not wholly written never ran, any other may have.
-func ending(a back.Answer, err error) director.Ending {
-	e := (*back.Error)(nil)
+func ending(a upstream.Answer, err error) policy.Ending {
+	e := (*upstream.Error)(nil)
 	switch {
 	case err == nil:
 		return endings[a.Word]
 	case !errors.As(err, &e):
-		return director.Broken
-	case e.Stage < back.WhollyWritten && errors.Is(err, back.ErrRecalled):
-		return director.Recalled
-	case e.Stage < back.WhollyWritten && errors.Is(err, back.ErrNoRoom): // which is no word of the node
-		return director.NeverSent
-	case e.GaveUp && e.Stage < back.WhollyWritten:
-		return director.NeverSent
+		return policy.Broken
+	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrRecalled):
+		return policy.Recalled
+	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrNoRoom): // which is no word of the node
+		return policy.NeverSent
+	case e.GaveUp && e.Stage < upstream.WhollyWritten:
+		return policy.NeverSent
 	case e.GaveUp:
-		return director.Cancelled
-	case e.Stage < back.WhollyWritten:
-		return director.Unreached
+		return policy.Cancelled
+	case e.Stage < upstream.WhollyWritten:
+		return policy.Unreached
 	default:
-		return director.Broken
+		return policy.Broken
 	}
 }
 
-func span(t director.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func span(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/route/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -1,4 +1,4 @@
-package route
+package dispatch
 
 import (
 	"bufio"
@@ -12,41 +12,41 @@
 
 	"github.com/tidwall/redcon"
 
-	"tallyproxy/director"
-	"tallyproxy/internal/back"
+	"tallyproxy/internal/bufpool"
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/feed"
-	"tallyproxy/internal/front"
-	"tallyproxy/internal/pool"
+	"tallyproxy/internal/discovery"
+	"tallyproxy/internal/downstream"
+	"tallyproxy/internal/upstream"
+	"tallyproxy/policy"
 )
 
 func TestEndings(t *testing.T) {
-	fail := func(stage back.Stage, gaveUp bool) error {
-		return &back.Error{Stage: stage, GaveUp: gaveUp, Err: errors.New("x")}
+	fail := func(stage upstream.Stage, gaveUp bool) error {
+		return &upstream.Error{Stage: stage, GaveUp: gaveUp, Err: errors.New("x")}
 	}
 	cases := []struct {
 		name string
-		word back.Word
+		word upstream.Word
 		err  error
-		want director.Ending
+		want policy.Ending
 	}{
-		{"data", back.Data, nil, director.Fulfilled}, {"unchanged", back.Unchanged, nil, director.Fulfilled},
-		{"absent", back.Absent, nil, director.Missing}, {"full", back.Full, nil, director.TurnedAway},
-		{"failed", back.Failed, nil, director.Failed}, {"moot", back.Moot, nil, director.NeverSent},
-		{"not connected", "", fail(back.NotConnected, false), director.Unreached},
-		{"nothing written", "", fail(back.NothingWritten, false), director.Unreached},
-		{"partly written", "", fail(back.PartlyWritten, false), director.Unreached},
-		{"wholly written", "", fail(back.WhollyWritten, false), director.Broken},
-		{"answer begun", "", fail(back.AnswerBegun, false), director.Broken},
-		{"given up, not connected", "", fail(back.NotConnected, true), director.NeverSent},
-		{"given up, partly written", "", fail(back.PartlyWritten, true), director.NeverSent},
-		{"given up, wholly written", "", fail(back.WhollyWritten, true), director.Cancelled},
-		{"given up, answer begun", "", fail(back.AnswerBegun, true), director.Cancelled},
-		{"another error", "", errors.New("x"), director.Broken},
+		{"data", upstream.Data, nil, policy.Fulfilled}, {"unchanged", upstream.Unchanged, nil, policy.Fulfilled},
+		{"absent", upstream.Absent, nil, policy.Missing}, {"full", upstream.Full, nil, policy.TurnedAway},
+		{"failed", upstream.Failed, nil, policy.Failed}, {"moot", upstream.Moot, nil, policy.NeverSent},
+		{"not connected", "", fail(upstream.NotConnected, false), policy.Unreached},
+		{"nothing written", "", fail(upstream.NothingWritten, false), policy.Unreached},
+		{"partly written", "", fail(upstream.PartlyWritten, false), policy.Unreached},
+		{"wholly written", "", fail(upstream.WhollyWritten, false), policy.Broken},
+		{"answer begun", "", fail(upstream.AnswerBegun, false), policy.Broken},
+		{"given up, not connected", "", fail(upstream.NotConnected, true), policy.NeverSent},
+		{"given up, partly written", "", fail(upstream.PartlyWritten, true), policy.NeverSent},
+		{"given up, wholly written", "", fail(upstream.WhollyWritten, true), policy.Cancelled},
+		{"given up, answer begun", "", fail(upstream.AnswerBegun, true), policy.Cancelled},
+		{"another error", "", errors.New("x"), policy.Broken},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := ending(back.Answer{Word: c.word}, c.err); got != c.want {
+			if got := ending(upstream.Answer{Word: c.word}, c.err); got != c.want {
 				t.Errorf("got %d, want %d", got, c.want)
 			}
 		})
@@ -55,25 +55,25 @@
 
 // script is a module that answers as it is told and writes down what it hears.
 type script struct {
-	answers []director.Answer
-	wait    director.Micros
+	answers []policy.Answer
+	wait    policy.Micros
 	heard   chan string
 	gate    chan struct{} // a download is asked about again only once this is closed
 }
 
-func (s *script) next(heard string) director.Answer {
+func (s *script) next(heard string) policy.Answer {
 	s.heard <- heard
 	if len(s.answers) == 0 {
-		return director.Answer{}
+		return policy.Answer{}
 	}
 	a := s.answers[0]
-	if s.answers = s.answers[1:]; a.Verb == director.Cancel {
+	if s.answers = s.answers[1:]; a.Verb == policy.Cancel {
 		s.wait = 0 // the outcome comes next
 	}
 	return a
 }
 
-func (s *script) Where(_ director.Micros, dl *director.Download) director.Answer {
+func (s *script) Where(_ policy.Micros, dl *policy.Download) policy.Answer {
 	if dl.Object == "baaaaaaaaaaaaaad" {
 		panic(dl.Object)
 	}
@@ -85,19 +85,19 @@
 	return s.next("where " + dl.Object)
 }
 
-func (s *script) After(_ director.Micros, _ *director.Download, out director.Outcome) director.Answer {
+func (s *script) After(_ policy.Micros, _ *policy.Download, out policy.Outcome) policy.Answer {
 	return s.next(fmt.Sprint("after ", out.Pull, " ", out.Ending, " ", out.Filling, " ", out.Last))
 }
 
-func (s *script) Connected(director.Micros) {}
+func (s *script) Connected(policy.Micros) {}
 
-func (s *script) Wait(director.Micros, *director.Download) director.Micros { return s.wait }
+func (s *script) Wait(policy.Micros, *policy.Download) policy.Micros { return s.wait }
 
-func (s *script) Listed(_ director.Micros, rows []director.Node, complete bool) {
+func (s *script) Listed(_ policy.Micros, rows []policy.Node, complete bool) {
 	s.heard <- fmt.Sprint("listed ", len(rows), " ", complete)
 }
 
-func (s *script) Purged(_ director.Micros, object string, group int, at director.Micros) {
+func (s *script) Purged(_ policy.Micros, object string, group int, at policy.Micros) {
 	if object == "bad" {
 		panic(object)
 	}
@@ -113,8 +113,8 @@
 	node   net.Listener
 	back   *bufio.Reader // what the node hears
 	nc     net.Conn      // its connection
-	fleet  *back.Fleet
-	server *front.Server
+	fleet  *upstream.Fleet
+	server *downstream.Server
 }
 
 func get[T any](t *testing.T, from <-chan T) (v T) {
@@ -188,11 +188,11 @@
 	}
 }
 
-var pulls = director.Answer{
-	Verb: director.Pull, Node: &director.Node{ID: "e1"}, Source: &director.Node{ID: "p1"}, TimeOut: 60 * director.Second,
+var pulls = policy.Answer{
+	Verb: policy.Pull, Node: &policy.Node{ID: "e1"}, Source: &policy.Node{ID: "p1"}, TimeOut: 60 * policy.Second,
 }
 
-func newBed(t *testing.T, wait director.Micros, answers ...director.Answer) *bed {
+func newBed(t *testing.T, wait policy.Micros, answers ...policy.Answer) *bed {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -201,17 +201,17 @@
 	if b.node, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	m := director.Margins{Connect: 10 * director.Second, Idle: 100 * director.Second, Shared: 8, Most: 8, Flush: 10 * director.Second, Stall: 10 * director.Second,
-		Silent: 60 * director.Second, Resting: 60 * director.Second}
-	p := pool.New(64)
-	fleet := back.New(p, m, 8)
-	site := config.Site{Types: []string{"clip"}, Settings: director.Settings{Types: []*director.ContentType{{Expiry: 60 * director.Second}}}}
+	m := policy.Margins{Connect: 10 * policy.Second, Idle: 100 * policy.Second, Shared: 8, Most: 8, Flush: 10 * policy.Second, Stall: 10 * policy.Second,
+		Silent: 60 * policy.Second, Resting: 60 * policy.Second}
+	p := bufpool.New(64)
+	fleet := upstream.New(p, m, 8)
+	site := config.Site{Types: []string{"clip"}, Settings: policy.Settings{Types: []*policy.ContentType{{Expiry: 60 * policy.Second}}}}
 	b.Router, b.fleet = New(b.script, m, fleet, 1), fleet
 	go b.Router.Run()
-	server := front.New([]front.Sink{b.Router.Shards()[0]}, site, p, 8, m)
+	server := downstream.New([]downstream.Sink{b.Router.Shards()[0]}, site, p, 8, m)
 	b.server = server
 	go server.Serve(l)
-	b.list(director.Ready)
+	b.list(policy.Ready)
 	if b.client, err = net.Dial("tcp", l.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
@@ -241,50 +241,50 @@
 }
 
 // list tells of the one node.
-func (b *bed) list(state director.State) {
-	b.Apply([]feed.Event{{Listed: true, Complete: true, Nodes: []feed.Node{
-		{Node: director.Node{ID: "e1", State: state}, Addr: b.node.Addr().String()},
+func (b *bed) list(state policy.State) {
+	b.Apply([]discovery.Event{{Listed: true, Complete: true, Nodes: []discovery.Node{
+		{Node: policy.Node{ID: "e1", State: state}, Addr: b.node.Addr().String()},
 	}}})
 	b.hears("listed 1 true")
 }
 
 func TestDownloads(t *testing.T) {
-	again, cancel := director.Answer{Verb: director.Hold}, director.Answer{Verb: director.Cancel}
-	late := director.Answer{Verb: director.Throttle, ComeBack: 250_000}
+	again, cancel := policy.Answer{Verb: policy.Hold}, policy.Answer{Verb: policy.Cancel}
+	late := policy.Answer{Verb: policy.Throttle, ComeBack: 250_000}
 	short := pulls
 	short.TimeOut = 1000
 	cases := []struct {
 		name    string
-		wait    director.Micros
-		answers []director.Answer
+		wait    policy.Micros
+		answers []policy.Answer
 		more    string // of the client's fields
 		play    func(*bed)
 	}{
-		{"fulfilled", 0, []director.Answer{pulls}, "", func(b *bed) {
+		{"fulfilled", 0, []policy.Answer{pulls}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 sort=clip,asset=b000000000000001,slice=0,patience=60000,from=p1 0\r\n")
 			io.WriteString(b.nc, "a000000000000001 data n=local 3\r\nxyz\r\n")
 			b.answered("1 200  xyz")
 			b.hears("after 0 0 1 true")
 		}},
-		{"a copy that it lacks is said to hold", 0, []director.Answer{pulls, late}, "", func(b *bed) {
+		{"a copy that it lacks is said to hold", 0, []policy.Answer{pulls, late}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			io.WriteString(b.nc, "a000000000000001 unchanged - 0\r\n\r\n")
 			b.hears("after 0 5 0 false")
 			b.answered("1 503 later=250 ")
 		}},
-		{"its copy holds", 0, []director.Answer{pulls}, ",mine=4be0c1927d55a6f3", func(b *bed) {
+		{"its copy holds", 0, []policy.Answer{pulls}, ",mine=4be0c1927d55a6f3", func(b *bed) {
 			b.nodeHears("want a000000000000001 sort=clip,asset=b000000000000001,slice=0,patience=60000,from=p1,seen=4be0c1927d55a6f3 0\r\n")
 			io.WriteString(b.nc, "a000000000000001 unchanged n=expired 0\r\n\r\n")
 			b.answered("1 200 still=1 ")
 			b.hears("after 0 0 5 true")
 		}},
-		{"a miss, then throttled", 0, []director.Answer{pulls, late}, "", func(b *bed) {
+		{"a miss, then throttled", 0, []policy.Answer{pulls, late}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			io.WriteString(b.nc, "a000000000000001 absent n=not_there 0\r\n\r\n")
 			b.hears("after 0 8 8 false")
 			b.answered("1 503 later=250 ")
 		}},
-		{"failed, then pulled again", 0, []director.Answer{pulls, pulls}, "", func(b *bed) {
+		{"failed, then pulled again", 0, []policy.Answer{pulls, pulls}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			io.WriteString(b.nc, "a000000000000001 failed n=far_fault 0\r\n\r\n")
 			b.hears("after 0 1 10 false")
@@ -294,44 +294,44 @@
 			b.answered("1 200  ")
 			b.hears("after 1 0 0 true")
 		}},
-		{"held, then abandoned", 1000, []director.Answer{again, again, {Verb: director.Abandon}}, "", func(b *bed) {
+		{"held, then abandoned", 1000, []policy.Answer{again, again, {Verb: policy.Abandon}}, "", func(b *bed) {
 			close(b.gate)
 			b.hears("where b000000000000001")
 			b.hears("where b000000000000001")
 			b.answered("1 500  ")
 		}},
-		{"cancelled, its node silent", 1000, []director.Answer{pulls, cancel, late}, "", func(b *bed) {
+		{"cancelled, its node silent", 1000, []policy.Answer{pulls, cancel, late}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			close(b.gate)
 			b.hears("where b000000000000001")
 			b.hears("after 0 6 0 false")
 			b.answered("1 503 later=250 ")
 		}},
-		{"timed out", 0, []director.Answer{short, late}, "", func(b *bed) {
+		{"timed out", 0, []policy.Answer{short, late}, "", func(b *bed) {
 			b.hears("after 0 3 0 false")
 			b.answered("1 503 later=250 ")
 		}},
-		{"the client gives up", 0, []director.Answer{pulls}, "", func(b *bed) {
+		{"the client gives up", 0, []policy.Answer{pulls}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			b.send("NEVERMIND", "1")
 			b.nodeHears("never_mind a000000000000001")
 			b.hears("after 0 6 0 true")
 		}},
-		{"the client hangs up", 0, []director.Answer{pulls}, "", func(b *bed) {
+		{"the client hangs up", 0, []policy.Answer{pulls}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			b.client.Close()
 			b.nodeHears("never_mind a000000000000001")
 			b.hears("after 0 6 0 true")
 		}},
-		{"a node that is not listed", 0, []director.Answer{
-			{Verb: director.Pull, Node: &director.Node{ID: "e9"}, Source: &director.Node{ID: "e9"}, TimeOut: director.Second}, late,
+		{"a node that is not listed", 0, []policy.Answer{
+			{Verb: policy.Pull, Node: &policy.Node{ID: "e9"}, Source: &policy.Node{ID: "e9"}, TimeOut: policy.Second}, late,
 		}, "", func(b *bed) {
 			b.hears("after 0 9 0 false")
 			b.answered("1 503 later=250 ")
 		}},
-		{"its node leaves meanwhile", 0, []director.Answer{pulls}, "", func(b *bed) {
+		{"its node leaves meanwhile", 0, []policy.Answer{pulls}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
-			b.list(director.Gone)
+			b.list(policy.Gone)
 			io.WriteString(b.nc, "a000000000000001 data n=pulled 3\r\nxyz\r\n")
 			b.answered("1 200  xyz")
 			b.hears("after 0 0 2 true")
@@ -352,7 +352,7 @@
 
 // The id of a request that is open at a client or a node says nothing to the module, whoever sends it.
 func TestIDInUse(t *testing.T) {
-	b := newBed(t, 0, pulls, director.Answer{}, pulls)
+	b := newBed(t, 0, pulls, policy.Answer{}, pulls)
 	b.ask("1", "")
 	b.hears("where b000000000000001")
 	b.nodeHears("want a000000000000001 ")
@@ -374,15 +374,15 @@
 
 func TestEvents(t *testing.T) {
 	b := newBed(t, 0, pulls, pulls)
-	b.Apply([]feed.Event{{Object: "o", Group: -1, At: 5}, {}, {Group: 3, At: 6}})
+	b.Apply([]discovery.Event{{Object: "o", Group: -1, At: 5}, {}, {Group: 3, At: 6}})
 	b.hears("purged o -1 5")
 	b.hears("purged  3 6")
 	b.ask("1", "")
 	b.hears("where b000000000000001")
 	b.nodeHears("want a000000000000001 ")
 	// The same name and address with another start is a new process: what follows goes over a new connection.
-	b.Apply([]feed.Event{{Listed: true, Nodes: []feed.Node{
-		{Node: director.Node{ID: "e1", Started: 7}, Addr: b.node.Addr().String()},
+	b.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
+		{Node: policy.Node{ID: "e1", Started: 7}, Addr: b.node.Addr().String()},
 	}}})
 	b.hears("listed 1 false")
 	old := b.nc
@@ -400,7 +400,7 @@
 // A fault in a decision costs the connection that it was about, no more.
 func TestPanicEndsOneConnection(t *testing.T) {
 	b := newBed(t, 0, pulls)
-	b.Apply([]feed.Event{{Object: "bad", At: 1}})
+	b.Apply([]discovery.Event{{Object: "bad", At: 1}})
 	other, err := net.Dial("tcp", b.client.RemoteAddr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/route/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -1,4 +1,4 @@
-package route
+package dispatch
 
 import (
 	"bufio"
@@ -12,13 +12,13 @@
 
 	"github.com/tidwall/redcon"
 
-	"tallyproxy/director"
-	"tallyproxy/internal/back"
+	"tallyproxy/internal/bufpool"
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/feed"
-	"tallyproxy/internal/front"
-	"tallyproxy/internal/pool"
-	"tallyproxy/logic"
+	"tallyproxy/internal/discovery"
+	"tallyproxy/internal/downstream"
+	"tallyproxy/internal/upstream"
+	"tallyproxy/policy"
+	"tallyproxy/routing"
 )
 
 // box answers every request at once, and counts them.
@@ -72,24 +72,24 @@
 }
 
 func newCores(t *testing.T, shards int) *cores {
-	s := director.Settings{
+	s := policy.Settings{
 		Zone: 1, Instances: 1, ParentKind: 1, OriginKind: 2, CanCancel: true, MostPulls: 8, PaceKB: 1000, LinkKB: 1e6,
-		PurgeKept: 6 * director.Second, SourcesTold: true, ConnectTimeout: director.Second, KeepAlive: 30 * director.Second, Streams: 100,
-		Types: []*director.ContentType{{TargetTime: director.Second, Expiry: 10 * director.Second, Benefit: 1}},
+		PurgeKept: 6 * policy.Second, SourcesTold: true, ConnectTimeout: policy.Second, KeepAlive: 30 * policy.Second, Streams: 100,
+		Types: []*policy.ContentType{{TargetTime: policy.Second, Expiry: 10 * policy.Second, Benefit: 1}},
 	}
-	m := logic.Margins(s)
-	p := pool.New(64)
-	fleet := back.New(p, m, 64)
-	c := &cores{Router: New(logic.New(s, logic.Options{}), m, fleet, shards)}
+	m := routing.Margins(s)
+	p := bufpool.New(64)
+	fleet := upstream.New(p, m, 64)
+	c := &cores{Router: New(routing.New(s, routing.Options{}), m, fleet, shards)}
 	for range 2 {
 		c.boxes, c.parents = append(c.boxes, newBox(t)), append(c.parents, newBox(t))
 	}
-	c.Apply([]feed.Event{{Listed: true, Complete: true, Nodes: []feed.Node{
-		c.node("e0", 1, 0, c.boxes[0], director.Ready), c.node("e1", 1, 0, c.boxes[1], director.Ready),
-		c.node("p0", 0, 1, c.parents[0], director.Ready), c.node("p1", 0, 1, c.parents[1], director.Ready),
+	c.Apply([]discovery.Event{{Listed: true, Complete: true, Nodes: []discovery.Node{
+		c.node("e0", 1, 0, c.boxes[0], policy.Ready), c.node("e1", 1, 0, c.boxes[1], policy.Ready),
+		c.node("p0", 0, 1, c.parents[0], policy.Ready), c.node("p1", 0, 1, c.parents[1], policy.Ready),
 	}}})
 	go c.Run()
-	var sinks []front.Sink
+	var sinks []downstream.Sink
 	for _, s := range c.Shards() {
 		sinks = append(sinks, s)
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := front.New(sinks, config.Site{Types: []string{"clip"}, Settings: s}, p, 64, m)
+	server := downstream.New(sinks, config.Site{Types: []string{"clip"}, Settings: s}, p, 64, m)
 	go server.Serve(l)
 	for i := range shards { // each goes to the next shard
 		nc, err := net.Dial("tcp", l.Addr().String())
@@ -121,8 +121,8 @@
 	return c
 }
 
-func (c *cores) node(id string, zone, kind int, b *box, s director.State) feed.Node {
-	return feed.Node{Node: director.Node{ID: id, Zone: zone, Kind: kind, State: s}, Addr: b.Addr().String()}
+func (c *cores) node(id string, zone, kind int, b *box, s policy.State) discovery.Node {
+	return discovery.Node{Node: policy.Node{ID: id, Zone: zone, Kind: kind, State: s}, Addr: b.Addr().String()}
 }
 
 func (c *cores) ask(client int) {
@@ -167,8 +167,8 @@
 	for range 10 {
 		c.ask(1) // they wait for the busy core
 	}
-	c.Apply([]feed.Event{{Listed: true, Nodes: []feed.Node{
-		c.node("e0", 1, 0, c.boxes[0], director.Draining), c.node("p0", 0, 1, c.parents[0], director.Draining),
+	c.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
+		c.node("e0", 1, 0, c.boxes[0], policy.Draining), c.node("p0", 0, 1, c.parents[0], policy.Draining),
 	}}})
 	asked, fills := c.boxes[0].asked.Load(), c.boxes[0].fills.Load()+c.boxes[1].fills.Load()
 	for i := range 60 {
@@ -217,8 +217,8 @@
 				return
 			default:
 			}
-			c.Apply([]feed.Event{{Listed: true, Nodes: []feed.Node{
-				c.node("e0", 1, 0, c.boxes[0], []director.State{director.Draining, director.Ready}[n%2]),
+			c.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
+				c.node("e0", 1, 0, c.boxes[0], []policy.State{policy.Draining, policy.Ready}[n%2]),
 			}}})
 			for told, inForce := c.Told(); inForce < told; told, inForce = c.Told() { // the next as soon as all cores have taken it
 				runtime.Gosched()
@@ -245,9 +245,9 @@
 	go func() {
 		defer close(done)
 		for n := 0; n < 2000 || asked.Load() < 10; n++ { // the lists alone may be told before ten downloads are through
-			c.Apply([]feed.Event{{Listed: true, Nodes: []feed.Node{
-				c.node("e0", 1, 0, c.boxes[0], director.Ready), c.node("p0", 0, 1, c.parents[0], director.Ready),
-				c.node("e1", 1, 0, c.boxes[1], director.Ready), c.node("p1", 0, 1, c.parents[1], director.Ready),
+			c.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
+				c.node("e0", 1, 0, c.boxes[0], policy.Ready), c.node("p0", 0, 1, c.parents[0], policy.Ready),
+				c.node("e1", 1, 0, c.boxes[1], policy.Ready), c.node("p1", 0, 1, c.parents[1], policy.Ready),
 			}}})
 		}
 	}()
--- a/internal/front/front.go
+++ b/internal/downstream/front.go
@@ -1,6 +1,6 @@
 // Package front speaks with clients: it takes downloads in and passes final answers on. What becomes of a
 // download is asked elsewhere.
-package front
+package downstream
 
 import (
 	"cmp"
@@ -17,10 +17,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"tallyproxy/director"
+	"tallyproxy/internal/bufpool"
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/pool"
 	"tallyproxy/internal/socket"
+	"tallyproxy/policy"
 )
 
 const (
@@ -41,9 +41,9 @@
 // Server accepts connections and holds as many as it may.
 type Server struct {
 	sinks     []Sink
-	types     map[string]*director.ContentType
-	pool      *pool.Pool
-	margins   director.Margins
+	types     map[string]*policy.ContentType
+	pool      *bufpool.Pool
+	margins   policy.Margins
 	most      atomic.Int64 // connections held
 	stopping  atomic.Bool
 	came      atomic.Int64  // when the last connection came, as Unix nanoseconds
@@ -59,9 +59,9 @@
 }
 
 // New makes a server for so many connections, which are spread over the sinks in turn.
-func New(sinks []Sink, site config.Site, p *pool.Pool, most int, m director.Margins) *Server {
+func New(sinks []Sink, site config.Site, p *bufpool.Pool, most int, m policy.Margins) *Server {
 	s := &Server{
-		sinks: sinks, types: map[string]*director.ContentType{}, pool: p, margins: m, conns: map[*Conn]struct{}{},
+		sinks: sinks, types: map[string]*policy.ContentType{}, pool: p, margins: m, conns: map[*Conn]struct{}{},
 		left: make(chan struct{}, 1),
 	}
 	for i, name := range site.Types {
@@ -329,11 +329,11 @@
 
 type answer struct {
 	head []byte
-	body *pool.Body
+	body *bufpool.Body
 }
 
 // Fulfil passes a body on, or tells the client that its copy holds. The body is the connection's from here on.
-func (c *Conn) Fulfil(tag uint64, body *pool.Body, same bool) {
+func (c *Conn) Fulfil(tag uint64, body *bufpool.Body, same bool) {
 	fields := ""
 	if same {
 		fields = "still=1"
@@ -379,7 +379,7 @@
 func (c *Conn) Abandon(tag uint64) { c.answer(tag, wordAbandoned, "", nil) }
 
 // answer queues an answer and never waits. A client that leaves too much of it unread is left.
-func (c *Conn) answer(tag uint64, word, fields string, body *pool.Body) {
+func (c *Conn) answer(tag uint64, word, fields string, body *bufpool.Body) {
 	out, most := c.s.pool.Out()
 	share := most / 8
 	if out > most/2 {
@@ -393,7 +393,7 @@
 	}
 	delete(c.open, tag)
 	c.used = time.Now()
-	if c.queued > max(share, 4)*pool.Size {
+	if c.queued > max(share, 4)*bufpool.Size {
 		c.end()
 		c.mu.Unlock()
 		body.Free()
@@ -724,6 +724,6 @@
 	}
 }
 
-func span(t director.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func span(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
 var crlf = []byte("\r\n")
--- a/internal/front/front_test.go
+++ b/internal/downstream/front_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bufio"
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"tallyproxy/director"
+	"tallyproxy/internal/bufpool"
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/pool"
+	"tallyproxy/policy"
 )
 
 // sink hands on what a server's connections say.
@@ -66,28 +66,28 @@
 
 var site = config.Site{
 	Types: []string{"segment", "cover"},
-	Settings: director.Settings{Types: []*director.ContentType{
-		{Expiry: 2 * director.Second}, {Expiry: 2 * director.Second, Repeat: director.Deduped, Whole: true},
+	Settings: policy.Settings{Types: []*policy.ContentType{
+		{Expiry: 2 * policy.Second}, {Expiry: 2 * policy.Second, Repeat: policy.Deduped, Whole: true},
 	}},
 }
 
 type bed struct {
 	*Server
 	sink
-	pool *pool.Pool
+	pool *bufpool.Pool
 	addr string
 }
 
-func serve(t *testing.T, conns, buffers int, flush time.Duration, change ...func(*director.Margins)) *bed {
+func serve(t *testing.T, conns, buffers int, flush time.Duration, change ...func(*policy.Margins)) *bed {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{pool: pool.New(buffers), addr: l.Addr().String()}
+	b := &bed{pool: bufpool.New(buffers), addr: l.Addr().String()}
 	b.sink = sink{make(chan asked, 64), make(chan *Conn, 64), make(chan uint64, 64)}
-	m := director.Margins{
-		Flush: director.Micros(flush.Microseconds()), Connect: director.Second, Retry: director.Second / 20,
-		Silent: 20 * director.Second, Resting: 20 * director.Second, Back: 70_000,
+	m := policy.Margins{
+		Flush: policy.Micros(flush.Microseconds()), Connect: policy.Second, Retry: policy.Second / 20,
+		Silent: 20 * policy.Second, Resting: 20 * policy.Second, Back: 70_000,
 	}
 	for _, to := range change {
 		to(&m)
@@ -145,7 +145,7 @@
 	return strings.Join(words, " ")
 }
 
-func (b *bed) body(size int) *pool.Body {
+func (b *bed) body(size int) *bufpool.Body {
 	body := b.pool.Body(0)
 	body.Write(bytes.Repeat([]byte("x"), size))
 	return body
@@ -325,7 +325,7 @@
 
 // Connections without a whole message, and those that rest, are closed; one with a request open is not.
 func TestConnectionsThatRest(t *testing.T) {
-	short := func(m *director.Margins) { m.Silent, m.Resting = director.Second/20, director.Second/10 }
+	short := func(m *policy.Margins) { m.Silent, m.Resting = policy.Second/20, policy.Second/10 }
 	cases := []struct{ name, first string }{
 		{"nothing sent", ""},
 		{"half a message", "*2\r\n$6\r\nSTA"},
@@ -353,7 +353,7 @@
 // Connections that are silent or asked once make room for those that speak and for each other, however many come.
 func TestFloodOfConnections(t *testing.T) {
 	for _, first := range []string{"", string(frame("STATUS", "1"))} {
-		b := serve(t, 4, 64, 10*time.Second, func(m *director.Margins) { m.Retry = director.Second / 100 })
+		b := serve(t, 4, 64, 10*time.Second, func(m *policy.Margins) { m.Retry = policy.Second / 100 })
 		good := b.dial(t)
 		good.Write(ask("6"))
 		open := b.next(t, 6)
@@ -375,7 +375,7 @@
 
 // A client that is slow to read is not at rest: its answers are not cut off to make room.
 func TestSlowReaderKeepsItsPlace(t *testing.T) {
-	b := serve(t, 2, 4096, 10*time.Second, func(m *director.Margins) { m.Retry = director.Second / 100 })
+	b := serve(t, 2, 4096, 10*time.Second, func(m *policy.Margins) { m.Retry = policy.Second / 100 })
 	slow := b.dial(t)
 	slow.Write(ask("1"))
 	conn := b.next(t, 1)
@@ -398,7 +398,7 @@
 
 // Where the silent are too new to tell, one that asked and rests makes room.
 func TestRestingMakesRoomForNew(t *testing.T) {
-	b := serve(t, 3, 64, 10*time.Second, func(m *director.Margins) { m.Retry = 3600 * director.Second })
+	b := serve(t, 3, 64, 10*time.Second, func(m *policy.Margins) { m.Retry = 3600 * policy.Second })
 	rested := b.dial(t)
 	rested.Write(frame("STATUS", "1"))
 	rested.answer(t)
@@ -438,8 +438,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New([]Sink{sink{closed: make(chan *Conn, 1)}}, site, pool.New(1), 1,
-		director.Margins{Flush: director.Second, Retry: director.Second / 5, Silent: director.Second, Resting: director.Second})
+	s := New([]Sink{sink{closed: make(chan *Conn, 1)}}, site, bufpool.New(1), 1,
+		policy.Margins{Flush: policy.Second, Retry: policy.Second / 5, Silent: policy.Second, Resting: policy.Second})
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(&poor{Listener: l}) }()
 	c := (&bed{addr: l.Addr().String()}).dial(t)
--- a/internal/front/protocol.go
+++ b/internal/downstream/protocol.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 
 	"github.com/tidwall/redcon"
 
-	"tallyproxy/director"
-	"tallyproxy/internal/pool"
+	"tallyproxy/internal/bufpool"
+	"tallyproxy/policy"
 )
 
 // The protocol's words.
@@ -32,7 +32,7 @@
 
 // Ask is a download that a client asks for.
 type Ask struct {
-	Type      *director.ContentType
+	Type      *policy.ContentType
 	Sort      string // its name
 	Txn       string
 	Key       string // of a deduped download
@@ -42,7 +42,7 @@
 	Held      string // the tag of the client's copy
 	Again     bool
 	Limit     time.Duration
-	Body      *pool.Body
+	Body      *bufpool.Body
 	Came      time.Time
 	Client    uint64 // its address, as a hash
 	Doubted   bool   // what it asked for of late was of use to no node
@@ -59,7 +59,7 @@
 
 // parser cuts what a client sends into messages. It is fed bytes and knows no socket.
 type parser struct {
-	pool  *pool.Pool
+	pool  *bufpool.Pool
 	small [1 << 10]byte
 	buf   []byte // small, or one of the pool's while a message does not fit there
 	from  int    // what lies before is done with
@@ -89,7 +89,7 @@
 
 // close gives the buffer back.
 func (p *parser) close() {
-	if len(p.buf) == pool.Size {
+	if len(p.buf) == bufpool.Size {
 		p.pool.Put(p.buf)
 	}
 	p.buf, p.from, p.to = nil, 0, 0
@@ -233,18 +233,18 @@
 }
 
 // admit checks a download against the settings and gives it its content type.
-func (a *Ask) admit(types map[string]*director.ContentType) error {
+func (a *Ask) admit(types map[string]*policy.ContentType) error {
 	t := types[a.Sort]
 	switch {
 	case a.malformed != nil:
 		return a.malformed
 	case t == nil:
 		return errors.New("an unknown content type")
-	case director.Micros(a.Limit/time.Microsecond) > t.Expiry:
+	case policy.Micros(a.Limit/time.Microsecond) > t.Expiry:
 		return errors.New("limit: over the content type's")
 	case a.Part > 0 && t.Whole:
 		return errors.New("n: the content type has no parts")
-	case (t.Repeat == director.Deduped) != (a.Key != ""):
+	case (t.Repeat == policy.Deduped) != (a.Key != ""):
 		return errors.New("unique: missing, or not for the content type")
 	}
 	a.Type = t
--- a/internal/front/protocol_test.go
+++ b/internal/downstream/protocol_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 
 	"github.com/tidwall/redcon"
 
-	"tallyproxy/director"
-	"tallyproxy/internal/pool"
+	"tallyproxy/internal/bufpool"
+	"tallyproxy/policy"
 )
 
 func frame(words ...string) []byte {
@@ -26,7 +26,7 @@
 
 // all feeds a parser pieces of a size and writes down what it makes of them.
 func all(data []byte, piece int) (got []string, err error) {
-	p := parser{pool: pool.New(1)}
+	p := parser{pool: bufpool.New(1)}
 	for len(data) > 0 {
 		n := copy(p.space(), data[:min(piece, len(data))])
 		p.fed(n)
@@ -52,7 +52,7 @@
 		frame("NEVERMIND", "7"), frame("SING", "10"),
 	}, nil)
 	want := []string{"ASK 7 7f3a9c21e0b4d655 0", "STATUS 8  0", "ASK 9 7f3a9c21e0b4d655 48000", "NEVERMIND 7  0", " 10  0"}
-	for _, piece := range []int{1, 7, 1000, pool.Size, len(data)} {
+	for _, piece := range []int{1, 7, 1000, bufpool.Size, len(data)} {
 		if piece == 1 {
 			data := bytes.Replace(data, []byte(body), nil, 1) // a byte at a time, without the long one's body
 			data = bytes.Replace(data, []byte("$48000"), []byte("$0"), 1)
@@ -92,7 +92,7 @@
 }
 
 func TestAsk(t *testing.T) {
-	types := map[string]*director.ContentType{"segment": site.Settings.Types[0], "cover": site.Settings.Types[1]}
+	types := map[string]*policy.ContentType{"segment": site.Settings.Types[0], "cover": site.Settings.Types[1]}
 	key := strings.Repeat("5c0f6e1a", 4)
 	whole := Ask{
 		Type: types["segment"], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
@@ -142,7 +142,7 @@
 		piece = max(1, piece)
 		whole, wholeErr := all(data, len(data)+1)
 		pieces, err := all(data, piece)
-		if len(data) < pool.Size && (!reflect.DeepEqual(whole, pieces) || (err == nil) != (wholeErr == nil)) {
+		if len(data) < bufpool.Size && (!reflect.DeepEqual(whole, pieces) || (err == nil) != (wholeErr == nil)) {
 			t.Errorf("whole %v, %v; in pieces %v, %v", whole, wholeErr, pieces, err)
 		}
 	})
--- a/internal/lab/cores.go
+++ b/internal/experiment/cores.go
@@ -1,5 +1,5 @@
 // Package lab runs experiments: stand-ins, real directors as processes of their own, and a report of what came of it.
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -17,11 +17,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sys/unix"
 
-	"tallyproxy/internal/rig"
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/faulttest"
 )
 
-// Cores is what `tallylab cores` plays.
+// Cores is what `tallybench cores` plays.
 type Cores struct {
 	Cores       []int         `default:"1,2,4" placeholder:"N,..." help:"Cores of the director."`
 	Mix         []string      `default:"thumbnails,clips,picks" help:"What is asked for."`
@@ -132,10 +132,10 @@
 	return r, nil
 }
 
-func (s *Cores) spec(directors int) (standin.Spec, error) {
-	spec := standin.Depot(s.Boxes, directors)
+func (s *Cores) spec(directors int) (fakes.Spec, error) {
+	spec := fakes.Depot(s.Boxes, directors)
 	spec.Quick, spec.Cold, spec.Link, spec.Objects = true, false, 1e5, 10_000
-	known := map[string]standin.Type{}
+	known := map[string]fakes.Type{}
 	for _, t := range spec.Types {
 		known[map[string]string{"thumbnail": "thumbnails", "preview-clip": "clips", "cover-pick": "picks"}[t.Name]] = t
 	}
@@ -178,12 +178,12 @@
 	if err != nil {
 		return run, err
 	}
-	w, err := standin.New(spec)
+	w, err := fakes.New(spec)
 	if err != nil {
 		return run, err
 	}
 	defer w.Close()
-	folder, err := os.MkdirTemp("", "tallylab")
+	folder, err := os.MkdirTemp("", "tallybench")
 	if err != nil {
 		return run, err
 	}
@@ -200,7 +200,7 @@
 	}
 	var text bytes.Buffer
 	log := &counter{to: &text}
-	var processes []*rig.Director
+	var processes []*faulttest.Director
 	defer func() {
 		for _, d := range processes {
 			if e := d.Stop(); e != nil && err == nil {
@@ -209,7 +209,7 @@
 		}
 	}()
 	for i := range directors {
-		d, err := rig.NewDirector(w, folder, fmt.Sprint("n", i), argv, script, rig.Limits{Sockets: 4096, MemoryMB: 512, Cores: float64(cores)}, log)
+		d, err := faulttest.NewDirector(w, folder, fmt.Sprint("n", i), argv, script, faulttest.Limits{Sockets: 4096, MemoryMB: 512, Cores: float64(cores)}, log)
 		if err != nil {
 			return run, err
 		}
@@ -265,7 +265,7 @@
 }
 
 // startOn starts a director on some cores: it has those of the thread that starts it.
-func startOn(ctx context.Context, d *rig.Director, cores []int) error {
+func startOn(ctx context.Context, d *faulttest.Director, cores []int) error {
 	done := make(chan error)
 	go func() {
 		runtime.LockOSThread() // and the thread ends with the goroutine
@@ -279,7 +279,7 @@
 }
 
 // cpu is the processor time that directors have used.
-func cpu(of []*rig.Director) (sum time.Duration) {
+func cpu(of []*faulttest.Director) (sum time.Duration) {
 	for _, d := range of {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID()))
 		_, rest, _ := strings.Cut(string(text), ") ")
--- a/internal/lab/cores_test.go
+++ b/internal/experiment/cores_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
 )
 
 // Loads on several cores: every rule holds, by every division.
@@ -82,9 +82,9 @@
 
 // The same id on two cores at once: one download of it, and the other is refused; the same key: one effect.
 func TestSameOnTwoCores(t *testing.T) {
-	b := newBed(t, func(*standin.Spec) {}, "machine(cores = 4)\n")
+	b := newBed(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
 	for _, n := range b.Nodes {
-		n.Do(standin.Well, 20) // so that both are open together
+		n.Do(fakes.Well, 20) // so that both are open together
 	}
 	for round := range 5 {
 		words := make([]string, 2)
@@ -126,7 +126,7 @@
 
 // A client that floods its core costs the others nothing but their share: they are answered in time.
 func TestFloodOnOneCore(t *testing.T) {
-	b := newBed(t, func(*standin.Spec) {}, "machine(cores = 4)\n")
+	b := newBed(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
 	ctx, leave := context.WithCancel(t.Context())
 	flood := newStream(b.World, b.d.Addr, 32, 0, 1)
 	var all sync.WaitGroup
--- a/internal/lab/fleet.go
+++ b/internal/experiment/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -14,13 +14,13 @@
 	"tallyproxy/internal/authority"
 	"tallyproxy/internal/config"
 	"tallyproxy/internal/ctl"
-	"tallyproxy/internal/rig"
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/faulttest"
 )
 
 // Fleet is a fleet on loopback: an authority, an inventory, agents in this process and directors as processes of their own.
 type Fleet struct {
-	World     *standin.World
+	World     *fakes.World
 	Dir       string
 	Inventory *config.Inventory
 	Keys      string
@@ -36,7 +36,7 @@
 
 // NewFleet writes all that a fleet of so many agents with so many directors each needs into a folder. Argv starts a director.
 // With peers they know each other.
-func NewFleet(w *standin.World, dir string, agents, each int, argv []string, script string, peers bool) (*Fleet, error) {
+func NewFleet(w *fakes.World, dir string, agents, each int, argv []string, script string, peers bool) (*Fleet, error) {
 	f := &Fleet{World: w, Dir: dir, Keys: filepath.Join(dir, "keys"), agents: map[string]*runningAgent{}}
 	now := time.Now()
 	if err := authority.Init(f.Keys, "lab", now); err != nil {
@@ -60,18 +60,18 @@
 		if err := authority.Issue(f.Keys, dir, name, []authority.Role{authority.Agent}, time.Hour, now); err != nil {
 			return nil, err
 		}
-		addr, err := rig.FreeAddress()
+		addr, err := faulttest.FreeAddress()
 		if err != nil {
 			return nil, err
 		}
-		meet, err := rig.FreeAddress()
+		meet, err := faulttest.FreeAddress()
 		if err != nil {
 			return nil, err
 		}
 		fmt.Fprintf(&text, "agent(%q, address = %q, talk = %q, depot = \"depot-%d\")\n", name, addr, meet, i/4)
 		for j := range each {
 			director := fmt.Sprintf("n%02d%d", i, j)
-			listen, err := rig.FreeAddress()
+			listen, err := faulttest.FreeAddress()
 			if err != nil {
 				return nil, err
 			}
@@ -81,7 +81,7 @@
 			}
 			own := fmt.Sprintf("state(socket = %q)\n%s", path(".sock"), script)
 			if peers {
-				talk, err := rig.FreeAddress()
+				talk, err := faulttest.FreeAddress()
 				if err != nil {
 					return nil, err
 				}
--- a/internal/lab/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -15,19 +15,19 @@
 	"testing"
 	"time"
 
-	d "tallyproxy/director"
-	"tallyproxy/fleet"
 	"tallyproxy/internal/agent"
 	"tallyproxy/internal/authority"
 	"tallyproxy/internal/config"
 	"tallyproxy/internal/ctl"
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
+	d "tallyproxy/policy"
+	"tallyproxy/rollout"
 )
 
 func newFleet(t *testing.T, agents, each int) (*Fleet, *ctl.Fleet) {
-	spec := standin.Depot(4, agents*each)
+	spec := fakes.Depot(4, agents*each)
 	spec.Cold = false
-	w, err := standin.New(spec)
+	w, err := fakes.New(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,14 +54,14 @@
 }
 
 // adding makes a change that adds a line to every director's script.
-func adding(t *testing.T, v ctl.View, line string, limit int) *fleet.Change {
+func adding(t *testing.T, v ctl.View, line string, limit int) *rollout.Change {
 	t.Helper()
 	places, err := v.Places()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fleet.Plan(ctl.NewID(), "op", line, places, limit, func(s string) string { return config.Sum([]byte(s)) },
-		func(p fleet.Place) string { return p.Script + line + "\n" })
+	return rollout.Plan(ctl.NewID(), "op", line, places, limit, func(s string) string { return config.Sum([]byte(s)) },
+		func(p rollout.Place) string { return p.Script + line + "\n" })
 }
 
 // settled waits until every director tells by itself that it runs a line, or none does, and gives how many do.
@@ -91,13 +91,13 @@
 	f, op := newFleet(t, 10, 2)
 	change := adding(t, op.Look(t.Context()), `log(level = "warn")`, 5)
 	killed := false
-	r, err := op.Run(t.Context(), change, nil, func(s fleet.Step, wave int) {
-		if s == fleet.Waving && wave == 2 && !killed {
+	r, err := op.Run(t.Context(), change, nil, func(s rollout.Step, wave int) {
+		if s == rollout.Waving && wave == 2 && !killed {
 			killed = true
 			f.Director("n070").Signal(syscall.SIGKILL)
 		}
 	})
-	if err != nil || !r.Whole() || r.Outcome != fleet.Go || !killed || len(r.Ends) != 20 {
+	if err != nil || !r.Whole() || r.Outcome != rollout.Go || !killed || len(r.Ends) != 20 {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if n := settled(t, op, "warn"); n != 20 {
@@ -106,7 +106,7 @@
 	// taken back, as a change of its own
 	v := op.Look(t.Context())
 	of, before := v.Change(change.ID)
-	undo := fleet.Undo(ctl.NewID(), "op", of, before, func(s string) string { return config.Sum([]byte(s)) })
+	undo := rollout.Undo(ctl.NewID(), "op", of, before, func(s string) string { return config.Sum([]byte(s)) })
 	if r, err := op.Run(t.Context(), undo, nil, nil); err != nil || !r.Whole() {
 		t.Fatalf("undo: %+v, %v", r, err)
 	}
@@ -123,21 +123,21 @@
 func TestAgentCutOff(t *testing.T) {
 	cases := []struct {
 		name string
-		at   fleet.Step
+		at   rollout.Step
 		want int
-	}{{"before it has prepared", fleet.Preparing, 0}, {"after it was decided", fleet.Waving, 5}}
+	}{{"before it has prepared", rollout.Preparing, 0}, {"after it was decided", rollout.Waving, 5}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			beside(t)
 			f, op := newFleet(t, 5, 1)
 			change := adding(t, op.Look(t.Context()), `log(level = "warn")`, 0)
-			if c.at == fleet.Preparing {
+			if c.at == rollout.Preparing {
 				f.Stop("a02")
 			}
 			ctx, leave := context.WithTimeout(t.Context(), 40*time.Second)
 			defer leave()
-			r, err := op.Run(ctx, change, nil, func(s fleet.Step, _ int) {
-				if s == c.at && s == fleet.Waving {
+			r, err := op.Run(ctx, change, nil, func(s rollout.Step, _ int) {
+				if s == c.at && s == rollout.Waving {
 					f.Stop("a02")
 				}
 			})
@@ -163,16 +163,16 @@
 func TestAgentsSettle(t *testing.T) {
 	cases := []struct {
 		name      string
-		at        fleet.Step
+		at        rollout.Step
 		interrupt bool // it can say that it leaves; else it is killed
 		limit     int
 		outcome   string
 		changed   int
 	}{
-		{"killed once all have prepared", fleet.Deciding, false, 0, "drop", 0},
-		{"killed once it was decided and nobody was told", fleet.Waving, false, 0, "go", 5},
-		{"killed before the first of five waves", fleet.Waving, false, 1, "go", 1},
-		{"interrupted while it is put in force", fleet.Waving, true, 0, "go", 5},
+		{"killed once all have prepared", rollout.Deciding, false, 0, "drop", 0},
+		{"killed once it was decided and nobody was told", rollout.Waving, false, 0, "go", 5},
+		{"killed before the first of five waves", rollout.Waving, false, 1, "go", 1},
+		{"interrupted while it is put in force", rollout.Waving, true, 0, "go", 5},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -182,7 +182,7 @@
 			begun := time.Now()
 			if c.interrupt {
 				ctx, leave := context.WithCancel(t.Context())
-				_, err := op.Run(ctx, change, nil, func(s fleet.Step, _ int) {
+				_, err := op.Run(ctx, change, nil, func(s rollout.Step, _ int) {
 					if s == c.at {
 						leave()
 					}
@@ -225,7 +225,7 @@
 }
 
 // killed takes a change so far as a step, whose first messages are not sent any more.
-func killed(t *testing.T, f *Fleet, change *fleet.Change, at fleet.Step) {
+func killed(t *testing.T, f *Fleet, change *rollout.Change, at rollout.Step) {
 	t.Helper()
 	id, err := f.identity("op")
 	if err != nil {
@@ -233,7 +233,7 @@
 	}
 	peers := agent.NewPeers(f.Inventory, id)
 	defer peers.Close()
-	c, begun := fleet.NewCoordinator("op/killed", 100, f.Inventory.AgentNames(), change, fleet.DefaultTimes(), nil), time.Now()
+	c, begun := rollout.NewCoordinator("op/killed", 100, f.Inventory.AgentNames(), change, rollout.DefaultTimes(), nil), time.Now()
 	now := func() d.Micros { return d.Micros(time.Since(begun) / time.Microsecond) }
 	for sends := c.Start(now()); c.Step() < at; sends = append(sends, c.Tick(now())...) {
 		if len(sends) == 0 {
@@ -314,14 +314,14 @@
 	if rerr := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limit); rerr != nil {
 		t.Fatal(rerr)
 	}
-	if err != nil || r.Refused == "" || r.Outcome == fleet.Go {
+	if err != nil || r.Refused == "" || r.Outcome == rollout.Go {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if n := settled(t, op, "warn"); n != 0 {
 		t.Fatalf("%d have it", n)
 	}
 	r, err = op.Run(t.Context(), adding(t, op.Look(t.Context()), `log(level = "warn")`, 0), nil, nil)
-	if err != nil || !r.Whole() || r.Outcome != fleet.Go {
+	if err != nil || !r.Whole() || r.Outcome != rollout.Go {
 		t.Fatalf("with room again: %+v, %v", r, err)
 	}
 	if n := settled(t, op, "warn"); n != 3 {
@@ -359,7 +359,7 @@
 	}
 	defer other.Close()
 	v := op.Look(t.Context())
-	results := make([]fleet.Result, 2)
+	results := make([]rollout.Result, 2)
 	var all sync.WaitGroup
 	for i, o := range []*ctl.Fleet{op, other} {
 		change := adding(t, v, fmt.Sprintf(`log(level = %q)`, []string{"warn", "error"}[i]), 0)
@@ -368,7 +368,7 @@
 	all.Wait()
 	went := 0
 	for _, r := range results {
-		if r.Outcome == fleet.Go && r.Whole() {
+		if r.Outcome == rollout.Go && r.Whole() {
 			went++
 		} else if r.Refused == "" {
 			t.Errorf("neither whole nor refused: %+v", r)
@@ -385,20 +385,20 @@
 	f, op := newFleet(t, 3, 1)
 	t.Run("a faulty script: nobody has it", func(t *testing.T) {
 		r, err := op.Run(t.Context(), adding(t, op.Look(t.Context()), "storm(rise = 0)", 0), nil, nil)
-		if err != nil || r.Outcome != fleet.Drop || !strings.Contains(r.Refused, "storm.rise") || !r.Whole() {
+		if err != nil || r.Outcome != rollout.Drop || !strings.Contains(r.Refused, "storm.rise") || !r.Whole() {
 			t.Errorf("%+v, %v", r, err)
 		}
 	})
 	t.Run("what the agent had checked and the director would not have", func(t *testing.T) {
 		r, err := op.Run(t.Context(), adding(t, op.Look(t.Context()), "machine(cores = 4)", 0), nil, nil)
 		// cores are one by the platform's limit: the script is fine and the director takes it
-		if err != nil || r.Outcome != fleet.Go || !r.Whole() {
+		if err != nil || r.Outcome != rollout.Go || !r.Whole() {
 			t.Errorf("%+v, %v", r, err)
 		}
 		v := op.Look(t.Context())
 		places, _ := v.Places()
-		change := fleet.Plan(ctl.NewID(), "op", "x", places, 1, func(s string) string { return config.Sum([]byte(s)) },
-			func(p fleet.Place) string { return strings.Replace(p.Script, ".sock", ".elsewhere", 1) })
+		change := rollout.Plan(ctl.NewID(), "op", "x", places, 1, func(s string) string { return config.Sum([]byte(s)) },
+			func(p rollout.Place) string { return strings.Replace(p.Script, ".sock", ".elsewhere", 1) })
 		r, err = op.Run(t.Context(), change, nil, nil)
 		if err != nil || r.Stopped == "" || !strings.Contains(r.Stopped, "needs a restart") {
 			t.Errorf("%+v, %v", r, err)
@@ -426,7 +426,7 @@
 			t.Errorf("can't look: %+v", v)
 		}
 		r, err := looker.Run(t.Context(), adding(t, v, `log(level = "warn")`, 0), nil, nil)
-		if err != nil || r.Refused == "" || r.Outcome != fleet.Open {
+		if err != nil || r.Refused == "" || r.Outcome != rollout.Open {
 			t.Errorf("%+v, %v", r, err)
 		}
 	})
@@ -482,10 +482,10 @@
 	}
 	ctx, leave := context.WithCancel(t.Context())
 	var all sync.WaitGroup
-	zipf := standin.NewZipf(200, 1)
+	zipf := fakes.NewZipf(200, 1)
 	for i, d := range f.Inventory.Directors {
-		c := &standin.Client{
-			W: f.World, Targets: []*standin.Target{{Addr: listenOf(t, d.Config)}}, Retries: 5, Wait: 50 * time.Millisecond,
+		c := &fakes.Client{
+			W: f.World, Targets: []*fakes.Target{{Addr: listenOf(t, d.Config)}}, Retries: 5, Wait: 50 * time.Millisecond,
 			Rand: newRand(uint64(i)), Zipf: zipf,
 		}
 		all.Go(func() { c.Live(ctx, 0, 20*time.Millisecond) })
@@ -496,8 +496,8 @@
 			t.Fatal("the box has no share")
 		}
 	}
-	change := fleet.Plan(ctl.NewID(), "op", "drain", places, 1, func(s string) string { return config.Sum([]byte(s)) },
-		func(p fleet.Place) string {
+	change := rollout.Plan(ctl.NewID(), "op", "drain", places, 1, func(s string) string { return config.Sum([]byte(s)) },
+		func(p rollout.Place) string {
 			script, err := ctl.Avoiding(p.Script, "box-0", true)
 			if err != nil {
 				t.Error(err)
@@ -505,7 +505,7 @@
 			return script
 		})
 	r, err := op.Run(t.Context(), change, nil, nil)
-	if err != nil || !r.Whole() || r.Outcome != fleet.Go {
+	if err != nil || !r.Whole() || r.Outcome != rollout.Go {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	time.Sleep(time.Second)
@@ -516,7 +516,7 @@
 	}
 	leave()
 	all.Wait()
-	f.World.Clients.Do(func(b *standin.Book) {
+	f.World.Clients.Do(func(b *fakes.Book) {
 		if b.Lost+b.Twice+b.Wrong > 0 || len(b.Downloads) == 0 {
 			t.Errorf("%d lost %v, %d twice, of %d", b.Lost, b.LostHow, b.Twice, len(b.Downloads))
 		}
--- a/internal/lab/fleetsim.go
+++ b/internal/experiment/fleetsim.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"container/heap"
@@ -10,11 +10,11 @@
 	"sync"
 	"sync/atomic"
 
-	d "tallyproxy/director"
-	"tallyproxy/fleet"
+	d "tallyproxy/policy"
+	"tallyproxy/rollout"
 )
 
-// FleetSim is what `tallylab fleet` plays: changes of a fleet in simulated time, by the real state machines, over a network and
+// FleetSim is what `tallybench fleet` plays: changes of a fleet in simulated time, by the real state machines, over a network and
 // machines that fail.
 type FleetSim struct {
 	Instances []int   `default:"20,100,500" placeholder:"N,..." help:"Agents, with a director each."`
@@ -75,9 +75,9 @@
 }
 
 type simAgent struct {
-	*fleet.Agent
-	settler *fleet.Settler
-	stored  fleet.State
+	*rollout.Agent
+	settler *rollout.Settler
+	stored  rollout.State
 	runs    string
 	life    int // counts its starts
 	up      bool
@@ -97,7 +97,7 @@
 	events  int
 	budget  int
 	toolCut bool
-	c       *fleet.Coordinator
+	c       *rollout.Coordinator
 	trace   func(string, ...any)
 }
 
@@ -150,8 +150,8 @@
 
 func (f *fleetSim) boot(name string) {
 	a := f.agents[name]
-	a.Agent = fleet.NewAgent(f.now, name, a.stored.Clone(), fleet.DefaultTimes().Lease, func(string, string) error { return nil }, simSum)
-	a.settler = fleet.NewSettler(f.now, a.Agent, f.names, fleet.DefaultTimes())
+	a.Agent = rollout.NewAgent(f.now, name, a.stored.Clone(), rollout.DefaultTimes().Lease, func(string, string) error { return nil }, simSum)
+	a.settler = rollout.NewSettler(f.now, a.Agent, f.names, rollout.DefaultTimes())
 	a.up = true
 	a.life++
 	f.carry(a, a.Unfinished())
@@ -169,14 +169,14 @@
 func (f *fleetSim) tickAgent(a *simAgent, life int) {
 	f.after(2*simTick, func() {
 		if a.up && a.life == life {
-			f.agentSays(a, life, func() ([]fleet.Send, []fleet.Command) { return a.settler.Tick(f.now) })
+			f.agentSays(a, life, func() ([]rollout.Send, []rollout.Command) { return a.settler.Tick(f.now) })
 			f.tickAgent(a, life)
 		}
 	})
 }
 
 // agentSays has an agent do something; what it says is sent to the others once it is stored.
-func (f *fleetSim) agentSays(a *simAgent, life int, act func() ([]fleet.Send, []fleet.Command)) {
+func (f *fleetSim) agentSays(a *simAgent, life int, act func() ([]rollout.Send, []rollout.Command)) {
 	sends, do := act()
 	f.keep(a)
 	f.carry(a, do)
@@ -190,14 +190,14 @@
 			r := f.handle(a.Name, other, s.Message)
 			f.wire(func() {
 				if a.up && a.life == life && other.cut == a.cut {
-					f.agentSays(a, life, func() ([]fleet.Send, []fleet.Command) { return a.settler.Got(f.now, other.Name, r) })
+					f.agentSays(a, life, func() ([]rollout.Send, []rollout.Command) { return a.settler.Got(f.now, other.Name, r) })
 				}
 			})
 		})
 	}
 }
 
-func (f *fleetSim) handle(from string, a *simAgent, m fleet.Message) fleet.Reply {
+func (f *fleetSim) handle(from string, a *simAgent, m rollout.Message) rollout.Reply {
 	r, do := a.Handle(f.now, m)
 	f.keep(a)
 	f.carry(a, do)
@@ -207,7 +207,7 @@
 	return r
 }
 
-func (f *fleetSim) carry(a *simAgent, do []fleet.Command) {
+func (f *fleetSim) carry(a *simAgent, do []rollout.Command) {
 	for _, c := range do {
 		life := a.life
 		f.after(d.Micros(20_000+f.r.IntN(180_000)), func() {
@@ -221,17 +221,17 @@
 }
 
 // tool runs a coordinator until it ends, or dies after a while; 0 for never.
-func (f *fleetSim) tool(change *fleet.Change, dies d.Micros) *fleet.Coordinator {
+func (f *fleetSim) tool(change *rollout.Change, dies d.Micros) *rollout.Coordinator {
 	n := int64(1) // higher than any that the agents know
 	for _, name := range f.names {
 		n = max(n, f.agents[name].State.Promised.N+1)
 	}
-	c := fleet.NewCoordinator(fmt.Sprint("op/", n), n, f.names, change, fleet.DefaultTimes(), nil)
+	c := rollout.NewCoordinator(fmt.Sprint("op/", n), n, f.names, change, rollout.DefaultTimes(), nil)
 	f.c = c
 	begun := f.now
-	alive := func() bool { return (dies == 0 || f.now < begun+dies) && c.Step() != fleet.Ended }
-	var say func([]fleet.Send)
-	say = func(sends []fleet.Send) {
+	alive := func() bool { return (dies == 0 || f.now < begun+dies) && c.Step() != rollout.Ended }
+	var say func([]rollout.Send)
+	say = func(sends []rollout.Send) {
 		for _, s := range sends {
 			f.sent++
 			f.wire(func() {
@@ -309,17 +309,17 @@
 	if s.Only >= 0 {
 		f.trace = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	}
-	var places []fleet.Place
+	var places []rollout.Place
 	for i := range n {
 		name := fmt.Sprintf("a%04d", i)
-		f.agents[name] = &simAgent{runs: "old", stored: fleet.State{InForce: map[string]string{simInstance + name: "old"}}}
+		f.agents[name] = &simAgent{runs: "old", stored: rollout.State{InForce: map[string]string{simInstance + name: "old"}}}
 		f.names = append(f.names, name)
-		places = append(places, fleet.Place{Instance: simInstance + name, Agent: name, Depot: fmt.Sprint(i / 10), Script: "old"})
+		places = append(places, rollout.Place{Instance: simInstance + name, Agent: name, Depot: fmt.Sprint(i / 10), Script: "old"})
 	}
 	for _, name := range f.names {
 		f.boot(name)
 	}
-	change := fleet.Plan("c1", "op", "", places, s.Limit, simSum, func(fleet.Place) string { return "new" })
+	change := rollout.Plan("c1", "op", "", places, s.Limit, simSum, func(rollout.Place) string { return "new" })
 	begun, last := f.now, f.faults()
 	dies := d.Micros(0)
 	if f.r.Float64() < s.ToolDies {
@@ -339,7 +339,7 @@
 
 	c := f.tool(change, dies)
 	r := c.Result()
-	e.lived = c.Step() == fleet.Ended
+	e.lived = c.Step() == rollout.Ended
 	if !e.lived {
 		last = max(last, f.now)
 	}
@@ -353,10 +353,10 @@
 			c = f.tool(nil, 0)
 		}
 		r = c.Result()
-		again = c.Step() != fleet.Ended || r.Refused != "" || r.Resume
+		again = c.Step() != rollout.Ended || r.Refused != "" || r.Resume
 	}
 	e.word = f.now - begun
-	e.ended = c.Step() == fleet.Ended
+	e.ended = c.Step() == rollout.Ended
 	// what a director runs, what its agent says, and what was decided must agree; it may take until all are back
 	for end := f.now + 120*d.Second; ; {
 		e.state = f.state()
@@ -377,7 +377,7 @@
 }
 
 // told says whether a tool's word was true of how directors were in the end.
-func told(r fleet.Result, state string) bool {
+func told(r rollout.Result, state string) bool {
 	for _, end := range r.Ends {
 		switch {
 		case end.State == "changed" && state == "untouched", end.State == "untouched" && state == "changed",
@@ -395,11 +395,11 @@
 		if !a.up {
 			return false
 		}
-		if e := a.Entry("c1"); e != nil && e.Outcome == fleet.Open {
+		if e := a.Entry("c1"); e != nil && e.Outcome == rollout.Open {
 			return false
 		}
 	}
-	return f.c.Step() == fleet.Ended || f.agents[f.names[0]].Entry("c1") != nil
+	return f.c.Step() == rollout.Ended || f.agents[f.names[0]].Entry("c1") != nil
 }
 
 // waits says who waits on whom.
@@ -424,19 +424,19 @@
 // state is "changed", "untouched", "partly" where the waves were stopped, or, while directors differ otherwise or an agent says
 // something else than its director, "neither".
 func (f *fleetSim) state() string {
-	counts, final, chosen := map[string]int{}, true, fleet.Open
+	counts, final, chosen := map[string]int{}, true, rollout.Open
 	for _, name := range f.names {
 		a := f.agents[name]
 		says := "old"
 		if e := a.Entry("c1"); e != nil {
-			if chosen == fleet.Open {
+			if chosen == rollout.Open {
 				chosen = e.Outcome
-			} else if e.Outcome != fleet.Open && e.Outcome != chosen {
+			} else if e.Outcome != rollout.Open && e.Outcome != chosen {
 				return "neither"
 			}
 			final = final && e.Final
 			for _, l := range e.Local {
-				if l.Phase == fleet.InForce {
+				if l.Phase == rollout.InForce {
 					says = "new"
 				} else if !l.Over() {
 					return "neither"
--- a/internal/lab/fleetsim_test.go
+++ b/internal/experiment/fleetsim_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
--- a/internal/lab/load.go
+++ b/internal/experiment/load.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -12,17 +12,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/tidwall/redcon"
 
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
 )
 
 // stream is one connection that asks for one download after another, many at a time, and checks what it gets.
 type stream struct {
-	w       *standin.World
+	w       *fakes.World
 	addr    string
 	depth   int           // asked for together
 	every   time.Duration // between one download and the next; 0: the next as soon as one ends
 	rand    *rand.Rand
-	zipf    *standin.Zipf
+	zipf    *fakes.Zipf
 	nc      net.Conn
 	tag     int
 	open    map[int]asked
@@ -38,10 +38,10 @@
 	due    time.Time // when it was to be sent
 }
 
-func newStream(w *standin.World, addr string, depth int, every time.Duration, seed uint64) *stream {
+func newStream(w *fakes.World, addr string, depth int, every time.Duration, seed uint64) *stream {
 	return &stream{
 		w: w, addr: addr, depth: depth, every: every, rand: rand.New(rand.NewPCG(seed, 3)),
-		zipf: standin.NewZipf(w.Objects, w.Zipf), open: map[int]asked{}, hist: hdrhistogram.New(1, 10_000_000, 3),
+		zipf: fakes.NewZipf(w.Objects, w.Zipf), open: map[int]asked{}, hist: hdrhistogram.New(1, 10_000_000, 3),
 	}
 }
 
--- a/internal/lab/peers.go
+++ b/internal/experiment/peers.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"slices"
 	"time"
 
-	"tallyproxy/internal/rig"
+	"tallyproxy/internal/faulttest"
 )
 
-// Peers is what `tallylab peers` plays: directors that know each other, and faults between them.
+// Peers is what `tallybench peers` plays: directors that know each other, and faults between them.
 type Peers struct {
 	Instances  []int    `default:"5" help:"Directors, as processes."`
 	Faults     []string `default:"seven" enum:"none,oneway,halves,thirds,stop,restart,seven,zone,away,flap,twin,loss,liar,term,drawn" help:"What goes wrong: ${enum}."`
@@ -96,8 +96,8 @@
 }
 
 // Named is the schedule of a kind of fault for so many directors.
-func Named(kind string, seed uint64, number, n int) rig.Schedule {
-	s := rig.Schedule{Seed: seed, Number: number, Directors: n, Length: 8000}
+func Named(kind string, seed uint64, number, n int) faulttest.Schedule {
+	s := faulttest.Schedule{Seed: seed, Number: number, Directors: n, Length: 8000}
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
@@ -115,35 +115,35 @@
 	}
 	switch kind {
 	case "oneway":
-		s.Faults = []rig.Fault{{Kind: rig.Cut, At: 500, For: 6000, Who: all[:n/2], To: all[n/2:]}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Cut, At: 500, For: 6000, Who: all[:n/2], To: all[n/2:]}}
 	case "halves", "thirds":
 		k := map[string]int{"halves": 2, "thirds": 3}[kind]
-		s.Faults = []rig.Fault{{Kind: rig.Groups, At: 500, For: 6000, Groups: parts(k)}, {Kind: rig.Cold, At: 4000, Who: boxes}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Groups, At: 500, For: 6000, Groups: parts(k)}, {Kind: faulttest.Cold, At: 4000, Who: boxes}}
 	case "stop":
-		s.Faults = []rig.Fault{{Kind: rig.Stop, At: 500, For: 6000, Who: all[:1]}, {Kind: rig.Cold, At: 1500, Who: boxes}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Stop, At: 500, For: 6000, Who: all[:1]}, {Kind: faulttest.Cold, At: 1500, Who: boxes}}
 	case "restart":
-		s.Faults = []rig.Fault{{Kind: rig.Restart, At: 500, Who: all[:(n+2)/3]}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Restart, At: 500, Who: all[:(n+2)/3]}}
 	case "seven":
 		s.Length = 14000
-		s.Faults = []rig.Fault{{Kind: rig.Kill, At: 500, For: 13000, Who: all[:n*7/10]}, {Kind: rig.Cold, At: 4000, Who: boxes}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Kill, At: 500, For: 13000, Who: all[:n*7/10]}, {Kind: faulttest.Cold, At: 4000, Who: boxes}}
 	case "away":
-		s.Faults = []rig.Fault{{Kind: rig.Away, At: 500, For: 6000}, {Kind: rig.Drain, At: 1500, For: 6500}, {Kind: rig.Purge, At: 2000}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Away, At: 500, For: 6000}, {Kind: faulttest.Drain, At: 1500, For: 6500}, {Kind: faulttest.Purge, At: 2000}}
 	case "zone":
 		s.Length = 14000
 		left := slices.DeleteFunc(boxes, func(i int) bool { return i%2 == 1 }) // those of the location that is left
-		s.Faults = []rig.Fault{{Kind: rig.Zone, At: 500, For: 13000, Who: []int{1}}, {Kind: rig.Cold, At: 4000, Who: left}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Zone, At: 500, For: 13000, Who: []int{1}}, {Kind: faulttest.Cold, At: 4000, Who: left}}
 	case "flap":
-		s.Faults = []rig.Fault{{Kind: rig.Flap, At: 500, For: 6000, Who: all[:n/2], To: all[n/2:]}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Flap, At: 500, For: 6000, Who: all[:n/2], To: all[n/2:]}}
 	case "twin":
-		s.Faults = []rig.Fault{{Kind: rig.Twin, At: 500, For: 6000, Who: all[:1]}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Twin, At: 500, For: 6000, Who: all[:1]}}
 	case "loss":
-		s.Faults = []rig.Fault{{Kind: rig.Poor, At: 0, For: 8000, Rate: 0.05}, {Kind: rig.Busy, At: 0, For: 8000, Rate: 8}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Poor, At: 0, For: 8000, Rate: 0.05}, {Kind: faulttest.Busy, At: 0, For: 8000, Rate: 8}}
 	case "liar":
-		s.Faults = []rig.Fault{{Kind: rig.Liar, At: 500, For: 6000}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Liar, At: 500, For: 6000}}
 	case "term":
-		s.Faults = []rig.Fault{{Kind: rig.Groups, At: 500, For: 6000, Groups: parts(2)}, {Kind: rig.Term, At: 2500, For: 3000, Who: all[:(n+2)/3]}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Groups, At: 500, For: 6000, Groups: parts(2)}, {Kind: faulttest.Term, At: 2500, For: 3000, Who: all[:(n+2)/3]}}
 	case "drawn":
-		return rig.Draw(seed, number, n, s.Length)
+		return faulttest.Draw(seed, number, n, s.Length)
 	}
 	return s
 }
@@ -205,7 +205,7 @@
 	return out, nil
 }
 
-func (p *Peers) read() (s rig.Schedule, err error) {
+func (p *Peers) read() (s faulttest.Schedule, err error) {
 	raw, err := os.ReadFile(p.Schedule)
 	if err == nil {
 		err = json.Unmarshal(raw, &s)
@@ -220,18 +220,18 @@
 }
 
 // play plays one schedule, and where it fails and that is wanted, shorter ones.
-func (p *Peers) play(ctx context.Context, run *PeersRun, s rig.Schedule, simulated bool) error {
+func (p *Peers) play(ctx context.Context, run *PeersRun, s faulttest.Schedule, simulated bool) error {
 	run.Schedules++
 	if simulated {
 		r := simulate(s)
 		run.PartsPeak, run.Over = max(run.PartsPeak, r.Peak), run.Over+r.Over
 		run.views, run.Packets = append(run.views, float64(r.OneView)/1000), r.Asks
 		if run.Unended += bit(r.Unended); r.Over > 0 || r.Unended {
-			p.failed(run, s, func(s rig.Schedule) bool { r := simulate(s); return r.Over > 0 || r.Unended })
+			p.failed(run, s, func(s faulttest.Schedule) bool { r := simulate(s); return r.Over > 0 || r.Unended })
 		}
 		return nil
 	}
-	o, err := rig.Run(ctx, p.spec(false), s, nil)
+	o, err := faulttest.Run(ctx, p.spec(false), s, nil)
 	if err != nil {
 		return err
 	}
@@ -241,14 +241,14 @@
 	}
 	if len(o.Broken()) > 0 {
 		run.Why = append(run.Why, fmt.Sprint(o.Broken(), o.LostHow, o.Why))
-		p.failed(run, s, func(s rig.Schedule) bool {
-			o, err := rig.Run(ctx, p.spec(false), s, nil)
+		p.failed(run, s, func(s faulttest.Schedule) bool {
+			o, err := faulttest.Run(ctx, p.spec(false), s, nil)
 			return err == nil && len(o.Broken()) > 0
 		})
 	}
 	if run.Fixed != nil {
 		run.Fixed.Schedules++
-		if o, err = rig.Run(ctx, p.spec(true), s, nil); err != nil {
+		if o, err = faulttest.Run(ctx, p.spec(true), s, nil); err != nil {
 			return err
 		}
 		run.Fixed.add(o)
@@ -258,24 +258,24 @@
 
 const mostTries = 24 // of shorter schedules
 
-func (p *Peers) failed(run *PeersRun, s rig.Schedule, fails func(rig.Schedule) bool) {
+func (p *Peers) failed(run *PeersRun, s faulttest.Schedule, fails func(faulttest.Schedule) bool) {
 	if len(run.Failing) >= 8 {
 		return
 	}
 	if p.Shrink {
-		s = rig.Shrink(s, mostTries, fails)
+		s = faulttest.Shrink(s, mostTries, fails)
 	}
 	run.Failing = append(run.Failing, s.String())
 }
 
-func (p *Peers) spec(alone bool) rig.Spec {
-	return rig.Spec{
+func (p *Peers) spec(alone bool) faulttest.Spec {
+	return faulttest.Spec{
 		Argv: p.Argv, Alone: alone, Boxes: p.Boxes, Clients: p.Clients, Load: p.Load, Warm: true, Settle: time.Second,
 		After: 2 * time.Second, Log: p.Log,
 	}
 }
 
-func (r *PeersRun) add(o rig.Outcome) {
+func (r *PeersRun) add(o faulttest.Outcome) {
 	r.Lost, r.Over, r.Fallen, r.Unended = r.Lost+o.Lost, r.Over+o.PartsOver, r.Fallen+o.Fallen, r.Unended+bit(o.Unended)
 	r.Rules += o.Rules()
 	r.PartsPeak, r.ColdPeak, r.Memory = max(r.PartsPeak, o.PartsPeak[0], o.PartsPeak[1]), max(r.ColdPeak, o.ColdPeak), max(r.Memory, o.Memory)
--- a/internal/lab/peersim.go
+++ b/internal/experiment/peersim.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"slices"
 	"strconv"
 
-	d "tallyproxy/director"
-	"tallyproxy/internal/rig"
-	"tallyproxy/peers"
+	"tallyproxy/internal/faulttest"
+	"tallyproxy/membership"
+	d "tallyproxy/policy"
 )
 
 // peerSim plays boards of directors against each other in simulated time: the modules that decide are the real ones, the network
@@ -19,8 +19,8 @@
 	n        int
 	r        *rand.Rand
 	now      d.Micros
-	boards   []*peers.Board
-	settings []peers.Settings
+	boards   []*membership.Board
+	settings []membership.Settings
 	skew     []float64 // how fast each clock goes
 	offset   []d.Micros
 	alive    []bool
@@ -37,15 +37,15 @@
 type simFlip struct {
 	at    d.Micros
 	of    [2]int
-	state peers.State
+	state membership.State
 	lie   bool
 }
 
 type simLetter struct {
 	at       d.Micros
 	from, to int
-	ask      *peers.Ask
-	grant    *peers.Grant
+	ask      *membership.Ask
+	grant    *membership.Grant
 	born     uint64 // of whom it is for
 }
 
@@ -65,12 +65,12 @@
 }
 
 // simulate plays a schedule.
-func simulate(s rig.Schedule) (out SimResult) {
+func simulate(s faulttest.Schedule) (out SimResult) {
 	m := &peerSim{
 		n: s.Directors, r: rand.New(rand.NewPCG(s.Seed, uint64(s.Number)+77)), now: d.Second, cut: make([]int32, s.Directors*s.Directors),
 		due: make([]bool, s.Directors*s.Directors), said: slices.Repeat([]int8{unsaid}, s.Directors*s.Directors), alive: make([]bool, s.Directors), stopped: make([]bool, s.Directors),
 	}
-	m.boards, m.settings = make([]*peers.Board, m.n), make([]peers.Settings, m.n)
+	m.boards, m.settings = make([]*membership.Board, m.n), make([]membership.Settings, m.n)
 	for i := range m.n {
 		m.skew = append(m.skew, 1+(m.r.Float64()-0.5)/64)
 		m.offset = append(m.offset, d.Micros(m.r.IntN(1e9)))
@@ -78,7 +78,7 @@
 	}
 	for i := range m.n {
 		for j := range m.n {
-			m.tell(i, j, peers.Up)
+			m.tell(i, j, membership.Up)
 		}
 	}
 	begin, end := m.now+2*d.Second, m.now+2*d.Second+d.Micros(s.Length)*1000
@@ -101,14 +101,14 @@
 			if !m.alive[i] {
 				continue
 			}
-			for _, scope := range []peers.Scope{peers.Zone, peers.Fleet} {
+			for _, scope := range []membership.Scope{membership.Zone, membership.Fleet} {
 				part, _ := b.Held(m.clock(i), scope)
-				if out.Raised = out.Raised || part > 1; scope == peers.Zone {
+				if out.Raised = out.Raised || part > 1; scope == membership.Zone {
 					sum += part / float64(m.n)
 				}
 			}
 		}
-		if out.Peak = max(out.Peak, sum); sum > peers.Room+1e-6 {
+		if out.Peak = max(out.Peak, sum); sum > membership.Room+1e-6 {
 			out.Over++
 		}
 		if healed > 0 && m.agreed() {
@@ -129,15 +129,15 @@
 
 func (m *peerSim) start(i int) {
 	m.born++
-	s := peers.Derive(fmt.Sprint("n", i), m.born, d.Settings{Instances: m.n, Directors: m.n, ConnectTimeout: 400_000,
+	s := membership.Derive(fmt.Sprint("n", i), m.born, d.Settings{Instances: m.n, Directors: m.n, ConnectTimeout: 400_000,
 		Edge: d.Warming{Window: 3 * d.Second}})
-	m.settings[i], m.boards[i], m.alive[i] = s, peers.New(m.clock(i), s), true
+	m.settings[i], m.boards[i], m.alive[i] = s, membership.New(m.clock(i), s), true
 	for j := range m.n {
 		m.said[m.pair(i, j)], m.said[m.pair(j, i)] = unsaid, unsaid // a process that is new is found out about anew
 	}
 }
 
-func (m *peerSim) tell(i, j int, s peers.State) {
+func (m *peerSim) tell(i, j int, s membership.State) {
 	if i != j && m.alive[i] {
 		m.said[m.pair(i, j)] = int8(s)
 		m.boards[i].Seen(m.clock(i), m.settings[j].Name, m.settings[j].Born, 0, s)
@@ -145,7 +145,7 @@
 }
 
 // fault begins and ends one at its time.
-func (m *peerSim) fault(f rig.Fault, begin d.Micros) {
+func (m *peerSim) fault(f faulttest.Fault, begin d.Micros) {
 	from := begin + d.Micros(f.At)*1000
 	to := from + d.Micros(f.For)*1000
 	on, off := m.now >= from && m.now-simStep < from, f.For > 0 && m.now >= to && m.now-simStep < to
@@ -155,22 +155,22 @@
 	links := func(add int) {
 		for i := range m.n {
 			for j := range m.n {
-				if rig.Struck(f, i, j) {
+				if faulttest.Struck(f, i, j) {
 					m.cut[m.pair(i, j)] += int32(add)
 				}
 			}
 		}
 	}
 	switch f.Kind {
-	case rig.Cut, rig.Groups, rig.Flap:
+	case faulttest.Cut, faulttest.Groups, faulttest.Flap:
 		if links(1); off {
 			links(-2)
 		}
-	case rig.Poor:
+	case faulttest.Poor:
 		m.poor = f.Rate * float64(bit(on))
-	case rig.Kill, rig.Restart, rig.Zone:
+	case faulttest.Kill, faulttest.Restart, faulttest.Zone:
 		who := f.Who
-		if f.Kind == rig.Zone {
+		if f.Kind == faulttest.Zone {
 			who = nil
 			for i := range m.n {
 				if slices.Contains(f.Who, i%2) {
@@ -182,11 +182,11 @@
 			if on {
 				m.alive[i] = false
 			}
-			if (off || f.Kind == rig.Restart) && !m.alive[i] {
+			if (off || f.Kind == faulttest.Restart) && !m.alive[i] {
 				m.start(i)
 			}
 		}
-	case rig.Stop:
+	case faulttest.Stop:
 		for _, i := range f.Who {
 			m.stopped[i] = on
 		}
@@ -217,23 +217,23 @@
 			continue
 		}
 		for j := range m.n {
-			pair, state := m.pair(i, j), peers.Failed
+			pair, state := m.pair(i, j), membership.Failed
 			if m.reached(i, j) {
-				state = peers.Up
+				state = membership.Up
 			}
 			said := m.said[pair]
-			if i == j || m.due[pair] || said == int8(state) || said == unsaid && state == peers.Failed {
+			if i == j || m.due[pair] || said == int8(state) || said == unsaid && state == membership.Failed {
 				continue
 			}
 			wait := d.Second/10 + d.Micros(m.r.Int64N(int64(d.Second)))
-			if state == peers.Failed {
+			if state == membership.Failed {
 				wait += d.Second
 			}
 			m.due[pair] = true
 			m.flips = append(m.flips, simFlip{at: m.now + wait, of: [2]int{i, j}})
 		}
 		if wrong && m.r.IntN(400) == 0 {
-			m.flips = append(m.flips, simFlip{at: m.now, of: [2]int{i, m.r.IntN(m.n)}, state: peers.State(m.r.IntN(3)), lie: true})
+			m.flips = append(m.flips, simFlip{at: m.now, of: [2]int{i, m.r.IntN(m.n)}, state: membership.State(m.r.IntN(3)), lie: true})
 		}
 	}
 	kept := m.flips[:0]
@@ -247,9 +247,9 @@
 			m.tell(i, j, f.state)
 			continue
 		case m.reached(i, j):
-			m.tell(i, j, peers.Up)
+			m.tell(i, j, membership.Up)
 		default:
-			m.tell(i, j, peers.Failed)
+			m.tell(i, j, membership.Failed)
 		}
 		m.due[m.pair(i, j)] = false
 	}
@@ -306,8 +306,8 @@
 // agreed says whether all see all, and hold what they hold when all are there.
 func (m *peerSim) agreed() bool {
 	for i, b := range m.boards {
-		if part, _ := b.Held(m.clock(i), peers.Zone); part != 1 || b.Sum() != m.boards[0].Sum() || b.Stands() != peers.Most ||
-			b.Count(m.clock(i), peers.Fleet) != m.n {
+		if part, _ := b.Held(m.clock(i), membership.Zone); part != 1 || b.Sum() != m.boards[0].Sum() || b.Stands() != membership.Most ||
+			b.Count(m.clock(i), membership.Fleet) != m.n {
 			return false
 		}
 	}
--- a/internal/lab/plot.go
+++ b/internal/experiment/plot.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgimg"
 
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
 )
 
 // line is one of a plot's.
@@ -30,7 +30,7 @@
 func floats(series []int) []float64 {
 	out := make([]float64, len(series))
 	for i, n := range series {
-		out[i] = float64(n) / standin.Bucket.Seconds()
+		out[i] = float64(n) / fakes.Bucket.Seconds()
 	}
 	return out
 }
@@ -77,7 +77,7 @@
 		for _, l := range of.lines {
 			xy := make(plotter.XYs, len(l.points))
 			for j, v := range l.points {
-				if xy[j].X, xy[j].Y = float64(j)*standin.Bucket.Seconds(), v; of.at != nil {
+				if xy[j].X, xy[j].Y = float64(j)*fakes.Bucket.Seconds(), v; of.at != nil {
 					xy[j].X = of.at[j]
 				}
 			}
--- a/internal/lab/start.go
+++ b/internal/experiment/start.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
-	"tallyproxy/internal/rig"
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/faulttest"
 )
 
-// Start is what `tallylab start` plays: many directors as processes that start at once, and a list service that is away for a while.
+// Start is what `tallybench start` plays: many directors as processes that start at once, and a list service that is away for a while.
 type Start struct {
 	Directors  []int         `default:"40" help:"Directors."`
 	Faults     []string      `default:"away,event" enum:"none,away,retry,hangs,half,event,events,seven,followers,halves,move,roll" help:"What goes wrong: ${enum}. The list service answers 503, with a time to come back, hangs, breaks answers off; an event comes, one every 200 ms; the rest under load."`
@@ -160,7 +160,7 @@
 // play starts directors at once and has the list service go through its phases. No client asks for anything.
 func (s *Start) play(ctx context.Context, n int, alone bool) (run StartRun, err error) {
 	run.Directors, run.Alone = n, alone
-	r, err := rig.New(rig.Spec{Argv: s.Argv, Alone: alone, Boxes: 4, Warm: true, Log: s.Log}, rig.Schedule{Seed: s.Seed, Directors: n})
+	r, err := faulttest.New(faulttest.Spec{Argv: s.Argv, Alone: alone, Boxes: 4, Warm: true, Log: s.Log}, faulttest.Schedule{Seed: s.Seed, Directors: n})
 	if err != nil {
 		return run, err
 	}
@@ -176,34 +176,34 @@
 	}()
 	type told struct {
 		at    time.Time
-		shows func(rig.Entry) bool
+		shows func(faulttest.Entry) bool
 		into  *float64
 	}
 	var news []told
-	listed := func(e rig.Entry) bool { return e.Event == "list" || e.Event == "events" && e.Of["lists"] != "0" }
-	purged := func(e rig.Entry) bool { return e.Event == "word" || e.Event == "events" && e.Of["all"] != "0" }
+	listed := func(e faulttest.Entry) bool { return e.Event == "list" || e.Event == "events" && e.Of["lists"] != "0" }
+	purged := func(e faulttest.Entry) bool { return e.Event == "word" || e.Event == "events" && e.Of["all"] != "0" }
 	box := func(status string) func() {
 		return func() { w.Nodes[0].Tell(status) }
 	}
-	away := func(how standin.Service, back int, then func()) func() {
+	away := func(how fakes.Service, back int, then func()) func() {
 		return func() { w.Serve(how, back); then() }
 	}
 	back := func() {
-		w.Serve(standin.Serving, 0)
+		w.Serve(fakes.Serving, 0)
 		news = append(news, told{time.Now(), listed, &run.List})
 	}
 	phases := []phase{{"start", nil}, {"calm", func() {}}}
 	for _, f := range s.Faults {
 		phases = append(phases, map[string][]phase{
-			"away":  {{"away", away(standin.Short, 0, box("draining"))}, {"back", back}},
-			"retry": {{"away, come back in 5 s", away(standin.Short, 5, box("up"))}, {"back", back}},
-			"hangs": {{"hangs", away(standin.Hanging, 0, box("draining"))}, {"back", back}},
-			"half":  {{"half answers", away(standin.Halving, 0, box("up"))}, {"back", back}},
+			"away":  {{"away", away(fakes.Short, 0, box("draining"))}, {"back", back}},
+			"retry": {{"away, come back in 5 s", away(fakes.Short, 5, box("up"))}, {"back", back}},
+			"hangs": {{"hangs", away(fakes.Hanging, 0, box("draining"))}, {"back", back}},
+			"half":  {{"half answers", away(fakes.Halving, 0, box("up"))}, {"back", back}},
 			"event": {{"an event", func() { news = append(news, told{time.Now(), purged, &run.Event}); w.Purge("", 1) }}},
 			"events": {{"an event every 200 ms", func() {
 				for range int(s.Phase / (200 * time.Millisecond)) {
 					w.Purge("", 2)
-					standin.Sleep(ctx, 200*time.Millisecond)
+					fakes.Sleep(ctx, 200*time.Millisecond)
 				}
 			}}},
 		}[f]...)
@@ -215,13 +215,13 @@
 		} else {
 			p.do()
 		}
-		standin.Sleep(ctx, s.Phase-(w.Now()-from))
+		fakes.Sleep(ctx, s.Phase-(w.Now()-from))
 		run.Phases = append(run.Phases, measure(p.name, w.Called(), from, w.Now(), n))
 	}
 	run.over()
 	entries := r.History.Entries()
 	for _, t := range news {
-		if took := rig.Knew(entries, t.at, n, 0.99, t.shows); took < 0 {
+		if took := faulttest.Knew(entries, t.at, n, 0.99, t.shows); took < 0 {
 			run.Unknown++
 		} else {
 			*t.into = max(*t.into, float64(took.Milliseconds()))
@@ -244,7 +244,7 @@
 }
 
 // faults are those that are played under load.
-func (s *Start) faults(n int) (all []rig.Fault) {
+func (s *Start) faults(n int) (all []faulttest.Fault) {
 	who := make([]int, n)
 	for i := range who {
 		who[i] = i
@@ -254,20 +254,20 @@
 		groups[i%2] = append(groups[i%2], i)
 	}
 	for _, f := range s.Faults {
-		all = append(all, map[string][]rig.Fault{
-			"seven":     {{Kind: rig.Kill, At: 500, For: 5000, Who: who[:n*7/10]}},
-			"followers": {{Kind: rig.Followers, At: 500, For: 3000}},
-			"halves":    {{Kind: rig.Groups, At: 500, For: 5000, Groups: groups[:]}, {Kind: rig.Away, At: 500, For: 5000}},
-			"move":      {{Kind: rig.Move, At: 500}, {Kind: rig.Purge, At: 1000}},
-			"roll":      {{Kind: rig.Roll, At: 500, For: 5000}, {Kind: rig.Replace, At: 500, For: 5000}},
+		all = append(all, map[string][]faulttest.Fault{
+			"seven":     {{Kind: faulttest.Kill, At: 500, For: 5000, Who: who[:n*7/10]}},
+			"followers": {{Kind: faulttest.Followers, At: 500, For: 3000}},
+			"halves":    {{Kind: faulttest.Groups, At: 500, For: 5000, Groups: groups[:]}, {Kind: faulttest.Away, At: 500, For: 5000}},
+			"move":      {{Kind: faulttest.Move, At: 500}, {Kind: faulttest.Purge, At: 1000}},
+			"roll":      {{Kind: faulttest.Roll, At: 500, For: 5000}, {Kind: faulttest.Replace, At: 500, For: 5000}},
 		}[f]...)
 	}
 	return all
 }
 
 // capacity is what the list service can do.
-func (s *Start) capacity() standin.Capacity {
-	c := standin.Capacity{Most: s.Patience}
+func (s *Start) capacity() fakes.Capacity {
+	c := fakes.Capacity{Most: s.Patience}
 	if s.Service > 0 {
 		c.Call = time.Duration(float64(time.Second) / s.Service)
 	}
@@ -279,19 +279,19 @@
 
 // cold starts as many on caches that are cold, under load from when they serve on.
 func (s *Start) cold(ctx context.Context, n int, alone bool) (Cold, error) {
-	schedule := rig.Schedule{Seed: s.Seed, Directors: n, Faults: s.faults(n)}
+	schedule := faulttest.Schedule{Seed: s.Seed, Directors: n, Faults: s.faults(n)}
 	for _, f := range schedule.Faults {
 		schedule.Length = max(schedule.Length, f.At+f.For+500)
 	}
-	o, err := rig.Run(ctx, rig.Spec{
+	o, err := faulttest.Run(ctx, faulttest.Spec{
 		Argv: s.Argv, Alone: alone, Boxes: s.Boxes, Clients: s.Clients, Load: s.Load, After: 3 * s.Phase / 2, Log: s.Log,
-		Early: true, Before: func(r *rig.Rig) { r.World.Limit(s.capacity()) },
+		Early: true, Before: func(r *faulttest.Rig) { r.World.Limit(s.capacity()) },
 	}, schedule, nil)
 	return Cold{o.Rules() + o.PartsOver, o.Lost, o.Fallen, bit(o.Unended), o.Asked, o.Share, o.Recovery, o.ColdPeak}, err
 }
 
 // measure counts the calls of a phase.
-func measure(name string, calls []standin.Call, from, to time.Duration, n int) Phase {
+func measure(name string, calls []fakes.Call, from, to time.Duration, n int) Phase {
 	p := Phase{Name: name}
 	var at []time.Duration
 	for _, c := range calls {
--- a/internal/lab/startsim.go
+++ b/internal/experiment/startsim.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"container/heap"
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	d "tallyproxy/director"
-	"tallyproxy/internal/standin"
-	"tallyproxy/manners"
+	"tallyproxy/backoff"
+	"tallyproxy/internal/fakes"
+	d "tallyproxy/policy"
 	"tallyproxy/relays"
 )
 
@@ -27,17 +27,17 @@
 	events  startEvents
 	seq     int
 	serving bool
-	able    standin.Capacity
+	able    fakes.Capacity
 	busy    d.Micros
 	news    int      // events that the channel has
 	lists   int      // version of its list
 	told    d.Micros // when the last event came
 	waiting map[int]func()
-	calls   []standin.Call
+	calls   []fakes.Call
 	rows    []relays.Row // of the version at hand
 	of      int
 	alone   bool
-	times   manners.Times
+	times   backoff.Times
 	poll    d.Micros
 	retry   d.Micros
 }
@@ -46,7 +46,7 @@
 	name    string
 	zone    int
 	book    *relays.Book
-	caller  *manners.Caller
+	caller  *backoff.Caller
 	cursor  int      // events that the own channel has told
 	list    int      // version of the list in force
 	met     bool     // it sees the others,
@@ -84,12 +84,12 @@
 const simAtOnce = 4 // as peering sends words on
 
 // newStartSim makes a fleet of so many in locations of about so many.
-func newStartSim(n, location int, alone bool, seed uint64, able standin.Capacity) *startSim {
+func newStartSim(n, location int, alone bool, seed uint64, able fakes.Capacity) *startSim {
 	s := &startSim{now: d.Second, r: rand.New(rand.NewPCG(seed, 3)), byName: map[string]int{}, serving: true, able: able, waiting: map[int]func(){},
 		news: 1, lists: 1, alone: alone}
 	settings := d.Settings{ConnectTimeout: 400_000, PurgeWithin: 500_000, PurgeKept: 6 * d.Second}
 	margins := d.Margins{Block: settings.PurgeKept / 5, Retry: settings.ConnectTimeout / 4}
-	s.times, s.retry = manners.Derive(settings, margins), margins.Retry
+	s.times, s.retry = backoff.Derive(settings, margins), margins.Retry
 	if !alone {
 		s.times = s.times.Few()
 	}
@@ -116,7 +116,7 @@
 
 func (s *startSim) start(i int, dir *simDirector, settings d.Settings) {
 	f := relays.Derive(dir.name, 3, 8, 4, settings)
-	dir.caller = manners.New(s.times, manners.Seed(1, dir.name))
+	dir.caller = backoff.New(s.times, backoff.Seed(1, dir.name))
 	dir.pause, dir.wait = dir.caller.First()
 	dir.pause += s.now
 	if dir.book = relays.New(s.now, f); !s.alone {
@@ -208,9 +208,9 @@
 		return
 	}
 	began := s.now
-	s.calls = append(s.calls, standin.Call{At: span(s.now)})
+	s.calls = append(s.calls, fakes.Call{At: span(s.now)})
 	number := len(s.calls) - 1
-	end := func(how manners.Ending) {
+	end := func(how backoff.Ending) {
 		pause, wait := dir.caller.Next(how, 0, 0)
 		dir.pause, dir.wait = s.now+pause, wait
 		s.call(i, dir)
@@ -219,7 +219,7 @@
 		takes, can := s.work(s.news - dir.cursor)
 		if !can {
 			s.calls[number].Turned = true
-			s.after(s.delay(), func() { end(manners.Busy) })
+			s.after(s.delay(), func() { end(backoff.Busy) })
 			return
 		}
 		news, version := s.news, s.lists
@@ -230,9 +230,9 @@
 			s.take(dir, version)
 			dir.book.Own(s.now, relays.Sum(s.version(version)), began, fresh)
 			if s.hear(dir, news); fresh {
-				end(manners.News)
+				end(backoff.News)
 			} else {
-				end(manners.Nothing)
+				end(backoff.Nothing)
 			}
 		})
 	}
@@ -240,7 +240,7 @@
 		switch {
 		case !s.serving:
 			s.calls[number].Turned = true
-			s.after(s.delay(), func() { end(manners.Busy) })
+			s.after(s.delay(), func() { end(backoff.Busy) })
 		case s.news > dir.cursor:
 			answer()
 		default:
@@ -303,7 +303,7 @@
 }
 
 // simulateStart plays the phases of a start, as Start.play does with processes.
-func simulateStart(n int, alone bool, seed uint64, able standin.Capacity, phase time.Duration) StartRun {
+func simulateStart(n int, alone bool, seed uint64, able fakes.Capacity, phase time.Duration) StartRun {
 	run := StartRun{Directors: n, Alone: alone, Simulated: true}
 	s := newStartSim(n, simLocation, alone, seed, able)
 	know := func(from d.Micros, when func(*simDirector) (d.Micros, bool)) float64 {
--- a/internal/lab/storm.go
+++ b/internal/experiment/storm.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"syscall"
 	"time"
 
-	"tallyproxy/internal/rig"
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/faulttest"
 )
 
-// Storm is what `tallylab storm` plays.
+// Storm is what `tallybench storm` plays.
 type Storm struct {
 	Clients    int           `default:"2000" help:"Clients that connect."`
 	Within     time.Duration `default:"1s" help:"The time within which they do."`
@@ -126,7 +126,7 @@
 	}
 	var at []string
 	for range s.Directors {
-		addr, err := rig.FreeAddress()
+		addr, err := faulttest.FreeAddress()
 		if err != nil {
 			return nil, err
 		}
@@ -169,25 +169,25 @@
 
 // Play plays it. An error is for what could not be played; broken rules stand in the result.
 func (s *Storm) Play(ctx context.Context) (r Result, err error) {
-	spec := standin.Depot(s.Boxes, s.Directors)
+	spec := fakes.Depot(s.Boxes, s.Directors)
 	spec.Seed, spec.Cold, spec.ColdParents = s.Seed, s.Day == "storm", s.Day == "storm"
-	w, err := standin.New(spec)
+	w, err := fakes.New(spec)
 	if err != nil {
 		return r, err
 	}
 	defer w.Close()
-	zipf := standin.NewZipf(spec.Objects, spec.Zipf)
+	zipf := fakes.NewZipf(spec.Objects, spec.Zipf)
 	if s.Day != "storm" {
 		w.Stock()
 	}
-	folder, err := os.MkdirTemp("", "tallylab")
+	folder, err := os.MkdirTemp("", "tallybench")
 	if err != nil {
 		return r, err
 	}
 	defer os.RemoveAll(folder)
 	log := &counter{to: s.Log}
-	var directors []*rig.Director
-	var targets []*standin.Target
+	var directors []*faulttest.Director
+	var targets []*fakes.Target
 	defer func() {
 		var ends sync.WaitGroup
 		failed := make([]error, len(directors))
@@ -210,7 +210,7 @@
 		return r, err
 	}
 	for i := range s.Directors {
-		d, err := rig.NewDirector(w, folder, fmt.Sprint("n", i), argv, s.Script()+talk[i], rig.Limits{Sockets: s.Sockets, MemoryMB: s.MemoryMB, Cores: float64(max(1, s.Cores))}, log)
+		d, err := faulttest.NewDirector(w, folder, fmt.Sprint("n", i), argv, s.Script()+talk[i], faulttest.Limits{Sockets: s.Sockets, MemoryMB: s.MemoryMB, Cores: float64(max(1, s.Cores))}, log)
 		if err == nil {
 			err = d.Start(ctx)
 		}
@@ -225,7 +225,7 @@
 	var all sync.WaitGroup
 	s.crowd(ctx, w, targets, zipf, begin, &all)
 	all.Go(func() { s.troubles(ctx, w, directors, zipf, begin, targets, &all) })
-	for tick := time.NewTicker(standin.Bucket); ctx.Err() == nil; {
+	for tick := time.NewTicker(fakes.Bucket); ctx.Err() == nil; {
 		select {
 		case <-tick.C:
 			r.Series.Load = append(r.Series.Load, peak(w))
@@ -238,9 +238,9 @@
 	return r, nil
 }
 
-func peak(w *standin.World) (load float64) {
+func peak(w *fakes.World) (load float64) {
 	for _, n := range w.Nodes {
-		if p, _ := n.Peak(); n.Kind != standin.Origin {
+		if p, _ := n.Peak(); n.Kind != fakes.Origin {
 			load = max(load, p)
 		}
 	}
@@ -248,7 +248,7 @@
 }
 
 // crowd starts the clients.
-func (s *Storm) crowd(ctx context.Context, w *standin.World, targets []*standin.Target, zipf *standin.Zipf,
+func (s *Storm) crowd(ctx context.Context, w *fakes.World, targets []*fakes.Target, zipf *fakes.Zipf,
 	begin time.Duration, all *sync.WaitGroup) {
 	r := rand.New(rand.NewPCG(s.Seed, 11))
 	mean := 0.0
@@ -269,7 +269,7 @@
 		at := begin + time.Duration(r.Float64()*float64(within))
 		all.Go(func() {
 			if s.Day == "popular" {
-				c.Zipf = standin.NewZipf(2, 3) // one object is most of what is asked for
+				c.Zipf = fakes.NewZipf(2, 3) // one object is most of what is asked for
 			}
 			c.Live(ctx, at, think)
 		})
@@ -280,17 +280,17 @@
 	}
 }
 
-func (s *Storm) client(i int, w *standin.World, targets []*standin.Target, zipf *standin.Zipf) *standin.Client {
+func (s *Storm) client(i int, w *fakes.World, targets []*fakes.Target, zipf *fakes.Zipf) *fakes.Client {
 	home := i % len(targets)
-	return &standin.Client{
+	return &fakes.Client{
 		W: w, Targets: targets, Target: home, From: fmt.Sprintf("127.1.%d.%d", i/250%250, 1+i%250),
 		Retries: s.Retries, Wait: s.Wait, Rand: rand.New(rand.NewPCG(s.Seed, uint64(i)+100)), Zipf: zipf,
 	}
 }
 
 // troubles plays what goes wrong.
-func (s *Storm) troubles(ctx context.Context, w *standin.World, directors []*rig.Director, zipf *standin.Zipf,
-	begin time.Duration, targets []*standin.Target, all *sync.WaitGroup) {
+func (s *Storm) troubles(ctx context.Context, w *fakes.World, directors []*faulttest.Director, zipf *fakes.Zipf,
+	begin time.Duration, targets []*fakes.Target, all *sync.WaitGroup) {
 	at := func(d time.Duration, do func()) {
 		all.Go(func() {
 			select {
@@ -340,12 +340,12 @@
 				at(time.Duration(i+5)*100*time.Millisecond, func() { w.Nodes[3%s.Boxes].Tell(status) })
 			}
 		case "mute", "spoil", "reset": // one box for two seconds
-			trouble := map[string]standin.Trouble{"mute": standin.Mute, "spoil": standin.Spoils, "reset": standin.Resets}[t]
+			trouble := map[string]fakes.Trouble{"mute": fakes.Mute, "spoil": fakes.Spoils, "reset": fakes.Resets}[t]
 			n := map[string]int{"mute": 0, "spoil": 2, "reset": 4}[t] % s.Boxes
 			at(2*time.Second, func() { w.Nodes[n].Do(trouble, 1) })
-			at(4*time.Second, func() { w.Nodes[n].Do(standin.Well, 1) })
+			at(4*time.Second, func() { w.Nodes[n].Do(fakes.Well, 1) })
 		case "slow":
-			at(2*time.Second, func() { w.Nodes[2%s.Boxes].Do(standin.Well, 4) })
+			at(2*time.Second, func() { w.Nodes[2%s.Boxes].Do(fakes.Well, 4) })
 		case "second":
 			for i := range s.Clients / 2 {
 				c := s.client(s.Clients+s.Silent+i, w, targets, zipf)
@@ -356,12 +356,12 @@
 }
 
 // sum makes the report of the books.
-func (s *Storm) sum(w *standin.World, begin time.Duration, r *Result) {
+func (s *Storm) sum(w *fakes.World, begin time.Duration, r *Result) {
 	r.Clients, r.SettleMS = s.Clients, -1
 	b := w.Broken()
 	r.EffectsTwice, r.BoxesFallen, r.DrainsBroken, r.Together = b.Effects, b.Fallen, b.Drains, b.Together
 	r.PeakLoad = peak(w)
-	w.Clients.Do(func(book *standin.Book) {
+	w.Clients.Do(func(book *fakes.Book) {
 		r.Lost, r.DoubleFinal, r.Wrong, r.PurgesBroken = book.Lost, book.Twice, book.Wrong, book.Old
 		r.Answered = book.Answered
 		r.KilledTries, r.EarlyTries, r.LostPaused = book.Killed, book.Early, book.Paused
--- a/internal/lab/storm_test.go
+++ b/internal/experiment/storm_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -14,15 +14,15 @@
 	"testing"
 	"time"
 
-	"tallyproxy/internal/rig"
-	"tallyproxy/internal/serve"
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/faulttest"
+	"tallyproxy/internal/server"
 )
 
 // The test program is the director too, when a test starts it as one.
 func TestMain(m *testing.M) {
 	if os.Getenv("TALLYPROXY_TEST_DIRECTOR") != "" {
-		os.Exit(serve.Main(os.Args[1:]))
+		os.Exit(server.Main(os.Args[1:]))
 	}
 	os.Setenv("TALLYPROXY_TEST_DIRECTOR", "1")
 	slog.SetDefault(slog.New(slog.DiscardHandler)) // the log of agents, who are in this process; directors write theirs
@@ -111,22 +111,22 @@
 
 // bed is a world with one director for single downloads.
 type bed struct {
-	*standin.World
-	d *rig.Director
-	c *standin.Client
+	*fakes.World
+	d *faulttest.Director
+	c *fakes.Client
 }
 
-func newBed(t *testing.T, change func(*standin.Spec), script string) *bed {
-	spec := standin.Depot(2, 1)
+func newBed(t *testing.T, change func(*fakes.Spec), script string) *bed {
+	spec := fakes.Depot(2, 1)
 	spec.Cold, spec.Parents = false, 1
 	change(&spec)
-	w, err := standin.New(spec)
+	w, err := fakes.New(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	var log bytes.Buffer
-	d, err := rig.NewDirector(w, t.TempDir(), "n0", argv(t), script, rig.Limits{Sockets: 128, MemoryMB: 64, Cores: 1}, &log)
+	d, err := faulttest.NewDirector(w, t.TempDir(), "n0", argv(t), script, faulttest.Limits{Sockets: 128, MemoryMB: 64, Cores: 1}, &log)
 	if err == nil {
 		err = d.Start(t.Context())
 	}
@@ -143,17 +143,17 @@
 	return b
 }
 
-func (b *bed) client() *standin.Client {
-	return &standin.Client{
-		W: b.World, Targets: []*standin.Target{&b.d.Target}, Retries: 5, Wait: 50 * time.Millisecond,
-		Rand: rand.New(rand.NewPCG(1, uint64(b.Now()))), Zipf: standin.NewZipf(10, 1),
+func (b *bed) client() *fakes.Client {
+	return &fakes.Client{
+		W: b.World, Targets: []*fakes.Target{&b.d.Target}, Retries: 5, Wait: 50 * time.Millisecond,
+		Rand: rand.New(rand.NewPCG(1, uint64(b.Now()))), Zipf: fakes.NewZipf(10, 1),
 	}
 }
 
 // A cover pick whose pull ran but whose answer was lost: repeated inside its window it has its effect once, repeated after
 // more than 3 s, on another connection, it is given up and has no second effect.
 func TestCoverPickRepeatedLate(t *testing.T) {
-	b := newBed(t, func(s *standin.Spec) { s.Types[2].Limit = 20 * time.Second }, "")
+	b := newBed(t, func(s *fakes.Spec) { s.Types[2].Limit = 20 * time.Second }, "")
 	pick := &b.Types[2]
 	for i, x := range []struct {
 		after time.Duration
@@ -184,9 +184,9 @@
 // Clients whose requests are well formed but name what no node knows cost a pull each after the first, and none of their
 // answers is lost; others are served.
 func TestUnknownToAllNodes(t *testing.T) {
-	b := newBed(t, func(*standin.Spec) {}, "")
+	b := newBed(t, func(*fakes.Spec) {}, "")
 	for _, n := range b.Nodes {
-		n.Do(standin.Errs, 1)
+		n.Do(fakes.Errs, 1)
 	}
 	asked := func() (n int) {
 		for _, x := range b.Nodes {
@@ -203,7 +203,7 @@
 		t.Errorf("100 downloads cost %d pulls", n)
 	}
 	for _, n := range b.Nodes {
-		n.Do(standin.Well, 1)
+		n.Do(fakes.Well, 1)
 	}
 	time.Sleep(1200 * time.Millisecond) // boxes that erred are asked again
 	if word, _, _, err := b.client().Ask(t.Context(), b.Object(&b.Types[0], 1), 3*time.Second, false, ""); word != "200" {
@@ -213,9 +213,9 @@
 
 // What waits in the listener's queue when SIGTERM comes was taken, and is answered.
 func TestQueueAtSIGTERM(t *testing.T) {
-	b := newBed(t, func(*standin.Spec) {}, "")
+	b := newBed(t, func(*fakes.Spec) {}, "")
 	for _, n := range b.Nodes { // holds every download, so that places stay taken
-		n.Do(standin.Well, 30)
+		n.Do(fakes.Well, 30)
 	}
 	var all sync.WaitGroup
 	answered := make(chan string, 200)
--- a/internal/lab/together.go
+++ b/internal/experiment/together.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -7,12 +7,12 @@
 	"log/slog"
 	"time"
 
-	"tallyproxy/director"
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/peering"
-	"tallyproxy/internal/rig"
-	"tallyproxy/internal/standin"
-	"tallyproxy/peers"
+	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/faulttest"
+	"tallyproxy/internal/gossipnet"
+	"tallyproxy/membership"
+	"tallyproxy/policy"
 )
 
 // Together plays the directors' talk with nothing else of a director: as many as there may be in one process, by the real detector
@@ -41,11 +41,11 @@
 	logs := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler)) // each tells of each
 	defer slog.SetDefault(logs)
-	slow := director.Micros(max(1, g.Slow))
+	slow := policy.Micros(max(1, g.Slow))
 	run := &PeersRun{Instances: g.Directors, Faults: fmt.Sprintf("%dx%d die", g.Times, g.Dying), Schedules: 1}
 	begun := time.Now()
-	now := func() director.Micros { return director.Second + director.Micros(time.Since(begun)/time.Microsecond) }
-	live := map[int]*peering.Talk{}
+	now := func() policy.Micros { return policy.Second + policy.Micros(time.Since(begun)/time.Microsecond) }
+	live := map[int]*gossipnet.Talk{}
 	defer func() {
 		for _, t := range live {
 			t.Die()
@@ -53,14 +53,14 @@
 	}()
 	var seeds []string
 	for i := range g.Directors {
-		listen, err := rig.FreeAddress()
+		listen, err := faulttest.FreeAddress()
 		if err != nil {
 			return nil, err
 		}
-		s := peers.Derive(fmt.Sprint("n", i), uint64(i+1), director.Settings{Instances: g.Directors, Directors: g.Directors,
-			ConnectTimeout: 400_000 * slow, Edge: director.Warming{Window: 3 * director.Second * slow}})
-		t, err := peering.Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "lab", KeyBytes: bytes.Repeat([]byte{7}, 32)}, s, now,
-			peering.Ears{})
+		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{Instances: g.Directors, Directors: g.Directors,
+			ConnectTimeout: 400_000 * slow, Edge: policy.Warming{Window: 3 * policy.Second * slow}})
+		t, err := gossipnet.Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "lab", KeyBytes: bytes.Repeat([]byte{7}, 32)}, s, now,
+			gossipnet.Ears{})
 		if err != nil {
 			return nil, err
 		}
@@ -93,9 +93,9 @@
 }
 
 // die has some die at once, by turns over the fleet, and gives how long it took until all knew of each, and had one view, in ms.
-func (g Together) die(ctx context.Context, live map[int]*peering.Talk, first int) (took []float64, view float64, ok bool) {
+func (g Together) die(ctx context.Context, live map[int]*gossipnet.Talk, first int) (took []float64, view float64, ok bool) {
 	waits := map[int]map[int]bool{} // for whom, who
-	var dying []*peering.Talk
+	var dying []*gossipnet.Talk
 	for k := range g.Dying {
 		i := (first + k) * 7 % g.Directors // numbers are not in order of their seeds
 		for ; live[i] == nil; i = (i + 1) % g.Directors {
@@ -115,7 +115,7 @@
 	for len(waits) > 0 && time.Since(begun) < g.bound() && ctx.Err() == nil {
 		for i, who := range waits {
 			for w := range who {
-				if s, _ := live[w].State(fmt.Sprint("n", i)); s >= peers.Failed {
+				if s, _ := live[w].State(fmt.Sprint("n", i)); s >= membership.Failed {
 					delete(who, w)
 				}
 			}
@@ -124,15 +124,15 @@
 				took = append(took, float64(time.Since(begun).Milliseconds()))
 			}
 		}
-		standin.Sleep(ctx, 10*time.Millisecond)
+		fakes.Sleep(ctx, 10*time.Millisecond)
 	}
 	same := oneView(ctx, live, g.bound())
 	return took, float64(time.Since(begun).Milliseconds()), same && len(waits) == 0
 }
 
 // oneView waits until all see the same ones.
-func oneView(ctx context.Context, live map[int]*peering.Talk, bound time.Duration) bool {
-	for until := time.Now().Add(bound); time.Now().Before(until) && ctx.Err() == nil; standin.Sleep(ctx, 50*time.Millisecond) {
+func oneView(ctx context.Context, live map[int]*gossipnet.Talk, bound time.Duration) bool {
+	for until := time.Now().Add(bound); time.Now().Before(until) && ctx.Err() == nil; fakes.Sleep(ctx, 50*time.Millisecond) {
 		ok, sum := true, ""
 		for _, t := range live {
 			s, count := t.View()
--- a/internal/lab/work.go
+++ b/internal/experiment/work.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 	"strings"
 	"time"
 
-	d "tallyproxy/director"
-	"tallyproxy/work"
+	"tallyproxy/maintenance"
+	d "tallyproxy/policy"
 )
 
-// Work is what `tallylab plan` plays: orders in which machines are taken out for work, as the planner makes them, without processes.
+// Work is what `tallybench plan` plays: orders in which machines are taken out for work, as the planner makes them, without processes.
 type Work struct {
 	Depots    int     `default:"10" help:"Locations."`
 	Boxes     int     `default:"170" help:"Caches, over all of them, unequally."`
@@ -49,11 +49,11 @@
 }
 
 // site draws one, and what is asked for.
-func (w *Work) site(r *rand.Rand, depots, boxes, parents, jobs int) (work.Site, []work.Job) {
-	s := work.Site{WarmUp: [3]d.Micros{10 * d.Second, 20 * d.Second, 0}, MostOut: 0.34, Reserve: 0.1, Tries: 400, Exact: 7}
+func (w *Work) site(r *rand.Rand, depots, boxes, parents, jobs int) (maintenance.Site, []maintenance.Job) {
+	s := maintenance.Site{WarmUp: [3]d.Micros{10 * d.Second, 20 * d.Second, 0}, MostOut: 0.34, Reserve: 0.1, Tries: 400, Exact: 7}
 	of, names := map[string]float64{}, []string{}
-	add := func(kind work.Kind, name, depot string, capacity float64) {
-		s.Machines = append(s.Machines, work.Machine{Name: name, Kind: kind, Depot: depot, Capacity: capacity})
+	add := func(kind maintenance.Kind, name, depot string, capacity float64) {
+		s.Machines = append(s.Machines, maintenance.Machine{Name: name, Kind: kind, Depot: depot, Capacity: capacity})
 		of[depot] += capacity
 		names = append(names, name)
 	}
@@ -62,21 +62,21 @@
 		if i >= 2*depots { // two each at the least, the rest unequally
 			depot = int(float64(depots) * math.Pow(r.Float64(), 1.5))
 		}
-		add(work.Box, fmt.Sprint("box-", i), fmt.Sprint("depot-", depot), float64(4+r.IntN(4)))
+		add(maintenance.Box, fmt.Sprint("box-", i), fmt.Sprint("depot-", depot), float64(4+r.IntN(4)))
 	}
 	for i := range parents {
-		add(work.Parent, fmt.Sprint("parent-", i), fmt.Sprint("hub-", i%3), 10)
+		add(maintenance.Parent, fmt.Sprint("parent-", i), fmt.Sprint("hub-", i%3), 10)
 	}
 	for i, part := range []float64{1, 0.4, 1} { // the day's end, the night, the morning
-		slot := work.Slot{From: d.Micros(i) * 3600 * d.Second, Of: map[string]float64{}}
+		slot := maintenance.Slot{From: d.Micros(i) * 3600 * d.Second, Of: map[string]float64{}}
 		for name, all := range of {
 			slot.Of[name] = all * w.Demand * part
 		}
 		s.Demand = append(s.Demand, slot)
 	}
-	var all []work.Job
+	var all []maintenance.Job
 	for i, k := range r.Perm(len(names))[:min(jobs, len(names))] {
-		j := work.Job{ID: fmt.Sprint("job-", i), Machines: []string{names[k]}, Takes: d.Micros(300+r.IntN(900)) * d.Second}
+		j := maintenance.Job{ID: fmt.Sprint("job-", i), Machines: []string{names[k]}, Takes: d.Micros(300+r.IntN(900)) * d.Second}
 		if r.IntN(4) == 0 {
 			j.DoneBy = j.Takes + d.Micros(r.IntN(7200))*d.Second
 		}
@@ -86,7 +86,7 @@
 }
 
 // hand is one by one by hand: in each location one after another, with a fixed wait in between, whatever is asked for.
-func hand(s work.Site, jobs []work.Job) (done d.Micros, late int) {
+func hand(s maintenance.Site, jobs []maintenance.Job) (done d.Micros, late int) {
 	const wait = 60 * d.Second
 	at, depots := map[string]d.Micros{}, map[string]string{}
 	for _, m := range s.Machines {
@@ -110,11 +110,11 @@
 	for range w.Schedules {
 		s, jobs := w.site(r, w.Depots, w.Boxes, w.Parents, w.Jobs)
 		begun := time.Now()
-		plan := work.Make(s, jobs, w.Seed)
+		plan := maintenance.Make(s, jobs, w.Seed)
 		out.PlanMS = max(out.PlanMS, float64(time.Since(begun).Microseconds())/1000)
 		out.Schedules++
 		out.Unplaced += len(plan.Never)
-		out.Over += bit(len(work.Check(s, jobs, plan)) > 0)
+		out.Over += bit(len(maintenance.Check(s, jobs, plan)) > 0)
 		for _, p := range plan.Places {
 			late += bit(p.Late > 0)
 		}
@@ -123,23 +123,23 @@
 		out.done, out.hand = out.done+float64(plan.Done), out.hand+float64(byHand)
 		one := s
 		one.Tries = 0 // the order in which they were asked for, which is a random one
-		shuffled := make([]work.Job, len(jobs))
+		shuffled := make([]maintenance.Job, len(jobs))
 		for i, j := range jobs {
 			j.DoneBy, j.NotBefore = 0, 0
 			shuffled[i] = j
 		}
-		random += float64(work.InOrder(one, shuffled).Done)
+		random += float64(maintenance.InOrder(one, shuffled).Done)
 	}
 	out.Done, out.Random = share(out.done, out.hand), share(random, out.done)
 	out.Late = share(float64(late), max(1, float64(lateHand)))
 	same := 0
 	for range w.Small {
 		s, jobs := w.site(r, 1, 5, 6, 7)
-		exact := work.Make(s, jobs, w.Seed)
+		exact := maintenance.Make(s, jobs, w.Seed)
 		out.ExactLooked += exact.Looked
 		s.Exact = 0
-		fast := work.Make(s, jobs, w.Seed)
-		out.Over += bit(len(work.Check(s, jobs, exact))+len(work.Check(s, jobs, fast)) > 0)
+		fast := maintenance.Make(s, jobs, w.Seed)
+		out.Over += bit(len(maintenance.Check(s, jobs, exact))+len(maintenance.Check(s, jobs, fast)) > 0)
 		gap := 0.0
 		if exact.Done > 0 {
 			gap = float64(fast.Done+fast.Late)/float64(exact.Done+exact.Late) - 1
--- a/internal/standin/standin_test.go
+++ b/internal/fakes/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
--- a/internal/standin/world.go
+++ b/internal/fakes/world.go
@@ -1,7 +1,7 @@
 // Package standin plays what a director talks to: cache nodes, parents, the origin, the command channel and clients, each on
 // 127.0.0.1 and a port of its own. Nodes have a capacity, warm up, keep copies, and fall over when they are pushed; all of
-// them keep books of what reached them, so that the rules can be checked from outside. Used by tests and by tallylab.
-package standin
+// them keep books of what reached them, so that the rules can be checked from outside. Used by tests and by tallybench.
+package fakes
 
 import (
 	"encoding/json"
--- a/internal/rig/director.go
+++ b/internal/faulttest/director.go
@@ -1,7 +1,7 @@
 // Package rig starts directors as processes on loopback, with a relay on every directed link between them, and plays faults: by
 // seed or by script, printed, replayed and shrunk. What every process saw and did is kept with times, and checked afterwards by
-// one checker a rule. internal/lab has the experiments that are played on it.
-package rig
+// one checker a rule. internal/experiment has the experiments that are played on it.
+package faulttest
 
 import (
 	"bufio"
@@ -19,12 +19,12 @@
 	"syscall"
 	"time"
 
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
 )
 
 // Director is a director as a process.
 type Director struct {
-	standin.Target
+	fakes.Target
 	argv   []string
 	env    []string
 	config string
@@ -44,7 +44,7 @@
 
 // NewDirector writes a director's configuration into a folder; Start runs it. Argv starts it, with the path of the
 // operator's script appended where there is one.
-func NewDirector(w *standin.World, folder, name string, argv []string, script string, l Limits, log io.Writer) (*Director, error) {
+func NewDirector(w *fakes.World, folder, name string, argv []string, script string, l Limits, log io.Writer) (*Director, error) {
 	addr, err := FreeAddress()
 	if err != nil {
 		return nil, err
--- a/internal/rig/follow_test.go
+++ b/internal/faulttest/follow_test.go
@@ -1,4 +1,4 @@
-package rig
+package faulttest
 
 import (
 	"os/exec"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
 )
 
 // program is the director as it is built for use: forty of them, several times slower under the race detector, would test the machine.
@@ -38,7 +38,7 @@
 	for i := range seven {
 		seven[i] = i
 	}
-	down := func(how standin.Service) func(*Rig) { return func(r *Rig) { r.World.Serve(how, 0) } }
+	down := func(how fakes.Service) func(*Rig) { return func(r *Rig) { r.World.Serve(how, 0) } }
 	cases := []struct {
 		name   string
 		cold   bool
@@ -48,7 +48,7 @@
 		also   func(t *testing.T, o Outcome)
 	}{
 		{"all start cold under load", true, nil, []Fault{{Kind: Purge, At: 1000}}, 40, nil},
-		{"all start cold, and the channel is there four seconds later", true, down(standin.Short), []Fault{{Kind: Service, At: 0, For: 4000, Rate: 1}},
+		{"all start cold, and the channel is there four seconds later", true, down(fakes.Short), []Fault{{Kind: Service, At: 0, For: 4000, Rate: 1}},
 			60, func(t *testing.T, o Outcome) { // nobody can vouch for what is in force until then, whatever they answer each other
 				careful := map[int]time.Time{}
 				for _, e := range o.History.Entries() {
--- a/internal/rig/history.go
+++ b/internal/faulttest/history.go
@@ -1,4 +1,4 @@
-package rig
+package faulttest
 
 import (
 	"bytes"
--- a/internal/rig/outcome.go
+++ b/internal/faulttest/outcome.go
@@ -1,4 +1,4 @@
-package rig
+package faulttest
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"tallyproxy/internal/standin"
-	"tallyproxy/peers"
+	"tallyproxy/internal/fakes"
+	"tallyproxy/membership"
 )
 
 // Outcome is what came of a schedule, by the books of the stand-ins and the history.
@@ -106,7 +106,7 @@
 	if !spec.Early {
 		r.Load()
 	}
-	standin.Sleep(ctx, spec.Settle)
+	fakes.Sleep(ctx, spec.Settle)
 	fault := r.World.Now()
 	last := 0
 	for _, f := range s.Faults {
@@ -118,7 +118,7 @@
 	}
 	r.Play(ctx, s)
 	healed := time.Now()
-	standin.Sleep(ctx, spec.After)
+	fakes.Sleep(ctx, spec.After)
 	if !spec.Alone && !r.Settled(ctx, toSettle) || ctx.Err() != nil {
 		o.Unended = true
 	}
@@ -152,7 +152,7 @@
 		o.Lists += bit(e.Event == "list")
 	}
 	for scope, name := range []string{"zone", "fleet"} {
-		peak, over := Parts(entries, s.Directors, name, peers.Room)
+		peak, over := Parts(entries, s.Directors, name, membership.Room)
 		o.PartsPeak[scope] = math.Round(peak*1000) / 1000
 		o.PartsOver += over
 	}
@@ -177,15 +177,15 @@
 }
 
 // books takes what the stand-ins wrote down.
-func (o *Outcome) books(w *standin.World, fault time.Duration) {
+func (o *Outcome) books(w *fakes.World, fault time.Duration) {
 	b := w.Broken()
 	o.Effects, o.Fallen, o.Drains, o.Together = b.Effects, b.Fallen, b.Drains, b.Together
 	for _, n := range w.Nodes {
-		if peak, _ := n.Peak(); n.Kind != standin.Origin {
+		if peak, _ := n.Peak(); n.Kind != fakes.Origin {
 			o.ColdPeak = max(o.ColdPeak, math.Round(peak*1000)/1000)
 		}
 	}
-	w.Clients.Do(func(b *standin.Book) {
+	w.Clients.Do(func(b *fakes.Book) {
 		o.Lost, o.Twice, o.Wrong, o.Purges, o.LostPaused = b.Lost, b.Twice, b.Wrong, b.Old, b.Paused
 		if len(b.LostHow) > 0 {
 			o.LostHow = fmt.Sprint(b.LostHow)
@@ -198,7 +198,7 @@
 			if dl.Began < fault {
 				continue
 			}
-			at := int((dl.Began - fault) / standin.Bucket)
+			at := int((dl.Began - fault) / fakes.Bucket)
 			for len(begun) <= at {
 				begun, met = append(begun, 0), append(met, 0)
 			}
@@ -223,7 +223,7 @@
 			}
 		}
 		if below+window < len(begun) {
-			o.Recovery = float64((time.Duration(below+1) * standin.Bucket).Milliseconds())
+			o.Recovery = float64((time.Duration(below+1) * fakes.Bucket).Milliseconds())
 		}
 	})
 }
--- a/internal/rig/rare_test.go
+++ b/internal/faulttest/rare_test.go
@@ -1,4 +1,4 @@
-package rig
+package faulttest
 
 import (
 	"bufio"
@@ -22,7 +22,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
 )
 
 // counted is a node that answers every request at once, as a fill, and keeps when each came.
@@ -192,19 +192,19 @@
 	argv := program(t)
 	for _, x := range []struct {
 		name string
-		how  func(*standin.World)
+		how  func(*fakes.World)
 	}{
-		{"up", func(*standin.World) {}},
-		{"slow", func(w *standin.World) { w.Limit(standin.Capacity{Call: 2 * time.Second, Most: time.Hour}) }},
-		{"short", func(w *standin.World) { w.Serve(standin.Short, 5) }},
-		{"hanging", func(w *standin.World) { w.Serve(standin.Hanging, 0) }},
-		{"breaking off", func(w *standin.World) { w.Serve(standin.Halving, 0) }},
-		{"gone", func(w *standin.World) { w.Cut(true) }},
+		{"up", func(*fakes.World) {}},
+		{"slow", func(w *fakes.World) { w.Limit(fakes.Capacity{Call: 2 * time.Second, Most: time.Hour}) }},
+		{"short", func(w *fakes.World) { w.Serve(fakes.Short, 5) }},
+		{"hanging", func(w *fakes.World) { w.Serve(fakes.Hanging, 0) }},
+		{"breaking off", func(w *fakes.World) { w.Serve(fakes.Halving, 0) }},
+		{"gone", func(w *fakes.World) { w.Cut(true) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s := standin.Depot(4, 10)
+			s := fakes.Depot(4, 10)
 			s.Sideways = true
-			w, err := standin.New(s)
+			w, err := fakes.New(s)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -252,10 +252,10 @@
 // away: clients are served, each node is reached, and once the channel is back its word is heeded in time.
 func TestDescriptorsWhileTheChannelIsAway(t *testing.T) {
 	beside(t)
-	s := standin.Depot(200, 1)
+	s := fakes.Depot(200, 1)
 	s.Cold, s.Box, s.Link, s.Parent, s.Origin, s.OriginTakes = false, 1000, 1e5, 1e5, 1e5, time.Millisecond
 	s.Types[0].Work = time.Millisecond
-	w, err := standin.New(s)
+	w, err := fakes.New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -273,7 +273,7 @@
 		d.Signal(os.Kill)
 		d.Wait()
 	}()
-	w.Serve(standin.Hanging, 0)
+	w.Serve(fakes.Hanging, 0)
 	for range 100 { // rest, and say nothing
 		nc, err := net.Dial("tcp4", d.Addr)
 		if err != nil {
@@ -281,7 +281,7 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 	}
-	c := &standin.Client{W: w, Targets: []*standin.Target{&d.Target}, Rand: rand.New(rand.NewPCG(1, 2))}
+	c := &fakes.Client{W: w, Targets: []*fakes.Target{&d.Target}, Rand: rand.New(rand.NewPCG(1, 2))}
 	defer c.Close()
 	number := 0
 	ask := func(times int) (served int) {
@@ -307,7 +307,7 @@
 		t.Errorf("%d nodes were reached", reached)
 	}
 	calls := len(w.Called())
-	w.Serve(standin.Serving, 0)
+	w.Serve(fakes.Serving, 0)
 	back := time.Now()
 	drains := w.Node("box-7")
 	drains.Tell("draining")
--- a/internal/rig/relay.go
+++ b/internal/faulttest/relay.go
@@ -1,4 +1,4 @@
-package rig
+package faulttest
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"tallyproxy/internal/standin"
+	"tallyproxy/internal/fakes"
 )
 
 // Link is what happens on the way from one process to another.
@@ -247,14 +247,14 @@
 		times, cut := r.n.way(from, to)
 		switch {
 		case cut:
-			if !standin.Sleep(r.n.ctx, lostLater/4) {
+			if !fakes.Sleep(r.n.ctx, lostLater/4) {
 				return false
 			}
 			continue
 		case len(times) == 0:
-			return standin.Sleep(r.n.ctx, lostLater)
+			return fakes.Sleep(r.n.ctx, lostLater)
 		}
-		return times[0] == 0 || standin.Sleep(r.n.ctx, times[0])
+		return times[0] == 0 || fakes.Sleep(r.n.ctx, times[0])
 	}
 	return false
 }
