--- a/internal/rig/rig.go
+++ b/internal/faulttest/rig.go
@@ -1,4 +1,4 @@
-package rig
+package faulttest
 
 import (
 	"context"
@@ -19,14 +19,14 @@
 	"syscall"
 	"time"
 
-	"tallyproxy/director"
-	"tallyproxy/dissemination"
+	"tallyproxy/backoff"
+	"tallyproxy/gossip"
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/peering"
-	"tallyproxy/internal/standin"
-	"tallyproxy/internal/state"
-	"tallyproxy/manners"
-	"tallyproxy/peers"
+	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/gossipnet"
+	"tallyproxy/internal/status"
+	"tallyproxy/membership"
+	"tallyproxy/policy"
 	"tallyproxy/relays"
 )
 
@@ -42,7 +42,7 @@
 	After    time.Duration // load goes on for so long once the faults are over
 	MemoryMB int
 	Log      io.Writer // of all directors; may be nil
-	Change   func(*standin.Spec)
+	Change   func(*fakes.Spec)
 	Before   func(*Rig) // done once all stands but the directors
 	Early    bool       // clients come before the directors are there
 }
@@ -64,14 +64,14 @@
 // Rig is a fleet of directors as processes, with relays between them and stand-ins of all else that they talk to.
 type Rig struct {
 	Spec
-	World   *standin.World
+	World   *fakes.World
 	Net     *Net
 	History *History
 	dir     string
 	key     string
 	mu      sync.Mutex
 	procs   []*Process
-	asked   *standin.Zipf
+	asked   *fakes.Zipf
 	ctx     context.Context // of the clients
 	leave   context.CancelFunc
 	crowd   sync.WaitGroup
@@ -79,18 +79,18 @@
 
 // New makes a rig with so many directors; Start starts them.
 func New(s Spec, schedule Schedule) (*Rig, error) {
-	spec := standin.Depot(s.Boxes, schedule.Directors)
+	spec := fakes.Depot(s.Boxes, schedule.Directors)
 	spec.Towns = schedule.Towns()
 	spec.Sideways = slices.ContainsFunc(schedule.Faults, func(f Fault) bool { return f.Kind == Away })
 	spec.Seed, spec.Cold, spec.ColdParents = schedule.Seed+1, !s.Warm, false
 	if s.Change != nil {
 		s.Change(&spec)
 	}
-	w, err := standin.New(spec)
+	w, err := fakes.New(spec)
 	if err != nil {
 		return nil, err
 	}
-	r := &Rig{Spec: s, World: w, Net: NewNet(schedule.Seed), History: &History{}, asked: standin.NewZipf(spec.Objects, spec.Zipf)}
+	r := &Rig{Spec: s, World: w, Net: NewNet(schedule.Seed), History: &History{}, asked: fakes.NewZipf(spec.Objects, spec.Zipf)}
 	r.ctx, r.leave = context.WithCancel(context.Background())
 	if s.Warm {
 		w.Stock()
@@ -213,7 +213,7 @@
 		if r.oneView(ctx) {
 			return true
 		}
-		standin.Sleep(ctx, 100*time.Millisecond)
+		fakes.Sleep(ctx, 100*time.Millisecond)
 	}
 	return false
 }
@@ -221,7 +221,7 @@
 func (r *Rig) oneView(ctx context.Context) bool {
 	sum, there := "", slices.DeleteFunc(r.Processes(), func(p *Process) bool { return !r.isUp(p) || p.twin })
 	for _, p := range there {
-		report, err := state.Read(ctx, p.Socket)
+		report, err := status.Read(ctx, p.Socket)
 		if err != nil || report.Peers == nil {
 			return false
 		}
@@ -245,7 +245,7 @@
 
 // Load starts the clients.
 func (r *Rig) Load() {
-	targets := make([]*standin.Target, 0, len(r.procs))
+	targets := make([]*fakes.Target, 0, len(r.procs))
 	for _, p := range r.Processes() {
 		targets = append(targets, &p.Target)
 	}
@@ -257,7 +257,7 @@
 	think := time.Duration(float64(r.Clients) / rate * float64(time.Second))
 	chance := rand.New(rand.NewPCG(r.World.Seed, 31))
 	for i := range r.Clients {
-		c := &standin.Client{
+		c := &fakes.Client{
 			W: r.World, Targets: targets, Target: i % len(targets), From: fmt.Sprintf("127.1.%d.%d", i/250%250, 1+i%250), Retries: 12,
 			Wait: 100 * time.Millisecond, Rand: rand.New(rand.NewPCG(r.World.Seed, uint64(i)+100)), Zipf: r.asked,
 		}
@@ -296,7 +296,7 @@
 	var all sync.WaitGroup
 	for _, st := range steps {
 		all.Go(func() { // each by itself: a start takes its time
-			standin.Sleep(ctx, time.Until(begun.Add(time.Duration(st.at)*time.Millisecond)))
+			fakes.Sleep(ctx, time.Until(begun.Add(time.Duration(st.at)*time.Millisecond)))
 			st.do()
 		})
 	}
@@ -342,9 +342,9 @@
 			trouble("on")
 			for until := time.Now().Add(span); time.Now().Before(until); {
 				links(Link{Cut: true})
-				standin.Sleep(ctx, 300*time.Millisecond)
+				fakes.Sleep(ctx, 300*time.Millisecond)
 				links(Link{})
-				standin.Sleep(ctx, 300*time.Millisecond)
+				fakes.Sleep(ctx, 300*time.Millisecond)
 			}
 			trouble("off")
 		}, nil
@@ -354,8 +354,8 @@
 		return func() { r.World.Cut(true) }, func() { r.World.Cut(false) }
 	case Zone:
 		towns := f.Who
-		lost := func(n *standin.Node) bool {
-			return n.Kind == standin.Edge && slices.Contains(towns, r.World.TownOf(n.Name))
+		lost := func(n *fakes.Node) bool {
+			return n.Kind == fakes.Edge && slices.Contains(towns, r.World.TownOf(n.Name))
 		}
 		f.Who = nil // its directors from here on
 		for i, p := range procs {
@@ -415,7 +415,7 @@
 				trouble("off")
 			}
 	case Liar:
-		var liar *peering.Talk
+		var liar *gossipnet.Talk
 		return func() { liar = r.lie(ctx, span) }, func() {
 			if liar != nil {
 				liar.Leave()
@@ -442,7 +442,7 @@
 	case Busy:
 		return func() { busy(ctx, int(f.Rate), span) }, nil
 	case Service:
-		return func() { r.World.Serve(standin.Service(f.Rate), 0) }, func() { r.World.Serve(standin.Serving, 0) }
+		return func() { r.World.Serve(fakes.Service(f.Rate), 0) }, func() { r.World.Serve(fakes.Serving, 0) }
 	case Forget:
 		return func() { r.World.Forget(1) }, nil
 	case Followers:
@@ -451,7 +451,7 @@
 				for i := range 64 {
 					r.World.Purge("", 2*i)
 				}
-				standin.Sleep(ctx, time.Duration(1+chance.IntN(20))*time.Millisecond)
+				fakes.Sleep(ctx, time.Duration(1+chance.IntN(20))*time.Millisecond)
 				who(r.kill)()
 			}, func() {
 				who(func(p *Process) { r.again(ctx, p) })()
@@ -475,13 +475,13 @@
 					})
 				}
 				all.Wait()
-				standin.Sleep(ctx, span/20)
+				fakes.Sleep(ctx, span/20)
 			}
 		}, nil
 	case Replace:
 		return func() { r.replace(ctx, span) }, nil
 	case Rubbish:
-		var talk *peering.Talk
+		var talk *gossipnet.Talk
 		return func() { talk = r.rubbish(ctx, span) }, func() {
 			if talk != nil {
 				talk.Leave()
@@ -494,7 +494,7 @@
 // chosen are those that follow the channel by their place, as they see it.
 func (r *Rig) chosen(ctx context.Context) (who []int) {
 	for i, p := range r.Processes() {
-		if report, err := state.Read(ctx, p.Socket); err == nil && report.Follow != nil && report.Follow.Chosen {
+		if report, err := status.Read(ctx, p.Socket); err == nil && report.Follow != nil && report.Follow.Chosen {
 			who = append(who, i)
 		}
 	}
@@ -511,7 +511,7 @@
 	for _, p := range r.Processes() {
 		wait := time.Duration(chance.Float64() * float64(time.Second))
 		all.Go(func() {
-			standin.Sleep(ctx, wait)
+			fakes.Sleep(ctx, wait)
 			if err := os.WriteFile(p.config, r.World.Config(p.Name, p.Addr, 512, max(64, r.MemoryMB), 1), 0o600); err == nil {
 				p.Signal(syscall.SIGHUP)
 			}
@@ -525,7 +525,7 @@
 	half := r.Boxes / 2
 	for i := range half {
 		old := r.World.Node(fmt.Sprint("box-", i))
-		if _, err := r.World.Add(standin.Edge, fmt.Sprint("new-", i), true); err != nil {
+		if _, err := r.World.Add(fakes.Edge, fmt.Sprint("new-", i), true); err != nil {
 			r.History.Did(-1, "failed to replace: "+err.Error(), nil)
 		}
 		old.Tell("draining")
@@ -533,9 +533,9 @@
 			old.Tell("removed")
 			old.Die()
 		})
-		standin.Sleep(ctx, span/time.Duration(2*half))
+		fakes.Sleep(ctx, span/time.Duration(2*half))
 	}
-	standin.Sleep(ctx, span/2+100*time.Millisecond)
+	fakes.Sleep(ctx, span/2+100*time.Millisecond)
 }
 
 // Struck says whether a fault of links is on the way from one director to another.
@@ -601,15 +601,15 @@
 
 // rubbish joins the directors under a name that is the first to be heard. It tells of a list that was never the channel's, in which all
 // caches are elsewhere, whoever asks and who does not, and of words that can't be.
-func (r *Rig) rubbish(ctx context.Context, span time.Duration) *peering.Talk {
+func (r *Rig) rubbish(ctx context.Context, span time.Duration) *gossipnet.Talk {
 	name := ""
 	for i, first := 0, true; first || name == ""; i++ {
 		name, first = fmt.Sprint("liar-", i), false
 		for _, p := range r.Processes() {
-			first = first || manners.Seed(0, p.Name) < manners.Seed(0, name)
+			first = first || backoff.Seed(0, p.Name) < backoff.Seed(0, name)
 		}
 	}
-	var talk atomic.Pointer[peering.Talk]
+	var talk atomic.Pointer[gossipnet.Talk]
 	rows := []relays.Row{}
 	for i := range r.Boxes {
 		rows = append(rows, relays.Row{ID: fmt.Sprint("box-", i), Addr: "127.0.0.1:9", Zone: 1, Weight: 1})
@@ -622,36 +622,36 @@
 			t.Say(from, relays.Message{Answer: &relays.Answer{Number: -5, Age: -7, Sum: "\x00"}})
 			t.Say(from, relays.Message{List: rows})
 			t.Say(from, relays.Message{Want: "?"})
-			t.Repeat(from, []dissemination.Item{{Node: "box-0", Age: -1}, {Node: "\x00", Object: "x", At: 1}, {Group: -9, At: 1}, {}})
+			t.Repeat(from, []gossip.Item{{Node: "box-0", Age: -1}, {Node: "\x00", Object: "x", At: 1}, {Group: -9, At: 1}, {}})
 		case m.Want != "":
 			t.Say(from, relays.Message{List: rows})
 		}
 	}
-	t := r.join(name, peering.Ears{Follow: hear, Question: func(peers.Hint) {}, Heard: func(string) director.Micros { return 0 }}, func(*peers.Settings) {})
+	t := r.join(name, gossipnet.Ears{Follow: hear, Question: func(membership.Hint) {}, Heard: func(string) policy.Micros { return 0 }}, func(*membership.Settings) {})
 	talk.Store(t)
 	return t
 }
 
 // lie joins the directors as one of them, and tells of all caches all the time that they are dead, cold and full.
-func (r *Rig) lie(ctx context.Context, span time.Duration) *peering.Talk {
+func (r *Rig) lie(ctx context.Context, span time.Duration) *gossipnet.Talk {
 	begun := time.Now()
-	talk := r.join("liar", peering.Ears{}, func(s *peers.Settings) { s.Hints, s.HintEvery = 1<<20, 1 }) // it keeps to no bounds
+	talk := r.join("liar", gossipnet.Ears{}, func(s *membership.Settings) { s.Hints, s.HintEvery = 1<<20, 1 }) // it keeps to no bounds
 	if talk == nil {
 		return nil
 	}
 	r.crowd.Go(func() {
 		for round := 0; time.Now().Before(begun.Add(span)) && ctx.Err() == nil && r.ctx.Err() == nil; round++ {
 			for i := range r.Boxes {
-				talk.Tell(peers.Hint{Node: fmt.Sprint("box-", i), What: []peers.What{peers.Gone, peers.Warms, peers.Full}[round%3]})
+				talk.Tell(membership.Hint{Node: fmt.Sprint("box-", i), What: []membership.What{membership.Gone, membership.Warms, membership.Full}[round%3]})
 			}
-			standin.Sleep(ctx, 100*time.Millisecond)
+			fakes.Sleep(ctx, 100*time.Millisecond)
 		}
 	})
 	return talk
 }
 
 // join has one in this process join the directors under a name; nil where it can't.
-func (r *Rig) join(name string, ears peering.Ears, change func(*peers.Settings)) *peering.Talk {
+func (r *Rig) join(name string, ears gossipnet.Ears, change func(*membership.Settings)) *gossipnet.Talk {
 	listen, err := FreeAddress()
 	if err != nil {
 		return nil
@@ -676,9 +676,9 @@
 		return nil
 	}
 	begun := time.Now()
-	s := peers.Derive(name, uint64(begun.UnixMicro()), site.Settings)
+	s := membership.Derive(name, uint64(begun.UnixMicro()), site.Settings)
 	change(&s)
-	talk, err := peering.Start(p, s, func() director.Micros { return director.Micros(time.Since(begun)/time.Microsecond) + 1 }, ears)
+	talk, err := gossipnet.Start(p, s, func() policy.Micros { return policy.Micros(time.Since(begun)/time.Microsecond) + 1 }, ears)
 	if err != nil {
 		return nil
 	}
--- a/internal/rig/rig_test.go
+++ b/internal/faulttest/rig_test.go
@@ -1,4 +1,4 @@
-package rig
+package faulttest
 
 import (
 	"fmt"
@@ -12,13 +12,13 @@
 	"testing"
 	"time"
 
-	"tallyproxy/internal/serve"
+	"tallyproxy/internal/server"
 )
 
 // The test program is the director too, when a test starts it as one.
 func TestMain(m *testing.M) {
 	if os.Getenv("TALLYPROXY_TEST_DIRECTOR") != "" {
-		os.Exit(serve.Main(os.Args[1:]))
+		os.Exit(server.Main(os.Args[1:]))
 	}
 	os.Setenv("TALLYPROXY_TEST_DIRECTOR", "1")
 	slog.SetDefault(slog.New(slog.DiscardHandler)) // what a case says of itself is not to drown in the liar's log
--- a/internal/fleetpb/convert.go
+++ b/internal/fleetpb/convert.go
@@ -5,14 +5,14 @@
 package fleetpb
 
 import (
-	d "tallyproxy/director"
-	"tallyproxy/fleet"
+	d "tallyproxy/policy"
+	"tallyproxy/rollout"
 )
 
-func fromBallot(b fleet.Ballot) *Ballot { return &Ballot{N: b.N, Holder: b.Holder} }
-func toBallot(b *Ballot) fleet.Ballot   { return fleet.Ballot{N: b.GetN(), Holder: b.GetHolder()} }
+func fromBallot(b rollout.Ballot) *Ballot { return &Ballot{N: b.N, Holder: b.Holder} }
+func toBallot(b *Ballot) rollout.Ballot   { return rollout.Ballot{N: b.GetN(), Holder: b.GetHolder()} }
 
-func fromChange(c *fleet.Change) *Change {
+func fromChange(c *rollout.Change) *Change {
 	if c == nil {
 		return nil
 	}
@@ -25,13 +25,13 @@
 	return out
 }
 
-func toChange(c *Change) *fleet.Change {
+func toChange(c *Change) *rollout.Change {
 	if c == nil {
 		return nil
 	}
-	out := &fleet.Change{ID: c.Id, By: c.By, Note: c.Note, Undoes: c.Undoes}
+	out := &rollout.Change{ID: c.Id, By: c.By, Note: c.Note, Undoes: c.Undoes}
 	for _, t := range c.Targets {
-		out.Targets = append(out.Targets, fleet.Target{
+		out.Targets = append(out.Targets, rollout.Target{
 			Instance: t.Instance, Agent: t.Agent, Base: t.Base, Script: t.Script, Wave: int(t.Wave),
 		})
 	}
@@ -39,7 +39,7 @@
 }
 
 // FromEntries words what an agent knows of changes.
-func FromEntries(entries []fleet.Entry) (out []*Entry) {
+func FromEntries(entries []rollout.Entry) (out []*Entry) {
 	for _, e := range entries {
 		x := &Entry{Change: fromChange(e.Change), Outcome: int32(e.Outcome), Waves: int32(e.Waves), Final: e.Final, Local: map[string]*Local{}}
 		if e.Vote != nil {
@@ -54,20 +54,20 @@
 }
 
 // ToEntries reads it; one without its change, or with a figure that means nothing, is left out.
-func ToEntries(entries []*Entry) (out []fleet.Entry) {
+func ToEntries(entries []*Entry) (out []rollout.Entry) {
 	for _, e := range entries {
 		if e.GetChange() == nil || !outcome(e.Outcome) {
 			continue
 		}
-		x := fleet.Entry{
-			Change: toChange(e.Change), Outcome: fleet.Outcome(e.Outcome), Waves: int(e.Waves), Final: e.Final, Local: map[string]*fleet.Local{},
+		x := rollout.Entry{
+			Change: toChange(e.Change), Outcome: rollout.Outcome(e.Outcome), Waves: int(e.Waves), Final: e.Final, Local: map[string]*rollout.Local{},
 		}
 		if e.Vote != nil && outcome(e.Vote.Outcome) {
-			x.Vote = &fleet.Vote{Ballot: toBallot(e.Vote.Ballot), Outcome: fleet.Outcome(e.Vote.Outcome)}
+			x.Vote = &rollout.Vote{Ballot: toBallot(e.Vote.Ballot), Outcome: rollout.Outcome(e.Vote.Outcome)}
 		}
 		for name, l := range e.Local {
-			if l.GetPhase() >= 0 && l.GetPhase() <= int32(fleet.Untouched) {
-				x.Local[name] = &fleet.Local{Phase: fleet.Phase(l.Phase), Why: l.Why, Before: l.Before}
+			if l.GetPhase() >= 0 && l.GetPhase() <= int32(rollout.Untouched) {
+				x.Local[name] = &rollout.Local{Phase: rollout.Phase(l.Phase), Why: l.Why, Before: l.Before}
 			}
 		}
 		out = append(out, x)
@@ -75,10 +75,10 @@
 	return out
 }
 
-func outcome(n int32) bool { return n >= int32(fleet.Open) && n <= int32(fleet.Drop) }
+func outcome(n int32) bool { return n >= int32(rollout.Open) && n <= int32(rollout.Drop) }
 
 // FromMessage words a message.
-func FromMessage(m fleet.Message) *SayRequest {
+func FromMessage(m rollout.Message) *SayRequest {
 	return &SayRequest{
 		Verb: int32(m.Verb), Seq: int64(m.Seq), Ballot: fromBallot(m.Ballot), LeaseUs: int64(m.Lease), Change: fromChange(m.Change),
 		Id: m.ID, Outcome: int32(m.Outcome), Waves: int32(m.Waves), Final: m.Final,
@@ -86,18 +86,18 @@
 }
 
 // ToMessage reads one; false where it means nothing.
-func ToMessage(r *SayRequest) (m fleet.Message, ok bool) {
-	m = fleet.Message{
-		Verb: fleet.Verb(r.GetVerb()), Seq: int(r.GetSeq()), Ballot: toBallot(r.GetBallot()), Lease: d.Micros(r.GetLeaseUs()),
-		Change: toChange(r.GetChange()), ID: r.GetId(), Outcome: fleet.Outcome(r.GetOutcome()), Waves: int(r.GetWaves()), Final: r.GetFinal(),
+func ToMessage(r *SayRequest) (m rollout.Message, ok bool) {
+	m = rollout.Message{
+		Verb: rollout.Verb(r.GetVerb()), Seq: int(r.GetSeq()), Ballot: toBallot(r.GetBallot()), Lease: d.Micros(r.GetLeaseUs()),
+		Change: toChange(r.GetChange()), ID: r.GetId(), Outcome: rollout.Outcome(r.GetOutcome()), Waves: int(r.GetWaves()), Final: r.GetFinal(),
 	}
-	needs := m.Verb == fleet.Prepare || m.Verb == fleet.Accept
-	return m, m.Verb >= fleet.Promise && m.Verb <= fleet.Ask && outcome(r.GetOutcome()) && m.Lease >= 0 &&
+	needs := m.Verb == rollout.Prepare || m.Verb == rollout.Accept
+	return m, m.Verb >= rollout.Promise && m.Verb <= rollout.Ask && outcome(r.GetOutcome()) && m.Lease >= 0 &&
 		(!needs || m.Change != nil && m.Change.ID != "")
 }
 
 // FromReply words a reply.
-func FromReply(r fleet.Reply) *SayReply {
+func FromReply(r rollout.Reply) *SayReply {
 	return &SayReply{
 		Verb: int32(r.Verb), Seq: int64(r.Seq), Ok: r.OK, Why: r.Why, Ballot: fromBallot(r.Ballot), HeldUs: int64(r.Held),
 		LeftUs: int64(r.Left), Entries: FromEntries(r.Entries),
@@ -105,15 +105,15 @@
 }
 
 // ToReply reads one.
-func ToReply(r *SayReply) fleet.Reply {
-	return fleet.Reply{
-		Verb: fleet.Verb(r.GetVerb()), Seq: int(r.GetSeq()), OK: r.GetOk(), Why: r.GetWhy(), Ballot: toBallot(r.GetBallot()),
+func ToReply(r *SayReply) rollout.Reply {
+	return rollout.Reply{
+		Verb: rollout.Verb(r.GetVerb()), Seq: int(r.GetSeq()), OK: r.GetOk(), Why: r.GetWhy(), Ballot: toBallot(r.GetBallot()),
 		Held: d.Micros(r.GetHeldUs()), Left: d.Micros(r.GetLeftUs()), Entries: ToEntries(r.GetEntries()),
 	}
 }
 
 // FromBallot words a ballot.
-func FromBallot(b fleet.Ballot) *Ballot { return fromBallot(b) }
+func FromBallot(b rollout.Ballot) *Ballot { return fromBallot(b) }
 
 // ToBallot reads one.
-func ToBallot(b *Ballot) fleet.Ballot { return toBallot(b) }
+func ToBallot(b *Ballot) rollout.Ballot { return toBallot(b) }
--- a/internal/peering/peering.go
+++ b/internal/gossipnet/peering.go
@@ -1,6 +1,6 @@
 // Package peering has directors know each other: memberlist finds out who is there and carries what they say, peers decides what
 // follows. It is a thin driver: it opens the sockets, keeps the clock, and publishes the parts that the decisions use.
-package peering
+package gossipnet
 
 import (
 	"context"
@@ -20,29 +20,29 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"tallyproxy/director"
-	"tallyproxy/dissemination"
+	"tallyproxy/backoff"
+	"tallyproxy/gossip"
 	"tallyproxy/internal/config"
-	"tallyproxy/manners"
-	"tallyproxy/peers"
+	"tallyproxy/membership"
+	"tallyproxy/policy"
 	"tallyproxy/relays"
 )
 
 // message is what one director says to another; one of the seven is there.
 type message struct {
-	From   string               `json:"f"`
-	Ask    *peers.Ask           `json:"a,omitempty"`
-	Grant  *peers.Grant         `json:"g,omitempty"`
-	Hint   *peers.Hint          `json:"h,omitempty"`
-	Words  []dissemination.Item `json:"w,omitempty"`
-	Follow *relays.Message      `json:"o,omitempty"`
-	Query  director.Micros      `json:"q,omitempty"` // what is in force? The asker's time, which the answer gives back
-	Reply  *reply               `json:"r,omitempty"`
+	From   string            `json:"f"`
+	Ask    *membership.Ask   `json:"a,omitempty"`
+	Grant  *membership.Grant `json:"g,omitempty"`
+	Hint   *membership.Hint  `json:"h,omitempty"`
+	Words  []gossip.Item     `json:"w,omitempty"`
+	Follow *relays.Message   `json:"o,omitempty"`
+	Query  policy.Micros     `json:"q,omitempty"` // what is in force? The asker's time, which the answer gives back
+	Reply  *reply            `json:"r,omitempty"`
 }
 
 // reply tells what was in force after a query had been put.
 type reply struct {
-	Query director.Micros `json:"q"`
+	Query policy.Micros `json:"q"`
 	Meeting
 }
 
@@ -56,20 +56,20 @@
 // part is one that may be used until a time.
 type part struct {
 	value float64
-	until director.Micros
+	until policy.Micros
 }
 
 // Talk is a director among the others. Parts and Report may be used from any goroutine.
 type Talk struct {
-	s     peers.Settings
-	now   func() director.Micros
+	s     membership.Settings
+	now   func() policy.Micros
 	seeds []string
 	ears  Ears
 
 	mu     sync.Mutex // never held while memberlist is called
-	board  *peers.Board
+	board  *membership.Board
 	clash  time.Time
-	doubts map[string]director.Micros // others that did not answer this director's probe, until they do or must have said that they are well; bounded by the members
+	doubts map[string]policy.Micros // others that did not answer this director's probe, until they do or must have said that they are well; bounded by the members
 	leaves bool
 	other  string // the address of one that was last heard to have another view; empty for none
 	last   string // view that was logged last
@@ -96,19 +96,19 @@
 // Ears are who hears what others say, and tells what they ask for. None may wait; any may be nil, but
 // Question goes with Heard, and InForce with Age.
 type Ears struct {
-	Question func(peers.Hint)                                         // a hint is worth a question to its node
-	Heard    func(node string) director.Micros                        // when a node last answered here
-	Word     func(from string, i dissemination.Item)                  // what the channel told another
-	InForce  func() (m Meeting, vouches bool)                         // what one that has just come should hear, and whether it can go by that
-	Met      func(from string, m Meeting)                             // one told what was in force at some time: it may have lain in a socket since
-	Doubts   func() bool                                              // whether one is wanted who tells what is in force
-	Told     func(from string, asked director.Micros, m Meeting) bool // one did, after it was asked at a time; true where that will do
-	Age      func() director.Micros                                   // how old the newest word of the own channel is
-	Follow   func(from string, m relays.Message)                      // who follows the channel, and what those tell
+	Question func(membership.Hint)                                  // a hint is worth a question to its node
+	Heard    func(node string) policy.Micros                        // when a node last answered here
+	Word     func(from string, i gossip.Item)                       // what the channel told another
+	InForce  func() (m Meeting, vouches bool)                       // what one that has just come should hear, and whether it can go by that
+	Met      func(from string, m Meeting)                           // one told what was in force at some time: it may have lain in a socket since
+	Doubts   func() bool                                            // whether one is wanted who tells what is in force
+	Told     func(from string, asked policy.Micros, m Meeting) bool // one did, after it was asked at a time; true where that will do
+	Age      func() policy.Micros                                   // how old the newest word of the own channel is
+	Follow   func(from string, m relays.Message)                    // who follows the channel, and what those tell
 }
 
 // aged is how old another's newest word of the channel was, when it said so.
-type aged struct{ age, at director.Micros }
+type aged struct{ age, at policy.Micros }
 
 type envelope struct {
 	to    string
@@ -126,9 +126,9 @@
 )
 
 // Start opens the sockets and begins to look for others; that nobody is there yet is no error.
-func Start(o config.Peers, s peers.Settings, now func() director.Micros, ears Ears) (*Talk, error) {
+func Start(o config.Peers, s membership.Settings, now func() policy.Micros, ears Ears) (*Talk, error) {
 	t := &Talk{
-		s: s, now: now, seeds: o.Seeds, board: peers.New(now(), s), shown: map[string]string{}, known: map[string]string{}, doubts: map[string]director.Micros{}, there: map[string]memberlist.Node{},
+		s: s, now: now, seeds: o.Seeds, board: membership.New(now(), s), shown: map[string]string{}, known: map[string]string{}, doubts: map[string]policy.Micros{}, there: map[string]memberlist.Node{},
 		outbox: make(chan envelope, outbox), large: make(chan struct{}, larges),
 		done: make(chan struct{}), ears: ears, noise: &noise{}, ages: map[string]aged{},
 	}
@@ -187,10 +187,10 @@
 	return host, port, err
 }
 
-func span(t director.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func span(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // Part is what may be used of a scope's limits at a moment, over the fixed part.
-func (t *Talk) Part(now director.Micros, scope peers.Scope) float64 {
+func (t *Talk) Part(now policy.Micros, scope membership.Scope) float64 {
 	if t == nil {
 		return 1
 	}
@@ -201,7 +201,7 @@
 }
 
 // Report tells what is believed.
-func (t *Talk) Report() *peers.Report {
+func (t *Talk) Report() *membership.Report {
 	if t == nil {
 		return nil
 	}
@@ -219,7 +219,7 @@
 }
 
 // State is what is believed of another; false where it is not known.
-func (t *Talk) State(name string) (peers.State, bool) {
+func (t *Talk) State(name string) (membership.State, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.board.State(name)
@@ -249,7 +249,7 @@
 
 // with makes a call of the board, and says afterwards what has changed. Messages go out on the side: many calls come from within
 // memberlist, which must not be called back.
-func (t *Talk) with(call func(now director.Micros, b *peers.Board) map[string]message) {
+func (t *Talk) with(call func(now policy.Micros, b *membership.Board) map[string]message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -262,11 +262,11 @@
 
 // publish puts the parts in force that hold now. What falls is taken back before it is told, what rises is told before it is
 // given, so that a log never shows less than was used.
-func (t *Talk) publish(now director.Micros) {
+func (t *Talk) publish(now policy.Micros) {
 	var held [2]part
 	changed, raised := false, false // a renewal is a change, and no other part
 	for scope := range held {
-		value, until := t.board.Held(now, peers.Scope(scope))
+		value, until := t.board.Held(now, membership.Scope(scope))
 		held[scope] = part{value, until}
 		was := t.parts[scope].Load()
 		changed = changed || value != was.value || until != was.until
@@ -307,11 +307,11 @@
 			return
 		case <-tick.C:
 		}
-		t.with(func(now director.Micros, b *peers.Board) map[string]message {
+		t.with(func(now policy.Micros, b *membership.Board) map[string]message {
 			for name, n := range t.there { // the others are many, and few of them are news
-				s := peers.Up
+				s := membership.Up
 				if until, doubted := t.doubts[name]; doubted && now < until {
-					s = peers.Suspected
+					s = membership.Suspected
 				}
 				if is, known := b.State(name); !known || is != s {
 					t.seen(now, &n, s)
@@ -367,29 +367,29 @@
 
 // suspicion is how long memberlist lets a suspect refute at the most. One that has not failed by then has: it is not told of that, and the
 // next probe of this director may be as many probes away as there are members.
-func (t *Talk) suspicion() director.Micros {
+func (t *Talk) suspicion() policy.Micros {
 	nodes := math.Max(1, math.Log10(float64(max(1, t.count.Load()))))
-	return t.s.Probe + director.Micros(float64(t.s.Probe)*float64(t.s.Suspicion)*nodes*suspicionMost)
+	return t.s.Probe + policy.Micros(float64(t.s.Probe)*float64(t.s.Suspicion)*nodes*suspicionMost)
 }
 
 // seen takes what memberlist says of a director, and logs what is new. The caller holds the lock.
-func (t *Talk) seen(now director.Micros, n *memberlist.Node, s peers.State) {
+func (t *Talk) seen(now policy.Micros, n *memberlist.Node, s membership.State) {
 	var m meta
 	if json.Unmarshal(n.Meta, &m) != nil || n.Name == t.s.Name {
 		return
 	}
-	if s >= peers.Failed {
+	if s >= membership.Failed {
 		delete(t.doubts, n.Name)
 	}
 	if m.Leave {
-		s = peers.Left
+		s = membership.Left
 	}
 	t.board.Seen(now, n.Name, m.Born, m.Zone, s)
-	if t.known[n.Name] = n.Address(); s == peers.Left {
+	if t.known[n.Name] = n.Address(); s == membership.Left {
 		delete(t.known, n.Name)
 	}
-	t.count.Store(int64(t.board.Count(now, peers.Fleet)))
-	if text := fmt.Sprint(m.Born, s); t.shown[n.Name] != text && (s != peers.Suspected || t.shown[n.Name] != "") {
+	t.count.Store(int64(t.board.Count(now, membership.Fleet)))
+	if text := fmt.Sprint(m.Born, s); t.shown[n.Name] != text && (s != membership.Suspected || t.shown[n.Name] != "") {
 		if t.shown[n.Name] = text; len(t.shown) > 2*t.s.Memory {
 			clear(t.shown)
 		}
@@ -397,8 +397,8 @@
 	}
 	if sum := fmt.Sprintf("%016x %s", t.board.Sum(), t.board.Stands()); sum != t.last {
 		t.last = sum
-		slog.Info("view", "sum", strings.Fields(sum)[0], "standing", t.board.Stands().String(), "zone_count", t.board.Count(now, peers.Zone),
-			"fleet_count", t.board.Count(now, peers.Fleet))
+		slog.Info("view", "sum", strings.Fields(sum)[0], "standing", t.board.Stands().String(), "zone_count", t.board.Count(now, membership.Zone),
+			"fleet_count", t.board.Count(now, membership.Fleet))
 	}
 }
 
@@ -475,7 +475,7 @@
 	defer t.mu.Unlock()
 	all := slices.Clone(t.seeds)
 	if len(all) > 0 {
-		at := int(manners.Seed(0, t.s.Name) % uint64(len(all)))
+		at := int(backoff.Seed(0, t.s.Name) % uint64(len(all)))
 		all = append(all[at:], all[:at]...)
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.there)) {
@@ -546,7 +546,7 @@
 }
 
 // Tell has the others hear of a node, where it is worth it.
-func (t *Talk) Tell(h peers.Hint) {
+func (t *Talk) Tell(h membership.Hint) {
 	if t == nil {
 		return
 	}
@@ -567,7 +567,7 @@
 }
 
 // Repeat tells one other what the channel told.
-func (t *Talk) Repeat(to string, all []dissemination.Item) {
+func (t *Talk) Repeat(to string, all []gossip.Item) {
 	for some := range slices.Chunk(all, inPacket) {
 		t.put(envelope{to: to, m: message{From: t.s.Name, Words: some}})
 	}
@@ -596,7 +596,7 @@
 const inPacket = 12 // words; a purge of many groups is told as many words at once
 
 // Pass has the others hear what the channel told: some of them at once, others each time, and all with what goes round anyway.
-func (t *Talk) Pass(all []dissemination.Item) {
+func (t *Talk) Pass(all []gossip.Item) {
 	if t == nil {
 		return
 	}
@@ -605,7 +605,7 @@
 	}
 }
 
-func (t *Talk) pass(some []dissemination.Item) {
+func (t *Talk) pass(some []gossip.Item) {
 	raw, err := json.Marshal(message{From: t.s.Name, Words: some})
 	if err != nil {
 		return
@@ -632,13 +632,13 @@
 func (p passed) Finished()                             {}
 
 // Newest is the least age of the channel's word that any of the others has told, as it is by now; negative where none has.
-func (t *Talk) Newest() director.Micros {
+func (t *Talk) Newest() policy.Micros {
 	if t == nil {
 		return -1
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now, least := t.now(), director.Micros(-1)
+	now, least := t.now(), policy.Micros(-1)
 	for _, a := range t.ages {
 		if age := a.age + now - a.at; least < 0 || age < least {
 			least = age
@@ -649,7 +649,7 @@
 
 // hint is one on its way through the fleet; a later one about the same node takes its place, whatever it tells.
 type hint struct {
-	of  peers.Hint
+	of  membership.Hint
 	raw []byte
 }
 
@@ -698,7 +698,7 @@
 		}
 		return
 	}
-	t.with(func(now director.Micros, b *peers.Board) map[string]message {
+	t.with(func(now policy.Micros, b *membership.Board) map[string]message {
 		switch {
 		case m.Ask != nil:
 			if g, ok := b.Asked(now, m.From, *m.Ask); ok {
@@ -725,10 +725,10 @@
 
 // Meeting is what two tell each other when one of them joins.
 type Meeting struct {
-	From    string               `json:"f"`
-	Age     director.Micros      `json:"a"` // of the newest word of the channel
-	Words   []dissemination.Item `json:"w"`
-	Beliefs []peers.Hint         `json:"b,omitempty"` // of nodes that are not well
+	From    string            `json:"f"`
+	Age     policy.Micros     `json:"a"` // of the newest word of the channel
+	Words   []gossip.Item     `json:"w"`
+	Beliefs []membership.Hint `json:"b,omitempty"` // of nodes that are not well
 }
 
 // LocalState is what goes along with whole lists: where one joins, what is in force.
@@ -754,17 +754,17 @@
 }
 
 // NotifyJoin, NotifyLeave and NotifyUpdate are what memberlist finds out.
-func (t *Talk) NotifyJoin(n *memberlist.Node) { t.event(n, peers.Up) }
+func (t *Talk) NotifyJoin(n *memberlist.Node) { t.event(n, membership.Up) }
 
 // NotifyLeave hears of one that has failed, or said that it leaves.
-func (t *Talk) NotifyLeave(n *memberlist.Node) { t.event(n, peers.Failed) }
+func (t *Talk) NotifyLeave(n *memberlist.Node) { t.event(n, membership.Failed) }
 
 // NotifyUpdate hears of one that tells something else of itself.
-func (t *Talk) NotifyUpdate(n *memberlist.Node) { t.event(n, peers.Up) }
+func (t *Talk) NotifyUpdate(n *memberlist.Node) { t.event(n, membership.Up) }
 
-func (t *Talk) event(n *memberlist.Node, s peers.State) {
-	t.with(func(now director.Micros, _ *peers.Board) map[string]message {
-		if s == peers.Failed {
+func (t *Talk) event(n *memberlist.Node, s membership.State) {
+	t.with(func(now policy.Micros, _ *membership.Board) map[string]message {
+		if s == membership.Failed {
 			delete(t.there, n.Name)
 			delete(t.ages, n.Name)
 		} else if n.Name != t.s.Name {
@@ -780,7 +780,7 @@
 	if existing.Name != t.s.Name {
 		return
 	}
-	t.with(func(_ director.Micros, b *peers.Board) map[string]message {
+	t.with(func(_ policy.Micros, b *membership.Board) map[string]message {
 		if t.clash.IsZero() {
 			slog.Warn("peer_name_taken", "name", t.s.Name, "by", other.Address())
 		}
@@ -809,7 +809,7 @@
 	text, old, told := strings.Cut(string(payload), " ")
 	if age, err := strconv.ParseInt(old, 16, 64); told && err == nil && age >= 0 {
 		if _, there := t.there[other.Name]; there {
-			t.ages[other.Name] = aged{director.Micros(age), t.now()}
+			t.ages[other.Name] = aged{policy.Micros(age), t.now()}
 		}
 	}
 	if sum, err := strconv.ParseUint(text, 16, 64); err == nil {
--- a/internal/peering/peering_test.go
+++ b/internal/gossipnet/peering_test.go
@@ -1,4 +1,4 @@
-package peering
+package gossipnet
 
 import (
 	"bytes"
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"tallyproxy/director"
-	"tallyproxy/dissemination"
+	"tallyproxy/gossip"
 	"tallyproxy/internal/config"
-	"tallyproxy/peers"
+	"tallyproxy/membership"
+	"tallyproxy/policy"
 )
 
 func free(t *testing.T) string {
@@ -25,25 +25,25 @@
 }
 
 // start starts one of three directors.
-func start(t *testing.T, i int, listen string, seeds []string, key byte, hints chan peers.Hint) *Talk {
+func start(t *testing.T, i int, listen string, seeds []string, key byte, hints chan membership.Hint) *Talk {
 	begun := time.Now()
-	s := peers.Derive(fmt.Sprint("n", i), uint64(i+1), director.Settings{Instances: 3, Directors: 3, ConnectTimeout: 400_000,
-		Edge: director.Warming{Window: 3 * director.Second}})
+	s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{Instances: 3, Directors: 3, ConnectTimeout: 400_000,
+		Edge: policy.Warming{Window: 3 * policy.Second}})
 	talk, err := Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "test", KeyBytes: bytes.Repeat([]byte{key}, 32)}, s,
-		func() director.Micros {
-			return director.Second*100 + director.Micros(time.Since(begun)/time.Microsecond)
+		func() policy.Micros {
+			return policy.Second*100 + policy.Micros(time.Since(begun)/time.Microsecond)
 		},
-		Ears{Question: func(h peers.Hint) { hints <- h }, Heard: func(string) director.Micros { return 0 },
-			Word: func(from string, i dissemination.Item) { hints <- peers.Hint{Node: from + " " + i.Object} },
+		Ears{Question: func(h membership.Hint) { hints <- h }, Heard: func(string) policy.Micros { return 0 },
+			Word: func(from string, i gossip.Item) { hints <- membership.Hint{Node: from + " " + i.Object} },
 			InForce: func() (Meeting, bool) {
-				return Meeting{Age: director.Micros(i+1) * director.Second, Words: []dissemination.Item{{Object: fmt.Sprint("of n", i), At: 1}}}, true
+				return Meeting{Age: policy.Micros(i+1) * policy.Second, Words: []gossip.Item{{Object: fmt.Sprint("of n", i), At: 1}}}, true
 			},
 			Met: func(from string, m Meeting) {
-				if len(m.Words) != 1 || m.Words[0].Object != "of "+from || m.Age < director.Second {
+				if len(m.Words) != 1 || m.Words[0].Object != "of "+from || m.Age < policy.Second {
 					t.Errorf("n%d met %s: %+v", i, from, m)
 				}
 			},
-			Age: func() director.Micros { return director.Micros(i+1) * director.Second }})
+			Age: func() policy.Micros { return policy.Micros(i+1) * policy.Second }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 // Three find each other, a hint goes from one to both others, one that leaves has left, and one that dies without a word is
 // suspected before it has failed; memberlist tells a suspicion only in its log, which this holds it to.
 func TestTalk(t *testing.T) {
-	at, hints := []string{free(t), free(t), free(t)}, make(chan peers.Hint, 99)
+	at, hints := []string{free(t), free(t), free(t)}, make(chan membership.Hint, 99)
 	var talks []*Talk
 	for i := range at {
 		talks = append(talks, start(t, i, at[i], at[:1], 1, hints))
@@ -87,16 +87,16 @@
 	eventually(t, "their views differ", func() bool {
 		return talks[0].Report().Sum == talks[1].Report().Sum && talks[1].Report().Sum == talks[2].Report().Sum
 	})
-	if talks[0].Part(talks[0].now(), peers.Zone) != 1 {
+	if talks[0].Part(talks[0].now(), membership.Zone) != 1 {
 		t.Error("all are there, and one holds more than its part")
 	}
-	talks[0].Tell(peers.Hint{Node: "box-1", What: peers.Full})
+	talks[0].Tell(membership.Hint{Node: "box-1", What: membership.Full})
 	for range 2 {
-		if h := <-hints; h.Node != "box-1" || h.What != peers.Full {
+		if h := <-hints; h.Node != "box-1" || h.What != membership.Full {
 			t.Errorf("heard %+v", h)
 		}
 	}
-	talks[1].Pass([]dissemination.Item{{Object: "o", At: 1}})
+	talks[1].Pass([]gossip.Item{{Object: "o", At: 1}})
 	for range 4 { // to each at once, and again with what goes round
 		if h := <-hints; h.Node != "n1 o" {
 			t.Errorf("heard %+v", h)
@@ -104,7 +104,7 @@
 	}
 	eventually(t, "nobody has told how old the newest word is", func() bool {
 		age := talks[2].Newest()
-		return age >= director.Second && age < 2*director.Second
+		return age >= policy.Second && age < 2*policy.Second
 	})
 	talks[2].Leave()
 	eventually(t, "one that left is not taken for it", func() bool { return state(talks[0], "n2") == "left" && state(talks[1], "n2") == "left" })
@@ -195,10 +195,10 @@
 	doubts.Store(true)
 	begin := func(i int, advertise string, seeds []string, ears Ears) *Talk {
 		begun := time.Now()
-		s := peers.Derive(fmt.Sprint("n", i), uint64(i+1), director.Settings{Instances: 2, Directors: 2, ConnectTimeout: 400_000,
-			Edge: director.Warming{Window: 3 * director.Second}})
+		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{Instances: 2, Directors: 2, ConnectTimeout: 400_000,
+			Edge: policy.Warming{Window: 3 * policy.Second}})
 		talk, err := Start(config.Peers{Listen: at[i], Advertise: advertise, Seeds: seeds, Fleet: "test", KeyBytes: bytes.Repeat([]byte{1}, 32)}, s,
-			func() director.Micros { return director.Second + director.Micros(time.Since(begun)/time.Microsecond) }, ears)
+			func() policy.Micros { return policy.Second + policy.Micros(time.Since(begun)/time.Microsecond) }, ears)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -206,21 +206,21 @@
 		return talk
 	}
 	begin(1, door, nil, Ears{Met: func(_ string, m Meeting) { got <- heard{true, len(m.Words)} }, Doubts: doubts.Load,
-		Told: func(_ string, asked director.Micros, m Meeting) bool {
-			if asked <= director.Second {
+		Told: func(_ string, asked policy.Micros, m Meeting) bool {
+			if asked <= policy.Second {
 				t.Errorf("asked at %d", asked)
 			}
 			doubts.Store(false)
 			got <- heard{false, len(m.Words)}
 			return true
-		}, InForce: func() (Meeting, bool) { return Meeting{}, false }, Age: func() director.Micros { return 0 }})
+		}, InForce: func() (Meeting, bool) { return Meeting{}, false }, Age: func() policy.Micros { return 0 }})
 	begin(0, "", []string{door}, Ears{InForce: func() (m Meeting, vouches bool) {
 		if known.Load() {
-			m.Words = []dissemination.Item{{Object: "o", At: 1}}
+			m.Words = []gossip.Item{{Object: "o", At: 1}}
 		}
 		said <- true
 		return m, true
-	}, Met: func(string, Meeting) {}, Age: func() director.Micros { return 0 }})
+	}, Met: func(string, Meeting) {}, Age: func() policy.Micros { return 0 }})
 	<-said
 	known.Store(true)
 	release.Store(true)
--- a/internal/peering/transport.go
+++ b/internal/gossipnet/transport.go
@@ -1,4 +1,4 @@
-package peering
+package gossipnet
 
 import (
 	"bytes"
--- a/internal/serve/gossip.go
+++ b/internal/server/gossip.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"log/slog"
@@ -7,38 +7,38 @@
 	"sync/atomic"
 	"time"
 
-	"tallyproxy/director"
-	"tallyproxy/dissemination"
-	"tallyproxy/internal/back"
+	"tallyproxy/gossip"
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/feed"
-	"tallyproxy/internal/peering"
-	"tallyproxy/logic"
-	"tallyproxy/peers"
-	"tallyproxy/pulse"
+	"tallyproxy/internal/discovery"
+	"tallyproxy/internal/gossipnet"
+	"tallyproxy/internal/upstream"
+	"tallyproxy/membership"
+	"tallyproxy/policy"
 	"tallyproxy/relays"
+	"tallyproxy/routing"
+	"tallyproxy/stall"
 )
 
-// gossip joins the talk among directors to the decisions: parts one way, hints both ways. Without peers it does nothing.
-type gossip struct {
-	talk    atomic.Pointer[peering.Talk]
+// gossipDriver joins the talk among directors to the decisions: parts one way, hints both ways. Without peers it does nothing.
+type gossipDriver struct {
+	talk    atomic.Pointer[gossipnet.Talk]
 	d       *decider
-	fleet   *back.Fleet
+	fleet   *upstream.Fleet
 	every   time.Duration
-	asked   chan peers.Hint
-	heard   atomic.Pointer[map[string]director.Micros] // when nodes last answered, as of the last look
-	sights  map[string]peers.Sight                     // of nodes, at the last look
-	beliefs atomic.Pointer[[]peers.Hint]               // of those that are not well, for who starts
+	asked   chan membership.Hint
+	heard   atomic.Pointer[map[string]policy.Micros] // when nodes last answered, as of the last look
+	sights  map[string]membership.Sight              // of nodes, at the last look
+	beliefs atomic.Pointer[[]membership.Hint]        // of those that are not well, for who starts
 	done    chan struct{}
 
-	mu      sync.Mutex          // of the book, and what is avoided
-	book    *dissemination.Book // nil without peers
-	ears    *hearing            // nil without peers
-	avoided []string            // by the operator's file
+	mu      sync.Mutex   // of the book, and what is avoided
+	book    *gossip.Book // nil without peers
+	ears    *hearing     // nil without peers
+	avoided []string     // by the operator's file
 	words   chan heardWord
 	own     *heart
-	channel *feed.Feed
-	kept    director.Micros
+	channel *discovery.Feed
+	kept    policy.Micros
 	doubts  atomic.Bool // what is known binds carefully
 	lost    bool        // nobody whom this director reaches has heard the channel for long
 }
@@ -46,7 +46,7 @@
 // heardWord is what another said that the channel had told.
 type heardWord struct {
 	from string
-	dissemination.Item
+	gossip.Item
 	all bool // no word: all that its teller had when it was asked have come before
 }
 
@@ -55,21 +55,21 @@
 const questions = 4 // asked at a time; what comes meanwhile beyond as many more is dropped
 
 // held is the part that the decisions may use.
-func (g *gossip) held(now director.Micros, all bool) float64 {
-	scope := peers.Zone
+func (g *gossipDriver) held(now policy.Micros, all bool) float64 {
+	scope := membership.Zone
 	if all {
-		scope = peers.Fleet
+		scope = membership.Fleet
 	}
 	return g.talk.Load().Part(now, scope)
 }
 
 // keep begins a book of what the channel tells, for a director that is to talk with others.
 // What it knows is from files, which may be old: until its channel or another director has spoken it sends and serves nothing.
-func (g *gossip) keep(c config.Config, followers int, own *heart, channel *feed.Feed, known []feed.Event) {
+func (g *gossipDriver) keep(c config.Config, followers int, own *heart, channel *discovery.Feed, known []discovery.Event) {
 	s := c.Site.Settings
-	w := dissemination.Derive(s)
+	w := gossip.Derive(s)
 	g.own, g.channel, g.kept = own, channel, w.Kept
-	g.book = dissemination.New(g.clock(), w)
+	g.book = gossip.New(g.clock(), w)
 	own.Begin(own.Read())
 	g.took(known, g.clock()-2*g.kept) // what others hear of the channel is newer than a file
 	g.ears = newHearing(g, relays.Derive(c.Name, followers, len(c.Site.Zones), len(c.Site.Kinds), s))
@@ -78,10 +78,10 @@
 }
 
 // clock is the director's own time.
-func (g *gossip) clock() director.Micros { return g.own.Read().Mono }
+func (g *gossipDriver) clock() policy.Micros { return g.own.Read().Mono }
 
 // told puts in force what the own channel tells, and has others hear what is news.
-func (g *gossip) told(events []feed.Event) {
+func (g *gossipDriver) told(events []discovery.Event) {
 	if g.ears != nil {
 		g.ears.force.Lock()
 		defer g.ears.force.Unlock()
@@ -95,7 +95,7 @@
 }
 
 // lists is how many of some events are of the list of nodes.
-func lists(events []feed.Event) (n int) {
+func lists(events []discovery.Event) (n int) {
 	for _, e := range events {
 		if e.Listed {
 			n++
@@ -105,16 +105,16 @@
 }
 
 // took books what was told at a time, and gives what is news.
-func (g *gossip) took(events []feed.Event, now director.Micros) (tell []dissemination.Item) {
+func (g *gossipDriver) took(events []discovery.Event, now policy.Micros) (tell []gossip.Item) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, e := range events {
-		if i := (dissemination.Item{Object: e.Object, Group: e.Group, At: e.At}); !e.Listed && e.At > 0 && g.book.Purged(now, i) {
+		if i := (gossip.Item{Object: e.Object, Group: e.Group, At: e.At}); !e.Listed && e.At > 0 && g.book.Purged(now, i) {
 			tell = append(tell, i)
 		}
-		var rows []dissemination.Row
+		var rows []gossip.Row
 		for _, n := range e.Nodes {
-			rows = append(rows, dissemination.Row{Node: n.ID, Started: n.Started, State: n.State})
+			rows = append(rows, gossip.Row{Node: n.ID, Started: n.Started, State: n.State})
 		}
 		if e.Listed {
 			tell = append(tell, g.book.Listed(now, rows, e.Complete)...)
@@ -124,7 +124,7 @@
 }
 
 // hears has a word taken, where there is room.
-func (g *gossip) hears(w heardWord) bool {
+func (g *gossipDriver) hears(w heardWord) bool {
 	select {
 	case g.words <- w:
 		return true
@@ -134,8 +134,8 @@
 }
 
 // listen takes what others say that the channel told them.
-func (g *gossip) listen() {
-	var onward []dissemination.Item
+func (g *gossipDriver) listen() {
+	var onward []gossip.Item
 	for {
 		if len(g.words) == 0 || len(onward) == words { // many come together, and go on together
 			g.talk.Load().Pass(onward)
@@ -153,7 +153,7 @@
 			bind, on := g.book.Heard(g.clock(), w.from, w.Item)
 			g.mu.Unlock()
 			if bind && w.At > 0 {
-				g.d.apply([]feed.Event{{Object: w.Object, Group: w.Group, At: w.At}})
+				g.d.apply([]discovery.Event{{Object: w.Object, Group: w.Group, At: w.At}})
 			} else if bind {
 				g.avoid(nil)
 			}
@@ -168,7 +168,7 @@
 }
 
 // answered hears that the own channel has answered a call that began at a time.
-func (g *gossip) answered(began director.Micros) {
+func (g *gossipDriver) answered(began policy.Micros) {
 	if g.book != nil {
 		g.ears.answered(began)
 		g.hold(began)
@@ -177,7 +177,7 @@
 }
 
 // hold hears until when all that the channel had to tell is known.
-func (g *gossip) hold(began director.Micros) {
+func (g *gossipDriver) hold(began policy.Micros) {
 	g.mu.Lock()
 	changed := g.book.Answered(began)
 	g.mu.Unlock()
@@ -189,15 +189,15 @@
 // settled hears how a doubt of what is known ended. Where nobody has told what is in force, what is known binds carefully from then
 // on, until the channel has answered or another has told: no copy is asked for that is older than now, and a node is cold until it
 // shows that it holds what it is asked for. Guards against what was told while this director was not there to hear it.
-func (g *gossip) settled(how pulse.How) {
-	if g.book != nil && how == pulse.Bound {
+func (g *gossipDriver) settled(how stall.How) {
+	if g.book != nil && how == stall.Bound {
 		g.doubt(true)
 	}
 }
 
 // vouched hears that another has told what is in force, and that it is in force here. After a jump of this one's time that is nothing:
 // it may have lain there meanwhile.
-func (g *gossip) vouched() {
+func (g *gossipDriver) vouched() {
 	if g.own.Jumps() == 0 {
 		g.own.Told(g.own.Read())
 		g.doubt(false)
@@ -205,13 +205,13 @@
 }
 
 // doubt has what is known bind carefully, or no longer.
-func (g *gossip) doubt(on bool) {
+func (g *gossipDriver) doubt(on bool) {
 	if g.doubts.Swap(on) == on {
 		return
 	}
 	slog.Info("unvouched", "on", on)
 	for i, r := range g.d.routers {
-		at := director.Micros(0)
+		at := policy.Micros(0)
 		if on {
 			at = r.Now()
 			r.Do(func() {
@@ -225,7 +225,7 @@
 }
 
 // avoid has nodes avoided that the operator's file names, if it is given, and those that another's word does.
-func (g *gossip) avoid(operator []string) {
+func (g *gossipDriver) avoid(operator []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if operator != nil {
@@ -239,7 +239,7 @@
 }
 
 // report is how old the channel's word is; nil without peers.
-func (g *gossip) report() *dissemination.Report {
+func (g *gossipDriver) report() *gossip.Report {
 	if g.book == nil {
 		return nil
 	}
@@ -251,7 +251,7 @@
 }
 
 // hear asks the own channel where others know more, and says once when nobody knows any more.
-func (g *gossip) hear() {
+func (g *gossipDriver) hear() {
 	fails, others := g.channel.Fails(), g.talk.Load().Newest()
 	g.mu.Lock()
 	now := g.clock()
@@ -269,19 +269,19 @@
 	}
 }
 
-func (g *gossip) start(o config.Peers, c config.Config, fleet *back.Fleet) error {
-	s := peers.Derive(c.Name, uint64(time.Now().UnixMicro()), c.Site.Settings)
+func (g *gossipDriver) start(o config.Peers, c config.Config, fleet *upstream.Fleet) error {
+	s := membership.Derive(c.Name, uint64(time.Now().UnixMicro()), c.Site.Settings)
 	g.fleet, g.every = fleet, span(s.HintEvery)/8
-	g.asked, g.done, g.sights = make(chan peers.Hint, questions), make(chan struct{}), map[string]peers.Sight{}
+	g.asked, g.done, g.sights = make(chan membership.Hint, questions), make(chan struct{}), map[string]membership.Sight{}
 	g.words = make(chan heardWord, words)
-	talk, err := peering.Start(o, s, g.d.routers[0].Now, peering.Ears{Question: func(h peers.Hint) {
+	talk, err := gossipnet.Start(o, s, g.d.routers[0].Now, gossipnet.Ears{Question: func(h membership.Hint) {
 		select {
 		case g.asked <- h:
 		default:
 		}
-	}, Heard: g.lastHeard, Word: func(from string, i dissemination.Item) {
+	}, Heard: g.lastHeard, Word: func(from string, i gossip.Item) {
 		g.hears(heardWord{from, i, false})
-	}, InForce: g.inForce, Met: g.met, Doubts: g.doubting, Told: g.toldAll, Age: func() director.Micros {
+	}, InForce: g.inForce, Met: g.met, Doubts: g.doubting, Told: g.toldAll, Age: func() policy.Micros {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return g.book.Age(g.clock())
@@ -300,7 +300,7 @@
 }
 
 // inForce is what one that has just come should hear, and whether it can go by that.
-func (g *gossip) inForce() (m peering.Meeting, vouches bool) {
+func (g *gossipDriver) inForce() (m gossipnet.Meeting, vouches bool) {
 	if told := g.beliefs.Load(); told != nil {
 		m.Beliefs = *told
 	}
@@ -311,10 +311,10 @@
 }
 
 // met takes what another told as the two met. What makes careful binds, but it is no reason to be careful no longer.
-func (g *gossip) met(from string, m peering.Meeting) { g.heed(from, m) }
+func (g *gossipDriver) met(from string, m gossipnet.Meeting) { g.heed(from, m) }
 
 // heed has what another told bind careful; false where there was no room for all of it.
-func (g *gossip) heed(from string, m peering.Meeting) bool {
+func (g *gossipDriver) heed(from string, m gossipnet.Meeting) bool {
 	all := true
 	for _, i := range m.Words {
 		all = g.hears(heardWord{from, i, false}) && all
@@ -326,15 +326,17 @@
 }
 
 // doubting says whether another is wanted who tells what is in force. After a jump of this one's time that would be nothing.
-func (g *gossip) doubting() bool { return g.own.Jumps() == 0 && (g.own.Doubted() || g.doubts.Load()) }
+func (g *gossipDriver) doubting() bool {
+	return g.own.Jumps() == 0 && (g.own.Doubted() || g.doubts.Load())
+}
 
 // toldAll takes what another told when it was asked, at a time, what is in force. It settles a doubt, once all of it has been taken.
-func (g *gossip) toldAll(from string, asked director.Micros, m peering.Meeting) bool {
+func (g *gossipDriver) toldAll(from string, asked policy.Micros, m gossipnet.Meeting) bool {
 	took := g.d.routers[0].Now() - asked
 	g.mu.Lock()
 	vouched := g.book.Vouched(took, m.Age)
 	g.mu.Unlock()
-	return vouched && g.heed(from, m) && g.hears(heardWord{from, dissemination.Item{}, true})
+	return vouched && g.heed(from, m) && g.hears(heardWord{from, gossip.Item{}, true})
 }
 
 // mostBeliefs are handed to one that starts.
@@ -342,7 +344,7 @@
 
 // warm takes what another believes of nodes that are not well, at a start: such a node is tried with a pull at a time, and counts as cold
 // until it shows that it holds what it is asked for. It is a reason for care, never a verdict, and over with the first pull.
-func (g *gossip) warm(from string, beliefs []peers.Hint) {
+func (g *gossipDriver) warm(from string, beliefs []membership.Hint) {
 	for _, h := range beliefs[:min(len(beliefs), mostBeliefs)] {
 		_, full := h.Doubts()
 		for i, r := range g.d.routers {
@@ -354,7 +356,7 @@
 	}
 }
 
-func (g *gossip) stop() {
+func (g *gossipDriver) stop() {
 	if talk := g.talk.Load(); talk != nil {
 		close(g.done)
 		talk.Leave()
@@ -363,7 +365,7 @@
 
 // lastHeard is when a node last answered, as of the last look: it is asked from within the talk, which must not wait for the
 // module.
-func (g *gossip) lastHeard(node string) director.Micros {
+func (g *gossipDriver) lastHeard(node string) policy.Micros {
 	if heard := g.heard.Load(); heard != nil {
 		return (*heard)[node]
 	}
@@ -371,7 +373,7 @@
 }
 
 // look tells the others which nodes this director has found out about.
-func (g *gossip) look() {
+func (g *gossipDriver) look() {
 	tick := time.NewTicker(g.every)
 	defer tick.Stop()
 	for {
@@ -381,23 +383,23 @@
 		case <-tick.C:
 		}
 		g.hear()
-		var views []logic.View
-		var now director.Micros
+		var views []routing.View
+		var now policy.Micros
 		g.d.routers[0].Do(func() {
 			now = g.d.routers[0].Now()
 			views = g.d.modules[0].Nodes(now)
 		})
-		heard, sights, beliefs := map[string]director.Micros{}, map[string]peers.Sight{}, []peers.Hint{}
+		heard, sights, beliefs := map[string]policy.Micros{}, map[string]membership.Sight{}, []membership.Hint{}
 		for _, v := range views {
-			heard[v.ID] = now - director.Micros(v.Heard*float64(director.Second))
-			now := peers.Sight{Skipped: v.Skipped > 0, Trial: v.Trial, Warm: v.Warm, Limit: v.Limit}
+			heard[v.ID] = now - policy.Micros(v.Heard*float64(policy.Second))
+			now := membership.Sight{Skipped: v.Skipped > 0, Trial: v.Trial, Warm: v.Warm, Limit: v.Limit}
 			before, seen := g.sights[v.ID]
-			if what, news := peers.News(before, now); seen && news {
-				g.talk.Load().Tell(peers.Hint{Node: v.ID, What: what})
+			if what, news := membership.News(before, now); seen && news {
+				g.talk.Load().Tell(membership.Hint{Node: v.ID, What: what})
 			}
 			sights[v.ID] = now
-			if what, unwell := peers.Unwell(now); unwell && len(beliefs) < mostBeliefs {
-				beliefs = append(beliefs, peers.Hint{Node: v.ID, What: what})
+			if what, unwell := membership.Unwell(now); unwell && len(beliefs) < mostBeliefs {
+				beliefs = append(beliefs, membership.Hint{Node: v.ID, What: what})
 			}
 		}
 		g.sights = sights
@@ -407,7 +409,7 @@
 }
 
 // ask puts the question that a hint was the reason for, and has the module hear what came of it.
-func (g *gossip) ask() {
+func (g *gossipDriver) ask() {
 	for {
 		select {
 		case <-g.done:
--- a/internal/serve/hearing.go
+++ b/internal/server/hearing.go
@@ -1,20 +1,20 @@
-package serve
+package server
 
 import (
 	"log/slog"
 	"sync"
 	"time"
 
-	"tallyproxy/director"
-	"tallyproxy/dissemination"
-	"tallyproxy/internal/feed"
-	"tallyproxy/internal/peering"
+	"tallyproxy/gossip"
+	"tallyproxy/internal/discovery"
+	"tallyproxy/internal/gossipnet"
+	"tallyproxy/policy"
 	"tallyproxy/relays"
 )
 
 // hearing joins who follows the channel to the talk and to what is in force.
 type hearing struct {
-	g     *gossip
+	g     *gossipDriver
 	every time.Duration
 	says  chan said
 
@@ -27,7 +27,7 @@
 	news  bool                  // the own channel has told of nodes, in the call that is about to be booked
 	calls bool
 	ticks int
-	began director.Micros // this process
+	began policy.Micros // this process
 }
 
 // said is what another director says.
@@ -41,7 +41,7 @@
 
 const sayings = 256 // that wait to be taken; more are dropped, and said again
 
-func newHearing(g *gossip, s relays.Settings) *hearing {
+func newHearing(g *gossipDriver, s relays.Settings) *hearing {
 	return &hearing{g: g, every: span(s.Every) / 2, says: make(chan said, sayings), book: relays.New(g.clock(), s), began: g.clock(),
 		own: map[string]relays.Row{}, sum: relays.Sum(nil), list: map[string]relays.Row{}}
 }
@@ -63,7 +63,7 @@
 
 // fold gives events of the own channel as they are to be put in force: what they do to the list as one change at their end. They may
 // begin long ago, and what they lead through is not to undo for a moment what has come from others.
-func (h *hearing) fold(events []feed.Event) (out []feed.Event) {
+func (h *hearing) fold(events []discovery.Event) (out []discovery.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	listed := false
@@ -89,21 +89,21 @@
 }
 
 // change books a list that is to be in force, and gives the event that makes it so; none where it is. The caller holds the lock.
-func (h *hearing) change(rows []relays.Row) []feed.Event {
+func (h *hearing) change(rows []relays.Row) []discovery.Event {
 	diff := relays.Diff(h.list, rows)
 	if relays.Fold(h.list, rows, true); len(diff) == 0 {
 		return nil
 	}
-	e := feed.Event{Listed: true, Group: director.All}
+	e := discovery.Event{Listed: true, Group: policy.All}
 	for _, r := range diff {
-		e.Nodes = append(e.Nodes, feed.Node{Addr: r.Addr, Node: director.Node{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell,
+		e.Nodes = append(e.Nodes, discovery.Node{Addr: r.Addr, Node: policy.Node{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell,
 			Weight: r.Weight, Started: r.Started, State: r.State}})
 	}
-	return []feed.Event{e}
+	return []discovery.Event{e}
 }
 
 // answered hears that the own channel has answered a call that began at a time.
-func (h *hearing) answered(began director.Micros) {
+func (h *hearing) answered(began policy.Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.book.Own(h.g.clock(), h.sum, began, h.news)
@@ -130,7 +130,7 @@
 }
 
 // run asks others and answers them until the end.
-func (h *hearing) run(talk *peering.Talk, done <-chan struct{}) {
+func (h *hearing) run(talk *gossipnet.Talk, done <-chan struct{}) {
 	tick := time.NewTicker(h.every)
 	defer tick.Stop()
 	for {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (h *hearing) ask(talk *peering.Talk) {
+func (h *hearing) ask(talk *gossipnet.Talk) {
 	now := h.g.clock()
 	h.mu.Lock()
 	if h.ticks++; h.ticks%looks == 1 {
@@ -171,7 +171,7 @@
 }
 
 // lacks is what an asker may lack who knows other purges of late, by their sum.
-func (h *hearing) lacks(known uint64) []dissemination.Item {
+func (h *hearing) lacks(known uint64) []gossip.Item {
 	h.g.mu.Lock()
 	defer h.g.mu.Unlock()
 	now := h.g.clock()
@@ -182,7 +182,7 @@
 }
 
 // take takes what another has said.
-func (h *hearing) take(talk *peering.Talk, s said) {
+func (h *hearing) take(talk *gossipnet.Talk, s said) {
 	now := h.g.clock()
 	switch {
 	case s.Ask != nil:
@@ -218,7 +218,7 @@
 		defer h.force.Unlock()
 		h.mu.Lock()
 		until, ok := h.book.Take(s.List)
-		var events []feed.Event
+		var events []discovery.Event
 		if ok {
 			events = h.change(s.List)
 		}
--- a/internal/serve/heart.go
+++ b/internal/server/heart.go
@@ -1,30 +1,30 @@
-package serve
+package server
 
 import (
 	"context"
 	"log/slog"
 	"time"
 
-	"tallyproxy/director"
-	"tallyproxy/manners"
-	"tallyproxy/pulse"
+	"tallyproxy/backoff"
+	"tallyproxy/policy"
+	"tallyproxy/stall"
 )
 
 // heart drives a director's watch over its own time: it gives it the clock, and beats.
 type heart struct {
-	*pulse.Watch
+	*stall.Watch
 	start time.Time
 	every time.Duration
 }
 
-func newHeart(s director.Settings, m director.Margins, hurry func(), settled func(pulse.How)) *heart {
+func newHeart(s policy.Settings, m policy.Margins, hurry func(), settled func(stall.How)) *heart {
 	h := &heart{start: time.Now(), every: span(m.Beat)}
 	// A call may take the channel's time, and be given up only after that of its connection; then comes a pause.
-	cycle := m.Block + 2*m.Connect + manners.Derive(s, m).Most + m.Gap
-	h.Watch = pulse.New(pulse.Times{Gap: m.Gap, Cycle: cycle, Bound: m.Doubt}, h.Read(), func(gap director.Micros) {
+	cycle := m.Block + 2*m.Connect + backoff.Derive(s, m).Most + m.Gap
+	h.Watch = stall.New(stall.Times{Gap: m.Gap, Cycle: cycle, Bound: m.Doubt}, h.Read(), func(gap policy.Micros) {
 		slog.Warn("time_jumped", "by", span(gap))
 		hurry()
-	}, func(how pulse.How, took director.Micros) {
+	}, func(how stall.How, took policy.Micros) {
 		slog.Info("time_settled", "how", how.String(), "after", span(took))
 		settled(how)
 	})
@@ -32,10 +32,10 @@
 }
 
 // Read reads both clocks at once.
-func (h *heart) Read() pulse.Reading { return h.at(time.Now()) }
+func (h *heart) Read() stall.Reading { return h.at(time.Now()) }
 
-func (h *heart) at(t time.Time) pulse.Reading {
-	return pulse.Reading{Mono: director.Micros(t.Sub(h.start) / time.Microsecond), Wall: director.Micros(t.UnixMicro())}
+func (h *heart) at(t time.Time) stall.Reading {
+	return stall.Reading{Mono: policy.Micros(t.Sub(h.start) / time.Microsecond), Wall: policy.Micros(t.UnixMicro())}
 }
 
 // Late is how long before it was read something may have come.
@@ -44,11 +44,11 @@
 // heard is a heart that has what others say reckoned with too, by the calls that the channel answers.
 type heard struct {
 	*heart
-	g *gossip
+	g *gossipDriver
 }
 
 // Answered takes how a call of the channel ended.
-func (h heard) Answered(began, now pulse.Reading, ok bool) {
+func (h heard) Answered(began, now stall.Reading, ok bool) {
 	if h.heart.Answered(began, now, ok); ok {
 		h.g.answered(began.Mono)
 	}
--- a/internal/serve/rest.go
+++ b/internal/server/rest.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bytes"
--- a/internal/serve/serve.go
+++ b/internal/server/serve.go
@@ -1,6 +1,6 @@
 // Package serve is a whole director: it wires the stages of a request together, takes signals, and ends once all that was
 // taken is answered.
-package serve
+package server
 
 import (
 	"context"
@@ -19,17 +19,17 @@
 
 	"github.com/alecthomas/kong"
 
-	"tallyproxy/director"
-	"tallyproxy/internal/back"
+	"tallyproxy/backoff"
+	"tallyproxy/internal/bufpool"
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/feed"
-	"tallyproxy/internal/front"
-	"tallyproxy/internal/pool"
-	"tallyproxy/internal/route"
-	"tallyproxy/internal/state"
-	"tallyproxy/logic"
-	"tallyproxy/manners"
-	"tallyproxy/storm"
+	"tallyproxy/internal/discovery"
+	"tallyproxy/internal/dispatch"
+	"tallyproxy/internal/downstream"
+	"tallyproxy/internal/status"
+	"tallyproxy/internal/upstream"
+	"tallyproxy/overload"
+	"tallyproxy/policy"
+	"tallyproxy/routing"
 )
 
 // flags are what the command line takes.
@@ -134,7 +134,7 @@
 	}
 	o, err := config.LoadOperator(f.Settings)
 	if err == nil {
-		_, err = feed.New(c.Site).Known(c.Known)
+		_, err = discovery.New(c.Site).Known(c.Known)
 	}
 	if err == nil {
 		err = o.Permit(c.Site)
@@ -143,8 +143,8 @@
 }
 
 // options are what the operator's file says to the decisions.
-func options(o config.Operator, l config.Limits, g *gossip) logic.Options {
-	return logic.Options{Storm: o.Storm, Keys: o.Marks(l), Held: g.held, Told: func(_ director.Micros, r storm.Report) {
+func options(o config.Operator, l config.Limits, g *gossipDriver) routing.Options {
+	return routing.Options{Storm: o.Storm, Keys: o.Marks(l), Held: g.held, Told: func(_ policy.Micros, r overload.Report) {
 		slog.Info("storm", "state", r.State, "demand", r.Demand, "warm", r.Warm, "asks", r.Asks, "repeats", r.Repeats,
 			"early", r.Early, "connects", r.Connects, "promised", r.Promised, "kept", r.Kept)
 	}}
@@ -158,16 +158,16 @@
 	}
 	level.Set(o.Log)
 	limitRuntime(c.Limits, o)
-	margins := logic.Margins(c.Site.Settings)
-	buffers := pool.New(c.Limits.Buffers(pool.Size))
-	fleet := back.New(buffers, margins, c.Limits.Dials())
+	margins := routing.Margins(c.Site.Settings)
+	buffers := bufpool.New(c.Limits.Buffers(bufpool.Size))
+	fleet := upstream.New(buffers, margins, c.Limits.Dials())
 	shards := o.Shards(c.Limits)
 	if o.Cores > shards {
 		slog.Warn("fewer_cores", "asked", o.Cores, "allowed", shards)
 	}
-	channel := feed.New(c.Site)
-	channel.Seed(manners.Seed(c.Site.Seed, c.Name))
-	g := &gossip{}
+	channel := discovery.New(c.Site)
+	channel.Seed(backoff.Seed(c.Site.Seed, c.Name))
+	g := &gossipDriver{}
 	own := newHeart(c.Site.Settings, margins, channel.Hurry, g.settled)
 	fleet.Heed(own.Sound)
 	channel.Watch(heard{own, g})
@@ -195,11 +195,11 @@
 			return err
 		}
 	}
-	server := front.New(d.sinks, c.Site, buffers, c.Limits.Clients(), margins)
+	server := downstream.New(d.sinks, c.Site, buffers, c.Limits.Clients(), margins)
 	go server.Serve(l)
 	keeper := &keeper{started: time.Now(), c: c, o: o}
 	if o.State != "" {
-		socket, err := state.Serve(o.State, func() state.Report { return keeper.report(d, server, fleet, g) })
+		socket, err := status.Serve(o.State, func() status.Report { return keeper.report(d, server, fleet, g) })
 		if err != nil {
 			l.Close()
 			return fmt.Errorf("state.socket: %w", err)
@@ -231,7 +231,7 @@
 			c, o = next, nextO
 			level.Set(o.Log)
 			limitRuntime(c.Limits, o)
-			buffers.Limit(c.Limits.Buffers(pool.Size))
+			buffers.Limit(c.Limits.Buffers(bufpool.Size))
 			fleet.Limit(c.Limits.Dials())
 			server.Limit(c.Limits.Clients())
 			d.use(options(o, c.Limits, g))
@@ -268,28 +268,28 @@
 }
 
 // ownSettings are the platform's, with a seed of this director's own: a fleet may be told the same, and its chances are to part.
-func ownSettings(c config.Config) director.Settings {
+func ownSettings(c config.Config) policy.Settings {
 	s := c.Site.Settings
-	s.Seed = manners.Seed(c.Site.Seed, c.Name)
+	s.Seed = backoff.Seed(c.Site.Seed, c.Name)
 	return s
 }
 
 // decider is what decides: one module for all shards, or, as an experiment, one for each, that is told of as many more
 // directors as there are.
 type decider struct {
-	routers []*route.Router
-	modules []*logic.Logic
-	sinks   []front.Sink
+	routers []*dispatch.Router
+	modules []*routing.Logic
+	sinks   []downstream.Sink
 }
 
-func newDecider(s director.Settings, o logic.Options, m director.Margins, fleet *back.Fleet, shards int, divided bool) *decider {
+func newDecider(s policy.Settings, o routing.Options, m policy.Margins, fleet *upstream.Fleet, shards int, divided bool) *decider {
 	d, each := &decider{}, shards
 	if divided {
 		s.Instances, each = max(1, s.Instances)*shards, 1
 	}
 	for n := 0; n < shards; n += each {
-		module := logic.New(s, o)
-		r := route.New(module, m, fleet, each)
+		module := routing.New(s, o)
+		r := dispatch.New(module, m, fleet, each)
 		d.modules, d.routers = append(d.modules, module), append(d.routers, r)
 		for _, s := range r.Shards() {
 			d.sinks = append(d.sinks, s)
@@ -298,7 +298,7 @@
 	return d
 }
 
-func (d *decider) watch(own route.Own) {
+func (d *decider) watch(own dispatch.Own) {
 	for _, r := range d.routers {
 		r.Watch(own)
 	}
@@ -310,13 +310,13 @@
 	}
 }
 
-func (d *decider) apply(events []feed.Event) {
+func (d *decider) apply(events []discovery.Event) {
 	for _, r := range d.routers {
 		r.Apply(events)
 	}
 }
 
-func (d *decider) use(o logic.Options) {
+func (d *decider) use(o routing.Options) {
 	for i, r := range d.routers {
 		r.Do(func() { d.modules[i].Use(o) })
 	}
@@ -378,9 +378,9 @@
 }
 
 // report tells how the director is.
-func (k *keeper) report(d *decider, s *front.Server, fleet *back.Fleet, g *gossip) state.Report {
+func (k *keeper) report(d *decider, s *downstream.Server, fleet *upstream.Fleet, g *gossipDriver) status.Report {
 	k.mu.Lock()
-	r := state.Report{
+	r := status.Report{
 		Name: k.c.Name, PID: os.Getpid(), Started: k.started, Stopping: k.stopping, Settings: k.o.Sum, Platform: k.c.Sum,
 		Reloads: k.reloads, Refused: k.why, Cores: k.o.Shards(k.c.Limits), Avoided: k.o.Avoid, Clients: s.Conns(),
 		MostClient: k.c.Limits.Clients(), Nodes: fleet.Conns(), Open: d.open(), Counts: map[string]int64{},
@@ -412,4 +412,4 @@
 	debug.SetMemoryLimit(l.Memory())
 }
 
-func span(t director.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func span(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/serve/serve_test.go
+++ b/internal/server/serve_test.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"bufio"
@@ -22,8 +22,8 @@
 	"github.com/tidwall/redcon"
 
 	"tallyproxy/internal/config"
-	"tallyproxy/internal/state"
-	"tallyproxy/storm"
+	"tallyproxy/internal/status"
+	"tallyproxy/overload"
 )
 
 // node is a stand-in for a cache node: do says what it does with each request, by its id.
@@ -370,7 +370,7 @@
 		t.Error("started with a faulty script")
 	}
 	write("storm(mode = \"guard\")\nmachine(cores = 4)")
-	if c, o, err := load(f, os.Getenv); err != nil || o.Storm.Mode != storm.Guards || o.Shards(c.Limits) != 1 {
+	if c, o, err := load(f, os.Getenv); err != nil || o.Storm.Mode != overload.Guards || o.Shards(c.Limits) != 1 {
 		t.Errorf("%+v, %v", o, err)
 	}
 }
@@ -394,19 +394,19 @@
 		}
 	}
 	ask(0, 30)
-	r, err := state.Read(t.Context(), socket)
+	r, err := status.Read(t.Context(), socket)
 	if err != nil || r.Name != "n1" || r.Settings != config.Sum([]byte(script)) || r.Counts["fulfilled"] != 30 || r.Counts["pulls"] < 30 ||
 		len(r.Beliefs) != 2 || r.Beliefs[0].State != "ready" || r.Clients != 1 || r.Told != 1 || r.Open != 0 || asked[0].Load() == 0 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	reload := func(text string, until func(state.Report) bool) {
+	reload := func(text string, until func(status.Report) bool) {
 		t.Helper()
 		if err := os.WriteFile(p.script, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		p.reload <- syscall.SIGHUP
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-			if r, err = state.Read(t.Context(), socket); err == nil && until(r) {
+			if r, err = status.Read(t.Context(), socket); err == nil && until(r) {
 				return
 			}
 			if time.Now().After(end) {
@@ -414,12 +414,12 @@
 			}
 		}
 	}
-	reload(script+"avoid(boxes = 5)", func(r state.Report) bool { return strings.Contains(r.Refused, "avoid.boxes") })
+	reload(script+"avoid(boxes = 5)", func(r status.Report) bool { return strings.Contains(r.Refused, "avoid.boxes") })
 	if r.Settings != config.Sum([]byte(script)) || r.Reloads != 0 {
 		t.Errorf("after a refused reload: %+v", r)
 	}
 	avoid := script + "avoid(boxes = [\"e0\"])"
-	reload(avoid, func(r state.Report) bool { return r.Settings == config.Sum([]byte(avoid)) })
+	reload(avoid, func(r status.Report) bool { return r.Settings == config.Sum([]byte(avoid)) })
 	if r.Refused != "" || r.Reloads != 1 || r.Beliefs[0].State != "draining" || len(r.Avoided) != 1 {
 		t.Errorf("after the reload: %+v", r)
 	}
@@ -428,12 +428,12 @@
 	if n := asked[0].Load(); n != before {
 		t.Errorf("%d more reached the box that is avoided", n-before)
 	}
-	reload(script, func(r state.Report) bool { return r.Reloads == 2 })
+	reload(script, func(r status.Report) bool { return r.Reloads == 2 })
 	ask(60, 90)
 	if asked[0].Load() == before || r.Beliefs[0].State != "ready" {
 		t.Errorf("the box is not used again: %+v", r.Beliefs)
 	}
-	reload("state(socket = \"/elsewhere\")", func(r state.Report) bool { return strings.Contains(r.Refused, "needs a restart") })
+	reload("state(socket = \"/elsewhere\")", func(r status.Report) bool { return strings.Contains(r.Refused, "needs a restart") })
 	c.Close()
 	p.leave(t)
 	if _, err := os.Stat(socket); !os.IsNotExist(err) {
--- a/internal/wire/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,6 +1,6 @@
 // Package wire speaks the bench's wire: it reads batches, calls the decision module of each instance and
 // writes what the module answers. It keeps downloads and timers in hand and decides nothing.
-package wire
+package simadapter
 
 import (
 	"bufio"
@@ -10,12 +10,12 @@
 	"strconv"
 	"strings"
 
-	"tallyproxy/director"
 	"tallyproxy/internal/config"
+	"tallyproxy/policy"
 )
 
 // Serve answers batches until the input ends. Malformed input ends it with an error that names the line.
-func Serve(in io.Reader, out io.Writer, start func(director.Settings) director.Director) error {
+func Serve(in io.Reader, out io.Writer, start func(policy.Settings) policy.Director) error {
 	h := &host{
 		in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
 		start: start, instances: map[string]*instance{},
@@ -38,11 +38,11 @@
 	in        *bufio.Reader
 	out       *bufio.Writer
 	line      int
-	start     func(director.Settings) director.Director
+	start     func(policy.Settings) policy.Director
 	instances map[string]*instance
-	pages     [16][]director.Node
+	pages     [16][]policy.Node
 	known     [16]bool
-	now       director.Micros
+	now       policy.Micros
 	id        string // the instance that events are about
 	actor     string // the instance that actions are written for
 }
@@ -50,17 +50,17 @@
 // instance is one director with what it has in hand. Downloads leave the table once they are over and
 // their pulls have ended; retire empties it.
 type instance struct {
-	module    director.Director
-	types     []*director.ContentType
+	module    policy.Director
+	types     []*policy.ContentType
 	downloads map[uint64]*held
 }
 
 type held struct {
-	director.Download
+	policy.Download
 	xid   uint64
 	pulls int // sent
 	out   int // not ended yet
-	wake  director.Micros
+	wake  policy.Micros
 }
 
 // message is one line, cut into its parts.
@@ -128,7 +128,7 @@
 	case "directory_update":
 		return h.listed(inst, msg)
 	case "voided":
-		group, age := -1, director.Micros(0)
+		group, age := -1, policy.Micros(0)
 		if err := firstError(msg.integer("group", &group), msg.micros("oldness", &age)); err != nil {
 			return err
 		}
@@ -161,7 +161,7 @@
 	if rows < 0 {
 		return fmt.Errorf("inventory: rows-in missing or negative")
 	}
-	nodes := make([]director.Node, 0, min(rows, 1<<12))
+	nodes := make([]policy.Node, 0, min(rows, 1<<12))
 	for range rows {
 		row, err := h.next()
 		if err == io.EOF || err == nil && row.name != "row" {
@@ -170,7 +170,7 @@
 		if err != nil {
 			return err
 		}
-		n := director.Node{ID: row.fields["node"], Weight: 1}
+		n := policy.Node{ID: row.fields["node"], Weight: 1}
 		err = firstError(row.integer("az", &n.Zone), row.integer("generation-hw", &n.Kind),
 			row.integer("pod", &n.Cell), row.number("heft", &n.Weight), row.micros("launched", &n.Started))
 		if err != nil {
@@ -178,11 +178,11 @@
 		}
 		switch state := row.fields["health"]; state {
 		case "IN":
-			n.State = director.Ready
+			n.State = policy.Ready
 		case "LAME":
-			n.State = director.Draining
+			n.State = policy.Draining
 		case "OUT":
-			n.State = director.Gone
+			n.State = policy.Gone
 		default:
 			return fmt.Errorf("row: health %q is not known", state)
 		}
@@ -230,7 +230,7 @@
 func (h *host) ingress(inst *instance, msg message) error {
 	xid, err := msg.xid("xid")
 	lane := 0
-	var patience director.Micros
+	var patience policy.Micros
 	dl := &held{xid: xid}
 	dl.Group = -1
 	err = firstError(err, msg.integer("lane", &lane), msg.micros("patience-left", &patience),
@@ -249,15 +249,15 @@
 	return nil
 }
 
-var endings = map[string]director.Ending{
-	"success": director.Fulfilled, "failure": director.Failed, "overloaded": director.TurnedAway,
-	"timed_out": director.TimedOut, "unreachable": director.Unreached, "broken": director.Broken,
-	"withdrawn": director.Cancelled, "void": director.NeverSent, "absent": director.Missing,
+var endings = map[string]policy.Ending{
+	"success": policy.Fulfilled, "failure": policy.Failed, "overloaded": policy.TurnedAway,
+	"timed_out": policy.TimedOut, "unreachable": policy.Unreached, "broken": policy.Broken,
+	"withdrawn": policy.Cancelled, "void": policy.NeverSent, "absent": policy.Missing,
 }
 
 func (h *host) reportBack(inst *instance, msg message) error {
 	xid, err := msg.xid("xid")
-	var out director.Outcome
+	var out policy.Outcome
 	remark := 0
 	err = firstError(err, msg.integer("go", &out.Pull), msg.integer("remark", &remark))
 	if err != nil {
@@ -271,8 +271,8 @@
 	if dl == nil || out.Pull < 0 || out.Pull >= dl.pulls {
 		return nil
 	}
-	if remark >= int(director.Untold) && remark <= int(director.OriginFailed) {
-		out.Filling = director.Filling(remark)
+	if remark >= int(policy.Untold) && remark <= int(policy.OriginFailed) {
+		out.Filling = policy.Filling(remark)
 	}
 	out.Ending, out.Last = ending, msg.fields["last"] == "1"
 	dl.out--
@@ -294,9 +294,9 @@
 }
 
 // act writes an answer to the wire.
-func (h *host) act(inst *instance, dl *held, a director.Answer) {
+func (h *host) act(inst *instance, dl *held, a policy.Answer) {
 	switch a.Verb {
-	case director.Pull:
+	case policy.Pull:
 		h.send("read_through xid=%d node=%s within=%s keep=%d from-where=%s opts=%d", dl.xid, a.Node.ID,
 			millis(a.TimeOut), a.Keep, a.Source.ID, bit(a.Join, 1)|bit(a.Held, 2)|bit(a.Renew, 8))
 		if a.Oldest > 0 {
@@ -305,16 +305,16 @@
 		h.out.WriteByte('\n')
 		dl.pulls++
 		dl.out++
-	case director.Cancel:
+	case policy.Cancel:
 		h.send("abandon xid=%d go=%d\n", dl.xid, a.Pull)
-	case director.Throttle:
+	case policy.Throttle:
 		h.send("shed xid=%d", dl.xid)
 		if a.ComeBack > 0 {
 			h.out.WriteString(" wait=" + millis(a.ComeBack))
 		}
 		h.out.WriteByte('\n')
 		dl.Over = true
-	case director.Abandon:
+	case policy.Abandon:
 		h.send("fail xid=%d\n", dl.xid)
 		dl.Over = true
 	}
@@ -349,7 +349,7 @@
 	return 0
 }
 
-func millis(t director.Micros) string {
+func millis(t policy.Micros) string {
 	return strconv.FormatFloat(float64(t)/1000, 'f', -1, 64)
 }
 
@@ -376,13 +376,13 @@
 	return err
 }
 
-func (m message) micros(key string, to *director.Micros) error {
+func (m message) micros(key string, to *policy.Micros) error {
 	v := float64(*to) / 1000
 	err := m.number(key, &v)
 	if err == nil && math.Abs(v) > 1<<52 {
 		return fmt.Errorf("%s: %s=%q is out of range", m.name, key, m.fields[key])
 	}
-	*to = director.Micros(math.Round(v * 1000))
+	*to = policy.Micros(math.Round(v * 1000))
 	return err
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -1,12 +1,12 @@
-package wire
+package simadapter
 
 import (
 	"bytes"
 	"strings"
 	"testing"
 
-	"tallyproxy/director"
-	"tallyproxy/logic"
+	"tallyproxy/policy"
+	"tallyproxy/routing"
 )
 
 const start = `sync t=1000.25
@@ -23,7 +23,7 @@
 
 func serve(in string) (string, error) {
 	var out bytes.Buffer
-	err := Serve(strings.NewReader(in), &out, func(s director.Settings) director.Director { return logic.New(s, logic.Options{}) })
+	err := Serve(strings.NewReader(in), &out, func(s policy.Settings) policy.Director { return routing.New(s, routing.Options{}) })
 	return out.String(), err
 }
 
--- a/internal/state/state.go
+++ b/internal/status/state.go
@@ -1,6 +1,6 @@
 // Package state tells a director's own machine how the director is: what it was given, what it believes, what it did. It
 // listens on a socket in the file system that only the director's user may open, and only where the operator's file says so.
-package state
+package status
 
 import (
 	"context"
@@ -15,39 +15,39 @@
 	"runtime/debug"
 	"time"
 
-	"tallyproxy/dissemination"
-	"tallyproxy/logic"
-	"tallyproxy/peers"
+	"tallyproxy/gossip"
+	"tallyproxy/membership"
+	"tallyproxy/overload"
 	"tallyproxy/relays"
-	"tallyproxy/storm"
+	"tallyproxy/routing"
 )
 
 // Report is what is told.
 type Report struct {
-	Name       string                `json:"name"`
-	PID        int                   `json:"pid"`
-	Started    time.Time             `json:"started"`
-	Stopping   bool                  `json:"stopping"`
-	Settings   string                `json:"settings"` // sum of the operator's script that is in force; of no bytes where there is none
-	Platform   string                `json:"platform"` // of the platform's file
-	Reloads    int                   `json:"reloads"`  // that took effect
-	Refused    string                `json:"refused"`  // why the last reload did not; empty where it did
-	Cores      int                   `json:"cores"`
-	Told       int64                 `json:"told"`     // events of the command channel
-	InForce    int64                 `json:"in_force"` // of them on every core
-	Avoided    []string              `json:"avoided"`  // boxes that the operator's file keeps out
-	Clients    int                   `json:"clients"`  // connections,
-	MostClient int                   `json:"most_clients"`
-	Nodes      int                   `json:"node_connections"`
-	Open       int                   `json:"open"` // downloads
-	Counts     map[string]int64      `json:"counts"`
-	KeysHeld   int                   `json:"keys_held"`
-	KeysFull   int                   `json:"keys_full"`
-	Storm      storm.Report          `json:"storm"`
-	Beliefs    []logic.View          `json:"beliefs"`
-	Peers      *peers.Report         `json:"peers,omitempty"`  // what it makes of other directors; none where it knows of none
-	Follow     *relays.Report        `json:"follow,omitempty"` // who asks the channel for whom
-	Word       *dissemination.Report `json:"word,omitempty"`   // and how old the newest word of the channel is, here and there
+	Name       string             `json:"name"`
+	PID        int                `json:"pid"`
+	Started    time.Time          `json:"started"`
+	Stopping   bool               `json:"stopping"`
+	Settings   string             `json:"settings"` // sum of the operator's script that is in force; of no bytes where there is none
+	Platform   string             `json:"platform"` // of the platform's file
+	Reloads    int                `json:"reloads"`  // that took effect
+	Refused    string             `json:"refused"`  // why the last reload did not; empty where it did
+	Cores      int                `json:"cores"`
+	Told       int64              `json:"told"`     // events of the command channel
+	InForce    int64              `json:"in_force"` // of them on every core
+	Avoided    []string           `json:"avoided"`  // boxes that the operator's file keeps out
+	Clients    int                `json:"clients"`  // connections,
+	MostClient int                `json:"most_clients"`
+	Nodes      int                `json:"node_connections"`
+	Open       int                `json:"open"` // downloads
+	Counts     map[string]int64   `json:"counts"`
+	KeysHeld   int                `json:"keys_held"`
+	KeysFull   int                `json:"keys_full"`
+	Storm      overload.Report    `json:"storm"`
+	Beliefs    []routing.View     `json:"beliefs"`
+	Peers      *membership.Report `json:"peers,omitempty"`  // what it makes of other directors; none where it knows of none
+	Follow     *relays.Report     `json:"follow,omitempty"` // who asks the channel for whom
+	Word       *gossip.Report     `json:"word,omitempty"`   // and how old the newest word of the channel is, here and there
 }
 
 const (
--- a/internal/state/state_test.go
+++ b/internal/status/state_test.go
@@ -1,4 +1,4 @@
-package state
+package status
 
 import (
 	"net"
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"tallyproxy/logic"
+	"tallyproxy/routing"
 )
 
 func TestState(t *testing.T) {
@@ -18,7 +18,7 @@
 	}
 	left.(*net.UnixListener).SetUnlinkOnClose(false)
 	left.Close()
-	s, err := Serve(path, func() Report { return Report{Name: "n0", Beliefs: []logic.View{{ID: "e0", Warm: 0.5}}} })
+	s, err := Serve(path, func() Report { return Report{Name: "n0", Beliefs: []routing.View{{ID: "e0", Warm: 0.5}}} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/back/back.go
+++ b/internal/upstream/back.go
@@ -1,5 +1,5 @@
 // Package back speaks with cache nodes, parents and the origin over connections that requests share.
-package back
+package upstream
 
 import (
 	"errors"
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"tallyproxy/director"
-	"tallyproxy/internal/pool"
+	"tallyproxy/internal/bufpool"
 	"tallyproxy/internal/socket"
+	"tallyproxy/policy"
 )
 
 // Stage is how far a pull had come when it failed.
@@ -65,8 +65,8 @@
 
 // Fleet is what all nodes' connections have in common.
 type Fleet struct {
-	pool    *pool.Pool
-	margins director.Margins
+	pool    *bufpool.Pool
+	margins policy.Margins
 	most    atomic.Int64 // connections that may be held
 	held    atomic.Int64 // or are on their way
 	done    chan struct{}
@@ -78,7 +78,7 @@
 }
 
 // New makes a fleet of at most so many connections.
-func New(p *pool.Pool, m director.Margins, most int) *Fleet {
+func New(p *bufpool.Pool, m policy.Margins, most int) *Fleet {
 	f := &Fleet{
 		pool: p, margins: m, done: make(chan struct{}), peers: map[*Peer]struct{}{}, sound: func() bool { return true },
 	}
@@ -768,4 +768,4 @@
 	}
 }
 
-func span(t director.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func span(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/back/back_test.go
+++ b/internal/upstream/back_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"tallyproxy/director"
-	"tallyproxy/internal/pool"
+	"tallyproxy/internal/bufpool"
+	"tallyproxy/policy"
 )
 
 // bed is a fleet with one node, whose connections the test plays itself.
@@ -30,12 +30,12 @@
 	in *bufio.Reader
 }
 
-func newBed(t *testing.T, m director.Margins, dials int) *bed {
+func newBed(t *testing.T, m policy.Margins, dials int) *bed {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := pool.New(16)
+	p := bufpool.New(16)
 	b := &bed{Fleet: New(p, m, dials), t: t, l: l, conns: make(chan node, 16)}
 	b.Peer = b.Fleet.Peer(l.Addr().String())
 	go func() {
@@ -69,8 +69,8 @@
 	}
 }
 
-var margins = director.Margins{
-	Connect: 10 * director.Second, Stall: 10 * director.Second, Confirm: 10 * director.Second, Idle: 100 * director.Second, Shared: 2, Most: 3,
+var margins = policy.Margins{
+	Connect: 10 * policy.Second, Stall: 10 * policy.Second, Confirm: 10 * policy.Second, Idle: 100 * policy.Second, Shared: 2, Most: 3,
 }
 
 // accept takes the next connection.
@@ -211,9 +211,9 @@
 	})
 	t.Run("taking no bytes", func(t *testing.T) {
 		m := margins
-		m.Connect, m.Shared, m.Most = director.Second/4, 1000, 1000
+		m.Connect, m.Shared, m.Most = policy.Second/4, 1000, 1000
 		b := newBed(t, m, 1)
-		body := pool.New(1).Body(0)
+		body := bufpool.New(1).Body(0)
 		body.Write(make([]byte, 48_000))
 		ends := make(chan result, 1000)
 		for i := range 1000 { // more than the sockets between them hold
@@ -252,7 +252,7 @@
 
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	m := margins
-	m.Connect = director.Second / 4 // silent from then on
+	m.Connect = policy.Second / 4 // silent from then on
 	m.Shared, m.Most = 9, 9
 	b := newBed(t, m, 8)
 	pull, ends := b.send("a1")
@@ -377,7 +377,7 @@
 func TestStalledAnswer(t *testing.T) {
 	for _, text := range []string{"a1 data - 9\r\nxyz", "a1 da"} {
 		m := margins
-		m.Stall = director.Second / 50
+		m.Stall = policy.Second / 50
 		b := newBed(t, m, 8)
 		_, a1 := b.send("a1")
 		n := b.accept()
@@ -419,7 +419,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := margins
 			if name == "idle" {
-				m.Idle = director.Second / 50
+				m.Idle = policy.Second / 50
 			}
 			b := newBed(t, m, 8)
 			_, ends := b.send("a1")
--- a/internal/back/protocol.go
+++ b/internal/upstream/protocol.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"tallyproxy/internal/pool"
+	"tallyproxy/internal/bufpool"
 )
 
 const (
@@ -42,7 +42,7 @@
 type Answer struct {
 	Word Word
 	Note string // how a copy or a fill was had, or why not
-	Body *pool.Body
+	Body *bufpool.Body
 }
 
 // Want is a request to a node.
@@ -59,8 +59,8 @@
 	Join     bool
 	Held     bool
 	Renew    bool
-	Seen     string     // the tag of the client's copy
-	Body     *pool.Body // its sender's; read until the pull is over or given up
+	Seen     string        // the tag of the client's copy
+	Body     *bufpool.Body // its sender's; read until the pull is over or given up
 
 	Source *Peer       // the one that From names
 	Void   func() bool // whether what was decided may no longer be written; nil for never
@@ -113,7 +113,7 @@
 // reader makes answers of what a node sends. It is fed bytes and knows no socket. It asks begun whether the
 // answer to an id is still waited for; a body that is not, or has no room, is passed over.
 type reader struct {
-	pool  *pool.Pool
+	pool  *bufpool.Pool
 	begun func(id string) bool
 	ended func(id string, a Answer, err error) error
 	there func(tag string)
--- a/internal/back/protocol_test.go
+++ b/internal/upstream/protocol_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"bytes"
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"tallyproxy/internal/pool"
+	"tallyproxy/internal/bufpool"
 )
 
 func TestWant(t *testing.T) {
-	body := pool.New(1).Body(0)
+	body := bufpool.New(1).Body(0)
 	body.Write([]byte("\r\n"))
 	cases := []struct {
 		name string
@@ -38,7 +38,7 @@
 }
 
 // hear feeds a reader pieces of a size and writes down what it makes of them.
-func hear(p *pool.Pool, data []byte, piece int) (got []string, err error) {
+func hear(p *bufpool.Pool, data []byte, piece int) (got []string, err error) {
 	r := reader{pool: p, begun: func(id string) bool { return id != "over" }}
 	r.ended = func(id string, a Answer, err error) error {
 		got = append(got, fmt.Sprint(id, " ", a.Word, " ", a.Note, " ", bytes.Join(a.Body.Parts(), nil), " ", err))
@@ -59,7 +59,7 @@
 		"over data - 3\r\nxyz\r\nover well - 0\r\n\r\n7 ill\r\nc failed n=cut_off,waited=3.5 0\r\n\r\nd data - 0\r\n\r\n")
 	want := []string{"a data local [13 10 13 10] <nil>", "b absent rode [] <nil>", "over is there", "7 is there",
 		"c failed cut_off [] <nil>", "d data  [] <nil>"}
-	p := pool.New(4)
+	p := bufpool.New(4)
 	for piece := 1; piece <= len(data); piece++ {
 		if got, err := hear(p, data, piece); err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("pieces of %d: %q, %v", piece, got, err)
@@ -69,12 +69,12 @@
 	if got, err := hear(p, append(big, "\r\nb full - 0\r\n\r\n"...), 4096); err != nil || len(got) != 2 {
 		t.Errorf("the largest: %d answers, %v", len(got), err)
 	}
-	full := pool.New(1) // the answer has no room, what follows it is read all the same
+	full := bufpool.New(1) // the answer has no room, what follows it is read all the same
 	got, err := hear(full, append(big, "\r\nb full - 0\r\n\r\n"...), 4096)
 	if err != nil || len(got) != 2 || !strings.Contains(got[0], errNoRoom.Error()) {
 		t.Errorf("without room: %.60q, %v", got, err)
 	}
-	for _, p := range []*pool.Pool{p, full} {
+	for _, p := range []*bufpool.Pool{p, full} {
 		if out, _ := p.Out(); out != 0 {
 			t.Errorf("%d buffers are still out", out)
 		}
@@ -94,7 +94,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for _, piece := range []int{1, 1 << 20} {
-				if got, err := hear(pool.New(4), []byte("z full - 0\r\n\r\n"+c.in), piece); err == nil || len(got) != 1 {
+				if got, err := hear(bufpool.New(4), []byte("z full - 0\r\n\r\n"+c.in), piece); err == nil || len(got) != 1 {
 					t.Errorf("pieces of %d: %q, %v", piece, got, err)
 				}
 			}
@@ -107,7 +107,7 @@
 	f.Add([]byte("over data - 3\r\nxyz\r\n"), 1)
 	f.Add([]byte("a data - 99999999999999999999\r\n"), 5)
 	f.Fuzz(func(t *testing.T, data []byte, piece int) {
-		p := pool.New(8)
+		p := bufpool.New(8)
 		whole, wholeErr := hear(p, data, len(data)+1)
 		pieces, err := hear(p, data, max(1, piece))
 		if !reflect.DeepEqual(whole, pieces) || (err == nil) != (wholeErr == nil) {
--- a/internal/back/rare_test.go
+++ b/internal/upstream/rare_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"bufio"
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
-	"tallyproxy/director"
-	"tallyproxy/internal/pool"
+	"tallyproxy/internal/bufpool"
+	"tallyproxy/internal/fakes"
 	"tallyproxy/internal/socket"
-	"tallyproxy/internal/standin"
+	"tallyproxy/policy"
 )
 
 // A request that moves to another connection, since its own ended before it was written, goes over none that an earlier pull of
@@ -62,9 +62,9 @@
 	for _, how := range []string{"void", "given up"} {
 		t.Run(how, func(t *testing.T) {
 			m := margins
-			m.Late, m.Shared, m.Most, m.Connect = director.Second/50, 1000, 1000, 3600*director.Second
+			m.Late, m.Shared, m.Most, m.Connect = policy.Second/50, 1000, 1000, 3600*policy.Second
 			b := newBed(t, m, 1)
-			body := pool.New(4).Body(0)
+			body := bufpool.New(4).Body(0)
 			body.Write(make([]byte, 48_000))
 			var void atomic.Bool
 			var all sync.WaitGroup
@@ -139,7 +139,7 @@
 // those that rest make room.
 func TestManyNodesWithinTheLimit(t *testing.T) {
 	const most, nodes = 20, 200
-	p := pool.New(16)
+	p := bufpool.New(16)
 	f := New(p, margins, most)
 	defer f.Close()
 	answers := func(nc net.Conn) {
@@ -265,12 +265,12 @@
 
 // A connection that comes up after its pull was given up brings nothing of it. Its node's queue is full, so that it comes up late.
 func TestConnectionThatComesUpLate(t *testing.T) {
-	l, err := standin.Unheard()
+	l, err := fakes.Unheard()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	f := New(pool.New(4), margins, 8)
+	f := New(bufpool.New(4), margins, 8)
 	defer f.Close()
 	p := f.Peer(l.Addr().String())
 	for i, sure := range []bool{false, true} {
--- a/work/plan.go
+++ b/maintenance/plan.go
@@ -1,7 +1,7 @@
 // Package work decides in which order machines are taken out for work, and what may be out together: what is left must bear what is
 // asked for, by location and hub, while machines are out and while those that came back warm up. It does no I/O, and the clock
 // is given. docs/work.md has the model, and what is not built yet.
-package work
+package maintenance
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"strings"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // Kind is what a machine is.
--- a/work/plan_test.go
+++ b/maintenance/plan_test.go
@@ -1,4 +1,4 @@
-package work
+package maintenance
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 const minute = 60 * d.Second
--- a/peers/hints.go
+++ b/membership/hints.go
@@ -1,10 +1,10 @@
-package peers
+package membership
 
 import (
 	"maps"
 	"slices"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // Hint is what a director tells of a cache node: a reason for the others to ask it one question, and never more.
--- a/peers/peers.go
+++ b/membership/peers.go
@@ -1,7 +1,7 @@
 // Package peers decides what a director makes of the others: who is there, where it stands among them, how much of each limit
 // is its part, and which of their hints is worth a question. The detector and the network are drivers' business; nothing here
 // does I/O, and the clock is given. docs/peers.md has the argument why the parts stay within bounds.
-package peers
+package membership
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"math"
 	"slices"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // State is what this director believes of another.
--- a/peers/peers_test.go
+++ b/membership/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package membership
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 const ms = d.Second / 1000
--- a/storm/guard.go
+++ b/overload/guard.go
@@ -5,12 +5,12 @@
 //
 // How to call it: Asked hears every download once, before it is placed. Place is asked for a time when one is turned away,
 // Served hears when one was fulfilled, Connected when a client connects. Calls must not overlap.
-package storm
+package overload
 
 import (
 	"math"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // Mode says what throttled downloads are told.
--- a/storm/memory.go
+++ b/overload/memory.go
@@ -1,6 +1,6 @@
-package storm
+package overload
 
-import d "tallyproxy/director"
+import d "tallyproxy/policy"
 
 const ways = 4 // places that share a hash
 
--- a/director/director.go
+++ b/policy/director.go
@@ -1,7 +1,7 @@
 // Package director holds what a router and its decision module say to each other: the interface of
 // the module and the plain types that pass through it. Nothing here decides anything, and nothing here
 // belongs to one protocol: an adapter fills these types from its wire and writes its wire from them.
-package director
+package policy
 
 // Micros is a point in time or a span, in whole microseconds.
 type Micros int64
--- a/relays/relays.go
+++ b/relays/relays.go
@@ -12,8 +12,8 @@
 	"maps"
 	"slices"
 
-	d "tallyproxy/director"
-	"tallyproxy/manners"
+	"tallyproxy/backoff"
+	d "tallyproxy/policy"
 )
 
 // Row is a node as the channel lists it.
@@ -170,7 +170,7 @@
 	b.names = names
 	all := append([]string{b.s.Name}, names...)
 	slices.SortFunc(all, func(x, y string) int {
-		return cmp.Or(cmp.Compare(manners.Seed(0, x), manners.Seed(0, y)), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(backoff.Seed(0, x), backoff.Seed(0, y)), cmp.Compare(x, y))
 	})
 	all = slices.Compact(all)
 	b.order, b.mine = all, slices.Index(all, b.s.Name)
@@ -218,8 +218,8 @@
 func (b *Book) candidates() (all []string) {
 	all = slices.DeleteFunc(slices.Clone(b.order[:min(len(b.order), deputies*b.s.Followers+1)]), func(n string) bool { return n == b.s.Name })
 	first := min(len(all), b.s.Followers)
-	me := manners.Seed(0, b.s.Name)
-	slices.SortFunc(all[:first], func(x, y string) int { return cmp.Compare(manners.Seed(me, x), manners.Seed(me, y)) })
+	me := backoff.Seed(0, b.s.Name)
+	slices.SortFunc(all[:first], func(x, y string) int { return cmp.Compare(backoff.Seed(me, x), backoff.Seed(me, y)) })
 	return all
 }
 
--- a/relays/relays_test.go
+++ b/relays/relays_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 const ms = d.Second / 1000
--- a/fleet/agent.go
+++ b/rollout/agent.go
@@ -1,11 +1,11 @@
-package fleet
+package rollout
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // State is what an agent must not forget: it is stored before any reply that rests on it leaves.
--- a/fleet/coordinator.go
+++ b/rollout/coordinator.go
@@ -1,11 +1,11 @@
-package fleet
+package rollout
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // Times are how long a coordinator waits.
--- a/fleet/fleet.go
+++ b/rollout/fleet.go
@@ -6,13 +6,13 @@
 // them has accepted is chosen, and whoever asks a majority finds it. So a tool that dies after it decided has decided, and
 // one that dies before has not, whatever it told to whom. A ballot is the right to change, for as long as its lease; a
 // higher one takes it over and fences its messages off.
-package fleet
+package rollout
 
 import (
 	"cmp"
 	"slices"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // Ballot is a right to change the fleet. The higher takes it over from the lower.
--- a/fleet/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package rollout
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 func sum(script string) string { return "sum of " + script }
--- a/fleet/keeper.go
+++ b/rollout/keeper.go
@@ -1,6 +1,6 @@
-package fleet
+package rollout
 
-import d "tallyproxy/director"
+import d "tallyproxy/policy"
 
 // How a director that ended is started again.
 const (
--- a/fleet/keeper_test.go
+++ b/rollout/keeper_test.go
@@ -1,10 +1,10 @@
-package fleet
+package rollout
 
 import (
 	"slices"
 	"testing"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 func TestKeeper(t *testing.T) {
--- a/fleet/plan.go
+++ b/rollout/plan.go
@@ -1,4 +1,4 @@
-package fleet
+package rollout
 
 import (
 	"slices"
--- a/fleet/settle.go
+++ b/rollout/settle.go
@@ -1,4 +1,4 @@
-package fleet
+package rollout
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // How an agent catches up, as ratios to Times.Resend.
--- a/logic/helpers_test.go
+++ b/routing/helpers_test.go
@@ -1,9 +1,9 @@
-package logic
+package routing
 
 import (
 	"fmt"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 const ms d.Micros = 1000
--- a/logic/logic.go
+++ b/routing/logic.go
@@ -1,5 +1,5 @@
 // Package logic decides where downloads go in a two-tier cache: every decision, table and tuned value of
-// tallyproxy is in this file. Its interface is director.Director, in director/director.go.
+// tallyproxy is in this file. Its interface is director.Director, in policy/director.go.
 //
 // How to call it: New makes one instance from the settings. Tell it the list of nodes (Listed) and the
 // purges (Purged) as they come. Ask Where for each download, do what the answer says, and report each
@@ -9,7 +9,7 @@
 // The ordinary path: one hash of object and node picks the home edge cache among the location's ready
 // caches, another the home parent among all ready parents; a miss is filled through that parent and kept
 // at the middle rank. The exceptions to it are named where they stand, and in docs/design.md.
-package logic
+package routing
 
 import (
 	"cmp"
@@ -17,9 +17,9 @@
 	"math"
 	"slices"
 
-	d "tallyproxy/director"
-	"tallyproxy/keys"
-	"tallyproxy/storm"
+	"tallyproxy/dedup"
+	"tallyproxy/overload"
+	d "tallyproxy/policy"
 )
 
 const (
@@ -137,7 +137,7 @@
 	tries, recalled int      // pulls that were more than a question for what is held; that were never written
 	asked           int      // edges that lack it
 	stage           int      // while fills are jammed: askEdge, fillHeld, fillAll
-	ask             storm.Ask
+	ask             overload.Ask
 }
 
 // Logic is one instance.
@@ -159,15 +159,15 @@
 	grow    float64               // what these two gain by a fill that took no time
 	gated   d.Micros              // when a fill was last late, or held back by the gate; 0 while it is open
 	trouble float64               // share of pulls turned away or late
-	storm   *storm.Guard
-	keys    *keys.Table
+	storm   *overload.Guard
+	keys    *dedup.Table
 	held    func(now d.Micros, all bool) float64
 }
 
 type Options struct { // the operator's, for the modules that this one asks
-	Storm storm.Settings
-	Keys  keys.Settings
-	Told  func(now d.Micros, r storm.Report) // hears how storms go, where given
+	Storm overload.Settings
+	Keys  dedup.Settings
+	Told  func(now d.Micros, r overload.Report) // hears how storms go, where given
 	// Held is the part of what its zone's directors share, or all do, that it may use now, over the settings'.
 	Held func(now d.Micros, all bool) float64
 }
@@ -181,7 +181,7 @@
 func New(s d.Settings, o Options) *Logic {
 	l := &Logic{
 		s: s, works: map[*d.ContentType]*mean{}, nodes: map[string]*node{},
-		purges: map[purgeKey]d.Micros{}, missing: 0.5, keys: keys.New(keys.Settings{}),
+		purges: map[purgeKey]d.Micros{}, missing: 0.5, keys: dedup.New(dedup.Settings{}),
 	}
 	l.Use(o)
 	l.edges.warm, l.parents.warm = s.Edge, s.Parent
@@ -201,7 +201,7 @@
 
 // Use takes the operator's options anew. A storm under way is noticed anew; marks of keys stay.
 func (l *Logic) Use(o Options) {
-	l.storm = storm.New(o.Storm, l.s.MaxComeBack, l.s.Seed, l, o.Told)
+	l.storm = overload.New(o.Storm, l.s.MaxComeBack, l.s.Seed, l, o.Told)
 	l.keys.Use(o.Keys)
 	if l.held = o.Held; o.Held == nil {
 		l.held = func(d.Micros, bool) float64 { return 1 }
@@ -288,7 +288,7 @@
 		if row := l.works[dl.Type]; dl.SizeKB > 0 && l.s.PaceKB > 0 {
 			row.learn(l.work(dl))
 		}
-		nt.ask = storm.Ask{
+		nt.ask = overload.Ask{
 			Who: dl.Client, Object: nt.hash, Work: l.work(dl), Cost: 1 / l.room(dl), Again: dl.Again,
 		}
 		stranger := dl.Again && dl.Key != "" && l.keys.Stranger(dl.Type.Expiry, dl.Type.Window)
@@ -759,7 +759,7 @@
 func (l *Logic) Connected(now d.Micros) { l.storm.Connected(now) }
 
 // Storm tells how storms go.
-func (l *Logic) Storm(now d.Micros) storm.Report { return l.storm.Report(now) }
+func (l *Logic) Storm(now d.Micros) overload.Report { return l.storm.Report(now) }
 
 // Able is this director's part of what the location's ready caches can do, in transfers at full pace.
 func (l *Logic) Able(at d.Micros) (able float64) {
--- a/logic/logic_test.go
+++ b/routing/logic_test.go
@@ -1,10 +1,10 @@
-package logic
+package routing
 
 import (
 	"fmt"
 	"testing"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 func TestOrdinaryPath(t *testing.T) {
--- a/logic/rare_test.go
+++ b/routing/rare_test.go
@@ -1,11 +1,11 @@
-package logic
+package routing
 
 import (
 	"fmt"
 	"math"
 	"testing"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // Rule 4 under the sum: directors that know nothing of one another, all alike and all asked at once for more than fits, keep what
--- a/logic/storm_test.go
+++ b/routing/storm_test.go
@@ -1,12 +1,12 @@
-package logic
+package routing
 
 import (
 	"fmt"
 	"testing"
 
-	d "tallyproxy/director"
-	"tallyproxy/keys"
-	"tallyproxy/storm"
+	"tallyproxy/dedup"
+	"tallyproxy/overload"
+	d "tallyproxy/policy"
 )
 
 // A deduped download over its client's tries: what the next try gets, by how the first ended and when the next comes.
@@ -34,7 +34,7 @@
 			s := settings()
 			s.Types[0].Repeat, s.Types[0].Scope = d.Deduped, c.scope
 			b := newBed(s, 2, 1)
-			b.Use(Options{Keys: keys.Settings{Most: 10, Remember: 20}})
+			b.Use(Options{Keys: dedup.Settings{Most: 10, Remember: 20}})
 			first := b.download("o")
 			first.Key = "k"
 			if ans := b.Where(b.now, first); ans.Verb != d.Pull {
@@ -63,7 +63,7 @@
 		s := settings()
 		s.Types[0].Repeat = d.Deduped
 		b := newBed(s, 1, 1)
-		b.Use(Options{Keys: keys.Settings{Most: 10, Remember: 20}})
+		b.Use(Options{Keys: dedup.Settings{Most: 10, Remember: 20}})
 		first := b.download("o")
 		first.Key = "k"
 		b.Where(b.now, first)
@@ -87,7 +87,7 @@
 		s := settings()
 		s.Types[0].Repeat = d.Deduped
 		b := newBed(s, 2, 1)
-		b.Use(Options{Keys: keys.Settings{Most: 1, Remember: 20}})
+		b.Use(Options{Keys: dedup.Settings{Most: 1, Remember: 20}})
 		for i, want := range []d.Verb{d.Pull, d.Throttle} {
 			dl := b.download("o")
 			dl.Key, dl.Again = fmt.Sprint(i), true
@@ -101,7 +101,7 @@
 			s := settings()
 			s.Types[0].Repeat = d.Deduped // its expiry is longer than its window
 			b := newBed(s, 2, 1)
-			b.Use(Options{Keys: keys.Settings{Most: 10, Remember: 20, Abandon: abandon}})
+			b.Use(Options{Keys: dedup.Settings{Most: 10, Remember: 20, Abandon: abandon}})
 			dl := b.download("o")
 			dl.Key, dl.Again = "k", true
 			if ans := b.Where(b.now, dl); (ans.Verb == d.Abandon) != abandon {
@@ -117,8 +117,8 @@
 	b := newBed(settings(), 2, 1)
 	rows := []d.Node{{ID: "e0", Zone: 1, Started: b.now}, {ID: "e1", Zone: 1, Started: b.now}}
 	b.list(rows...)
-	o := storm.Defaults()
-	o.Mode = storm.Guards
+	o := overload.Defaults()
+	o.Mode = overload.Guards
 	b.Use(Options{Storm: o})
 	ask := func(i int, again bool) (*d.Download, d.Answer) {
 		dl := b.download(fmt.Sprint("o", i))
@@ -147,7 +147,7 @@
 			}
 		}
 	}
-	if b.storm.State() == storm.Calm || len(told) < 50 {
+	if b.storm.State() == overload.Calm || len(told) < 50 {
 		t.Fatalf("state %v, %d throttled", b.storm.State(), len(told))
 	}
 	times := map[d.Micros]bool{}
--- a/logic/view.go
+++ b/routing/view.go
@@ -1,10 +1,10 @@
-package logic
+package routing
 
 import (
 	"maps"
 	"slices"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // View is what the module believes of one node, for those who look after the director.
--- a/pulse/pulse.go
+++ b/stall/pulse.go
@@ -3,14 +3,14 @@
 // downloads are decided. Here a pause shows as a jump of the director's own time between one beat and the next, at the moment
 // of use; from then on nothing is sound until the channel was asked again. A channel that is away is no pause: it changes
 // nothing here. It does no I/O and is given its clock.
-package pulse
+package stall
 
 import (
 	"math"
 	"sync"
 	"sync/atomic"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 // Reading is the clock at one moment: the monotonic one, which stands still while a machine sleeps, and the system's, which
--- a/pulse/pulse_test.go
+++ b/stall/pulse_test.go
@@ -1,11 +1,11 @@
-package pulse
+package stall
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	d "tallyproxy/director"
+	d "tallyproxy/policy"
 )
 
 const ms = d.Second / 1000
--- a/wheel/wheel.go
+++ b/timerwheel/wheel.go
@@ -1,7 +1,7 @@
 // Package wheel is a hierarchical timer wheel: things are put in with a time and taken out once it has come. It does no
 // I/O and takes the clock as a value. Putting in, moving and taking out cost the same whatever it holds, where a heap's
 // cost grows with it.
-package wheel
+package timerwheel
 
 import (
 	"math/bits"
--- a/wheel/wheel_test.go
+++ b/timerwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
