--- a/dedup/keys.go
+++ b/dedup/keys.go
@@ -78,7 +78,7 @@
 	}
 	m.pulls++
 	m.last = now
-	t.wheel.Put(&m.item, int64(now)+int64(float64(window)*max(1, t.s.Remember)))
+	t.wheel.Schedule(&m.item, int64(now)+int64(float64(window)*max(1, t.s.Remember)))
 }
 
 // NotRun takes a pull back that went out at a time and is known not to have run. While others may have, the mark stays as
@@ -89,7 +89,7 @@
 		return
 	}
 	if m.pulls--; m.pulls <= 0 {
-		t.wheel.Remove(&m.item)
+		t.wheel.Cancel(&m.item)
 		delete(t.marks, key)
 	}
 }
--- a/internal/dispatch/rare_test.go
+++ b/internal/dispatch/rare_test.go
@@ -46,7 +46,7 @@
 		script: b.script, stands: make(chan string, 2000), let: make(chan policy.Answer), after: make(chan policy.Outcome, 64),
 		then: func() policy.Answer { return policy.Answer{Verb: policy.Throttle} },
 	}
-	b.Do(func() { b.Router.module = m })
+	b.WithPolicy(func() { b.Router.module = m })
 	return b, m
 }
 
@@ -65,7 +65,7 @@
 // handedBack waits until something waits for the shard, which stands still and has taken all else: a request, or a pull's end.
 func (b *bed) handedBack() {
 	b.t.Helper()
-	for until := time.Now().Add(10 * time.Second); len(b.Shards()[0].calls.Wake()) == 0; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); len(b.Shards()[0].calls.Ready()) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			b.t.Fatal("nothing waits for the shard")
 		}
@@ -210,7 +210,7 @@
 	b.ask("1", "")
 	get(t, m.stands)
 	for range waiting {
-		b.Shards()[0].calls.Push(func() {})
+		b.Shards()[0].calls.PutUnbounded(func() {})
 	}
 	b.ask("2", "")
 	b.answered("2 503  ")
@@ -234,7 +234,7 @@
 	get(t, m.stands)
 	m.let <- pulls
 	b.nodeHears("want " + id("t", "1"))
-	b.Router.Close(time.Now())
+	b.Router.DrainBy(time.Now())
 	if out := get(t, m.after); out.Ending != policy.TimedOut {
 		t.Errorf("ended as %d", out.Ending)
 	}
@@ -299,7 +299,7 @@
 // doubt is a director that does not trust what it knows until it is told to.
 type doubt struct{ clear chan struct{} }
 
-func (d doubt) Sound() bool {
+func (d doubt) Trusted() bool {
 	select {
 	case <-d.clear:
 		return true
@@ -307,8 +307,8 @@
 		return false
 	}
 }
-func (d doubt) Clear() <-chan struct{}     { return d.clear }
-func (doubt) Late(time.Time) time.Duration { return 0 }
+func (d doubt) Clear() <-chan struct{}        { return d.clear }
+func (doubt) StaleBy(time.Time) time.Duration { return 0 }
 
 // A client leaves, or takes back, while the shard rests in doubt: nothing of it is asked about afterwards.
 func TestLeavingBehindADoubt(t *testing.T) {
@@ -317,7 +317,7 @@
 			b, m := newBarred(t)
 			c := b.another()
 			own, set := doubt{make(chan struct{})}, make(chan struct{})
-			b.Shards()[0].calls.Push(func() { b.Watch(own); close(set) }) // by the shard itself, which reads it
+			b.Shards()[0].calls.PutUnbounded(func() { b.SetStallMonitor(own); close(set) }) // by the shard itself, which reads it
 			<-set
 			askOver(c, "1")
 			if closes {
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -30,13 +30,13 @@
 	start   time.Time
 	offset  policy.Micros // the system's clock at the start
 	shards  []*Shard
-	ids     *shard.Ids    // of downloads, until their pulls have ended too
+	ids     *shard.Owners // of downloads, until their pulls have ended too
 	epochs  *shard.Epochs // of lists and purges
 	purges  atomic.Int64  // epoch of the last purge
 	open    atomic.Int64  // downloads without a final answer
 	mu      sync.Mutex    // one shard at a time asks the module; a download's decisions take less than a microsecond
 	module  policy.Director
-	own     Own
+	own     StallMonitor
 	peers   map[string]*peer          // by node; emptied by the list
 	listed  map[string]discovery.Node // as the list has it; emptied by it
 	avoided map[string]bool           // taken for draining, whatever the list says; the operator's
@@ -58,21 +58,21 @@
 	}
 }
 
-// Own says whether this director may act on what it knows; where not, Clear is closed once it may.
-type Own interface {
-	Sound() bool
+// StallMonitor says whether this director may act on what it knows; where not, Clear is closed once it may.
+type StallMonitor interface {
+	Trusted() bool
 	Clear() <-chan struct{}
-	Late(read time.Time) time.Duration // how long before it was read something may have come
+	StaleBy(read time.Time) time.Duration // how long before it was read something may have come
 }
 
-// Watch has all shards rest while what they know is in doubt; before Run.
-func (r *Router) Watch(own Own) { r.own = own }
+// SetStallMonitor has all shards rest while what they know is in doubt; before Run.
+func (r *Router) SetStallMonitor(own StallMonitor) { r.own = own }
 
 // rest waits while what this director knows is in doubt, which is bounded; false at the end. It stands before every message and
 // all timers: after a pause what waits here is older than what the command channel has to tell, and nothing may be sent or
 // served on it.
 func (s *Shard) rest() bool {
-	for s.own != nil && !s.own.Sound() {
+	for s.own != nil && !s.own.Trusted() {
 		select {
 		case <-s.own.Clear():
 		case <-s.done:
@@ -117,7 +117,7 @@
 // New makes a router of so many shards; Run lets it work.
 func New(module policy.Director, m policy.Margins, fleet *upstream.Fleet, shards int) *Router {
 	r := &Router{
-		module: module, margins: m, fleet: fleet, start: time.Now(), peers: map[string]*peer{}, ids: shard.NewIds(),
+		module: module, margins: m, fleet: fleet, start: time.Now(), peers: map[string]*peer{}, ids: shard.NewOwners(),
 		epochs: shard.NewEpochs(shards), listed: map[string]discovery.Node{},
 	}
 	r.offset = policy.Micros(r.start.UnixMicro())
@@ -161,14 +161,14 @@
 	planned := time.Time{} // for when the timer is set
 	for {
 		select {
-		case <-s.calls.Wake():
+		case <-s.calls.Ready():
 		case <-timer.C:
 			planned = time.Time{}
 		case <-s.done:
 			return
 		}
-		epoch := s.epochs.Told()
-		for _, call := range s.calls.Take() {
+		epoch := s.epochs.Latest()
+		for _, call := range s.calls.TakeAll() {
 			if !s.rest() {
 				return
 			}
@@ -179,11 +179,11 @@
 		}
 		now := time.Now()
 		s.timers.Advance(int64(s.at(now)), func(i *timerwheel.Item[*download]) { s.due(i.Value) })
-		s.epochs.Take(s.number, epoch) // what was decided before has been handed on
+		s.epochs.Acknowledge(s.number, epoch) // what was decided before has been handed on
 		if s.timers.Len() == 0 {
 			continue
 		}
-		if next := now.Add(s.timers.Wait(int64(s.at(now)))); planned.IsZero() || next.Before(planned) {
+		if next := now.Add(s.timers.UntilNext(int64(s.at(now)))); planned.IsZero() || next.Before(planned) {
 			planned = next
 			timer.Reset(time.Until(next))
 		}
@@ -198,8 +198,8 @@
 	}
 }
 
-// Open says how many downloads have no final answer yet, or wait to be taken up.
-func (r *Router) Open() int {
+// OpenRequests says how many downloads have no final answer yet, or wait to be taken up.
+func (r *Router) OpenRequests() int {
 	for _, s := range r.shards {
 		passed := make(chan struct{})
 		if s.calls.Put(func() { close(passed) }) {
@@ -212,11 +212,11 @@
 	return int(r.open.Load())
 }
 
-// Close has what is in hand, and what still comes, end by a time.
-func (r *Router) Close(by time.Time) {
+// DrainBy has what is in hand, and what still comes, end by a time.
+func (r *Router) DrainBy(by time.Time) {
 	end := r.at(by)
 	for _, s := range r.shards {
-		s.calls.Push(func() {
+		s.calls.PutUnbounded(func() {
 			s.end = end
 			for _, of := range s.downloads {
 				for _, dl := range of {
@@ -231,28 +231,28 @@
 	}
 }
 
-// Do makes a call while the module is at rest.
-func (r *Router) Do(call func()) {
+// WithPolicy makes a call while the module is at rest.
+func (r *Router) WithPolicy(call func()) {
 	defer caught(nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	call()
 }
 
-// Told is the number of the last event that came, and that of the last one that is in force on every shard.
-func (r *Router) Told() (told, inForce int64) { return r.epochs.Told(), r.epochs.InForce() }
+// Epochs is the number of the last event that came, and that of the last one that is in force on every shard.
+func (r *Router) Epochs() (told, inForce int64) { return r.epochs.Latest(), r.epochs.Applied() }
 
 // Apply takes events of the command channel. When it returns, the module heeds them; each shard shows with its next turn that
 // nothing decided before is left in its hands.
 func (r *Router) Apply(events []discovery.Event) {
 	for _, e := range events {
-		r.Do(func() { r.apply(e) })
+		r.WithPolicy(func() { r.apply(e) })
 	}
 	r.nudge()
 }
 
 func (r *Router) apply(e discovery.Event) {
-	defer r.epochs.Tell()
+	defer r.epochs.Publish()
 	if !e.Listed {
 		if e.At > 0 {
 			r.void(e.Object, e.Group, e.At)
@@ -303,21 +303,21 @@
 	r.module.Purged(r.now(), object, group, at)
 }
 
-// Void has all copies be void that are older than a time; 0: none any more but those that events void.
-func (r *Router) Void(at policy.Micros) {
-	r.Do(func() { r.void("", policy.All, at) })
+// PurgeOlderThan has all copies be void that are older than a time; 0: none any more but those that events void.
+func (r *Router) PurgeOlderThan(at policy.Micros) {
+	r.WithPolicy(func() { r.void("", policy.All, at) })
 	r.nudge()
 }
 
-// Addr is where a node of the list listens; empty where there is none.
-func (r *Router) Addr(id string) (addr string) {
-	r.Do(func() { addr = r.listed[id].Addr })
+// Address is where a node of the list listens; empty where there is none.
+func (r *Router) Address(id string) (addr string) {
+	r.WithPolicy(func() { addr = r.listed[id].Addr })
 	return addr
 }
 
-// Avoid has some nodes taken for draining, whatever the list says, and no others. It is heeded as an event of the list is.
-func (r *Router) Avoid(ids []string) {
-	r.Do(func() {
+// SetDraining has some nodes taken for draining, whatever the list says, and no others. It is heeded as an event of the list is.
+func (r *Router) SetDraining(ids []string) {
+	r.WithPolicy(func() {
 		before := r.avoided
 		r.avoided = map[string]bool{}
 		for _, id := range ids {
@@ -339,7 +339,7 @@
 // nudge has each shard take a turn, with which it shows that it has taken what came.
 func (r *Router) nudge() {
 	for _, s := range r.shards {
-		s.calls.Push(func() {})
+		s.calls.PutUnbounded(func() {})
 	}
 }
 
@@ -382,7 +382,7 @@
 
 // Ask takes a download from a client. It never waits: the connection's reader must go on, to see that its client leaves.
 func (s *Shard) Ask(c *downstream.Conn, tag uint64, a downstream.Ask) {
-	taken := s.calls.Try(func() {
+	taken := s.calls.TryPut(func() {
 		if !c.Waits(tag) {
 			a.Body.Free()
 			return
@@ -399,7 +399,7 @@
 		dl.Client, dl.Key, dl.Doubted = a.Client, a.Key, a.Doubted
 		came := a.Came
 		if s.own != nil { // its client waits since it was sent, not since it was read
-			came = came.Add(-s.own.Late(came))
+			came = came.Add(-s.own.StaleBy(came))
 		}
 		dl.Arrived = s.at(came)
 		dl.Leaves = dl.Arrived + policy.Micros(a.Limit/time.Microsecond) - s.margins.Answer
@@ -442,12 +442,12 @@
 
 // Opened says that a client has connected.
 func (s *Shard) Opened(*downstream.Conn) {
-	s.Do(func() { s.module.Connected(s.now()) })
+	s.WithPolicy(func() { s.module.Connected(s.now()) })
 }
 
 // NeverMind says that a client no longer waits for a download.
 func (s *Shard) NeverMind(c *downstream.Conn, tag uint64) {
-	s.calls.Push(func() {
+	s.calls.PutUnbounded(func() {
 		if dl := s.downloads[c][tag]; dl != nil {
 			s.finish(dl)
 		}
@@ -456,7 +456,7 @@
 
 // Closed says that a client is gone with all it asked for.
 func (s *Shard) Closed(c *downstream.Conn) {
-	s.calls.Push(func() {
+	s.calls.PutUnbounded(func() {
 		for _, dl := range s.downloads[c] {
 			s.finish(dl)
 		}
@@ -550,11 +550,11 @@
 	dl.pulls = append(dl.pulls, p)
 	if a.to == nil { // the list has just lost it
 		p.Pull = &upstream.Pull{}
-		s.calls.Push(func() { s.ended(dl, number, policy.Recalled, upstream.Answer{}) })
+		s.calls.PutUnbounded(func() { s.ended(dl, number, policy.Recalled, upstream.Answer{}) })
 		return
 	}
 	p.Pull = a.to.of[s.number].Send(w, func(answer upstream.Answer, err error) {
-		s.calls.Push(func() { s.ended(dl, number, ending(answer, err), answer) })
+		s.calls.PutUnbounded(func() { s.ended(dl, number, ending(answer, err), answer) })
 	}, before...)
 }
 
@@ -613,11 +613,11 @@
 	}
 	switch {
 	case dl.Over || next == 0:
-		s.timers.Remove(&dl.timer)
+		s.timers.Cancel(&dl.timer)
 		dl.due = 0
 	case dl.due == 0 || next < dl.due:
 		dl.due = next
-		s.timers.Put(&dl.timer, int64(next))
+		s.timers.Schedule(&dl.timer, int64(next))
 	}
 }
 
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -221,7 +221,7 @@
 		b.client.Close()
 		b.node.Close()
 		l.Close()
-		for until := time.Now().Add(10 * time.Second); b.Open() > 0 || server.Conns() > 0; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(10 * time.Second); b.OpenRequests() > 0 || server.Conns() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Fatal("downloads or connections are left")
 			}
--- a/internal/dispatch/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -162,7 +162,7 @@
 		t.Fatal("a box or a parent has no share")
 	}
 	busy, goOn := make(chan struct{}), make(chan struct{})
-	c.Shards()[1].calls.Push(func() { close(busy); <-goOn })
+	c.Shards()[1].calls.PutUnbounded(func() { close(busy); <-goOn })
 	<-busy
 	for range 10 {
 		c.ask(1) // they wait for the busy core
@@ -178,7 +178,7 @@
 			t.Fatalf("answered %s", word)
 		}
 	}
-	if told, inForce := c.Told(); inForce >= told {
+	if told, inForce := c.Epochs(); inForce >= told {
 		t.Errorf("event %d is in force at %d while a core has not taken it", told, inForce)
 	}
 	close(goOn)
@@ -194,7 +194,7 @@
 		t.Errorf("%d more named the source after its drain", n-fills)
 	}
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if told, inForce := c.Told(); inForce == told {
+		if told, inForce := c.Epochs(); inForce == told {
 			break
 		}
 		if time.Now().After(until) {
@@ -220,7 +220,7 @@
 			c.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
 				c.node("e0", 1, 0, c.boxes[0], []policy.State{policy.Draining, policy.Ready}[n%2]),
 			}}})
-			for told, inForce := c.Told(); inForce < told; told, inForce = c.Told() { // the next as soon as all cores have taken it
+			for told, inForce := c.Epochs(); inForce < told; told, inForce = c.Epochs() { // the next as soon as all cores have taken it
 				runtime.Gosched()
 			}
 		}
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -214,13 +214,13 @@
 		at := policy.Micros(0)
 		if on {
 			at = r.Now()
-			r.Do(func() {
+			r.WithPolicy(func() {
 				for _, v := range g.d.modules[i].Nodes(at) {
 					g.d.modules[i].Questioned(at, v.ID, false, false)
 				}
 			})
 		}
-		r.Void(at)
+		r.PurgeOlderThan(at)
 	}
 }
 
@@ -348,7 +348,7 @@
 	for _, h := range beliefs[:min(len(beliefs), mostBeliefs)] {
 		_, full := h.Doubts()
 		for i, r := range g.d.routers {
-			go r.Do(func() { g.d.modules[i].Questioned(r.Now(), h.Node, full, full) }) // this is a call from within the talk
+			go r.WithPolicy(func() { g.d.modules[i].Questioned(r.Now(), h.Node, full, full) }) // this is a call from within the talk
 		}
 	}
 	if len(beliefs) > 0 {
@@ -385,7 +385,7 @@
 		g.hear()
 		var views []routing.View
 		var now policy.Micros
-		g.d.routers[0].Do(func() {
+		g.d.routers[0].WithPolicy(func() {
 			now = g.d.routers[0].Now()
 			views = g.d.modules[0].Nodes(now)
 		})
@@ -415,7 +415,7 @@
 		case <-g.done:
 			return
 		case h := <-g.asked:
-			addr := g.d.routers[0].Addr(h.Node)
+			addr := g.d.routers[0].Address(h.Node)
 			if addr == "" {
 				continue
 			}
@@ -423,7 +423,7 @@
 			anew, full := h.Doubts()
 			slog.Info("hint", "node", h.Node, "what", h.What, "well", err == nil)
 			for i, r := range g.d.routers {
-				r.Do(func() { g.d.modules[i].Questioned(r.Now(), h.Node, err == nil && !anew, err == nil && full) })
+				r.WithPolicy(func() { g.d.modules[i].Questioned(r.Now(), h.Node, err == nil && !anew, err == nil && full) })
 			}
 		}
 	}
--- a/internal/server/heart.go
+++ b/internal/server/heart.go
@@ -38,8 +38,8 @@
 	return stall.Reading{Mono: policy.Micros(t.Sub(h.start) / time.Microsecond), Wall: policy.Micros(t.UnixMicro())}
 }
 
-// Late is how long before it was read something may have come.
-func (h *heart) Late(read time.Time) time.Duration { return span(h.Watch.Late(h.at(read))) }
+// StaleBy is how long before it was read something may have come.
+func (h *heart) StaleBy(read time.Time) time.Duration { return span(h.Watch.Late(h.at(read))) }
 
 // heard is a heart that has what others say reckoned with too, by the calls that the channel answers.
 type heard struct {
@@ -54,8 +54,8 @@
 	}
 }
 
-// Sound says whether what is known may be acted on now.
-func (h *heart) Sound() bool { return h.Watch.Sound(h.Read()) }
+// Trusted says whether what is known may be acted on now.
+func (h *heart) Trusted() bool { return h.Watch.Sound(h.Read()) }
 
 // run beats until the end.
 func (h *heart) run(ctx context.Context) {
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -169,7 +169,7 @@
 	channel.Seed(backoff.Seed(c.Site.Seed, c.Name))
 	g := &gossipDriver{}
 	own := newHeart(c.Site.Settings, margins, channel.Hurry, g.settled)
-	fleet.Heed(own.Sound)
+	fleet.Heed(own.Trusted)
 	channel.Watch(heard{own, g})
 	d := newDecider(ownSettings(c), options(o, c.Limits, g), margins, fleet, shards, f.Divided)
 	d.watch(own)
@@ -298,9 +298,9 @@
 	return d
 }
 
-func (d *decider) watch(own dispatch.Own) {
+func (d *decider) watch(own dispatch.StallMonitor) {
 	for _, r := range d.routers {
-		r.Watch(own)
+		r.SetStallMonitor(own)
 	}
 }
 
@@ -318,25 +318,25 @@
 
 func (d *decider) use(o routing.Options) {
 	for i, r := range d.routers {
-		r.Do(func() { d.modules[i].Use(o) })
+		r.WithPolicy(func() { d.modules[i].Use(o) })
 	}
 }
 
 func (d *decider) avoid(boxes []string) {
 	for _, r := range d.routers {
-		r.Avoid(boxes)
+		r.SetDraining(boxes)
 	}
 }
 
 func (d *decider) close(by time.Time) {
 	for _, r := range d.routers {
-		r.Close(by)
+		r.DrainBy(by)
 	}
 }
 
 func (d *decider) open() (n int) {
 	for _, r := range d.routers {
-		n += r.Open()
+		n += r.OpenRequests()
 	}
 	return n
 }
@@ -391,8 +391,8 @@
 		for name, n := range router.Counts() {
 			r.Counts[name] += n
 		}
-		r.Told, r.InForce = router.Told()
-		router.Do(func() {
+		r.Told, r.InForce = router.Epochs()
+		router.WithPolicy(func() {
 			now := router.Now()
 			held, full := d.modules[i].Keys()
 			r.KeysHeld, r.KeysFull = r.KeysHeld+held, r.KeysFull+full
--- a/shard/epochs.go
+++ b/shard/epochs.go
@@ -21,22 +21,22 @@
 // NewEpochs makes one for so many shards, with no event told.
 func NewEpochs(shards int) *Epochs { return &Epochs{taken: make([]slot, shards)} }
 
-// Tell counts one more event and gives its number.
-func (e *Epochs) Tell() int64 { return e.told.Add(1) }
+// Publish counts one more event and gives its number.
+func (e *Epochs) Publish() int64 { return e.told.Add(1) }
 
-// Told is the number of the last event that was told.
-func (e *Epochs) Told() int64 { return e.told.Load() }
+// Latest is the number of the last event that was told.
+func (e *Epochs) Latest() int64 { return e.told.Load() }
 
-// Take shows that a shard has nothing in hand that was decided before an event. It never goes back, nor past what was told.
-func (e *Epochs) Take(shard int, event int64) {
+// Acknowledge shows that a shard has nothing in hand that was decided before an event. It never goes back, nor past what was told.
+func (e *Epochs) Acknowledge(shard int, event int64) {
 	s := &e.taken[shard].epoch
 	event = min(event, e.told.Load())
 	for old := s.Load(); event > old && !s.CompareAndSwap(old, event); old = s.Load() {
 	}
 }
 
-// InForce is the number of the last event that every shard has taken.
-func (e *Epochs) InForce() int64 {
+// Applied is the number of the last event that every shard has taken.
+func (e *Epochs) Applied() int64 {
 	least := e.told.Load()
 	for i := range e.taken {
 		least = min(least, e.taken[i].epoch.Load())
--- a/shard/ids.go
+++ b/shard/ids.go
@@ -6,8 +6,8 @@
 
 const stripes = 64
 
-// Ids says which shard owns an open id: one at most, however many ask at once. Emptied as downloads end.
-type Ids struct {
+// Owners says which shard owns an open id: one at most, however many ask at once. Emptied as downloads end.
+type Owners struct {
 	stripe [stripes]struct {
 		sync.Mutex
 		owner map[string]int
@@ -15,9 +15,9 @@
 	}
 }
 
-// NewIds makes an empty table.
-func NewIds() *Ids {
-	t := &Ids{}
+// NewOwners makes an empty table.
+func NewOwners() *Owners {
+	t := &Owners{}
 	for i := range t.stripe {
 		t.stripe[i].owner = map[string]int{}
 	}
@@ -33,7 +33,7 @@
 }
 
 // Claim gives an id to a shard; false where one has it, also the same.
-func (t *Ids) Claim(id string, shard int) bool {
+func (t *Owners) Claim(id string, shard int) bool {
 	s := &t.stripe[stripeOf(id)]
 	s.Lock()
 	defer s.Unlock()
@@ -45,7 +45,7 @@
 }
 
 // Release gives an id free; only its owner can.
-func (t *Ids) Release(id string, shard int) {
+func (t *Owners) Release(id string, shard int) {
 	s := &t.stripe[stripeOf(id)]
 	s.Lock()
 	defer s.Unlock()
@@ -55,7 +55,7 @@
 }
 
 // Len is how many ids are open.
-func (t *Ids) Len() (n int) {
+func (t *Owners) Len() (n int) {
 	for i := range t.stripe {
 		s := &t.stripe[i]
 		s.Lock()
--- a/shard/queue.go
+++ b/shard/queue.go
@@ -30,8 +30,8 @@
 	return q.put(x)
 }
 
-// Try puts a thing in where there is room for it; false where there is none.
-func (q *Queue[T]) Try(x T) bool {
+// TryPut puts a thing in where there is room for it; false where there is none.
+func (q *Queue[T]) TryPut(x T) bool {
 	q.mu.Lock()
 	if len(q.items) >= q.most {
 		q.mu.Unlock()
@@ -40,8 +40,8 @@
 	return q.put(x)
 }
 
-// Push puts a thing in that can't wait: the end of what was handed out, of which there are never more than that.
-func (q *Queue[T]) Push(x T) bool {
+// PutUnbounded puts a thing in that can't wait: the end of what was handed out, of which there are never more than that.
+func (q *Queue[T]) PutUnbounded(x T) bool {
 	q.mu.Lock()
 	return q.put(x)
 }
@@ -63,11 +63,11 @@
 	return true
 }
 
-// Wake is signalled when something is there, or the queue was closed.
-func (q *Queue[T]) Wake() <-chan struct{} { return q.wake }
+// Ready is signalled when something is there, or the queue was closed.
+func (q *Queue[T]) Ready() <-chan struct{} { return q.wake }
 
-// Take takes all that is there. The batch is the taker's until it takes the next.
-func (q *Queue[T]) Take() []T {
+// TakeAll takes all that is there. The batch is the taker's until it takes the next.
+func (q *Queue[T]) TakeAll() []T {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	batch := q.items
--- a/shard/shard_test.go
+++ b/shard/shard_test.go
@@ -12,7 +12,7 @@
 // Ids against a plain map: one owner at a time, and only it gives the id free.
 func TestIds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ids, plain := NewIds(), map[string]int{}
+		ids, plain := NewOwners(), map[string]int{}
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			id := rapid.SampledFrom([]string{"", "a", "b", "4e44c11f7db91dac", "5c503ac3b63c0307"}).Draw(t, "id")
 			who := rapid.IntRange(0, 2).Draw(t, "shard")
@@ -39,7 +39,7 @@
 
 // All at once ask for the same ids: each has one owner.
 func TestIdsAtOnce(t *testing.T) {
-	ids := NewIds()
+	ids := NewOwners()
 	var all sync.WaitGroup
 	won := make([]int, 8)
 	for who := range won {
@@ -76,35 +76,35 @@
 			s := &shards[i]
 			switch what := rapid.IntRange(0, 3).Draw(t, "what"); {
 			case what == 0:
-				e.Tell()
+				e.Publish()
 			case what == 1 && !s.on:
-				s.on, s.seen = true, e.Told()
+				s.on, s.seen = true, e.Latest()
 			case what == 2 && s.on: // decided now, in hand until the turn ends
-				s.held = append(s.held, e.Told())
+				s.held = append(s.held, e.Latest())
 			case what == 3 && s.on:
 				s.held, s.on = nil, false
-				e.Take(i, s.seen)
+				e.Acknowledge(i, s.seen)
 			}
 			for j, s := range shards {
 				for _, decided := range s.held {
-					if e.InForce() > decided {
-						t.Fatalf("%d is in force while shard %d holds what was decided at %d", e.InForce(), j, decided)
+					if e.Applied() > decided {
+						t.Fatalf("%d is in force while shard %d holds what was decided at %d", e.Applied(), j, decided)
 					}
 				}
 			}
-			if e.InForce() > e.Told() {
+			if e.Applied() > e.Latest() {
 				t.Fatal("in force before it was told")
 			}
 		}
-		told := e.Told()
+		told := e.Latest()
 		for i := range shards {
-			if b := e.Behind(told); e.InForce() < told && len(b) == 0 {
+			if b := e.Behind(told); e.Applied() < told && len(b) == 0 {
 				t.Fatal("not in force, and nobody is behind")
 			}
-			e.Take(i, told)
+			e.Acknowledge(i, told)
 		}
-		if e.InForce() != told || len(e.Behind(told)) > 0 {
-			t.Fatalf("%d in force of %d after all took it", e.InForce(), told)
+		if e.Applied() != told || len(e.Behind(told)) > 0 {
+			t.Fatalf("%d in force of %d after all took it", e.Applied(), told)
 		}
 	})
 }
@@ -119,15 +119,15 @@
 					if who%2 == 0 {
 						q.Put([2]int{who, i})
 					} else {
-						q.Push([2]int{who, i})
+						q.PutUnbounded([2]int{who, i})
 					}
 				}
 			})
 		}
 		next, got := [4]int{}, 0
 		for got < 2000 {
-			<-q.Wake()
-			for _, x := range q.Take() {
+			<-q.Ready()
+			for _, x := range q.TakeAll() {
 				if x[1] != next[x[0]] {
 					t.Fatalf("of %d came %d, want %d", x[0], x[1], next[x[0]])
 				}
@@ -136,7 +136,7 @@
 			}
 		}
 		all.Wait()
-		if len(q.Take()) > 0 {
+		if len(q.TakeAll()) > 0 {
 			t.Error("something is left")
 		}
 	})
@@ -146,7 +146,7 @@
 		q.Put(2)
 		waits := make(chan bool)
 		go func() { waits <- q.Put(3) }()
-		if !q.Push(4) {
+		if !q.PutUnbounded(4) {
 			t.Error("a push was refused")
 		}
 		select {
@@ -154,17 +154,17 @@
 			t.Error("it did not wait for room")
 		case <-time.After(20 * time.Millisecond):
 		}
-		if got := q.Take(); !slices.Equal(got, []int{1, 2, 4}) {
+		if got := q.TakeAll(); !slices.Equal(got, []int{1, 2, 4}) {
 			t.Errorf("took %v", got)
 		}
 		if !<-waits {
 			t.Error("refused though there was room")
 		}
-		q.Push(5)
-		q.Push(6)
+		q.PutUnbounded(5)
+		q.PutUnbounded(6)
 		go func() { waits <- q.Put(7) }()
 		q.Close()
-		if <-waits || q.Push(8) {
+		if <-waits || q.PutUnbounded(8) {
 			t.Error("taken after the end")
 		}
 	})
@@ -176,7 +176,7 @@
 			done := make(chan struct{})
 			q, c := NewQueue[int](1024), make(chan int, 1024)
 			put := func(x int) { q.Put(x) }
-			take := func() int { <-q.Wake(); return len(q.Take()) }
+			take := func() int { <-q.Ready(); return len(q.TakeAll()) }
 			if how == "channel" {
 				put = func(x int) { c <- x }
 				take = func() int { <-c; return 1 }
--- a/timerwheel/wheel.go
+++ b/timerwheel/wheel.go
@@ -22,8 +22,8 @@
 	list       *list[T]
 }
 
-// In says whether it is in a wheel.
-func (i *Item[T]) In() bool { return i.list != nil }
+// Scheduled says whether it is in a wheel.
+func (i *Item[T]) Scheduled() bool { return i.list != nil }
 
 type list[T any] struct {
 	head, tail *Item[T]
@@ -56,10 +56,10 @@
 // Len is how many items it holds.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Put puts an item in, or moves it, due at a time in microseconds. It comes out no sooner, and no more than a tick later.
+// Schedule puts an item in, or moves it, due at a time in microseconds. It comes out no sooner, and no more than a tick later.
 // One beyond the wheel's reach (64^6 ticks) is looked at again at its end.
-func (w *Wheel[T]) Put(i *Item[T], due int64) {
-	w.Remove(i)
+func (w *Wheel[T]) Schedule(i *Item[T], due int64) {
+	w.Cancel(i)
 	i.due = max((due+w.tick-1)/w.tick, w.now+1)
 	w.place(i)
 	w.count++
@@ -85,8 +85,8 @@
 	w.full[level] |= 1 << l.at
 }
 
-// Remove takes an item out before its time; one that is in no wheel stays so.
-func (w *Wheel[T]) Remove(i *Item[T]) {
+// Cancel takes an item out before its time; one that is in no wheel stays so.
+func (w *Wheel[T]) Cancel(i *Item[T]) {
 	if i.list == nil {
 		return
 	}
@@ -132,9 +132,9 @@
 	}
 }
 
-// Wait is how long it may be until something comes out, from a time in microseconds on: never later than that, sometimes
+// UntilNext is how long it may be until something comes out, from a time in microseconds on: never later than that, sometimes
 // sooner, when things only move down. It is the wheel's reach where nothing is held.
-func (w *Wheel[T]) Wait(now int64) time.Duration {
+func (w *Wheel[T]) UntilNext(now int64) time.Duration {
 	const far = 1 << 40
 	next := w.next(w.now + far)
 	return time.Duration(max(0, next*w.tick-now)) * time.Microsecond
--- a/timerwheel/wheel_test.go
+++ b/timerwheel/wheel_test.go
@@ -25,10 +25,10 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				at := now + rapid.Int64Range(-span, span).Draw(t, "due")
-				w.Put(items[i], at)
+				w.Schedule(items[i], at)
 				due[i] = max((at+tick-1)/tick, now/tick+1)
 			case 2:
-				w.Remove(items[i])
+				w.Cancel(items[i])
 				delete(due, i)
 			default:
 				now += rapid.Int64Range(0, span).Draw(t, "step")
@@ -40,7 +40,7 @@
 				}
 				last := int64(0)
 				w.Advance(now, func(i *Item[int]) {
-					if due[i.Value] < last || i.In() {
+					if due[i.Value] < last || i.Scheduled() {
 						t.Fatalf("item %d, due at %d, came after one due at %d", i.Value, due[i.Value], last)
 					}
 					last = due[i.Value]
@@ -65,10 +65,10 @@
 func TestPutWhileComingOut(t *testing.T) {
 	w := New[int](10, 0)
 	a, times := &Item[int]{}, 0
-	w.Put(a, 5)
+	w.Schedule(a, 5)
 	w.Advance(1000, func(i *Item[int]) {
 		if times++; times < 5 {
-			w.Put(i, 0)
+			w.Schedule(i, 0)
 		}
 	})
 	if times != 5 || w.Len() != 0 {
@@ -96,7 +96,7 @@
 			w, r := New[int](1000, 0), rand.New(rand.NewPCG(1, 2))
 			items := make([]Item[int], held)
 			for n := range b.N {
-				w.Put(&items[n%held], int64(n)+r.Int64N(6_000_000))
+				w.Schedule(&items[n%held], int64(n)+r.Int64N(6_000_000))
 				w.Advance(int64(n), func(*Item[int]) {})
 			}
 		})
