--- a/shard/epochs.go
+++ b/shard/epochs.go
@@ -5,49 +5,50 @@
 	"sync/atomic"
 )
 
-// Epochs counts the events that all shards must heed. An event is told once the module has taken it; it is in force once each
-// shard has shown that nothing decided before it is still unsent in its hands. What is written later than that was decided
-// with it.
+// Epochs numbers the events that all shards must heed, such as endpoint updates and purges. An event is published once the policy
+// has taken it. It is applied once each shard has acknowledged that nothing decided before it is still unsent in its hands:
+// whatever is written later was decided with the event. Its methods may be called from any goroutine.
 type Epochs struct {
-	told  atomic.Int64
-	taken []slot
+	published    atomic.Int64
+	acknowledged []acknowledgement // by shard
 }
 
-type slot struct {
+type acknowledgement struct {
 	epoch atomic.Int64
-	_     [56]byte // on a line of its own
+	_     [56]byte // each on a cache line of its own
 }
 
-// NewEpochs makes one for so many shards, with no event told.
-func NewEpochs(shards int) *Epochs { return &Epochs{taken: make([]slot, shards)} }
+// NewEpochs returns the epochs of a number of shards, with no event published.
+func NewEpochs(shards int) *Epochs { return &Epochs{acknowledged: make([]acknowledgement, shards)} }
 
-// Publish counts one more event and gives its number.
-func (e *Epochs) Publish() int64 { return e.told.Add(1) }
+// Publish counts one more event and returns its number; the first is 1.
+func (e *Epochs) Publish() int64 { return e.published.Add(1) }
 
-// Latest is the number of the last event that was told.
-func (e *Epochs) Latest() int64 { return e.told.Load() }
+// Latest returns the number of the last published event, 0 before the first.
+func (e *Epochs) Latest() int64 { return e.published.Load() }
 
-// Acknowledge shows that a shard has nothing in hand that was decided before an event. It never goes back, nor past what was told.
+// Acknowledge records that a shard holds nothing that was decided before an event. The record never goes back, nor beyond what
+// has been published.
 func (e *Epochs) Acknowledge(shard int, event int64) {
-	s := &e.taken[shard].epoch
-	event = min(event, e.told.Load())
-	for old := s.Load(); event > old && !s.CompareAndSwap(old, event); old = s.Load() {
+	epoch := &e.acknowledged[shard].epoch
+	event = min(event, e.published.Load())
+	for old := epoch.Load(); event > old && !epoch.CompareAndSwap(old, event); old = epoch.Load() {
 	}
 }
 
-// Applied is the number of the last event that every shard has taken.
+// Applied returns the number of the last event that every shard has acknowledged.
 func (e *Epochs) Applied() int64 {
-	least := e.told.Load()
-	for i := range e.taken {
-		least = min(least, e.taken[i].epoch.Load())
+	least := e.published.Load()
+	for i := range e.acknowledged {
+		least = min(least, e.acknowledged[i].epoch.Load())
 	}
 	return least
 }
 
-// Behind are the shards that have not taken an event.
+// Behind returns the shards that have not acknowledged an event.
 func (e *Epochs) Behind(event int64) (shards []int) {
-	for i := range e.taken {
-		if e.taken[i].epoch.Load() < event {
+	for i := range e.acknowledged {
+		if e.acknowledged[i].epoch.Load() < event {
 			shards = append(shards, i)
 		}
 	}
--- a/timerwheel/wheel_test.go
+++ b/timerwheel/wheel_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// The wheel against a plain map: what comes out, when and in which order, over puts, moves, removals and steps of all sizes.
-func TestAgainstPlain(t *testing.T) {
+// TestMatchesMap compares the wheel with a plain map: which items are handed over, when and in which order, over schedules, moves,
+// cancellations and steps of all sizes.
+func TestMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tick := rapid.SampledFrom([]int64{1, 7, 1000}).Draw(t, "tick")
 		now := rapid.Int64Range(0, 1<<40).Draw(t, "start")
@@ -41,7 +42,7 @@
 				last := int64(0)
 				w.Advance(now, func(i *Item[int]) {
 					if due[i.Value] < last || i.Scheduled() {
-						t.Fatalf("item %d, due at %d, came after one due at %d", i.Value, due[i.Value], last)
+						t.Fatalf("item %d, due at %d, was handed over after one due at %d", i.Value, due[i.Value], last)
 					}
 					last = due[i.Value]
 					got = append(got, i.Value)
@@ -49,46 +50,49 @@
 				slices.Sort(want)
 				slices.Sort(got)
 				if !slices.Equal(want, got) {
-					t.Fatalf("at %d came %v, want %v", now/tick, got, want)
+					t.Fatalf("at tick %d %v were handed over, want %v", now/tick, got, want)
 				}
 				for _, i := range got {
 					delete(due, i)
 				}
 			}
 			if w.Len() != len(due) {
-				t.Fatalf("holds %d, want %d", w.Len(), len(due))
+				t.Fatalf("%d items are scheduled, want %d", w.Len(), len(due))
 			}
 		}
 	})
 }
 
-func TestPutWhileComingOut(t *testing.T) {
+// TestScheduleDuringAdvance schedules an item again from within the call that hands it over.
+func TestScheduleDuringAdvance(t *testing.T) {
 	w := New[int](10, 0)
-	a, times := &Item[int]{}, 0
-	w.Schedule(a, 5)
+	item, times := &Item[int]{}, 0
+	w.Schedule(item, 5)
 	w.Advance(1000, func(i *Item[int]) {
 		if times++; times < 5 {
 			w.Schedule(i, 0)
 		}
 	})
 	if times != 5 || w.Len() != 0 {
-		t.Errorf("came out %d times, %d left", times, w.Len())
+		t.Errorf("handed over %d times, %d left", times, w.Len())
 	}
 }
 
-type plain []*plainItem
-type plainItem struct {
+// timerHeap is the same by container/heap, for the benchmark.
+type timerHeap []*heapItem
+
+type heapItem struct {
 	due   int64
 	index int
 }
 
-func (p plain) Len() int           { return len(p) }
-func (p plain) Less(i, j int) bool { return p[i].due < p[j].due }
-func (p plain) Swap(i, j int)      { p[i], p[j] = p[j], p[i]; p[i].index, p[j].index = i, j }
-func (p *plain) Push(x any)        { x.(*plainItem).index = len(*p); *p = append(*p, x.(*plainItem)) }
-func (p *plain) Pop() any          { x := (*p)[len(*p)-1]; *p = (*p)[:len(*p)-1]; return x }
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].due < h[j].due }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].index, h[j].index = i, j }
+func (h *timerHeap) Push(x any)        { x.(*heapItem).index = len(*h); *h = append(*h, x.(*heapItem)) }
+func (h *timerHeap) Pop() any          { x := (*h)[len(*h)-1]; *h = (*h)[:len(*h)-1]; return x }
 
-// Timers that are moved often and seldom come to their end, as those of downloads: the wheel beside the standard heap.
+// BenchmarkTimers compares the wheel with the standard heap on timers that are moved often and seldom expire, as those of requests.
 func BenchmarkTimers(b *testing.B) {
 	for _, held := range []int{1000, 100_000} {
 		name := map[int]string{1000: "held=1k", 100_000: "held=100k"}[held]
@@ -101,9 +105,9 @@
 			}
 		})
 		b.Run(name+"/heap", func(b *testing.B) {
-			var h plain
+			var h timerHeap
 			r := rand.New(rand.NewPCG(1, 2))
-			items := make([]plainItem, held)
+			items := make([]heapItem, held)
 			for n := range b.N {
 				i := &items[n%held]
 				i.due = int64(n) + r.Int64N(6_000_000)
@@ -113,7 +117,7 @@
 					heap.Fix(&h, i.index)
 				}
 				for h[0].due <= int64(n) {
-					heap.Pop(&h).(*plainItem).index = -1
+					heap.Pop(&h).(*heapItem).index = -1
 				}
 			}
 		})
