--- a/backoff/manners.go
+++ b/backoff/manners.go
@@ -40,13 +40,13 @@
 // Derive gives the times that follow from the platform's settings. A purge or a drain is heeded within its grace of being told, so
 // news may be asked after within two thirds of the shorter one, and the first call within nine tenths. After a break what the service has to tell counts as
 // told a third of the time for which old copies lie about later (PurgeKept; 2 s of 6 s); a pause is no longer than that.
-func Derive(s d.Settings, m d.Margins) Times {
-	grace := cmp.Or(s.PurgeWithin, s.ConnectTimeout)
-	if s.DrainWithin > 0 {
-		grace = min(grace, s.DrainWithin)
+func Derive(s d.Settings, m d.Timeouts) Times {
+	grace := cmp.Or(s.PurgePropagation, s.ConnectTimeout)
+	if s.DrainPropagation > 0 {
+		grace = min(grace, s.DrainPropagation)
 	}
-	most := cmp.Or(s.PurgeKept/3, 8*m.Retry)
-	return Times{Poll: m.Block, First: 9 * grace / 10, Spread: 2 * grace / 3, Most: most, Base: 3 * most / 4, Least: most / 5}
+	most := cmp.Or(s.PurgeRetention/3, 8*m.PollRetry)
+	return Times{Poll: m.LongPoll, First: 9 * grace / 10, Spread: 2 * grace / 3, Most: most, Base: 3 * most / 4, Least: most / 5}
 }
 
 // Few gives the times for where a few of a fleet call for all: they wait for news less long, so that how old their word is shows that
--- a/backoff/manners_test.go
+++ b/backoff/manners_test.go
@@ -12,7 +12,7 @@
 
 const ms = d.Second / 1000
 
-var times = Derive(d.Settings{PurgeWithin: 500 * ms, PurgeKept: 6 * d.Second, ConnectTimeout: 400 * ms}, d.Margins{Block: 1200 * ms})
+var times = Derive(d.Settings{PurgePropagation: 500 * ms, PurgeRetention: 6 * d.Second, ConnectTimeout: 400 * ms}, d.Timeouts{LongPoll: 1200 * ms})
 
 // fleet is the pauses that so many directors take, each after the same ends, and what is said of the last one.
 func fleet(n int, late, back d.Micros, ends ...Ending) (pauses []d.Micros) {
@@ -101,7 +101,7 @@
 		{0, 2000 * ms, 360 * ms, 266_666},
 		{0, 200 * ms, 180 * ms, 133_333},
 	} {
-		got := Derive(d.Settings{PurgeWithin: c.purge, DrainWithin: c.drain, PurgeKept: 6 * d.Second, ConnectTimeout: 400 * ms}, d.Margins{Block: 1200 * ms})
+		got := Derive(d.Settings{PurgePropagation: c.purge, DrainPropagation: c.drain, PurgeRetention: 6 * d.Second, ConnectTimeout: 400 * ms}, d.Timeouts{LongPoll: 1200 * ms})
 		if got.First != c.first || got.Spread != c.spread {
 			t.Errorf("purges within %d, drains within %d: first %d, spread %d", c.purge, c.drain, got.First, got.Spread)
 		}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	start := func(s policy.Settings) policy.Director { return routing.New(s, routing.Options{}) }
+	start := func(s policy.Settings) policy.Policy { return routing.New(s, routing.Options{}) }
 	if err := simadapter.Serve(os.Stdin, os.Stdout, start); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
--- a/cmd/tallyctl/watch.go
+++ b/cmd/tallyctl/watch.go
@@ -102,10 +102,10 @@
 			}
 			word := n.State
 			switch {
-			case n.State == "ready" && n.Skipped > 0:
+			case n.State == "ready" && n.EjectedFor > 0:
 				word = "skipped"
-			case n.State == "ready" && n.Warm < 1:
-				word = fmt.Sprintf("warming %.0f%%", 100*n.Warm)
+			case n.State == "ready" && n.SlowStartShare < 1:
+				word = fmt.Sprintf("warming %.0f%%", 100*n.SlowStartShare)
 			}
 			r := row{d.Depot, n.ID}
 			seen[r] = append(seen[r], d.Name+" "+word)
--- a/gossip/dissemination.go
+++ b/gossip/dissemination.go
@@ -33,7 +33,7 @@
 type Row struct {
 	Node    string
 	Started d.Micros
-	State   d.State
+	State   d.EndpointState
 }
 
 // Settings are times as ratios to the platform's settings, and bounds.
@@ -47,8 +47,8 @@
 
 // Derive gives the settings that follow from the platform's.
 func Derive(s d.Settings) Settings {
-	kept := cmp.Or(s.PurgeKept, 16*s.ConnectTimeout)
-	return Settings{Kept: kept, Doubt: cmp.Or(s.PurgeWithin, s.ConnectTimeout) / 2, Again: kept / 4, Items: 1024, Memory: 8192}
+	kept := cmp.Or(s.PurgeRetention, 16*s.ConnectTimeout)
+	return Settings{Kept: kept, Doubt: cmp.Or(s.PurgePropagation, s.ConnectTimeout) / 2, Again: kept / 4, Items: 1024, Memory: 8192}
 }
 
 // Book is one director's. Calls must not overlap.
@@ -102,13 +102,13 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(b.listed)) {
 			if r := b.listed[name]; !named[name] {
-				rows = append(rows, Row{name, r.Started, d.Gone})
+				rows = append(rows, Row{name, r.Started, d.Removed})
 			}
 		}
 		clear(b.listed)
 	}
 	for _, r := range rows {
-		if r.State == d.Gone {
+		if r.State == d.Removed {
 			delete(b.listed, r.Node)
 		} else if len(b.listed) < b.s.Memory || b.listed[r.Node].Node != "" {
 			b.listed[r.Node] = listed{r, now}
@@ -121,7 +121,7 @@
 			}
 			continue
 		}
-		if i := (Item{Node: r.Node, Started: r.Started, Gone: r.State == d.Gone}); b.own(now, i) {
+		if i := (Item{Node: r.Node, Started: r.Started, Gone: r.State == d.Removed}); b.own(now, i) {
 			tell = append(tell, i)
 		}
 	}
--- a/gossip/dissemination_test.go
+++ b/gossip/dissemination_test.go
@@ -13,7 +13,7 @@
 const ms = d.Second / 1000
 
 func settings() Settings {
-	return Derive(d.Settings{ConnectTimeout: 400 * ms, PurgeKept: 6 * d.Second, PurgeWithin: 500 * ms})
+	return Derive(d.Settings{ConnectTimeout: 400 * ms, PurgeRetention: 6 * d.Second, PurgePropagation: 500 * ms})
 }
 
 func list(n int) (rows []Row) {
@@ -153,7 +153,7 @@
 		now := 100 * d.Second
 		b := New(now, s)
 		b.Listed(now, list(6), true)
-		own := map[string]d.State{}
+		own := map[string]d.EndpointState{}
 		for _, r := range list(6) {
 			own[r.Node] = r.State
 		}
@@ -162,7 +162,7 @@
 			n := rapid.IntRange(0, 5).Draw(t, "node")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				state := rapid.SampledFrom([]d.State{d.Ready, d.Draining}).Draw(t, "state")
+				state := rapid.SampledFrom([]d.EndpointState{d.Ready, d.Draining}).Draw(t, "state")
 				b.Listed(now, []Row{{fmt.Sprint("box-", n), 7, state}}, false)
 				own[fmt.Sprint("box-", n)] = state
 			case 1, 2:
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -198,7 +198,7 @@
 		}
 	}
 	s := membership.Derive(a.me.Name, uint64(time.Now().UnixMicro()), d.Settings{
-		ConnectTimeout: meetTime, Instances: len(a.inv.Agents), Directors: len(a.inv.Agents),
+		ConnectTimeout: meetTime, ZoneDirectors: len(a.inv.Agents), TotalDirectors: len(a.inv.Agents),
 	})
 	talk, err := gossipnet.Start(o, s, a.now, gossipnet.Ears{})
 	if err == nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -130,7 +130,7 @@
 		if name == "" {
 			return fmt.Errorf("settings: lanes[%d].name: missing", i)
 		}
-		if s.Settings.Types[i].Expiry <= 0 {
+		if s.Settings.ContentTypes[i].Timeout <= 0 {
 			return fmt.Errorf("settings: lanes[%d].hard-limit: not above 0", i)
 		}
 	}
@@ -143,11 +143,11 @@
 		return fmt.Errorf("settings: specifics.origin-kind: %d is not in machine-types", s.OriginKind)
 	case s.ConnectTimeout <= 0:
 		return errors.New("settings: limits.connect-timeout: not above 0")
-	case s.KeepAlive <= 0:
+	case s.KeepAliveTimeout <= 0:
 		return errors.New("settings: limits.keepalive: not above 0")
-	case s.MostPulls <= 0:
+	case s.MaxAttempts <= 0:
 		return errors.New("settings: limits.try-limit: not above 0")
-	case s.PurgeKept <= 0:
+	case s.PurgeRetention <= 0:
 		return errors.New("settings: specifics.gone-everywhere: not above 0")
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,9 +31,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clip := c.Site.Settings.Types[0]
-	if c.Name != "n3" || c.Site.Seed != 0x8c1f30d27a5be964 || c.Site.ConnectTimeout != 400_000 || c.Site.Streams != 100 ||
-		clip.Repeat != policy.Deduped || clip.Scope != policy.ScopeCell || clip.Fresh != 500_000 ||
+	clip := c.Site.Settings.ContentTypes[0]
+	if c.Name != "n3" || c.Site.Seed != 0x8c1f30d27a5be964 || c.Site.ConnectTimeout != 400_000 || c.Site.MaxConcurrentStreams != 100 ||
+		clip.RetrySafety != policy.IdempotentWithKey || clip.DedupScope != policy.DedupScopeCell || clip.TTL != 500_000 ||
 		c.Site.Types[0] != "clip" || c.Limits.Clients() != 256 || c.Limits.Dials() != 153 {
 		t.Errorf("read as %+v", c)
 	}
@@ -157,8 +157,8 @@
 				t.Errorf("got %v, want %s", err, c.want)
 			case c.want == "" && err != nil:
 				t.Errorf("refused: %v", err)
-			case c.want == "" && got.Site.Sized != c.sized:
-				t.Errorf("sized %v, want %v", got.Site.Sized, c.sized)
+			case c.want == "" && got.Site.WeightsAreSizes != c.sized:
+				t.Errorf("sized %v, want %v", got.Site.WeightsAreSizes, c.sized)
 			}
 		})
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -80,12 +80,12 @@
 	notesShape   = map[string]string{"": "old", "all": "old", "hit": "old", "silent": "new"}
 )
 
-var repeats = map[string]policy.Repeat{
-	"free": policy.Retriable, "guarded": policy.Deduped, "single_shot": policy.NonRetriable,
+var repeats = map[string]policy.RetrySafety{
+	"free": policy.Idempotent, "guarded": policy.IdempotentWithKey, "single_shot": policy.NotIdempotent,
 }
 
-var scopes = map[string]policy.Scope{
-	"": policy.ScopeAll, "all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
+var scopes = map[string]policy.DedupScope{
+	"": policy.DedupScopeAll, "all": policy.DedupScopeAll, "zone": policy.DedupScopeZone, "cell": policy.DedupScopeCell,
 }
 
 // ParseSite reads the settings' JSON, the same for the bench's wire and for sockets.
@@ -103,25 +103,25 @@
 	if sp.OriginKind != nil {
 		s.OriginKind = *sp.OriginKind
 	}
-	s.Direct, s.JoinFills, s.SourcesTold = sp.Straight, sp.SharesFills, sp.NoteLevel == "all"
-	s.Weights, s.NoteLevel, s.Sized = p.Weights, sp.NoteLevel, weightsShape[p.Weights] == "new"
+	s.AllowDirect, s.CoalesceFills, s.ReportsCacheStatus = sp.Straight, sp.SharesFills, sp.NoteLevel == "all"
+	s.Weights, s.NoteLevel, s.WeightsAreSizes = p.Weights, sp.NoteLevel, weightsShape[p.Weights] == "new"
 	s.Peers = p.Limits.Peers
-	s.CanCancel, s.TwoAtOnce = p.Limits.Cancel, p.Limits.SecondCopies
-	s.Instances, s.LinkKB = at(sp.CountByZone, p.Zone), at(sp.Links, p.Zone)
+	s.CanCancel, s.ConcurrentAttempts = p.Limits.Cancel, p.Limits.SecondCopies
+	s.ZoneDirectors, s.FillLinkKBPerSecond = at(sp.CountByZone, p.Zone), at(sp.Links, p.Zone)
 	for _, n := range sp.CountByZone {
-		s.Directors += n
+		s.TotalDirectors += n
 	}
-	s.MostPulls, s.PaceKB = p.Limits.TryLimit, sp.Pace
-	s.Edge = policy.Warming{From: c.ColdFrom, Time: span(c.Cold), Multiple: c.Multiple, Window: span(c.Window)}
-	s.Parent = policy.Warming{
-		From: sp.ColdFrom, Time: span(sp.WarmsIn), Multiple: sp.FallMultiple, Window: span(c.Window),
+	s.MaxAttempts, s.TransferKBPerSecond = p.Limits.TryLimit, sp.Pace
+	s.EdgeSlowStart = policy.SlowStart{InitialShare: c.ColdFrom, Duration: span(c.Cold), OverloadFactor: c.Multiple, OverloadWindow: span(c.Window)}
+	s.ParentSlowStart = policy.SlowStart{
+		InitialShare: sp.ColdFrom, Duration: span(sp.WarmsIn), OverloadFactor: sp.FallMultiple, OverloadWindow: span(c.Window),
 	}
 	s.AnswerGrace, s.ConnectTimeout = span(c.Grace), span(p.Limits.Connect)
-	s.KeepAlive, s.Streams = span(p.Limits.KeepAlive), p.Limits.Streams
+	s.KeepAliveTimeout, s.MaxConcurrentStreams = span(p.Limits.KeepAlive), p.Limits.Streams
 	s.Zones, s.Kinds = p.Zones, p.Kinds
-	s.PurgeKept, s.PurgeWithin, s.DrainWithin = span(sp.GoneEverywhere), span(sp.PurgeGrace), span(c.Drain)
+	s.PurgeRetention, s.PurgePropagation, s.DrainPropagation = span(sp.GoneEverywhere), span(sp.PurgeGrace), span(c.Drain)
 	if p.Limits.RetryAfter {
-		s.MaxComeBack = span(p.Limits.MaxRetryAfter)
+		s.MaxRetryAfter = span(p.Limits.MaxRetryAfter)
 	}
 	for i, lane := range p.Lanes {
 		repeat, ok := repeats[lane.Repeat]
@@ -133,12 +133,12 @@
 			return s, fmt.Errorf("lanes[%d].dedup-scope: %q is not known", i, lane.DedupScope)
 		}
 		s.Types = append(s.Types, lane.Name)
-		s.Settings.Types = append(s.Settings.Types, &policy.ContentType{
-			TargetTime: span(lane.Aim), Stretch: lane.Stretch, Expiry: span(lane.HardLimit),
-			Repeat: repeat, Scope: scope, Window: span(lane.DedupWindow),
-			Benefit: lane.Value, LateBenefit: lane.LateWorth,
-			Fresh:       span(at(sp.MaxAge, i)),
-			PassThrough: at(sp.GoesThrough, i), Whole: i < len(sp.InPieces) && !sp.InPieces[i],
+		s.Settings.ContentTypes = append(s.Settings.ContentTypes, &policy.ContentType{
+			LatencyObjective: span(lane.Aim), TransferFactor: lane.Stretch, Timeout: span(lane.HardLimit),
+			RetrySafety: repeat, DedupScope: scope, DedupWindow: span(lane.DedupWindow),
+			PriorityWeight: lane.Value, LateWeight: lane.LateWorth,
+			TTL:         span(at(sp.MaxAge, i)),
+			Uncacheable: at(sp.GoesThrough, i), Unsplit: i < len(sp.InPieces) && !sp.InPieces[i],
 		})
 	}
 	return s, nil
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -26,7 +26,7 @@
 
 // Node is an entry of the list, with its address.
 type Node struct {
-	policy.Node
+	policy.Endpoint
 	Addr string
 }
 
@@ -66,8 +66,8 @@
 	} `json:"cmds"`
 }
 
-var states = map[string]policy.State{
-	"up": policy.Ready, "draining": policy.Draining, "removed": policy.Gone,
+var states = map[string]policy.EndpointState{
+	"up": policy.Ready, "draining": policy.Draining, "removed": policy.Removed,
 }
 
 // Feed holds where it stands in the channel.
@@ -190,7 +190,7 @@
 				if !ok || row.Name == "" || strings.ContainsAny(row.Name, " ,=\r\n") {
 					return nil, fmt.Errorf("cmds[%d].nodes: status %q of name %q can't be used", i, row.Status, row.Name)
 				}
-				if state != policy.Gone && (n.Zone < 0 || n.Kind < 0) {
+				if state != policy.Removed && (n.Zone < 0 || n.Kind < 0) {
 					return nil, fmt.Errorf("cmds[%d].nodes: zone %q or type %q is not in the settings", i, row.Zone, row.Type)
 				}
 				n.State = state
@@ -235,9 +235,9 @@
 
 // Follow asks the channel for what comes next until the context ends, each time at the address that Move named last.
 // Each answer's events are handed on together and in order. When it asks is for manners to say, but in doubt, when it is at once.
-func (f *Feed) Follow(ctx context.Context, m policy.Margins, apply func([]Event)) {
+func (f *Feed) Follow(ctx context.Context, m policy.Timeouts, apply func([]Event)) {
 	client := &http.Client{
-		Timeout:   span(m.Block) + 2*span(m.Connect),
+		Timeout:   span(m.LongPoll) + 2*span(m.Connect),
 		Transport: &http.Transport{MaxConnsPerHost: 2, DisableCompression: true, DialContext: dialIPv4(span(m.Connect))},
 	}
 	defer client.CloseIdleConnections()
@@ -255,7 +255,7 @@
 			}
 			select { // it is woken; it looks now and then all the same
 			case <-f.wake:
-			case <-time.After(span(m.Gap)):
+			case <-time.After(span(m.StallThreshold)):
 			case <-ctx.Done():
 			}
 			continue
@@ -312,7 +312,7 @@
 		f.mu.Unlock()
 		late := time.Since(begun) - wait
 		if pause, poll = caller.Next(end, policy.Micros(late/time.Microsecond), policy.Micros(back/time.Microsecond)); wait == 0 {
-			pause = m.Retry * policy.Micros(bit(err != nil)) // in doubt
+			pause = m.PollRetry * policy.Micros(bit(err != nil)) // in doubt
 		}
 		f.rest(call, pause)
 		leave()
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -36,13 +36,13 @@
 		t.Fatalf("%+v, %v", events, err)
 	}
 	want := Event{Cursor: 1, Listed: true, Complete: true, Group: -1, Nodes: []Node{
-		{policy.Node{ID: "s1", Zone: 1, Cell: 2, Weight: 4}, "10.1.0.9:1"},
-		{policy.Node{ID: "p1", Kind: 1, State: policy.Draining, Weight: 1, Started: 1764576000123000}, "10.1.0.9:2"},
+		{policy.Endpoint{ID: "s1", Zone: 1, Cell: 2, Weight: 4}, "10.1.0.9:1"},
+		{policy.Endpoint{ID: "p1", Kind: 1, State: policy.Draining, Weight: 1, Started: 1764576000123000}, "10.1.0.9:2"},
 	}}
 	if !reflect.DeepEqual(events[0], want) {
 		t.Errorf("got %+v, want %+v", events[0], want)
 	}
-	if e := events[1]; e.Complete || e.Nodes[0].State != policy.Gone {
+	if e := events[1]; e.Complete || e.Nodes[0].State != policy.Removed {
 		t.Errorf("a change read as %+v", e)
 	}
 	if e := events[2]; e.Listed || e.Object != "7f3a9c21e0b4d655" || e.Group != -1 || e.At != 1764576000123000 {
@@ -103,7 +103,7 @@
 	events, ended := make(chan Event, 9), make(chan struct{})
 	f := New(site)
 	f.Move(strings.TrimPrefix(server.URL, "http://"))
-	m := policy.Margins{Block: 1200_000, Connect: policy.Second, Retry: 1000}
+	m := policy.Timeouts{LongPoll: 1200_000, Connect: policy.Second, PollRetry: 1000}
 	go func() {
 		f.Follow(ctx, m, func(batch []Event) {
 			for _, e := range batch {
@@ -152,7 +152,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	events := make(chan []Event, 1)
-	m := policy.Margins{Block: policy.Second / 20, Connect: policy.Second / 20, Retry: 1000}
+	m := policy.Timeouts{LongPoll: policy.Second / 20, Connect: policy.Second / 20, PollRetry: 1000}
 	f := New(site)
 	f.Move(strings.TrimPrefix(server.URL, "http://"))
 	go f.Follow(ctx, m, func(batch []Event) {
@@ -191,7 +191,7 @@
 	f.Move(strings.TrimPrefix(older.URL, "http://"))
 	var cursors []int64
 	go func() {
-		f.Follow(ctx, policy.Margins{Block: 60 * policy.Second, Connect: policy.Second}, func(batch []Event) {
+		f.Follow(ctx, policy.Timeouts{LongPoll: 60 * policy.Second, Connect: policy.Second}, func(batch []Event) {
 			for _, e := range batch {
 				cursors = append(cursors, e.Cursor)
 			}
@@ -323,7 +323,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.Follow(ctx, policy.Margins{Block: 9 * policy.Second, Connect: policy.Second / 10, Retry: 1}, func([]Event) {
+		f.Follow(ctx, policy.Timeouts{LongPoll: 9 * policy.Second, Connect: policy.Second / 10, PollRetry: 1}, func([]Event) {
 			got <- len(o.ended) == 1
 		})
 	}()
@@ -377,7 +377,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	m := policy.Margins{Connect: policy.Second / 20, Retry: policy.Second / 100, Block: policy.Second / 20}
+	m := policy.Timeouts{Connect: policy.Second / 20, PollRetry: policy.Second / 100, LongPoll: policy.Second / 20}
 	f := New(site)
 	f.Move(l.Addr().String())
 	events := make(chan []Event, 16)
@@ -454,7 +454,7 @@
 	had := make(chan struct{}, 16)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	m := policy.Margins{Connect: 10 * policy.Second, Retry: policy.Second / 100, Block: 3600 * policy.Second}
+	m := policy.Timeouts{Connect: 10 * policy.Second, PollRetry: policy.Second / 100, LongPoll: 3600 * policy.Second}
 	go f.Follow(ctx, m, func([]Event) {
 		f.Move(newer.Listener.Addr().String()) // as the answer is taken: its connection rests from here on
 		had <- struct{}{}
--- a/internal/dispatch/rare_test.go
+++ b/internal/dispatch/rare_test.go
@@ -17,25 +17,25 @@
 type barred struct {
 	*script
 	stands chan string                         // objects that it stands still over
-	let    chan policy.Answer                  // what to say
+	let    chan policy.Decision                // what to say
 	after  chan policy.Outcome                 // ends that it heard of
-	then   func() policy.Answer                // what to say to those
+	then   func() policy.Decision              // what to say to those
 	bound  func(d policy.Micros) policy.Micros // of what is let go, from now
 }
 
-func (m *barred) Where(now policy.Micros, dl *policy.Download) policy.Answer {
+func (m *barred) Route(now policy.Micros, dl *policy.Request) policy.Decision {
 	m.stands <- dl.Object
 	a := <-m.let
 	if m.bound != nil {
-		a.Before = m.bound(now)
+		a.NotAfter = m.bound(now)
 	}
 	return a
 }
 
-func (m *barred) After(_ policy.Micros, dl *policy.Download, out policy.Outcome) policy.Answer {
+func (m *barred) AttemptDone(_ policy.Micros, dl *policy.Request, out policy.Outcome) policy.Decision {
 	m.after <- out
-	if out.Last {
-		return policy.Answer{}
+	if out.Final {
+		return policy.Decision{}
 	}
 	return m.then()
 }
@@ -43,8 +43,8 @@
 func newBarred(t *testing.T) (*bed, *barred) {
 	b := newBed(t, 0)
 	m := &barred{
-		script: b.script, stands: make(chan string, 2000), let: make(chan policy.Answer), after: make(chan policy.Outcome, 64),
-		then: func() policy.Answer { return policy.Answer{Verb: policy.Throttle} },
+		script: b.script, stands: make(chan string, 2000), let: make(chan policy.Decision), after: make(chan policy.Outcome, 64),
+		then: func() policy.Decision { return policy.Decision{Action: policy.Reject} },
 	}
 	b.WithPolicy(func() { b.Router.module = m })
 	return b, m
@@ -136,7 +136,7 @@
 		})
 		t.Run("a further attempt, "+l.name, func(t *testing.T) {
 			b, m := newBarred(t)
-			m.then = func() policy.Answer { return pulls }
+			m.then = func() policy.Decision { return pulls }
 			c := b.another()
 			askOver(c, "1")
 			get(t, m.stands)
@@ -149,12 +149,12 @@
 			b.ask("3", "") // and it stands still again behind that
 			b.readOn()
 			l.do(b, c)
-			m.let <- policy.Answer{Verb: policy.Abandon}
+			m.let <- policy.Decision{Action: policy.Fail}
 			b.answered("2 500  ")
 			if got := get(t, m.stands); got != id("o", "3") {
 				t.Fatalf("stands over %s", got)
 			}
-			if out := get(t, m.after); !out.Last { // before the shard hears of the leaving
+			if out := get(t, m.after); !out.Final { // before the shard hears of the leaving
 				t.Errorf("it is to go on after %+v", out)
 			}
 			m.let <- pulls
@@ -185,8 +185,8 @@
 				b.answered("1 200  ")
 				return
 			}
-			if out := get(t, m.after); out.Ending != policy.Recalled {
-				t.Errorf("ended as %d", out.Ending)
+			if out := get(t, m.after); out.Result != policy.Withdrawn {
+				t.Errorf("ended as %d", out.Result)
 			}
 			b.answered("1 503  ")
 			b.ask("2", "")
@@ -220,7 +220,7 @@
 	}
 	c.Close()
 	b.waitGone(1)
-	m.let <- policy.Answer{Verb: policy.Abandon}
+	m.let <- policy.Decision{Action: policy.Fail}
 	b.answered("1 500  ")
 	if len(m.stands) != 0 {
 		t.Errorf("asked about %s", <-m.stands)
@@ -235,8 +235,8 @@
 	m.let <- pulls
 	b.nodeHears("want " + id("t", "1"))
 	b.Router.DrainBy(time.Now())
-	if out := get(t, m.after); out.Ending != policy.TimedOut {
-		t.Errorf("ended as %d", out.Ending)
+	if out := get(t, m.after); out.Result != policy.TimedOut {
+		t.Errorf("ended as %d", out.Result)
 	}
 	b.answered("1 503  ")
 	b.ask("2", "")
@@ -244,19 +244,19 @@
 	for _, s := range b.Shards() {
 		for _, of := range s.downloads { // its goroutine stands still
 			for _, dl := range of {
-				if now := b.Now(); dl.Leaves > now {
-					t.Errorf("it may take %d more", dl.Leaves-now)
+				if now := b.Now(); dl.Deadline > now {
+					t.Errorf("it may take %d more", dl.Deadline-now)
 				}
 			}
 		}
 	}
-	m.let <- policy.Answer{Verb: policy.Throttle}
+	m.let <- policy.Decision{Action: policy.Reject}
 	b.answered("2 503  ")
 }
 
 // That no connection could be had is no word of the node.
 func TestNoConnectionIsNoWordOfTheNode(t *testing.T) {
-	if got := ending(upstream.Answer{}, &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrNoRoom}); got != policy.NeverSent {
+	if got := ending(upstream.Answer{}, &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrNoRoom}); got != policy.NotSent {
 		t.Errorf("got %d", got)
 	}
 }
@@ -284,7 +284,7 @@
 		nc.Close()
 	}
 	b.waitGone(1)
-	m.let <- policy.Answer{Verb: policy.Abandon}
+	m.let <- policy.Decision{Action: policy.Fail}
 	b.answered("1 500  ")
 	b.ask("2", "")
 	if got := get(t, m.stands); got != id("o", "2") {
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -25,7 +25,7 @@
 
 // Router holds what all shards share. Its methods may be called from any goroutine.
 type Router struct {
-	margins policy.Margins
+	margins policy.Timeouts
 	fleet   *upstream.Fleet
 	start   time.Time
 	offset  policy.Micros // the system's clock at the start
@@ -35,7 +35,7 @@
 	purges  atomic.Int64  // epoch of the last purge
 	open    atomic.Int64  // downloads without a final answer
 	mu      sync.Mutex    // one shard at a time asks the module; a download's decisions take less than a microsecond
-	module  policy.Director
+	module  policy.Policy
 	own     StallMonitor
 	peers   map[string]*peer          // by node; emptied by the list
 	listed  map[string]discovery.Node // as the list has it; emptied by it
@@ -97,7 +97,7 @@
 
 // download is one in hand, until its final answer is out and its pulls have ended.
 type download struct {
-	policy.Download
+	policy.Request
 	shard *Shard
 	conn  *downstream.Conn
 	tag   uint64
@@ -115,7 +115,7 @@
 }
 
 // New makes a router of so many shards; Run lets it work.
-func New(module policy.Director, m policy.Margins, fleet *upstream.Fleet, shards int) *Router {
+func New(module policy.Policy, m policy.Timeouts, fleet *upstream.Fleet, shards int) *Router {
 	r := &Router{
 		module: module, margins: m, fleet: fleet, start: time.Now(), peers: map[string]*peer{}, ids: shard.NewOwners(),
 		epochs: shard.NewEpochs(shards), listed: map[string]discovery.Node{},
@@ -220,7 +220,7 @@
 			s.end = end
 			for _, of := range s.downloads {
 				for _, dl := range of {
-					dl.Leaves = min(dl.Leaves, end)
+					dl.Deadline = min(dl.Deadline, end)
 					for _, p := range dl.pulls {
 						p.until = min(p.until, end)
 					}
@@ -259,22 +259,22 @@
 		}
 		return
 	}
-	rows, named := make([]policy.Node, len(e.Nodes)), map[string]bool{}
+	rows, named := make([]policy.Endpoint, len(e.Nodes)), map[string]bool{}
 	for i, n := range e.Nodes {
-		if r.listed[n.ID] = n; n.State == policy.Gone {
+		if r.listed[n.ID] = n; n.State == policy.Removed {
 			delete(r.listed, n.ID)
 		}
 		if r.avoided[n.ID] && n.State == policy.Ready {
 			n.State = policy.Draining
 		}
-		rows[i], named[n.ID] = n.Node, true
+		rows[i], named[n.ID] = n.Endpoint, true
 		p := r.peers[n.ID]
-		if p != nil && (n.State == policy.Gone || p.addr != n.Addr || p.started != n.Started) {
+		if p != nil && (n.State == policy.Removed || p.addr != n.Addr || p.started != n.Started) {
 			p.leave()
 			delete(r.peers, n.ID)
 			p = nil
 		}
-		if p == nil && n.State != policy.Gone {
+		if p == nil && n.State != policy.Removed {
 			p = &peer{make([]*upstream.Peer, len(r.shards)), n.Addr, n.Started}
 			for i := range p.of {
 				p.of[i] = r.fleet.Peer(n.Addr)
@@ -294,18 +294,18 @@
 			delete(r.listed, id)
 		}
 	}
-	r.module.Listed(r.now(), rows, e.Complete)
+	r.module.UpdateEndpoints(r.now(), rows, e.Complete)
 }
 
 // void has copies be void from now on that are older than a time.
 func (r *Router) void(object string, group int, at policy.Micros) {
 	r.purges.Add(1)
-	r.module.Purged(r.now(), object, group, at)
+	r.module.Purge(r.now(), object, group, at)
 }
 
 // PurgeOlderThan has all copies be void that are older than a time; 0: none any more but those that events void.
 func (r *Router) PurgeOlderThan(at policy.Micros) {
-	r.WithPolicy(func() { r.void("", policy.All, at) })
+	r.WithPolicy(func() { r.void("", policy.AllGroups, at) })
 	r.nudge()
 }
 
@@ -353,7 +353,7 @@
 
 // decided is an answer of the module with what belongs to it.
 type decided struct {
-	policy.Answer
+	policy.Decision
 	at       policy.Micros
 	wait     policy.Micros
 	source   string // of a pull; read while the module is at rest, which changes its nodes as the list tells
@@ -362,20 +362,20 @@
 }
 
 // decide asks the module, and how long to wait then.
-func (r *Router) decide(dl *download, ask func(now policy.Micros) policy.Answer) (d decided) {
+func (r *Router) decide(dl *download, ask func(now policy.Micros) policy.Decision) (d decided) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d.at = r.now() // within the lock, so that the module's clock never goes back
-	d.Answer = ask(d.at)
-	switch d.Verb {
-	case policy.Throttle, policy.Abandon:
+	d.Decision = ask(d.at)
+	switch d.Action {
+	case policy.Reject, policy.Fail:
 		return d
-	case policy.Pull:
+	case policy.Send:
 		d.source = d.Source.ID
-		d.to, d.from, d.purges = r.peers[d.Node.ID], r.peers[d.source], r.purges.Load()
+		d.to, d.from, d.purges = r.peers[d.Endpoint.ID], r.peers[d.source], r.purges.Load()
 	}
-	if !dl.Over {
-		d.wait = r.module.Wait(d.at, &dl.Download)
+	if !dl.Done {
+		d.wait = r.module.RecheckAfter(d.at, &dl.Request)
 	}
 	return d
 }
@@ -395,16 +395,16 @@
 		}
 		dl := &download{shard: s, conn: c, tag: tag, ask: a}
 		dl.timer.Value = dl
-		dl.Type, dl.Object, dl.Part, dl.Group, dl.Again = a.Type, a.Object, a.Part, a.Group, a.Again
-		dl.Client, dl.Key, dl.Doubted = a.Client, a.Key, a.Doubted
+		dl.Type, dl.Object, dl.Part, dl.Group, dl.IsRetry = a.Type, a.Object, a.Part, a.Group, a.Again
+		dl.ClientHash, dl.IdempotencyKey, dl.ClientSuspect = a.Client, a.Key, a.Doubted
 		came := a.Came
 		if s.own != nil { // its client waits since it was sent, not since it was read
 			came = came.Add(-s.own.StaleBy(came))
 		}
-		dl.Arrived = s.at(came)
-		dl.Leaves = dl.Arrived + policy.Micros(a.Limit/time.Microsecond) - s.margins.Answer
+		dl.ArrivedAt = s.at(came)
+		dl.Deadline = dl.ArrivedAt + policy.Micros(a.Limit/time.Microsecond) - s.margins.AnswerReserve
 		if s.end > 0 {
-			dl.Leaves = min(dl.Leaves, s.end)
+			dl.Deadline = min(dl.Deadline, s.end)
 		}
 		if s.downloads[c] == nil {
 			s.downloads[c] = map[uint64]*download{}
@@ -426,7 +426,7 @@
 		s.finish(dl)
 		return
 	}
-	s.act(dl, s.decide(dl, func(now policy.Micros) policy.Answer { return s.module.Where(now, &dl.Download) }))
+	s.act(dl, s.decide(dl, func(now policy.Micros) policy.Decision { return s.module.Route(now, &dl.Request) }))
 }
 
 // caught ends a download and its connection alone where a call about it panicked; events are of no download.
@@ -442,7 +442,7 @@
 
 // Opened says that a client has connected.
 func (s *Shard) Opened(*downstream.Conn) {
-	s.WithPolicy(func() { s.module.Connected(s.now()) })
+	s.WithPolicy(func() { s.module.ClientConnected(s.now()) })
 }
 
 // NeverMind says that a client no longer waits for a download.
@@ -465,10 +465,10 @@
 
 // finish ends a download: nothing more is owed for it.
 func (s *Shard) finish(dl *download) {
-	if dl.Over {
+	if dl.Done {
 		return
 	}
-	dl.Over = true
+	dl.Done = true
 	s.open.Add(-1)
 	delete(s.downloads[dl.conn], dl.tag)
 	if len(s.downloads[dl.conn]) == 0 {
@@ -486,34 +486,34 @@
 
 // forget gives a download's id free once it can be met nowhere any more.
 func (s *Shard) forget(dl *download) {
-	if dl.Over && !slices.ContainsFunc(dl.pulls, func(p *pull) bool { return !p.over }) {
+	if dl.Done && !slices.ContainsFunc(dl.pulls, func(p *pull) bool { return !p.over }) {
 		s.ids.Release(dl.ask.Txn, s.number)
 	}
 }
 
 // act does what the module says.
 func (s *Shard) act(dl *download, a decided) {
-	switch a.Verb {
-	case policy.Pull:
+	switch a.Action {
+	case policy.Send:
 		s.pull(dl, a)
-	case policy.Cancel:
-		if p := dl.pulls[a.Pull]; !p.over {
+	case policy.CancelAttempt:
+		if p := dl.pulls[a.Attempt]; !p.over {
 			p.GiveUp(true)
 		}
-	case policy.Throttle, policy.Abandon:
-		if a.NoUse {
+	case policy.Reject, policy.Fail:
+		if a.Unprocessable {
 			dl.conn.Useless()
 		}
-		if a.Verb == policy.Throttle {
+		if a.Action == policy.Reject {
 			s.throttled.Add(1)
-			dl.conn.Throttle(dl.tag, span(a.ComeBack))
+			dl.conn.Throttle(dl.tag, span(a.RetryAfter))
 		} else {
 			s.abandoned.Add(1)
 			dl.conn.Abandon(dl.tag)
 		}
 		s.finish(dl)
 	}
-	if dl.Over {
+	if dl.Done {
 		return
 	}
 	if a.wait > 0 && (dl.wake == 0 || dl.wake > a.at+a.wait) {
@@ -524,24 +524,24 @@
 
 func (s *Shard) pull(dl *download, a decided) {
 	w := upstream.Want{
-		ID: dl.ask.Txn, Sort: dl.ask.Sort, Asset: dl.Object, Slice: dl.Part, Patience: span(a.TimeOut),
-		Key: dl.ask.Key, Rank: a.Keep, Oldest: span(a.Oldest), Join: a.Join, Held: a.Held, Renew: a.Renew,
+		ID: dl.ask.Txn, Sort: dl.ask.Sort, Asset: dl.Object, Slice: dl.Part, Patience: span(a.Timeout),
+		Key: dl.ask.Key, Rank: a.CacheRank, Oldest: span(a.MaxAge), Join: a.Coalesce, Held: a.OnlyIfCached, Renew: a.Revalidate,
 		Seen: dl.ask.Held, Body: dl.ask.Body,
 	}
-	if a.Source != a.Node {
+	if a.Source != a.Endpoint {
 		w.From = a.source
 		if a.from != nil {
 			w.Source = a.from.of[s.number]
 		}
 	}
-	decided, end := s.start.Add(span(a.at-s.offset)), s.start.Add(span(a.Before-s.offset))
+	decided, end := s.start.Add(span(a.at-s.offset)), s.start.Add(span(a.NotAfter-s.offset))
 	w.Void = func() bool {
 		now := time.Now()
-		return !dl.conn.Waits(dl.tag) || a.Before > 0 && !now.Before(end) ||
-			s.margins.Late > 0 && s.purges.Load() != a.purges && now.Sub(decided) > span(s.margins.Late)
+		return !dl.conn.Waits(dl.tag) || a.NotAfter > 0 && !now.Before(end) ||
+			s.margins.MaxDecisionAge > 0 && s.purges.Load() != a.purges && now.Sub(decided) > span(s.margins.MaxDecisionAge)
 	}
 	s.pulled.Add(1)
-	p := &pull{until: a.at + a.TimeOut}
+	p := &pull{until: a.at + a.Timeout}
 	number := len(dl.pulls)
 	var before []*upstream.Pull
 	for _, earlier := range dl.pulls {
@@ -550,7 +550,7 @@
 	dl.pulls = append(dl.pulls, p)
 	if a.to == nil { // the list has just lost it
 		p.Pull = &upstream.Pull{}
-		s.calls.PutUnbounded(func() { s.ended(dl, number, policy.Recalled, upstream.Answer{}) })
+		s.calls.PutUnbounded(func() { s.ended(dl, number, policy.Withdrawn, upstream.Answer{}) })
 		return
 	}
 	p.Pull = a.to.of[s.number].Send(w, func(answer upstream.Answer, err error) {
@@ -559,30 +559,30 @@
 }
 
 // ended takes a pull's end.
-func (s *Shard) ended(dl *download, number int, how policy.Ending, answer upstream.Answer) {
+func (s *Shard) ended(dl *download, number int, how policy.Result, answer upstream.Answer) {
 	p := dl.pulls[number]
 	if p.over {
 		answer.Body.Free()
 		return
 	}
 	p.over = true
-	if how == policy.Recalled {
+	if how == policy.Withdrawn {
 		s.recalled.Add(1)
 	}
 	defer caught(dl)
 	defer s.forget(dl)
-	if !dl.Over && how == policy.Fulfilled {
+	if !dl.Done && how == policy.Succeeded {
 		s.fulfilled.Add(1)
 		dl.conn.Fulfil(dl.tag, answer.Body, answer.Word == upstream.Unchanged)
 		s.finish(dl)
 	} else {
 		answer.Body.Free()
 	}
-	if !dl.Over && !dl.conn.Waits(dl.tag) {
+	if !dl.Done && !dl.conn.Waits(dl.tag) {
 		s.finish(dl)
 	}
-	out := policy.Outcome{Pull: number, Ending: how, Filling: fillings[answer.Note], Last: dl.Over}
-	s.act(dl, s.decide(dl, func(now policy.Micros) policy.Answer { return s.module.After(now, &dl.Download, out) }))
+	out := policy.Outcome{Attempt: number, Result: how, CacheStatus: fillings[answer.Note], Final: dl.Done}
+	s.act(dl, s.decide(dl, func(now policy.Micros) policy.Decision { return s.module.AttemptDone(now, &dl.Request, out) }))
 }
 
 // due does what time has come for.
@@ -591,12 +591,12 @@
 	dl.due = 0
 	now := s.now()
 	for i, p := range dl.pulls {
-		if !p.over && p.until <= now && !dl.Over {
+		if !p.over && p.until <= now && !dl.Done {
 			p.GiveUp(false)
 			s.ended(dl, i, policy.TimedOut, upstream.Answer{})
 		}
 	}
-	if !dl.Over && dl.wake > 0 && dl.wake <= now {
+	if !dl.Done && dl.wake > 0 && dl.wake <= now {
 		dl.wake = 0
 		s.where(dl)
 	}
@@ -612,7 +612,7 @@
 		}
 	}
 	switch {
-	case dl.Over || next == 0:
+	case dl.Done || next == 0:
 		s.timers.Cancel(&dl.timer)
 		dl.due = 0
 	case dl.due == 0 || next < dl.due:
@@ -621,38 +621,38 @@
 	}
 }
 
-var endings = map[upstream.Word]policy.Ending{
-	upstream.Data: policy.Fulfilled, upstream.Unchanged: policy.Fulfilled, upstream.Absent: policy.Missing,
-	upstream.Full: policy.TurnedAway, upstream.Failed: policy.Failed, upstream.Moot: policy.NeverSent,
+var endings = map[upstream.Word]policy.Result{
+	upstream.Data: policy.Succeeded, upstream.Unchanged: policy.Succeeded, upstream.Absent: policy.CacheMiss,
+	upstream.Full: policy.Rejected, upstream.Failed: policy.Failed, upstream.Moot: policy.NotSent,
 }
 
-var fillings = map[string]policy.Filling{
+var fillings = map[string]policy.CacheStatus{
 	"local": policy.Hit, "pulled": policy.Filled, "pulled_far": policy.FilledByOrigin,
-	"rode": policy.Joined, "expired": policy.Stale, "turned_away": policy.SourceRefused,
-	"cut_off": policy.SourceLost, "not_there": policy.SourceLacks, "no_place": policy.NoPlace,
+	"rode": policy.Coalesced, "expired": policy.Stale, "turned_away": policy.SourceRejected,
+	"cut_off": policy.SourceUnavailable, "not_there": policy.SourceMiss, "no_place": policy.CacheFull,
 	"far_fault": policy.OriginFailed,
 }
 
 // ending is what the module hears of a pull: one that was not wholly written never ran, any other may have.
-func ending(a upstream.Answer, err error) policy.Ending {
+func ending(a upstream.Answer, err error) policy.Result {
 	e := (*upstream.Error)(nil)
 	switch {
 	case err == nil:
 		return endings[a.Word]
 	case !errors.As(err, &e):
-		return policy.Broken
+		return policy.ConnectionLost
 	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrRecalled):
-		return policy.Recalled
+		return policy.Withdrawn
 	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrNoRoom): // which is no word of the node
-		return policy.NeverSent
+		return policy.NotSent
 	case e.GaveUp && e.Stage < upstream.WhollyWritten:
-		return policy.NeverSent
+		return policy.NotSent
 	case e.GaveUp:
 		return policy.Cancelled
 	case e.Stage < upstream.WhollyWritten:
-		return policy.Unreached
+		return policy.ConnectFailed
 	default:
-		return policy.Broken
+		return policy.ConnectionLost
 	}
 }
 
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -28,21 +28,21 @@
 		name string
 		word upstream.Word
 		err  error
-		want policy.Ending
+		want policy.Result
 	}{
-		{"data", upstream.Data, nil, policy.Fulfilled}, {"unchanged", upstream.Unchanged, nil, policy.Fulfilled},
-		{"absent", upstream.Absent, nil, policy.Missing}, {"full", upstream.Full, nil, policy.TurnedAway},
-		{"failed", upstream.Failed, nil, policy.Failed}, {"moot", upstream.Moot, nil, policy.NeverSent},
-		{"not connected", "", fail(upstream.NotConnected, false), policy.Unreached},
-		{"nothing written", "", fail(upstream.NothingWritten, false), policy.Unreached},
-		{"partly written", "", fail(upstream.PartlyWritten, false), policy.Unreached},
-		{"wholly written", "", fail(upstream.WhollyWritten, false), policy.Broken},
-		{"answer begun", "", fail(upstream.AnswerBegun, false), policy.Broken},
-		{"given up, not connected", "", fail(upstream.NotConnected, true), policy.NeverSent},
-		{"given up, partly written", "", fail(upstream.PartlyWritten, true), policy.NeverSent},
+		{"data", upstream.Data, nil, policy.Succeeded}, {"unchanged", upstream.Unchanged, nil, policy.Succeeded},
+		{"absent", upstream.Absent, nil, policy.CacheMiss}, {"full", upstream.Full, nil, policy.Rejected},
+		{"failed", upstream.Failed, nil, policy.Failed}, {"moot", upstream.Moot, nil, policy.NotSent},
+		{"not connected", "", fail(upstream.NotConnected, false), policy.ConnectFailed},
+		{"nothing written", "", fail(upstream.NothingWritten, false), policy.ConnectFailed},
+		{"partly written", "", fail(upstream.PartlyWritten, false), policy.ConnectFailed},
+		{"wholly written", "", fail(upstream.WhollyWritten, false), policy.ConnectionLost},
+		{"answer begun", "", fail(upstream.AnswerBegun, false), policy.ConnectionLost},
+		{"given up, not connected", "", fail(upstream.NotConnected, true), policy.NotSent},
+		{"given up, partly written", "", fail(upstream.PartlyWritten, true), policy.NotSent},
 		{"given up, wholly written", "", fail(upstream.WhollyWritten, true), policy.Cancelled},
 		{"given up, answer begun", "", fail(upstream.AnswerBegun, true), policy.Cancelled},
-		{"another error", "", errors.New("x"), policy.Broken},
+		{"another error", "", errors.New("x"), policy.ConnectionLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -55,49 +55,49 @@
 
 // script is a module that answers as it is told and writes down what it hears.
 type script struct {
-	answers []policy.Answer
+	answers []policy.Decision
 	wait    policy.Micros
 	heard   chan string
 	gate    chan struct{} // a download is asked about again only once this is closed
 }
 
-func (s *script) next(heard string) policy.Answer {
+func (s *script) next(heard string) policy.Decision {
 	s.heard <- heard
 	if len(s.answers) == 0 {
-		return policy.Answer{}
+		return policy.Decision{}
 	}
 	a := s.answers[0]
-	if s.answers = s.answers[1:]; a.Verb == policy.Cancel {
+	if s.answers = s.answers[1:]; a.Action == policy.CancelAttempt {
 		s.wait = 0 // the outcome comes next
 	}
 	return a
 }
 
-func (s *script) Where(_ policy.Micros, dl *policy.Download) policy.Answer {
+func (s *script) Route(_ policy.Micros, dl *policy.Request) policy.Decision {
 	if dl.Object == "baaaaaaaaaaaaaad" {
 		panic(dl.Object)
 	}
-	if dl.Notes == nil {
-		dl.Notes = s
+	if dl.PolicyState == nil {
+		dl.PolicyState = s
 	} else {
 		<-s.gate
 	}
 	return s.next("where " + dl.Object)
 }
 
-func (s *script) After(_ policy.Micros, _ *policy.Download, out policy.Outcome) policy.Answer {
-	return s.next(fmt.Sprint("after ", out.Pull, " ", out.Ending, " ", out.Filling, " ", out.Last))
+func (s *script) AttemptDone(_ policy.Micros, _ *policy.Request, out policy.Outcome) policy.Decision {
+	return s.next(fmt.Sprint("after ", out.Attempt, " ", out.Result, " ", out.CacheStatus, " ", out.Final))
 }
 
-func (s *script) Connected(policy.Micros) {}
+func (s *script) ClientConnected(policy.Micros) {}
 
-func (s *script) Wait(policy.Micros, *policy.Download) policy.Micros { return s.wait }
+func (s *script) RecheckAfter(policy.Micros, *policy.Request) policy.Micros { return s.wait }
 
-func (s *script) Listed(_ policy.Micros, rows []policy.Node, complete bool) {
+func (s *script) UpdateEndpoints(_ policy.Micros, rows []policy.Endpoint, complete bool) {
 	s.heard <- fmt.Sprint("listed ", len(rows), " ", complete)
 }
 
-func (s *script) Purged(_ policy.Micros, object string, group int, at policy.Micros) {
+func (s *script) Purge(_ policy.Micros, object string, group int, at policy.Micros) {
 	if object == "bad" {
 		panic(object)
 	}
@@ -188,11 +188,11 @@
 	}
 }
 
-var pulls = policy.Answer{
-	Verb: policy.Pull, Node: &policy.Node{ID: "e1"}, Source: &policy.Node{ID: "p1"}, TimeOut: 60 * policy.Second,
+var pulls = policy.Decision{
+	Action: policy.Send, Endpoint: &policy.Endpoint{ID: "e1"}, Source: &policy.Endpoint{ID: "p1"}, Timeout: 60 * policy.Second,
 }
 
-func newBed(t *testing.T, wait policy.Micros, answers ...policy.Answer) *bed {
+func newBed(t *testing.T, wait policy.Micros, answers ...policy.Decision) *bed {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -201,11 +201,11 @@
 	if b.node, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	m := policy.Margins{Connect: 10 * policy.Second, Idle: 100 * policy.Second, Shared: 8, Most: 8, Flush: 10 * policy.Second, Stall: 10 * policy.Second,
-		Silent: 60 * policy.Second, Resting: 60 * policy.Second}
+	m := policy.Timeouts{Connect: 10 * policy.Second, Idle: 100 * policy.Second, PreferredStreams: 8, MaxStreams: 8, WriteFlush: 10 * policy.Second, ReadStall: 10 * policy.Second,
+		RequestRead: 60 * policy.Second, DownstreamIdle: 60 * policy.Second}
 	p := bufpool.New(64)
 	fleet := upstream.New(p, m, 8)
-	site := config.Site{Types: []string{"clip"}, Settings: policy.Settings{Types: []*policy.ContentType{{Expiry: 60 * policy.Second}}}}
+	site := config.Site{Types: []string{"clip"}, Settings: policy.Settings{ContentTypes: []*policy.ContentType{{Timeout: 60 * policy.Second}}}}
 	b.Router, b.fleet = New(b.script, m, fleet, 1), fleet
 	go b.Router.Run()
 	server := downstream.New([]downstream.Sink{b.Router.Shards()[0]}, site, p, 8, m)
@@ -241,50 +241,50 @@
 }
 
 // list tells of the one node.
-func (b *bed) list(state policy.State) {
+func (b *bed) list(state policy.EndpointState) {
 	b.Apply([]discovery.Event{{Listed: true, Complete: true, Nodes: []discovery.Node{
-		{Node: policy.Node{ID: "e1", State: state}, Addr: b.node.Addr().String()},
+		{Endpoint: policy.Endpoint{ID: "e1", State: state}, Addr: b.node.Addr().String()},
 	}}})
 	b.hears("listed 1 true")
 }
 
 func TestDownloads(t *testing.T) {
-	again, cancel := policy.Answer{Verb: policy.Hold}, policy.Answer{Verb: policy.Cancel}
-	late := policy.Answer{Verb: policy.Throttle, ComeBack: 250_000}
+	again, cancel := policy.Decision{Action: policy.Queue}, policy.Decision{Action: policy.CancelAttempt}
+	late := policy.Decision{Action: policy.Reject, RetryAfter: 250_000}
 	short := pulls
-	short.TimeOut = 1000
+	short.Timeout = 1000
 	cases := []struct {
 		name    string
 		wait    policy.Micros
-		answers []policy.Answer
+		answers []policy.Decision
 		more    string // of the client's fields
 		play    func(*bed)
 	}{
-		{"fulfilled", 0, []policy.Answer{pulls}, "", func(b *bed) {
+		{"fulfilled", 0, []policy.Decision{pulls}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 sort=clip,asset=b000000000000001,slice=0,patience=60000,from=p1 0\r\n")
 			io.WriteString(b.nc, "a000000000000001 data n=local 3\r\nxyz\r\n")
 			b.answered("1 200  xyz")
 			b.hears("after 0 0 1 true")
 		}},
-		{"a copy that it lacks is said to hold", 0, []policy.Answer{pulls, late}, "", func(b *bed) {
+		{"a copy that it lacks is said to hold", 0, []policy.Decision{pulls, late}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			io.WriteString(b.nc, "a000000000000001 unchanged - 0\r\n\r\n")
 			b.hears("after 0 5 0 false")
 			b.answered("1 503 later=250 ")
 		}},
-		{"its copy holds", 0, []policy.Answer{pulls}, ",mine=4be0c1927d55a6f3", func(b *bed) {
+		{"its copy holds", 0, []policy.Decision{pulls}, ",mine=4be0c1927d55a6f3", func(b *bed) {
 			b.nodeHears("want a000000000000001 sort=clip,asset=b000000000000001,slice=0,patience=60000,from=p1,seen=4be0c1927d55a6f3 0\r\n")
 			io.WriteString(b.nc, "a000000000000001 unchanged n=expired 0\r\n\r\n")
 			b.answered("1 200 still=1 ")
 			b.hears("after 0 0 5 true")
 		}},
-		{"a miss, then throttled", 0, []policy.Answer{pulls, late}, "", func(b *bed) {
+		{"a miss, then throttled", 0, []policy.Decision{pulls, late}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			io.WriteString(b.nc, "a000000000000001 absent n=not_there 0\r\n\r\n")
 			b.hears("after 0 8 8 false")
 			b.answered("1 503 later=250 ")
 		}},
-		{"failed, then pulled again", 0, []policy.Answer{pulls, pulls}, "", func(b *bed) {
+		{"failed, then pulled again", 0, []policy.Decision{pulls, pulls}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			io.WriteString(b.nc, "a000000000000001 failed n=far_fault 0\r\n\r\n")
 			b.hears("after 0 1 10 false")
@@ -294,44 +294,44 @@
 			b.answered("1 200  ")
 			b.hears("after 1 0 0 true")
 		}},
-		{"held, then abandoned", 1000, []policy.Answer{again, again, {Verb: policy.Abandon}}, "", func(b *bed) {
+		{"held, then abandoned", 1000, []policy.Decision{again, again, {Action: policy.Fail}}, "", func(b *bed) {
 			close(b.gate)
 			b.hears("where b000000000000001")
 			b.hears("where b000000000000001")
 			b.answered("1 500  ")
 		}},
-		{"cancelled, its node silent", 1000, []policy.Answer{pulls, cancel, late}, "", func(b *bed) {
+		{"cancelled, its node silent", 1000, []policy.Decision{pulls, cancel, late}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			close(b.gate)
 			b.hears("where b000000000000001")
 			b.hears("after 0 6 0 false")
 			b.answered("1 503 later=250 ")
 		}},
-		{"timed out", 0, []policy.Answer{short, late}, "", func(b *bed) {
+		{"timed out", 0, []policy.Decision{short, late}, "", func(b *bed) {
 			b.hears("after 0 3 0 false")
 			b.answered("1 503 later=250 ")
 		}},
-		{"the client gives up", 0, []policy.Answer{pulls}, "", func(b *bed) {
+		{"the client gives up", 0, []policy.Decision{pulls}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			b.send("NEVERMIND", "1")
 			b.nodeHears("never_mind a000000000000001")
 			b.hears("after 0 6 0 true")
 		}},
-		{"the client hangs up", 0, []policy.Answer{pulls}, "", func(b *bed) {
+		{"the client hangs up", 0, []policy.Decision{pulls}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
 			b.client.Close()
 			b.nodeHears("never_mind a000000000000001")
 			b.hears("after 0 6 0 true")
 		}},
-		{"a node that is not listed", 0, []policy.Answer{
-			{Verb: policy.Pull, Node: &policy.Node{ID: "e9"}, Source: &policy.Node{ID: "e9"}, TimeOut: policy.Second}, late,
+		{"a node that is not listed", 0, []policy.Decision{
+			{Action: policy.Send, Endpoint: &policy.Endpoint{ID: "e9"}, Source: &policy.Endpoint{ID: "e9"}, Timeout: policy.Second}, late,
 		}, "", func(b *bed) {
 			b.hears("after 0 9 0 false")
 			b.answered("1 503 later=250 ")
 		}},
-		{"its node leaves meanwhile", 0, []policy.Answer{pulls}, "", func(b *bed) {
+		{"its node leaves meanwhile", 0, []policy.Decision{pulls}, "", func(b *bed) {
 			b.nodeHears("want a000000000000001 ")
-			b.list(policy.Gone)
+			b.list(policy.Removed)
 			io.WriteString(b.nc, "a000000000000001 data n=pulled 3\r\nxyz\r\n")
 			b.answered("1 200  xyz")
 			b.hears("after 0 0 2 true")
@@ -352,7 +352,7 @@
 
 // The id of a request that is open at a client or a node says nothing to the module, whoever sends it.
 func TestIDInUse(t *testing.T) {
-	b := newBed(t, 0, pulls, policy.Answer{}, pulls)
+	b := newBed(t, 0, pulls, policy.Decision{}, pulls)
 	b.ask("1", "")
 	b.hears("where b000000000000001")
 	b.nodeHears("want a000000000000001 ")
@@ -382,7 +382,7 @@
 	b.nodeHears("want a000000000000001 ")
 	// The same name and address with another start is a new process: what follows goes over a new connection.
 	b.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
-		{Node: policy.Node{ID: "e1", Started: 7}, Addr: b.node.Addr().String()},
+		{Endpoint: policy.Endpoint{ID: "e1", Started: 7}, Addr: b.node.Addr().String()},
 	}}})
 	b.hears("listed 1 false")
 	old := b.nc
--- a/internal/dispatch/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -73,11 +73,11 @@
 
 func newCores(t *testing.T, shards int) *cores {
 	s := policy.Settings{
-		Zone: 1, Instances: 1, ParentKind: 1, OriginKind: 2, CanCancel: true, MostPulls: 8, PaceKB: 1000, LinkKB: 1e6,
-		PurgeKept: 6 * policy.Second, SourcesTold: true, ConnectTimeout: policy.Second, KeepAlive: 30 * policy.Second, Streams: 100,
-		Types: []*policy.ContentType{{TargetTime: policy.Second, Expiry: 10 * policy.Second, Benefit: 1}},
+		Zone: 1, ZoneDirectors: 1, ParentKind: 1, OriginKind: 2, CanCancel: true, MaxAttempts: 8, TransferKBPerSecond: 1000, FillLinkKBPerSecond: 1e6,
+		PurgeRetention: 6 * policy.Second, ReportsCacheStatus: true, ConnectTimeout: policy.Second, KeepAliveTimeout: 30 * policy.Second, MaxConcurrentStreams: 100,
+		ContentTypes: []*policy.ContentType{{LatencyObjective: policy.Second, Timeout: 10 * policy.Second, PriorityWeight: 1}},
 	}
-	m := routing.Margins(s)
+	m := routing.Timeouts(s)
 	p := bufpool.New(64)
 	fleet := upstream.New(p, m, 64)
 	c := &cores{Router: New(routing.New(s, routing.Options{}), m, fleet, shards)}
@@ -121,8 +121,8 @@
 	return c
 }
 
-func (c *cores) node(id string, zone, kind int, b *box, s policy.State) discovery.Node {
-	return discovery.Node{Node: policy.Node{ID: id, Zone: zone, Kind: kind, State: s}, Addr: b.Addr().String()}
+func (c *cores) node(id string, zone, kind int, b *box, s policy.EndpointState) discovery.Node {
+	return discovery.Node{Endpoint: policy.Endpoint{ID: id, Zone: zone, Kind: kind, State: s}, Addr: b.Addr().String()}
 }
 
 func (c *cores) ask(client int) {
@@ -218,7 +218,7 @@
 			default:
 			}
 			c.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
-				c.node("e0", 1, 0, c.boxes[0], []policy.State{policy.Draining, policy.Ready}[n%2]),
+				c.node("e0", 1, 0, c.boxes[0], []policy.EndpointState{policy.Draining, policy.Ready}[n%2]),
 			}}})
 			for told, inForce := c.Epochs(); inForce < told; told, inForce = c.Epochs() { // the next as soon as all cores have taken it
 				runtime.Gosched()
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -43,7 +43,7 @@
 	sinks     []Sink
 	types     map[string]*policy.ContentType
 	pool      *bufpool.Pool
-	margins   policy.Margins
+	margins   policy.Timeouts
 	most      atomic.Int64 // connections held
 	stopping  atomic.Bool
 	came      atomic.Int64  // when the last connection came, as Unix nanoseconds
@@ -59,13 +59,13 @@
 }
 
 // New makes a server for so many connections, which are spread over the sinks in turn.
-func New(sinks []Sink, site config.Site, p *bufpool.Pool, most int, m policy.Margins) *Server {
+func New(sinks []Sink, site config.Site, p *bufpool.Pool, most int, m policy.Timeouts) *Server {
 	s := &Server{
 		sinks: sinks, types: map[string]*policy.ContentType{}, pool: p, margins: m, conns: map[*Conn]struct{}{},
 		left: make(chan struct{}, 1),
 	}
 	for i, name := range site.Types {
-		s.types[name] = site.Settings.Types[i]
+		s.types[name] = site.Settings.ContentTypes[i]
 	}
 	s.Limit(most)
 	return s
@@ -93,7 +93,7 @@
 		if err != nil { // descriptors used up, or the client left before
 			slog.Warn("accept_failed", "err", err)
 			s.makeRoom(1)
-			time.Sleep(span(s.margins.Retry))
+			time.Sleep(span(s.margins.PollRetry))
 			continue
 		}
 		s.slot()
@@ -135,7 +135,7 @@
 		s.makeRoom(1 + most/roomPart) // a descriptor is free once its connection has left the table
 		select {
 		case <-s.left:
-		case <-time.After(span(s.margins.Retry) / 8):
+		case <-time.After(span(s.margins.PollRetry) / 8):
 		}
 	}
 }
@@ -147,7 +147,7 @@
 
 // tidy closes connections that rest, and those on which a message does not become whole.
 func (s *Server) tidy(done <-chan struct{}) {
-	tick := time.NewTicker(span(s.margins.Silent) / 8)
+	tick := time.NewTicker(span(s.margins.RequestRead) / 8)
 	defer tick.Stop()
 	for {
 		select {
@@ -162,9 +162,9 @@
 				c.mu.Lock()
 				switch {
 				case c.phase != serving:
-				case !c.since.IsZero() && now.Sub(c.since) > span(s.margins.Silent):
+				case !c.since.IsZero() && now.Sub(c.since) > span(s.margins.RequestRead):
 					c.refuse(hearsNothing)
-				case c.answered() && now.Sub(c.used) > span(s.margins.Resting):
+				case c.answered() && now.Sub(c.used) > span(s.margins.DownstreamIdle):
 					c.finish()
 				}
 				c.mu.Unlock()
@@ -191,7 +191,7 @@
 		c.mu.Unlock()
 	}
 	s.mu.Unlock()
-	for until := time.Now().Add(span(s.margins.Flush)); s.Conns() > 0 || s.accepts.Load() > 0; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(span(s.margins.WriteFlush)); s.Conns() > 0 || s.accepts.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			return
 		}
@@ -219,8 +219,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	newest, soon := now.Add(-span(s.margins.Retry)), now.Add(span(s.margins.Retry)/2)
-	known := now.Add(-span(s.margins.Late)) // an answer has come by now: a reset would take it away
+	newest, soon := now.Add(-span(s.margins.PollRetry)), now.Add(span(s.margins.PollRetry)/2)
+	known := now.Add(-span(s.margins.MaxDecisionAge)) // an answer has come by now: a reset would take it away
 	var worst []rest
 	for c := range s.conns {
 		c.mu.Lock()
@@ -259,7 +259,7 @@
 func (s *Server) fault(event string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults++; time.Since(s.logged) < span(s.margins.Resting) {
+	if s.faults++; time.Since(s.logged) < span(s.margins.DownstreamIdle) {
 		return
 	}
 	slog.Warn(event, "err", err, "faults", s.faults)
@@ -372,7 +372,7 @@
 		c.Abandon(tag)
 		return
 	}
-	c.Throttle(tag, span(c.s.margins.Back))
+	c.Throttle(tag, span(c.s.margins.DefaultRetryAfter))
 }
 
 // Abandon promises nothing.
@@ -548,7 +548,7 @@
 	if c.first.IsZero() {
 		c.first = now
 	}
-	if bytes, end := socket.Unread(c.nc); !bytes && !end || now.Sub(c.first) >= span(c.s.margins.Late) {
+	if bytes, end := socket.Unread(c.nc); !bytes && !end || now.Sub(c.first) >= span(c.s.margins.MaxDecisionAge) {
 		c.pass(true)
 		c.first = time.Time{}
 	}
@@ -578,7 +578,7 @@
 		if c.phase == serving || !c.answered() || bytes && c.hears == hearsAll && now.Before(c.left) {
 			break
 		}
-		c.phase, c.left = shut, now.Add(span(c.s.margins.Flush))
+		c.phase, c.left = shut, now.Add(span(c.s.margins.WriteFlush))
 		c.nc.SetReadDeadline(now.Add(span(c.s.margins.Connect)))
 		if half, ok := c.nc.(*net.TCPConn); ok {
 			half.CloseWrite()
@@ -708,7 +708,7 @@
 		for _, a := range queue {
 			out = append(append(append(out, a.head), a.body.Parts()...), crlf)
 		}
-		c.nc.SetWriteDeadline(time.Now().Add(span(c.s.margins.Flush)))
+		c.nc.SetWriteDeadline(time.Now().Add(span(c.s.margins.WriteFlush)))
 		n, err := out.WriteTo(c.nc)
 		for _, a := range queue {
 			a.body.Free()
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -66,8 +66,8 @@
 
 var site = config.Site{
 	Types: []string{"segment", "cover"},
-	Settings: policy.Settings{Types: []*policy.ContentType{
-		{Expiry: 2 * policy.Second}, {Expiry: 2 * policy.Second, Repeat: policy.Deduped, Whole: true},
+	Settings: policy.Settings{ContentTypes: []*policy.ContentType{
+		{Timeout: 2 * policy.Second}, {Timeout: 2 * policy.Second, RetrySafety: policy.IdempotentWithKey, Unsplit: true},
 	}},
 }
 
@@ -78,16 +78,16 @@
 	addr string
 }
 
-func serve(t *testing.T, conns, buffers int, flush time.Duration, change ...func(*policy.Margins)) *bed {
+func serve(t *testing.T, conns, buffers int, flush time.Duration, change ...func(*policy.Timeouts)) *bed {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &bed{pool: bufpool.New(buffers), addr: l.Addr().String()}
 	b.sink = sink{make(chan asked, 64), make(chan *Conn, 64), make(chan uint64, 64)}
-	m := policy.Margins{
-		Flush: policy.Micros(flush.Microseconds()), Connect: policy.Second, Retry: policy.Second / 20,
-		Silent: 20 * policy.Second, Resting: 20 * policy.Second, Back: 70_000,
+	m := policy.Timeouts{
+		WriteFlush: policy.Micros(flush.Microseconds()), Connect: policy.Second, PollRetry: policy.Second / 20,
+		RequestRead: 20 * policy.Second, DownstreamIdle: 20 * policy.Second, DefaultRetryAfter: 70_000,
 	}
 	for _, to := range change {
 		to(&m)
@@ -325,7 +325,7 @@
 
 // Connections without a whole message, and those that rest, are closed; one with a request open is not.
 func TestConnectionsThatRest(t *testing.T) {
-	short := func(m *policy.Margins) { m.Silent, m.Resting = policy.Second/20, policy.Second/10 }
+	short := func(m *policy.Timeouts) { m.RequestRead, m.DownstreamIdle = policy.Second/20, policy.Second/10 }
 	cases := []struct{ name, first string }{
 		{"nothing sent", ""},
 		{"half a message", "*2\r\n$6\r\nSTA"},
@@ -353,7 +353,7 @@
 // Connections that are silent or asked once make room for those that speak and for each other, however many come.
 func TestFloodOfConnections(t *testing.T) {
 	for _, first := range []string{"", string(frame("STATUS", "1"))} {
-		b := serve(t, 4, 64, 10*time.Second, func(m *policy.Margins) { m.Retry = policy.Second / 100 })
+		b := serve(t, 4, 64, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry = policy.Second / 100 })
 		good := b.dial(t)
 		good.Write(ask("6"))
 		open := b.next(t, 6)
@@ -375,7 +375,7 @@
 
 // A client that is slow to read is not at rest: its answers are not cut off to make room.
 func TestSlowReaderKeepsItsPlace(t *testing.T) {
-	b := serve(t, 2, 4096, 10*time.Second, func(m *policy.Margins) { m.Retry = policy.Second / 100 })
+	b := serve(t, 2, 4096, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry = policy.Second / 100 })
 	slow := b.dial(t)
 	slow.Write(ask("1"))
 	conn := b.next(t, 1)
@@ -383,7 +383,7 @@
 	eventually(t, "the answer was not taken up", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return len(conn.queue) == 0 && time.Since(conn.used) > 2*span(b.margins.Retry)
+		return len(conn.queue) == 0 && time.Since(conn.used) > 2*span(b.margins.PollRetry)
 	})
 	for range 8 {
 		b.dial(t)
@@ -398,14 +398,14 @@
 
 // Where the silent are too new to tell, one that asked and rests makes room.
 func TestRestingMakesRoomForNew(t *testing.T) {
-	b := serve(t, 3, 64, 10*time.Second, func(m *policy.Margins) { m.Retry = 3600 * policy.Second })
+	b := serve(t, 3, 64, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry = 3600 * policy.Second })
 	rested := b.dial(t)
 	rested.Write(frame("STATUS", "1"))
 	rested.answer(t)
 	b.Server.mu.Lock()
 	for c := range b.Server.conns {
 		c.mu.Lock()
-		c.used = c.used.Add(-2 * span(b.margins.Retry))
+		c.used = c.used.Add(-2 * span(b.margins.PollRetry))
 		c.mu.Unlock()
 	}
 	b.Server.mu.Unlock()
@@ -439,7 +439,7 @@
 		t.Fatal(err)
 	}
 	s := New([]Sink{sink{closed: make(chan *Conn, 1)}}, site, bufpool.New(1), 1,
-		policy.Margins{Flush: policy.Second, Retry: policy.Second / 5, Silent: policy.Second, Resting: policy.Second})
+		policy.Timeouts{WriteFlush: policy.Second, PollRetry: policy.Second / 5, RequestRead: policy.Second, DownstreamIdle: policy.Second})
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(&poor{Listener: l}) }()
 	c := (&bed{addr: l.Addr().String()}).dial(t)
--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -240,11 +240,11 @@
 		return a.malformed
 	case t == nil:
 		return errors.New("an unknown content type")
-	case policy.Micros(a.Limit/time.Microsecond) > t.Expiry:
+	case policy.Micros(a.Limit/time.Microsecond) > t.Timeout:
 		return errors.New("limit: over the content type's")
-	case a.Part > 0 && t.Whole:
+	case a.Part > 0 && t.Unsplit:
 		return errors.New("n: the content type has no parts")
-	case (t.Repeat == policy.Deduped) != (a.Key != ""):
+	case (t.RetrySafety == policy.IdempotentWithKey) != (a.Key != ""):
 		return errors.New("unique: missing, or not for the content type")
 	}
 	a.Type = t
--- a/internal/downstream/protocol_test.go
+++ b/internal/downstream/protocol_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestAsk(t *testing.T) {
-	types := map[string]*policy.ContentType{"segment": site.Settings.Types[0], "cover": site.Settings.Types[1]}
+	types := map[string]*policy.ContentType{"segment": site.Settings.ContentTypes[0], "cover": site.Settings.ContentTypes[1]}
 	key := strings.Repeat("5c0f6e1a", 4)
 	whole := Ask{
 		Type: types["segment"], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
--- a/internal/downstream/rare_test.go
+++ b/internal/downstream/rare_test.go
@@ -13,7 +13,7 @@
 )
 
 // soon are margins under which what lies in a socket is read whole before it is handed on.
-func soon(m *policy.Margins) { m.Late = policy.Second }
+func soon(m *policy.Timeouts) { m.MaxDecisionAge = policy.Second }
 
 // none checks that nothing more was asked for, behind a request of another connection that is.
 func (b *bed) none(t *testing.T) {
@@ -144,7 +144,7 @@
 // narrow is a sink that takes one thing at a time: a connection's reader stands still until it is taken.
 type narrow struct{ sink }
 
-func narrowBed(t *testing.T, conns int, change ...func(*policy.Margins)) (*bed, net.Listener) {
+func narrowBed(t *testing.T, conns int, change ...func(*policy.Timeouts)) (*bed, net.Listener) {
 	b := serve(t, conns, 64, 10*time.Second, change...)
 	asks := make(chan asked) // not buffered
 	b.sink.asks = asks
@@ -161,7 +161,7 @@
 
 // What was sent before the client is told that nothing more comes is answered, also where it lies unread at that moment.
 func TestRequestInTheMomentOfTheShut(t *testing.T) {
-	b, l := narrowBed(t, 2, func(m *policy.Margins) { m.Late = 0 })
+	b, l := narrowBed(t, 2, func(m *policy.Timeouts) { m.MaxDecisionAge = 0 })
 	c := b.dial(t)
 	c.Write(ask("1"))
 	first := get(t, b.asks)
@@ -235,7 +235,7 @@
 
 // A client that always has something open does not keep the server from its end.
 func TestClientThatNeverRests(t *testing.T) {
-	b := serve(t, 2, 64, time.Hour, func(m *policy.Margins) { m.Connect = policy.Second / 20 })
+	b := serve(t, 2, 64, time.Hour, func(m *policy.Timeouts) { m.Connect = policy.Second / 20 })
 	c := b.dial(t)
 	stop := make(chan struct{})
 	defer close(stop)
@@ -282,7 +282,7 @@
 
 // An answer that a slow reader has not taken yet is not lost when the connection is left, whatever the client sends meanwhile.
 func TestSlowReaderAtTheEnd(t *testing.T) {
-	b := serve(t, 2, 4096, 10*time.Second, func(m *policy.Margins) { m.Connect = policy.Second / 50 })
+	b := serve(t, 2, 4096, 10*time.Second, func(m *policy.Timeouts) { m.Connect = policy.Second / 50 })
 	c := b.dial(t)
 	c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
 	c.Write(ask("1"))
@@ -312,7 +312,7 @@
 
 // One that was told to stay away makes room only once it must have heard so: a reset could take the answer with it.
 func TestRoomIsNotMadeOverAnAnswerOnItsWay(t *testing.T) {
-	b := serve(t, 2, 64, 10*time.Second, func(m *policy.Margins) { m.Retry, m.Late = 3600*policy.Second, 3600*policy.Second })
+	b := serve(t, 2, 64, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry, m.MaxDecisionAge = 3600*policy.Second, 3600*policy.Second })
 	c := b.dial(t)
 	c.Write(ask("1"))
 	conn := b.next(t, 1)
@@ -327,7 +327,7 @@
 		t.Errorf("%d ended at once", n)
 	}
 	conn.mu.Lock()
-	conn.used = conn.used.Add(-2 * span(b.margins.Late))
+	conn.used = conn.used.Add(-2 * span(b.margins.MaxDecisionAge))
 	conn.mu.Unlock()
 	if n := b.makeRoom(1); n != 1 {
 		t.Errorf("%d ended later", n)
@@ -336,7 +336,7 @@
 
 // A limit that is lowered holds for the connections that are there.
 func TestLoweredLimit(t *testing.T) {
-	b := serve(t, 8, 64, 10*time.Second, func(m *policy.Margins) { m.Silent, m.Retry = 20*policy.Second/10, 1000 })
+	b := serve(t, 8, 64, 10*time.Second, func(m *policy.Timeouts) { m.RequestRead, m.PollRetry = 20*policy.Second/10, 1000 })
 	busy := b.dial(t)
 	busy.Write(ask("1"))
 	conn := b.next(t, 1)
--- a/internal/experiment/peersim.go
+++ b/internal/experiment/peersim.go
@@ -129,8 +129,8 @@
 
 func (m *peerSim) start(i int) {
 	m.born++
-	s := membership.Derive(fmt.Sprint("n", i), m.born, d.Settings{Instances: m.n, Directors: m.n, ConnectTimeout: 400_000,
-		Edge: d.Warming{Window: 3 * d.Second}})
+	s := membership.Derive(fmt.Sprint("n", i), m.born, d.Settings{ZoneDirectors: m.n, TotalDirectors: m.n, ConnectTimeout: 400_000,
+		EdgeSlowStart: d.SlowStart{OverloadWindow: 3 * d.Second}})
 	m.settings[i], m.boards[i], m.alive[i] = s, membership.New(m.clock(i), s), true
 	for j := range m.n {
 		m.said[m.pair(i, j)], m.said[m.pair(j, i)] = unsaid, unsaid // a process that is new is found out about anew
--- a/internal/experiment/startsim.go
+++ b/internal/experiment/startsim.go
@@ -87,9 +87,9 @@
 func newStartSim(n, location int, alone bool, seed uint64, able fakes.Capacity) *startSim {
 	s := &startSim{now: d.Second, r: rand.New(rand.NewPCG(seed, 3)), byName: map[string]int{}, serving: true, able: able, waiting: map[int]func(){},
 		news: 1, lists: 1, alone: alone}
-	settings := d.Settings{ConnectTimeout: 400_000, PurgeWithin: 500_000, PurgeKept: 6 * d.Second}
-	margins := d.Margins{Block: settings.PurgeKept / 5, Retry: settings.ConnectTimeout / 4}
-	s.times, s.retry = backoff.Derive(settings, margins), margins.Retry
+	settings := d.Settings{ConnectTimeout: 400_000, PurgePropagation: 500_000, PurgeRetention: 6 * d.Second}
+	margins := d.Timeouts{LongPoll: settings.PurgeRetention / 5, PollRetry: settings.ConnectTimeout / 4}
+	s.times, s.retry = backoff.Derive(settings, margins), margins.PollRetry
 	if !alone {
 		s.times = s.times.Few()
 	}
--- a/internal/experiment/together.go
+++ b/internal/experiment/together.go
@@ -57,8 +57,8 @@
 		if err != nil {
 			return nil, err
 		}
-		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{Instances: g.Directors, Directors: g.Directors,
-			ConnectTimeout: 400_000 * slow, Edge: policy.Warming{Window: 3 * policy.Second * slow}})
+		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: g.Directors, TotalDirectors: g.Directors,
+			ConnectTimeout: 400_000 * slow, EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second * slow}})
 		t, err := gossipnet.Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "lab", KeyBytes: bytes.Repeat([]byte{7}, 32)}, s, now,
 			gossipnet.Ears{})
 		if err != nil {
--- a/internal/gossipnet/peering_test.go
+++ b/internal/gossipnet/peering_test.go
@@ -27,8 +27,8 @@
 // start starts one of three directors.
 func start(t *testing.T, i int, listen string, seeds []string, key byte, hints chan membership.Hint) *Talk {
 	begun := time.Now()
-	s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{Instances: 3, Directors: 3, ConnectTimeout: 400_000,
-		Edge: policy.Warming{Window: 3 * policy.Second}})
+	s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: 3, TotalDirectors: 3, ConnectTimeout: 400_000,
+		EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second}})
 	talk, err := Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "test", KeyBytes: bytes.Repeat([]byte{key}, 32)}, s,
 		func() policy.Micros {
 			return policy.Second*100 + policy.Micros(time.Since(begun)/time.Microsecond)
@@ -195,8 +195,8 @@
 	doubts.Store(true)
 	begin := func(i int, advertise string, seeds []string, ears Ears) *Talk {
 		begun := time.Now()
-		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{Instances: 2, Directors: 2, ConnectTimeout: 400_000,
-			Edge: policy.Warming{Window: 3 * policy.Second}})
+		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: 2, TotalDirectors: 2, ConnectTimeout: 400_000,
+			EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second}})
 		talk, err := Start(config.Peers{Listen: at[i], Advertise: advertise, Seeds: seeds, Fleet: "test", KeyBytes: bytes.Repeat([]byte{1}, 32)}, s,
 			func() policy.Micros { return policy.Second + policy.Micros(time.Since(begun)/time.Microsecond) }, ears)
 		if err != nil {
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -215,8 +215,8 @@
 		if on {
 			at = r.Now()
 			r.WithPolicy(func() {
-				for _, v := range g.d.modules[i].Nodes(at) {
-					g.d.modules[i].Questioned(at, v.ID, false, false)
+				for _, v := range g.d.modules[i].Endpoints(at) {
+					g.d.modules[i].ProbeDone(at, v.ID, false, false)
 				}
 			})
 		}
@@ -348,7 +348,7 @@
 	for _, h := range beliefs[:min(len(beliefs), mostBeliefs)] {
 		_, full := h.Doubts()
 		for i, r := range g.d.routers {
-			go r.WithPolicy(func() { g.d.modules[i].Questioned(r.Now(), h.Node, full, full) }) // this is a call from within the talk
+			go r.WithPolicy(func() { g.d.modules[i].ProbeDone(r.Now(), h.Node, full, full) }) // this is a call from within the talk
 		}
 	}
 	if len(beliefs) > 0 {
@@ -383,16 +383,16 @@
 		case <-tick.C:
 		}
 		g.hear()
-		var views []routing.View
+		var views []routing.EndpointView
 		var now policy.Micros
 		g.d.routers[0].WithPolicy(func() {
 			now = g.d.routers[0].Now()
-			views = g.d.modules[0].Nodes(now)
+			views = g.d.modules[0].Endpoints(now)
 		})
 		heard, sights, beliefs := map[string]policy.Micros{}, map[string]membership.Sight{}, []membership.Hint{}
 		for _, v := range views {
-			heard[v.ID] = now - policy.Micros(v.Heard*float64(policy.Second))
-			now := membership.Sight{Skipped: v.Skipped > 0, Trial: v.Trial, Warm: v.Warm, Limit: v.Limit}
+			heard[v.ID] = now - policy.Micros(v.LastAnswer*float64(policy.Second))
+			now := membership.Sight{Skipped: v.EjectedFor > 0, Trial: v.HalfOpen, Warm: v.SlowStartShare, Limit: v.Limit}
 			before, seen := g.sights[v.ID]
 			if what, news := membership.News(before, now); seen && news {
 				g.talk.Load().Tell(membership.Hint{Node: v.ID, What: what})
@@ -423,7 +423,7 @@
 			anew, full := h.Doubts()
 			slog.Info("hint", "node", h.Node, "what", h.What, "well", err == nil)
 			for i, r := range g.d.routers {
-				r.WithPolicy(func() { g.d.modules[i].Questioned(r.Now(), h.Node, err == nil && !anew, err == nil && full) })
+				r.WithPolicy(func() { g.d.modules[i].ProbeDone(r.Now(), h.Node, err == nil && !anew, err == nil && full) })
 			}
 		}
 	}
--- a/internal/server/hearing.go
+++ b/internal/server/hearing.go
@@ -94,9 +94,9 @@
 	if relays.Fold(h.list, rows, true); len(diff) == 0 {
 		return nil
 	}
-	e := discovery.Event{Listed: true, Group: policy.All}
+	e := discovery.Event{Listed: true, Group: policy.AllGroups}
 	for _, r := range diff {
-		e.Nodes = append(e.Nodes, discovery.Node{Addr: r.Addr, Node: policy.Node{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell,
+		e.Nodes = append(e.Nodes, discovery.Node{Addr: r.Addr, Endpoint: policy.Endpoint{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell,
 			Weight: r.Weight, Started: r.Started, State: r.State}})
 	}
 	return []discovery.Event{e}
--- a/internal/server/heart.go
+++ b/internal/server/heart.go
@@ -17,11 +17,11 @@
 	every time.Duration
 }
 
-func newHeart(s policy.Settings, m policy.Margins, hurry func(), settled func(stall.How)) *heart {
-	h := &heart{start: time.Now(), every: span(m.Beat)}
+func newHeart(s policy.Settings, m policy.Timeouts, hurry func(), settled func(stall.How)) *heart {
+	h := &heart{start: time.Now(), every: span(m.Heartbeat)}
 	// A call may take the channel's time, and be given up only after that of its connection; then comes a pause.
-	cycle := m.Block + 2*m.Connect + backoff.Derive(s, m).Most + m.Gap
-	h.Watch = stall.New(stall.Times{Gap: m.Gap, Cycle: cycle, Bound: m.Doubt}, h.Read(), func(gap policy.Micros) {
+	cycle := m.LongPoll + 2*m.Connect + backoff.Derive(s, m).Most + m.StallThreshold
+	h.Watch = stall.New(stall.Times{Gap: m.StallThreshold, Cycle: cycle, Bound: m.SuspectTimeout}, h.Read(), func(gap policy.Micros) {
 		slog.Warn("time_jumped", "by", span(gap))
 		hurry()
 	}, func(how stall.How, took policy.Micros) {
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -144,7 +144,7 @@
 
 // options are what the operator's file says to the decisions.
 func options(o config.Operator, l config.Limits, g *gossipDriver) routing.Options {
-	return routing.Options{Storm: o.Storm, Keys: o.Marks(l), Held: g.held, Told: func(_ policy.Micros, r overload.Report) {
+	return routing.Options{Overload: o.Storm, Dedup: o.Marks(l), QuotaShare: g.held, OnOverloadReport: func(_ policy.Micros, r overload.Report) {
 		slog.Info("storm", "state", r.State, "demand", r.Demand, "warm", r.Warm, "asks", r.Asks, "repeats", r.Repeats,
 			"early", r.Early, "connects", r.Connects, "promised", r.Promised, "kept", r.Kept)
 	}}
@@ -158,7 +158,7 @@
 	}
 	level.Set(o.Log)
 	limitRuntime(c.Limits, o)
-	margins := routing.Margins(c.Site.Settings)
+	margins := routing.Timeouts(c.Site.Settings)
 	buffers := bufpool.New(c.Limits.Buffers(bufpool.Size))
 	fleet := upstream.New(buffers, margins, c.Limits.Dials())
 	shards := o.Shards(c.Limits)
@@ -247,17 +247,17 @@
 	keeper.stop()
 	// What waits in the listener's queue was taken: it is let in, and has a moment to ask. Clients that go on coming keep the
 	// listener open no longer than they are allowed to come, once more.
-	linger, settle := stopped.Add(span(margins.Linger)), o.Settle
+	linger, settle := stopped.Add(span(margins.DrainAccept)), o.Settle
 	if settle == 0 {
-		settle = margins.Confirm
+		settle = margins.CancelConfirm
 	}
-	for last := linger.Add(span(margins.Linger)); time.Now().Before(last); time.Sleep(span(margins.Linger) / 100) {
+	for last := linger.Add(span(margins.DrainAccept)); time.Now().Before(last); time.Sleep(span(margins.DrainAccept) / 100) {
 		if time.Now().After(linger) && server.Quiet(span(settle)) {
 			break
 		}
 	}
 	l.Close()
-	d.close(stopped.Add(span(margins.Stop))) // then all is answered, also what goes on coming for a moment, and the clients are told to leave
+	d.close(stopped.Add(span(margins.DrainDeadline))) // then all is answered, also what goes on coming for a moment, and the clients are told to leave
 	server.Close()
 	g.stop()
 	leave()
@@ -278,14 +278,14 @@
 // directors as there are.
 type decider struct {
 	routers []*dispatch.Router
-	modules []*routing.Logic
+	modules []*routing.Router
 	sinks   []downstream.Sink
 }
 
-func newDecider(s policy.Settings, o routing.Options, m policy.Margins, fleet *upstream.Fleet, shards int, divided bool) *decider {
+func newDecider(s policy.Settings, o routing.Options, m policy.Timeouts, fleet *upstream.Fleet, shards int, divided bool) *decider {
 	d, each := &decider{}, shards
 	if divided {
-		s.Instances, each = max(1, s.Instances)*shards, 1
+		s.ZoneDirectors, each = max(1, s.ZoneDirectors)*shards, 1
 	}
 	for n := 0; n < shards; n += each {
 		module := routing.New(s, o)
@@ -318,7 +318,7 @@
 
 func (d *decider) use(o routing.Options) {
 	for i, r := range d.routers {
-		r.WithPolicy(func() { d.modules[i].Use(o) })
+		r.WithPolicy(func() { d.modules[i].SetOptions(o) })
 	}
 }
 
@@ -394,9 +394,9 @@
 		r.Told, r.InForce = router.Epochs()
 		router.WithPolicy(func() {
 			now := router.Now()
-			held, full := d.modules[i].Keys()
+			held, full := d.modules[i].DedupCounts()
 			r.KeysHeld, r.KeysFull = r.KeysHeld+held, r.KeysFull+full
-			r.Storm, r.Beliefs = d.modules[i].Storm(now), d.modules[i].Nodes(now)
+			r.Storm, r.Beliefs = d.modules[i].OverloadReport(now), d.modules[i].Endpoints(now)
 		})
 	}
 	return r
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -15,7 +15,7 @@
 )
 
 // Serve answers batches until the input ends. Malformed input ends it with an error that names the line.
-func Serve(in io.Reader, out io.Writer, start func(policy.Settings) policy.Director) error {
+func Serve(in io.Reader, out io.Writer, start func(policy.Settings) policy.Policy) error {
 	h := &host{
 		in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16),
 		start: start, instances: map[string]*instance{},
@@ -38,9 +38,9 @@
 	in        *bufio.Reader
 	out       *bufio.Writer
 	line      int
-	start     func(policy.Settings) policy.Director
+	start     func(policy.Settings) policy.Policy
 	instances map[string]*instance
-	pages     [16][]policy.Node
+	pages     [16][]policy.Endpoint
 	known     [16]bool
 	now       policy.Micros
 	id        string // the instance that events are about
@@ -50,13 +50,13 @@
 // instance is one director with what it has in hand. Downloads leave the table once they are over and
 // their pulls have ended; retire empties it.
 type instance struct {
-	module    policy.Director
+	module    policy.Policy
 	types     []*policy.ContentType
 	downloads map[uint64]*held
 }
 
 type held struct {
-	policy.Download
+	policy.Request
 	xid   uint64
 	pulls int // sent
 	out   int // not ended yet
@@ -132,7 +132,7 @@
 		if err := firstError(msg.integer("group", &group), msg.micros("oldness", &age)); err != nil {
 			return err
 		}
-		inst.module.Purged(h.now, msg.fields["object"], group, h.now-age)
+		inst.module.Purge(h.now, msg.fields["object"], group, h.now-age)
 	case "ingress":
 		return h.ingress(inst, msg)
 	case "report_back":
@@ -142,7 +142,7 @@
 	case "gone":
 		xid, err := msg.xid("xid")
 		if dl := inst.downloads[xid]; err == nil && dl != nil {
-			dl.Over = true
+			dl.Done = true
 			inst.drop(dl)
 		}
 		return err
@@ -161,7 +161,7 @@
 	if rows < 0 {
 		return fmt.Errorf("inventory: rows-in missing or negative")
 	}
-	nodes := make([]policy.Node, 0, min(rows, 1<<12))
+	nodes := make([]policy.Endpoint, 0, min(rows, 1<<12))
 	for range rows {
 		row, err := h.next()
 		if err == io.EOF || err == nil && row.name != "row" {
@@ -170,7 +170,7 @@
 		if err != nil {
 			return err
 		}
-		n := policy.Node{ID: row.fields["node"], Weight: 1}
+		n := policy.Endpoint{ID: row.fields["node"], Weight: 1}
 		err = firstError(row.integer("az", &n.Zone), row.integer("generation-hw", &n.Kind),
 			row.integer("pod", &n.Cell), row.number("heft", &n.Weight), row.micros("launched", &n.Started))
 		if err != nil {
@@ -182,7 +182,7 @@
 		case "LAME":
 			n.State = policy.Draining
 		case "OUT":
-			n.State = policy.Gone
+			n.State = policy.Removed
 		default:
 			return fmt.Errorf("row: health %q is not known", state)
 		}
@@ -206,7 +206,7 @@
 	}
 	switch kind {
 	case "incr", "total", "warm_copy":
-		inst.module.Listed(h.now, h.pages[page], kind != "incr")
+		inst.module.UpdateEndpoints(h.now, h.pages[page], kind != "incr")
 	}
 	return nil
 }
@@ -222,7 +222,7 @@
 	}
 	site.Seed = seed
 	h.instances[h.id] = &instance{
-		module: h.start(site.Settings), types: site.Settings.Types, downloads: map[uint64]*held{},
+		module: h.start(site.Settings), types: site.Settings.ContentTypes, downloads: map[uint64]*held{},
 	}
 	return nil
 }
@@ -242,24 +242,24 @@
 		return fmt.Errorf("ingress: lane %d is not in the settings", lane)
 	}
 	dl.Type, dl.Object = inst.types[lane], msg.fields["object"]
-	dl.Again = msg.fields["resent"] == "1"
-	dl.Arrived, dl.Leaves = h.now, h.now+patience
+	dl.IsRetry = msg.fields["resent"] == "1"
+	dl.ArrivedAt, dl.Deadline = h.now, h.now+patience
 	inst.downloads[xid] = dl
-	h.act(inst, dl, inst.module.Where(h.now, &dl.Download))
+	h.act(inst, dl, inst.module.Route(h.now, &dl.Request))
 	return nil
 }
 
-var endings = map[string]policy.Ending{
-	"success": policy.Fulfilled, "failure": policy.Failed, "overloaded": policy.TurnedAway,
-	"timed_out": policy.TimedOut, "unreachable": policy.Unreached, "broken": policy.Broken,
-	"withdrawn": policy.Cancelled, "void": policy.NeverSent, "absent": policy.Missing,
+var endings = map[string]policy.Result{
+	"success": policy.Succeeded, "failure": policy.Failed, "overloaded": policy.Rejected,
+	"timed_out": policy.TimedOut, "unreachable": policy.ConnectFailed, "broken": policy.ConnectionLost,
+	"withdrawn": policy.Cancelled, "void": policy.NotSent, "absent": policy.CacheMiss,
 }
 
 func (h *host) reportBack(inst *instance, msg message) error {
 	xid, err := msg.xid("xid")
 	var out policy.Outcome
 	remark := 0
-	err = firstError(err, msg.integer("go", &out.Pull), msg.integer("remark", &remark))
+	err = firstError(err, msg.integer("go", &out.Attempt), msg.integer("remark", &remark))
 	if err != nil {
 		return err
 	}
@@ -268,16 +268,16 @@
 		return fmt.Errorf("report_back: state-code %q is not known", msg.fields["state-code"])
 	}
 	dl := inst.downloads[xid]
-	if dl == nil || out.Pull < 0 || out.Pull >= dl.pulls {
+	if dl == nil || out.Attempt < 0 || out.Attempt >= dl.pulls {
 		return nil
 	}
-	if remark >= int(policy.Untold) && remark <= int(policy.OriginFailed) {
-		out.Filling = policy.Filling(remark)
+	if remark >= int(policy.Unknown) && remark <= int(policy.OriginFailed) {
+		out.CacheStatus = policy.CacheStatus(remark)
 	}
-	out.Ending, out.Last = ending, msg.fields["last"] == "1"
+	out.Result, out.Final = ending, msg.fields["last"] == "1"
 	dl.out--
-	dl.Over = dl.Over || out.Last
-	h.act(inst, dl, inst.module.After(h.now, &dl.Download, out))
+	dl.Done = dl.Done || out.Final
+	h.act(inst, dl, inst.module.AttemptDone(h.now, &dl.Request, out))
 	return nil
 }
 
@@ -286,40 +286,40 @@
 	if err != nil {
 		return err
 	}
-	if dl := inst.downloads[xid]; dl != nil && !dl.Over && dl.wake != 0 && dl.wake <= h.now {
+	if dl := inst.downloads[xid]; dl != nil && !dl.Done && dl.wake != 0 && dl.wake <= h.now {
 		dl.wake = 0
-		h.act(inst, dl, inst.module.Where(h.now, &dl.Download))
+		h.act(inst, dl, inst.module.Route(h.now, &dl.Request))
 	}
 	return nil
 }
 
 // act writes an answer to the wire.
-func (h *host) act(inst *instance, dl *held, a policy.Answer) {
-	switch a.Verb {
-	case policy.Pull:
-		h.send("read_through xid=%d node=%s within=%s keep=%d from-where=%s opts=%d", dl.xid, a.Node.ID,
-			millis(a.TimeOut), a.Keep, a.Source.ID, bit(a.Join, 1)|bit(a.Held, 2)|bit(a.Renew, 8))
-		if a.Oldest > 0 {
-			h.out.WriteString(" oldness=" + millis(a.Oldest))
+func (h *host) act(inst *instance, dl *held, a policy.Decision) {
+	switch a.Action {
+	case policy.Send:
+		h.send("read_through xid=%d node=%s within=%s keep=%d from-where=%s opts=%d", dl.xid, a.Endpoint.ID,
+			millis(a.Timeout), a.CacheRank, a.Source.ID, bit(a.Coalesce, 1)|bit(a.OnlyIfCached, 2)|bit(a.Revalidate, 8))
+		if a.MaxAge > 0 {
+			h.out.WriteString(" oldness=" + millis(a.MaxAge))
 		}
 		h.out.WriteByte('\n')
 		dl.pulls++
 		dl.out++
-	case policy.Cancel:
-		h.send("abandon xid=%d go=%d\n", dl.xid, a.Pull)
-	case policy.Throttle:
+	case policy.CancelAttempt:
+		h.send("abandon xid=%d go=%d\n", dl.xid, a.Attempt)
+	case policy.Reject:
 		h.send("shed xid=%d", dl.xid)
-		if a.ComeBack > 0 {
-			h.out.WriteString(" wait=" + millis(a.ComeBack))
+		if a.RetryAfter > 0 {
+			h.out.WriteString(" wait=" + millis(a.RetryAfter))
 		}
 		h.out.WriteByte('\n')
-		dl.Over = true
-	case policy.Abandon:
+		dl.Done = true
+	case policy.Fail:
 		h.send("fail xid=%d\n", dl.xid)
-		dl.Over = true
+		dl.Done = true
 	}
-	if !dl.Over {
-		if wait := inst.module.Wait(h.now, &dl.Download); wait > 0 && (dl.wake == 0 || dl.wake > h.now+wait) {
+	if !dl.Done {
+		if wait := inst.module.RecheckAfter(h.now, &dl.Request); wait > 0 && (dl.wake == 0 || dl.wake > h.now+wait) {
 			dl.wake = h.now + wait
 			h.send("wake_at in=%s key-back=%d\n", millis(wait), dl.xid)
 		}
@@ -329,7 +329,7 @@
 
 // drop forgets a download that is over and has no pull out.
 func (inst *instance) drop(dl *held) {
-	if dl.Over && dl.out == 0 {
+	if dl.Done && dl.out == 0 {
 		delete(inst.downloads, dl.xid)
 	}
 }
--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -23,7 +23,7 @@
 
 func serve(in string) (string, error) {
 	var out bytes.Buffer
-	err := Serve(strings.NewReader(in), &out, func(s policy.Settings) policy.Director { return routing.New(s, routing.Options{}) })
+	err := Serve(strings.NewReader(in), &out, func(s policy.Settings) policy.Policy { return routing.New(s, routing.Options{}) })
 	return out.String(), err
 }
 
--- a/internal/status/state_test.go
+++ b/internal/status/state_test.go
@@ -18,14 +18,16 @@
 	}
 	left.(*net.UnixListener).SetUnlinkOnClose(false)
 	left.Close()
-	s, err := Serve(path, func() Report { return Report{Name: "n0", Beliefs: []routing.View{{ID: "e0", Warm: 0.5}}} })
+	s, err := Serve(path, func() Report {
+		return Report{Name: "n0", Beliefs: []routing.EndpointView{{ID: "e0", SlowStartShare: 0.5}}}
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v", info, err)
 	}
-	if r, err := Read(t.Context(), path); err != nil || r.Name != "n0" || len(r.Beliefs) != 1 || r.Beliefs[0].Warm != 0.5 {
+	if r, err := Read(t.Context(), path); err != nil || r.Name != "n0" || len(r.Beliefs) != 1 || r.Beliefs[0].SlowStartShare != 0.5 {
 		t.Errorf("%+v, %v", r, err)
 	}
 	if _, err := Serve(path, func() Report { return Report{} }); err == nil {
--- a/internal/upstream/back.go
+++ b/internal/upstream/back.go
@@ -66,7 +66,7 @@
 // Fleet is what all nodes' connections have in common.
 type Fleet struct {
 	pool    *bufpool.Pool
-	margins policy.Margins
+	margins policy.Timeouts
 	most    atomic.Int64 // connections that may be held
 	held    atomic.Int64 // or are on their way
 	done    chan struct{}
@@ -78,7 +78,7 @@
 }
 
 // New makes a fleet of at most so many connections.
-func New(p *bufpool.Pool, m policy.Margins, most int) *Fleet {
+func New(p *bufpool.Pool, m policy.Timeouts, most int) *Fleet {
 	f := &Fleet{
 		pool: p, margins: m, done: make(chan struct{}), peers: map[*Peer]struct{}{}, sound: func() bool { return true },
 	}
@@ -285,7 +285,7 @@
 			best = c
 		}
 	}
-	if best != nil && len(best.open) < p.f.margins.Shared {
+	if best != nil && len(best.open) < p.f.margins.PreferredStreams {
 		return best
 	}
 	most := p.f.most.Load()
@@ -304,7 +304,7 @@
 
 // takes says whether a pull may go over a connection. The caller holds the lock.
 func (c *conn) takes(l *Pull) bool {
-	return !c.retired && c.open[l.want.ID] == nil && !c.old[l.want.ID] && len(c.open) < c.p.f.margins.Most &&
+	return !c.retired && c.open[l.want.ID] == nil && !c.old[l.want.ID] && len(c.open) < c.p.f.margins.MaxStreams &&
 		!slices.ContainsFunc(l.before, func(b *Pull) bool { return b.peer == c.p && b.conn == c })
 }
 
@@ -406,7 +406,7 @@
 
 // rank says which connection is better, the lower the better.
 func (c *conn) rank() (rank int) {
-	if len(c.open) >= c.p.f.margins.Shared {
+	if len(c.open) >= c.p.f.margins.PreferredStreams {
 		rank = 2
 	}
 	if c.nc == nil {
@@ -529,7 +529,7 @@
 	defer r.close()
 	for timed := false; ; {
 		if within := r.within(); within {
-			c.nc.SetReadDeadline(time.Now().Add(span(c.p.f.margins.Stall)))
+			c.nc.SetReadDeadline(time.Now().Add(span(c.p.f.margins.ReadStall)))
 			timed = true
 		} else if timed {
 			c.nc.SetReadDeadline(time.Time{})
@@ -601,7 +601,7 @@
 // ask waits for the node's word that it heard of a pull's giving up. The caller holds the lock.
 func (c *conn) ask(l *Pull) {
 	c.asked = append(c.asked, l)
-	time.AfterFunc(span(c.p.f.margins.Confirm), func() {
+	time.AfterFunc(span(c.p.f.margins.CancelConfirm), func() {
 		c.p.mu.Lock()
 		defer c.p.mu.Unlock()
 		if !l.over {
@@ -664,7 +664,7 @@
 		out = c.recall(queue, out, ends, 0, true)
 	}
 	step := span(c.p.f.margins.Connect)
-	if late := span(c.p.f.margins.Late); late > 0 {
+	if late := span(c.p.f.margins.MaxDecisionAge); late > 0 {
 		step = min(step, late)
 	}
 	for until := time.Now().Add(span(c.p.f.margins.Connect)); ; {
--- a/internal/upstream/back_test.go
+++ b/internal/upstream/back_test.go
@@ -30,7 +30,7 @@
 	in *bufio.Reader
 }
 
-func newBed(t *testing.T, m policy.Margins, dials int) *bed {
+func newBed(t *testing.T, m policy.Timeouts, dials int) *bed {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -69,8 +69,8 @@
 	}
 }
 
-var margins = policy.Margins{
-	Connect: 10 * policy.Second, Stall: 10 * policy.Second, Confirm: 10 * policy.Second, Idle: 100 * policy.Second, Shared: 2, Most: 3,
+var margins = policy.Timeouts{
+	Connect: 10 * policy.Second, ReadStall: 10 * policy.Second, CancelConfirm: 10 * policy.Second, Idle: 100 * policy.Second, PreferredStreams: 2, MaxStreams: 3,
 }
 
 // accept takes the next connection.
@@ -211,7 +211,7 @@
 	})
 	t.Run("taking no bytes", func(t *testing.T) {
 		m := margins
-		m.Connect, m.Shared, m.Most = policy.Second/4, 1000, 1000
+		m.Connect, m.PreferredStreams, m.MaxStreams = policy.Second/4, 1000, 1000
 		b := newBed(t, m, 1)
 		body := bufpool.New(1).Body(0)
 		body.Write(make([]byte, 48_000))
@@ -253,7 +253,7 @@
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	m := margins
 	m.Connect = policy.Second / 4 // silent from then on
-	m.Shared, m.Most = 9, 9
+	m.PreferredStreams, m.MaxStreams = 9, 9
 	b := newBed(t, m, 8)
 	pull, ends := b.send("a1")
 	n := b.accept()
@@ -279,7 +279,7 @@
 // What a silent node had taken must not stay with it while the download goes elsewhere.
 func TestSilentNodeIsLeft(t *testing.T) {
 	m := margins
-	m.Shared = 3
+	m.PreferredStreams = 3
 	b := newBed(t, m, 8)
 	pull, ends := b.send("a1")
 	_, other := b.send("a2")
@@ -309,7 +309,7 @@
 	}
 	io.WriteString(n, "a3 well - 0\r\n\r\n")
 	expect(t, ends, "wholly written, given up")
-	b.Fleet.margins.Confirm = 1000
+	b.Fleet.margins.CancelConfirm = 1000
 	pull, ends = b.send("a5")
 	n.hears(t, "want a5")
 	_, other = b.send("a6")
@@ -377,14 +377,14 @@
 func TestStalledAnswer(t *testing.T) {
 	for _, text := range []string{"a1 data - 9\r\nxyz", "a1 da"} {
 		m := margins
-		m.Stall = policy.Second / 50
+		m.ReadStall = policy.Second / 50
 		b := newBed(t, m, 8)
 		_, a1 := b.send("a1")
 		n := b.accept()
 		n.hears(t, "want a1")
 		_, a2 := b.send("a2")
 		n.hears(t, "want a2")
-		time.Sleep(2 * span(m.Stall)) // as long as it likes between answers
+		time.Sleep(2 * span(m.ReadStall)) // as long as it likes between answers
 		io.WriteString(n, "a2 full - 0\r\n\r\n")
 		expect(t, a2, "full 0")
 		_, a2 = b.send("a2")
--- a/internal/upstream/rare_test.go
+++ b/internal/upstream/rare_test.go
@@ -23,7 +23,7 @@
 // its download went over: what still comes there would be taken for its answer.
 func TestMovedRequestKeepsApart(t *testing.T) {
 	m := margins
-	m.Shared, m.Most = 1, 1
+	m.PreferredStreams, m.MaxStreams = 1, 1
 	b := newBed(t, m, 8)
 	first, ends := b.send("a1")
 	n := b.accept()
@@ -62,7 +62,7 @@
 	for _, how := range []string{"void", "given up"} {
 		t.Run(how, func(t *testing.T) {
 			m := margins
-			m.Late, m.Shared, m.Most, m.Connect = policy.Second/50, 1000, 1000, 3600*policy.Second
+			m.MaxDecisionAge, m.PreferredStreams, m.MaxStreams, m.Connect = policy.Second/50, 1000, 1000, 3600*policy.Second
 			b := newBed(t, m, 1)
 			body := bufpool.New(4).Body(0)
 			body.Write(make([]byte, 48_000))
@@ -94,7 +94,7 @@
 					return true
 				}
 				before = now
-				time.Sleep(10 * span(m.Late))
+				time.Sleep(10 * span(m.MaxDecisionAge))
 				return false
 			})
 			last := fmt.Sprint("s", before-1) // in order: all before it are in the sockets
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -75,12 +75,12 @@
 
 // Derive gives the settings that follow from the platform's.
 func Derive(name string, born uint64, s d.Settings) Settings {
-	window := max(s.Edge.Window, 4*s.ConnectTimeout)
+	window := max(s.EdgeSlowStart.OverloadWindow, 4*s.ConnectTimeout)
 	return Settings{
-		Name: name, Zone: s.Zone, Born: born, Roster: [2]int{max(1, s.Instances), max(1, s.Directors)},
+		Name: name, Zone: s.Zone, Born: born, Roster: [2]int{max(1, s.ZoneDirectors), max(1, s.TotalDirectors)},
 		Lease: window / 4, Renew: window / 12, Calm: window / 8, Witnesses: 2, Forget: 400 * window,
 		Probe: s.ConnectTimeout / 2, Answer: s.ConnectTimeout / 4,
-		Suspicion: 3 + bit(s.Directors < manyDirectors),
+		Suspicion: 3 + bit(s.TotalDirectors < manyDirectors),
 		HintAge:   window, HintEvery: window, Hints: 16, Memory: 4096,
 	}
 }
--- a/membership/peers_test.go
+++ b/membership/peers_test.go
@@ -15,7 +15,7 @@
 
 func settings(i, of int) Settings {
 	s := Derive(fmt.Sprint("n", i), 1, d.Settings{
-		Instances: of, Directors: of, ConnectTimeout: 400 * ms, Edge: d.Warming{Window: 3 * d.Second},
+		ZoneDirectors: of, TotalDirectors: of, ConnectTimeout: 400 * ms, EdgeSlowStart: d.SlowStart{OverloadWindow: 3 * d.Second},
 	})
 	return s
 }
--- a/overload/guard.go
+++ b/overload/guard.go
@@ -40,13 +40,13 @@
 	return Settings{Reach: 1, Windows: 10, Rise: 1.25, Surge: 4, Repeats: 0.5, Cold: 0.6, Use: 0.9, Memory: 4096}
 }
 
-// Field is what the guard asks of the limits.
-type Field interface {
+// CapacityEstimate is what the guard asks of the limits.
+type CapacityEstimate interface {
 	// Able is how much the location's ready caches can do for this director at a time, in transfers at full pace; 0 where
 	// that is not known.
-	Able(at d.Micros) float64
+	Capacity(at d.Micros) float64
 	// Full is what they could do if all were warm.
-	Full() float64
+	WarmCapacity() float64
 }
 
 // State says how a storm is going.
@@ -125,7 +125,7 @@
 // Guard is one instance.
 type Guard struct {
 	s     Settings
-	f     Field
+	f     CapacityEstimate
 	span  d.Micros // of a window
 	reach d.Micros
 	rng   multiply
@@ -149,7 +149,7 @@
 
 // New makes a guard for clients that heed advice up to a time; with none, or in another mode, it never sees a storm. Told,
 // where given, hears of every change of state.
-func New(s Settings, most d.Micros, seed uint64, f Field, told func(d.Micros, Report)) *Guard {
+func New(s Settings, most d.Micros, seed uint64, f CapacityEstimate, told func(d.Micros, Report)) *Guard {
 	g := &Guard{s: s, f: f, rng: newMultiply(seed), part: 1, kept: 1, told: told}
 	g.reach = d.Micros(s.Reach * float64(most))
 	if s.Mode != Guards || g.reach <= 0 || s.Windows <= 0 || g.reach < d.Micros(s.Windows) {
@@ -302,7 +302,7 @@
 }
 
 func (g *Guard) able(at d.Micros) float64 {
-	if able := g.f.Able(at); able > 0 {
+	if able := g.f.Capacity(at); able > 0 {
 		return able
 	}
 	return g.best / float64(g.span)
@@ -349,7 +349,7 @@
 		asked *= 1 - share
 	}
 	able := g.able(now)
-	if full := g.f.Full(); full > 0 {
+	if full := g.f.WarmCapacity(); full > 0 {
 		r.Warm = min(1, able/full)
 	}
 	if able > 0 {
--- a/overload/guard_test.go
+++ b/overload/guard_test.go
@@ -20,15 +20,15 @@
 	warm       d.Micros
 }
 
-func (c *caches) Full() float64 { return c.full }
-func (c *caches) Able(at d.Micros) float64 {
+func (c *caches) WarmCapacity() float64 { return c.full }
+func (c *caches) Capacity(at d.Micros) float64 {
 	if at >= c.began+c.warm {
 		return c.full
 	}
 	return c.full * (c.from + (1-c.from)*float64(max(0, at-c.began))/float64(c.warm))
 }
 
-func guard(f Field, told func(d.Micros, Report)) *Guard {
+func guard(f CapacityEstimate, told func(d.Micros, Report)) *Guard {
 	s := Defaults()
 	s.Mode = Guards
 	return New(s, d.Second, 7, f, told)
@@ -79,7 +79,7 @@
 	if at := c.now / (10 * ms); at != c.slice {
 		c.slice, c.spent = at, 0
 	}
-	if c.g.Asked(c.now, a) && c.spent+a.Work <= c.f.Able(c.now)*float64(10*ms) {
+	if c.g.Asked(c.now, a) && c.spent+a.Work <= c.f.Capacity(c.now)*float64(10*ms) {
 		c.spent += a.Work
 		c.g.Served(c.now, a, false)
 		c.served[who] = c.now
@@ -143,7 +143,7 @@
 	}
 	need, done := d.Micros(0), 0.0
 	for at := 100 * d.Second; done < 400*float64(50*ms); at += ms {
-		done += c.f.Able(at) * float64(ms)
+		done += c.f.Capacity(at) * float64(ms)
 		need = at - 100*d.Second
 	}
 	if took := last - 100*d.Second; took > need*3/2+d.Second {
@@ -294,7 +294,7 @@
 			}
 			f := newCrowd(20, nil).f
 			for window, work := range promised {
-				if able := f.Able((window+1)*100*ms) * float64(100*ms); work > 1.3*able {
+				if able := f.Capacity((window+1)*100*ms) * float64(100*ms); work > 1.3*able {
 					t.Errorf("%0.f promised for a window that can do %0.f", work, able)
 				}
 			}
--- a/relays/relays.go
+++ b/relays/relays.go
@@ -18,14 +18,14 @@
 
 // Row is a node as the channel lists it.
 type Row struct {
-	ID      string   `json:"i"`
-	Addr    string   `json:"a"`
-	Zone    int      `json:"z"`
-	Kind    int      `json:"k"`
-	Cell    int      `json:"c,omitempty"`
-	Weight  float64  `json:"w"`
-	Started d.Micros `json:"s,omitempty"`
-	State   d.State  `json:"x,omitempty"`
+	ID      string          `json:"i"`
+	Addr    string          `json:"a"`
+	Zone    int             `json:"z"`
+	Kind    int             `json:"k"`
+	Cell    int             `json:"c,omitempty"`
+	Weight  float64         `json:"w"`
+	Started d.Micros        `json:"s,omitempty"`
+	State   d.EndpointState `json:"x,omitempty"`
 }
 
 // Fold takes rows of the channel into a list; a complete one names all there are.
@@ -34,7 +34,7 @@
 		clear(list)
 	}
 	for _, r := range rows {
-		if list[r.ID] = r; r.State == d.Gone {
+		if list[r.ID] = r; r.State == d.Removed {
 			delete(list, r.ID)
 		}
 	}
@@ -58,7 +58,7 @@
 	}
 	for _, r := range Rows(list) {
 		if !there[r.ID] {
-			r.State = d.Gone
+			r.State = d.Removed
 			rows = append(rows, r)
 		}
 	}
@@ -118,7 +118,7 @@
 // Derive gives the settings that follow from the platform's. What a purge is heeded within has room for two questions without an
 // answer, two more to others, and a call.
 func Derive(name string, followers, zones, kinds int, s d.Settings) Settings {
-	grace := cmp.Or(s.PurgeWithin, s.ConnectTimeout)
+	grace := cmp.Or(s.PurgePropagation, s.ConnectTimeout)
 	return Settings{Name: name, Followers: followers, Zones: zones, Kinds: kinds, Every: grace / 4, Crowd: 128, Stale: 2 * grace, Wait: s.ConnectTimeout, Demand: grace}
 }
 
--- a/relays/relays_test.go
+++ b/relays/relays_test.go
@@ -13,7 +13,7 @@
 const ms = d.Second / 1000
 
 func settings(name string) Settings {
-	return Derive(name, 3, 2, 3, d.Settings{PurgeWithin: 500 * ms, ConnectTimeout: 400 * ms})
+	return Derive(name, 3, 2, 3, d.Settings{PurgePropagation: 500 * ms, ConnectTimeout: 400 * ms})
 }
 
 func names(n int) (all []string) {
@@ -235,7 +235,7 @@
 func TestLists(t *testing.T) {
 	list := map[string]Row{}
 	Fold(list, []Row{{ID: "a", Started: 1}, {ID: "b"}}, true)
-	Fold(list, []Row{{ID: "a", Started: 2, State: d.Draining}, {ID: "b", State: d.Gone}, {ID: "c"}}, false)
+	Fold(list, []Row{{ID: "a", Started: 2, State: d.Draining}, {ID: "b", State: d.Removed}, {ID: "c"}}, false)
 	if rows := Rows(list); len(rows) != 2 || rows[0].Started != 2 || rows[0].State != d.Draining || rows[1].ID != "c" {
 		t.Errorf("%+v", rows)
 	}
@@ -244,7 +244,7 @@
 	}
 	other := map[string]Row{"a": {ID: "a", Started: 1}, "b": {ID: "b"}}
 	diff := Diff(other, Rows(list))
-	if len(diff) != 3 || diff[2].ID != "b" || diff[2].State != d.Gone {
+	if len(diff) != 3 || diff[2].ID != "b" || diff[2].State != d.Removed {
 		t.Errorf("%+v", diff)
 	}
 	if Fold(other, diff, false); Sum(Rows(other)) != Sum(Rows(list)) || Diff(other, Rows(list)) != nil {
@@ -256,7 +256,7 @@
 		good bool
 	}{
 		{Row{ID: "a", Zone: 1, Kind: 2}, true}, {Row{ID: "a", Zone: 2}, false}, {Row{ID: "a", Kind: 3}, false}, {Row{ID: "a", Zone: -1}, false},
-		{Row{}, false}, {Row{ID: "a", State: d.Gone}, false}, {Row{ID: "a", Weight: -1}, false}, {Row{ID: "a", State: 7}, false},
+		{Row{}, false}, {Row{ID: "a", State: d.Removed}, false}, {Row{ID: "a", Weight: -1}, false}, {Row{ID: "a", State: 7}, false},
 	} {
 		if b.sound([]Row{c.row}) != c.good {
 			t.Errorf("%+v", c.row)
--- a/routing/logic.go
+++ b/routing/logic.go
@@ -64,7 +64,7 @@
 
 // node is one entry of the list, kept until the list says it is gone.
 type node struct {
-	d.Node
+	d.Endpoint
 	hash      uint64
 	since     d.Micros // its start, as far as known; 0 for long ago
 	down      d.Micros // when it was last found not to take connections; 0 once it is known what came of it
@@ -124,7 +124,7 @@
 
 type tier struct {
 	ready  []*node // by id
-	warm   d.Warming
+	warm   d.SlowStart
 	weight float64 // of the ready nodes, together
 }
 
@@ -140,8 +140,8 @@
 	ask             overload.Ask
 }
 
-// Logic is one instance.
-type Logic struct {
+// Router is one instance.
+type Router struct {
 	s       d.Settings
 	part    float64                  // of the location's link in, in transfers at full pace
 	works   map[*d.ContentType]*mean // sending time, µs; a row a type: told by sizes, else learned from hits
@@ -165,11 +165,11 @@
 }
 
 type Options struct { // the operator's, for the modules that this one asks
-	Storm overload.Settings
-	Keys  dedup.Settings
-	Told  func(now d.Micros, r overload.Report) // hears how storms go, where given
+	Overload         overload.Settings
+	Dedup            dedup.Settings
+	OnOverloadReport func(now d.Micros, r overload.Report) // hears how storms go, where given
 	// Held is the part of what its zone's directors share, or all do, that it may use now, over the settings'.
-	Held func(now d.Micros, all bool) float64
+	QuotaShare func(now d.Micros, all bool) float64
 }
 
 type purgeKey struct {
@@ -178,73 +178,73 @@
 }
 
 // New makes an instance.
-func New(s d.Settings, o Options) *Logic {
-	l := &Logic{
+func New(s d.Settings, o Options) *Router {
+	l := &Router{
 		s: s, works: map[*d.ContentType]*mean{}, nodes: map[string]*node{},
 		purges: map[purgeKey]d.Micros{}, missing: 0.5, keys: dedup.New(dedup.Settings{}),
 	}
-	l.Use(o)
-	l.edges.warm, l.parents.warm = s.Edge, s.Parent
-	l.part = s.LinkKB / max(s.PaceKB, 1) / float64(max(1, s.Instances))
-	l.jamSeen = max(4, firstLimit/float64(max(1, s.Instances)))
+	l.SetOptions(o)
+	l.edges.warm, l.parents.warm = s.EdgeSlowStart, s.ParentSlowStart
+	l.part = s.FillLinkKBPerSecond / max(s.TransferKBPerSecond, 1) / float64(max(1, s.ZoneDirectors))
+	l.jamSeen = max(4, firstLimit/float64(max(1, s.ZoneDirectors)))
 	l.gate.most = max(1, l.part+2*math.Sqrt(l.part)) // its part of the link, with room for chance
 	l.deep.most = max(1, l.part)
 	l.deep.least = math.Floor(l.part / 4)
-	if l.grow = growBy; !s.SourcesTold { // what had other causes cuts them too, a dead parent's refusals for one
+	if l.grow = growBy; !s.ReportsCacheStatus { // what had other causes cuts them too, a dead parent's refusals for one
 		l.grow *= 2
 	}
-	for _, t := range s.Types {
-		l.works[t] = &mean{value: float64(t.TargetTime) / (1 + t.Stretch)}
+	for _, t := range s.ContentTypes {
+		l.works[t] = &mean{value: float64(t.LatencyObjective) / (1 + t.TransferFactor)}
 	}
 	return l
 }
 
-// Use takes the operator's options anew. A storm under way is noticed anew; marks of keys stay.
-func (l *Logic) Use(o Options) {
-	l.storm = overload.New(o.Storm, l.s.MaxComeBack, l.s.Seed, l, o.Told)
-	l.keys.Use(o.Keys)
-	if l.held = o.Held; o.Held == nil {
+// SetOptions takes the operator's options anew. A storm under way is noticed anew; marks of keys stay.
+func (l *Router) SetOptions(o Options) {
+	l.storm = overload.New(o.Overload, l.s.MaxRetryAfter, l.s.Seed, l, o.OnOverloadReport)
+	l.keys.Use(o.Dedup)
+	if l.held = o.QuotaShare; o.QuotaShare == nil {
 		l.held = func(d.Micros, bool) float64 { return 1 }
 	}
 }
 
-// Margins are what sockets call for, from the settings. Where few share a connection, few end with it.
-func Margins(s d.Settings) d.Margins {
-	m := d.Margins{
-		Answer: 2 * s.AnswerGrace, Connect: s.ConnectTimeout, Idle: s.KeepAlive / 16, Stall: s.ConnectTimeout / 2,
-		Shared: max(1, s.Streams/100), Most: max(1, s.Streams), Linger: stillComing + stillComing/3,
-		Block: s.PurgeKept / 5, Retry: s.ConnectTimeout / 4, Confirm: s.ConnectTimeout / 4,
-		Late: min(s.ConnectTimeout/8, leftBehind/2), Silent: 2 * owedWithin / 3, Resting: s.KeepAlive / 6,
-		Back: min(s.MaxComeBack, s.ConnectTimeout),
+// Timeouts are what sockets call for, from the settings. Where few share a connection, few end with it.
+func Timeouts(s d.Settings) d.Timeouts {
+	m := d.Timeouts{
+		AnswerReserve: 2 * s.AnswerGrace, Connect: s.ConnectTimeout, Idle: s.KeepAliveTimeout / 16, ReadStall: s.ConnectTimeout / 2,
+		PreferredStreams: max(1, s.MaxConcurrentStreams/100), MaxStreams: max(1, s.MaxConcurrentStreams), DrainAccept: stillComing + stillComing/3,
+		LongPoll: s.PurgeRetention / 5, PollRetry: s.ConnectTimeout / 4, CancelConfirm: s.ConnectTimeout / 4,
+		MaxDecisionAge: min(s.ConnectTimeout/8, leftBehind/2), RequestRead: 2 * owedWithin / 3, DownstreamIdle: s.KeepAliveTimeout / 6,
+		DefaultRetryAfter: min(s.MaxRetryAfter, s.ConnectTimeout),
 	}
 	long := s.ConnectTimeout // and what a jump that goes unnoticed may cost
-	m.Gap = min(long, cmp.Or(s.PurgeWithin, long), cmp.Or(s.DrainWithin, long)) / 2
-	m.Beat, m.Doubt = m.Gap/5, 2*s.ConnectTimeout
-	for _, t := range s.Types {
-		m.Flush = max(m.Flush, t.Expiry)
+	m.StallThreshold = min(long, cmp.Or(s.PurgePropagation, long), cmp.Or(s.DrainPropagation, long)) / 2
+	m.Heartbeat, m.SuspectTimeout = m.StallThreshold/5, 2*s.ConnectTimeout
+	for _, t := range s.ContentTypes {
+		m.WriteFlush = max(m.WriteFlush, t.Timeout)
 	}
-	m.Stop = min(m.Flush, stopWithin) + stopSlack/2
+	m.DrainDeadline = min(m.WriteFlush, stopWithin) + stopSlack/2
 	return m
 }
 
-// Listed takes the list of nodes. One that started anew is a new node; what is out there stays with the old.
-func (l *Logic) Listed(now d.Micros, rows []d.Node, complete bool) {
+// UpdateEndpoints takes the list of nodes. One that started anew is a new node; what is out there stays with the old.
+func (l *Router) UpdateEndpoints(now d.Micros, rows []d.Endpoint, complete bool) {
 	old := l.nodes
 	if complete {
 		l.nodes = make(map[string]*node, len(rows))
 	}
 	for _, row := range rows {
-		if row.State == d.Gone {
+		if row.State == d.Removed {
 			delete(l.nodes, row.ID)
 			continue
 		}
 		n := old[row.ID]
 		if n == nil || n.Started != row.Started {
 			n = &node{hash: hashOf(row.ID), since: row.Started, heard: now}
-			n.limit.most = max(2, firstLimit/float64(max(1, l.s.Instances)))
+			n.limit.most = max(2, firstLimit/float64(max(1, l.s.ZoneDirectors)))
 		}
-		n.Node, l.nodes[row.ID] = row, n
-		if n.Weight = max(n.Weight, 1e-3); !l.s.Sized { // a size of none would divide by zero
+		n.Endpoint, l.nodes[row.ID] = row, n
+		if n.Weight = max(n.Weight, 1e-3); !l.s.WeightsAreSizes { // a size of none would divide by zero
 			n.Weight = 1 // and one that the settings don't vouch for is not used
 		}
 	}
@@ -263,39 +263,39 @@
 	}
 }
 
-// Purged takes a purge. It binds from now on, for later pulls of downloads in hand too.
-func (l *Logic) Purged(now d.Micros, object string, group int, at d.Micros) {
-	maps.DeleteFunc(l.purges, func(_ purgeKey, t d.Micros) bool { return t+l.s.PurgeKept < now })
+// Purge takes a purge. It binds from now on, for later pulls of downloads in hand too.
+func (l *Router) Purge(now d.Micros, object string, group int, at d.Micros) {
+	maps.DeleteFunc(l.purges, func(_ purgeKey, t d.Micros) bool { return t+l.s.PurgeRetention < now })
 	key := purgeKey{object, group}
 	if object != "" {
-		key.group = d.All
+		key.group = d.AllGroups
 	}
 	if l.purges[key] = max(l.purges[key], at); at == 0 {
 		delete(l.purges, key)
 	}
 }
 
-// Where says where to send a download, or not yet, or never.
-func (l *Logic) Where(now d.Micros, dl *d.Download) d.Answer {
-	if dl.Over {
-		return d.Answer{}
+// Route says where to send a download, or not yet, or never.
+func (l *Router) Route(now d.Micros, dl *d.Request) d.Decision {
+	if dl.Done {
+		return d.Decision{}
 	}
-	nt, _ := dl.Notes.(*notes)
+	nt, _ := dl.PolicyState.(*notes)
 	if nt == nil {
 		nt = &notes{hash: mix(hashOf(dl.Object) + uint64(dl.Part))} // each part is kept and filled on its own
-		dl.Notes = nt
+		dl.PolicyState = nt
 		l.costs.learn(l.cost(dl))
-		if row := l.works[dl.Type]; dl.SizeKB > 0 && l.s.PaceKB > 0 {
+		if row := l.works[dl.Type]; dl.SizeKB > 0 && l.s.TransferKBPerSecond > 0 {
 			row.learn(l.work(dl))
 		}
 		nt.ask = overload.Ask{
-			Who: dl.Client, Object: nt.hash, Work: l.work(dl), Cost: 1 / l.room(dl), Again: dl.Again,
+			Who: dl.ClientHash, Object: nt.hash, Work: l.work(dl), Cost: 1 / l.room(dl), Again: dl.IsRetry,
 		}
-		stranger := dl.Again && dl.Key != "" && l.keys.Stranger(dl.Type.Expiry, dl.Type.Window)
-		if m := l.keys.Find(now, dl.Key, dl.Type.Window); m != nil {
-			nt.ran = &pull{edge: &node{Node: d.Node{Zone: m.Zone, Cell: m.Cell}}, sent: m.Since, over: true}
+		stranger := dl.IsRetry && dl.IdempotencyKey != "" && l.keys.Stranger(dl.Type.Timeout, dl.Type.DedupWindow)
+		if m := l.keys.Find(now, dl.IdempotencyKey, dl.Type.DedupWindow); m != nil {
+			nt.ran = &pull{edge: &node{Endpoint: d.Endpoint{Zone: m.Zone, Cell: m.Cell}}, sent: m.Since, over: true}
 		} else if stranger {
-			return d.Answer{Verb: d.Abandon}
+			return d.Decision{Action: d.Fail}
 		}
 		if !l.storm.Asked(now, &nt.ask) {
 			return l.giveUp(now, dl, nt)
@@ -307,71 +307,71 @@
 	return l.place(now, dl, nt)
 }
 
-// Wait says when to ask Where again: for a pull that is out, to see whether its node is silent; held, soon.
-func (l *Logic) Wait(now d.Micros, dl *d.Download) d.Micros {
-	nt, _ := dl.Notes.(*notes)
-	if nt == nil || dl.Over {
+// RecheckAfter says when to ask Where again: for a pull that is out, to see whether its node is silent; held, soon.
+func (l *Router) RecheckAfter(now d.Micros, dl *d.Request) d.Micros {
+	nt, _ := dl.PolicyState.(*notes)
+	if nt == nil || dl.Done {
 		return 0
 	}
 	if p := nt.last(); p != nil && !p.over {
-		if p.cancelled || !l.s.CanCancel || dl.Type.Repeat == d.NonRetriable {
+		if p.cancelled || !l.s.CanCancel || dl.Type.RetrySafety == d.NotIdempotent {
 			return 0
 		}
 		return max(1, nt.looked+p.target/checks-now)
 	}
-	return max(1, min(l.poll(dl), dl.Leaves-now))
+	return max(1, min(l.poll(dl), dl.Deadline-now))
 }
 
 // poll is how often a held download is looked at.
-func (l *Logic) poll(dl *d.Download) d.Micros { return dl.Type.TargetTime / 20 }
+func (l *Router) poll(dl *d.Request) d.Micros { return dl.Type.LatencyObjective / 20 }
 
-// After says what to do after a pull's end.
-func (l *Logic) After(now d.Micros, dl *d.Download, out d.Outcome) d.Answer {
-	nt, _ := dl.Notes.(*notes)
-	if nt == nil || out.Pull >= len(nt.pulls) {
-		return d.Answer{}
+// AttemptDone says what to do after a pull's end.
+func (l *Router) AttemptDone(now d.Micros, dl *d.Request, out d.Outcome) d.Decision {
+	nt, _ := dl.PolicyState.(*notes)
+	if nt == nil || out.Attempt >= len(nt.pulls) {
+		return d.Decision{}
 	}
-	p := nt.pulls[out.Pull]
+	p := nt.pulls[out.Attempt]
 	p.over = true
 	l.learn(now, dl, nt, p, out)
-	ran := out.Ending != d.TurnedAway && out.Ending != d.Unreached && out.Ending != d.NeverSent &&
-		out.Ending != d.Missing && out.Ending != d.Recalled
-	if out.Ending == d.Recalled { // as if it had not been decided
+	ran := out.Result != d.Rejected && out.Result != d.ConnectFailed && out.Result != d.NotSent &&
+		out.Result != d.CacheMiss && out.Result != d.Withdrawn
+	if out.Result == d.Withdrawn { // as if it had not been decided
 		p.blameless = true
 		nt.tries -= bit(!p.ask && !p.held)
 		nt.recalled++
 	}
-	if !ran && dl.Key != "" {
-		l.keys.NotRun(dl.Key, p.sent)
+	if !ran && dl.IdempotencyKey != "" {
+		l.keys.NotRun(dl.IdempotencyKey, p.sent)
 	}
-	if out.Ending == d.Fulfilled {
-		l.storm.Served(now, &nt.ask, now > dl.Arrived+p.target)
+	if out.Result == d.Succeeded {
+		l.storm.Served(now, &nt.ask, now > dl.ArrivedAt+p.target)
 	}
-	if dl.Over || out.Last {
-		return d.Answer{}
+	if dl.Done || out.Final {
+		return d.Decision{}
 	}
 	if ran && nt.ran == nil {
 		nt.ran = p
 	}
-	if out.Ending == d.Missing && (p.ask || p.held) {
+	if out.Result == d.CacheMiss && (p.ask || p.held) {
 		if nt.asked += bit(p.ask); !p.ask || nt.asked >= asksAtMost || l.gated == 0 || nt.stage != askEdge {
 			nt.stage++
 		}
 		return l.place(now, dl, nt)
 	}
-	overloaded := l.trouble > overloadShare && !p.cancelled && out.Ending != d.Recalled
-	agreed := len(nt.errs) > bit(!dl.Doubted)
-	if nt.tries > furtherPulls || agreed || len(nt.pulls)-nt.recalled >= l.s.MostPulls || overloaded {
+	overloaded := l.trouble > overloadShare && !p.cancelled && out.Result != d.Withdrawn
+	agreed := len(nt.errs) > bit(!dl.ClientSuspect)
+	if nt.tries > furtherPulls || agreed || len(nt.pulls)-nt.recalled >= l.s.MaxAttempts || overloaded {
 		ans := l.giveUp(now, dl, nt)
-		ans.NoUse = agreed
+		ans.Unprocessable = agreed
 		return ans
 	}
 	return l.place(now, dl, nt)
 }
 
 // place chooses edge and source and words the pull.
-func (l *Logic) place(now d.Micros, dl *d.Download, nt *notes) d.Answer {
-	if dl.Leaves <= now || !l.keys.Room(dl.Key) {
+func (l *Router) place(now d.Micros, dl *d.Request, nt *notes) d.Decision {
+	if dl.Deadline <= now || !l.keys.Room(dl.IdempotencyKey) {
 		return l.giveUp(now, dl, nt)
 	}
 	p := &pull{sent: now, target: l.target(dl), work: l.work(dl)}
@@ -389,14 +389,14 @@
 	if p.edge == nil {
 		p.edge = l.pick(now, &l.edges, nt, load, takes)
 	}
-	if p.edge == nil && l.s.Direct && l.pick(now, &l.edges, nt, load, allowed) == nil {
+	if p.edge == nil && l.s.AllowDirect && l.pick(now, &l.edges, nt, load, allowed) == nil {
 		p.edge = l.pick(now, &l.parents, nt, load, allowed) // no cache here can take it, full or not
 		p.straight = p.edge != nil
 	}
-	if p.edge != nil && (p.straight || l.gated > 0 && !dl.Type.PassThrough) {
+	if p.edge != nil && (p.straight || l.gated > 0 && !dl.Type.Uncacheable) {
 		if p.straight {
 			nt.stage = fillAll
-		} else if warmth(now, p.edge, l.s.Edge) < 1 {
+		} else if warmth(now, p.edge, l.s.EdgeSlowStart) < 1 {
 			nt.stage = max(nt.stage, fillHeld)
 		}
 		full := !l.gate.lets(room, 0) || nt.stage == fillAll && !l.deep.lets(1, deep)
@@ -412,26 +412,26 @@
 			p.fill, p.held, p.deep = true, nt.stage == fillHeld, nt.stage == fillAll
 		}
 	}
-	if p.edge != nil && p.edge.trial && !p.fill && !p.straight && !dl.Type.PassThrough {
+	if p.edge != nil && p.edge.trial && !p.fill && !p.straight && !dl.Type.Uncacheable {
 		p.ask = true // a question tells soonest whether the node is back
 	}
 	if p.edge == nil {
 		return l.hold(now, dl, nt, p, allowed)
 	}
-	ans := d.Answer{
-		Verb: d.Pull, Keep: middleRank, Oldest: l.oldest(now, dl), Join: l.s.JoinFills,
-		Held: p.held, Renew: dl.Type.Fresh > 0, TimeOut: dl.Leaves - now, Before: dl.Leaves,
+	ans := d.Decision{
+		Action: d.Send, CacheRank: middleRank, MaxAge: l.oldest(now, dl), Coalesce: l.s.CoalesceFills,
+		OnlyIfCached: p.held, Revalidate: dl.Type.TTL > 0, Timeout: dl.Deadline - now, NotAfter: dl.Deadline,
 	}
-	if nt.ran != nil && dl.Type.Repeat == d.Deduped { // its mark may be gone before this is written
-		ans.Before = min(ans.Before, nt.ran.sent+dl.Type.Window)
+	if nt.ran != nil && dl.Type.RetrySafety == d.IdempotentWithKey { // its mark may be gone before this is written
+		ans.NotAfter = min(ans.NotAfter, nt.ran.sent+dl.Type.DedupWindow)
 	}
 	switch {
-	case dl.Type.PassThrough:
-		p.source, ans.Keep, ans.Join, ans.Renew, ans.Oldest = l.origin, 0, false, false, 0
+	case dl.Type.Uncacheable:
+		p.source, ans.CacheRank, ans.Coalesce, ans.Revalidate, ans.MaxAge = l.origin, 0, false, false, 0
 	case p.straight:
 		p.source = l.origin
 	case !p.ask:
-		if !p.fill && warmth(now, p.edge, l.s.Edge) >= 1 {
+		if !p.fill && warmth(now, p.edge, l.s.EdgeSlowStart) >= 1 {
 			load *= l.missing
 		}
 		p.source = l.pick(now, &l.parents, nt, load, func(n *node) bool { return !nt.failed(n) })
@@ -441,30 +441,30 @@
 			}
 		}
 		if p.source == nil {
-			p.source, ans.Held = l.origin, false
+			p.source, ans.OnlyIfCached = l.origin, false
 		}
 	}
 	if p.source == nil {
 		p.source = p.edge
 	}
 	l.send(now, nt, p, load)
-	l.keys.Sent(now, dl.Key, dl.Type.Window, p.edge.Zone, p.edge.Cell)
-	ans.Node, ans.Source = &p.edge.Node, &p.source.Node
+	l.keys.Sent(now, dl.IdempotencyKey, dl.Type.DedupWindow, p.edge.Zone, p.edge.Cell)
+	ans.Endpoint, ans.Source = &p.edge.Endpoint, &p.source.Endpoint
 	return ans
 }
 
 // hold has a download wait that finds no room, as long as it can still be in time.
-func (l *Logic) hold(now d.Micros, dl *d.Download, nt *notes, p *pull, allowed func(*node) bool) d.Answer {
+func (l *Router) hold(now d.Micros, dl *d.Request, nt *notes, p *pull, allowed func(*node) bool) d.Decision {
 	soon := len(l.edges.ready) == 0 || slices.ContainsFunc(l.edges.ready, allowed)
-	late := now-dl.Arrived+d.Micros(p.work/holdPart) >= p.target || now+l.poll(dl) >= dl.Leaves
-	if soon && (!dl.Again || nt.ask.Due()) && !late {
-		return d.Answer{Verb: d.Hold}
+	late := now-dl.ArrivedAt+d.Micros(p.work/holdPart) >= p.target || now+l.poll(dl) >= dl.Deadline
+	if soon && (!dl.IsRetry || nt.ask.Due()) && !late {
+		return d.Decision{Action: d.Queue}
 	}
 	return l.giveUp(now, dl, nt)
 }
 
 // send counts a pull that goes out.
-func (l *Logic) send(now d.Micros, nt *notes, p *pull, load float64) {
+func (l *Router) send(now d.Micros, nt *notes, p *pull, load float64) {
 	for _, n := range []*node{p.edge, p.source} {
 		if n.trial && !n.trying && p.trial == nil {
 			n.trying, p.trial = true, n
@@ -487,7 +487,7 @@
 // A warming node takes the share of its objects that it can do, chosen by a hash that all directors
 // share, so they agree without a message. Guards against a cold node pushed over, and spreads the misses
 // of an empty one. Could harm where one object is most of a node's load.
-func (l *Logic) pick(now d.Micros, t *tier, nt *notes, work float64, allowed func(*node) bool) *node {
+func (l *Router) pick(now d.Micros, t *tier, nt *notes, work float64, allowed func(*node) bool) *node {
 	var best *node
 	bestRank := math.Inf(1)
 	for _, n := range t.ready {
@@ -505,33 +505,33 @@
 }
 
 // warmth is the share of its capacity that a node can do at the least.
-func warmth(now d.Micros, n *node, w d.Warming) float64 {
+func warmth(now d.Micros, n *node, w d.SlowStart) float64 {
 	age := now - n.since
-	if n.since == 0 || age >= w.Time {
+	if n.since == 0 || age >= w.Duration {
 		return 1
 	}
-	return w.From + (1-w.From)*float64(max(0, age))/float64(w.Time)
+	return w.InitialShare + (1-w.InitialShare)*float64(max(0, age))/float64(w.Duration)
 }
 
 // fits keeps a warming node's budget: what this director may send it in half of the window that counts, a
 // part of what it bears by the link in, which carries what caches miss or parents give; untold, by its size.
 // No pull goes beyond it, nor the first: hundreds of directors may make theirs at once. Where a part is less
 // than a pull, which of them makes one is by chance, drawn anew each half.
-func (l *Logic) fits(now d.Micros, t *tier, n *node, work float64) bool {
+func (l *Router) fits(now d.Micros, t *tier, n *node, work float64) bool {
 	each, held := l.part*n.Weight/t.weight, l.held(now, false)
 	switch {
-	case l.part == 0 && l.s.Sized && t == &l.parents:
-		each, held = n.Weight/float64(max(1, l.s.Directors)), l.held(now, true)
-	case l.part == 0 && l.s.Sized:
-		each = n.Weight / float64(max(1, l.s.Instances))
+	case l.part == 0 && l.s.WeightsAreSizes && t == &l.parents:
+		each, held = n.Weight/float64(max(1, l.s.TotalDirectors)), l.held(now, true)
+	case l.part == 0 && l.s.WeightsAreSizes:
+		each = n.Weight / float64(max(1, l.s.ZoneDirectors))
 	case t == &l.edges:
 		each /= l.missing
 	}
-	half := max(1, t.warm.Window/2)
+	half := max(1, t.warm.OverloadWindow/2)
 	if turn := now / half; n.turn != turn {
 		n.turn, n.level = turn, 0
 	}
-	allowance := each * held * warmth(now, n, t.warm) * t.warm.Multiple * budgetPart * float64(half)
+	allowance := each * held * warmth(now, n, t.warm) * t.warm.OverloadFactor * budgetPart * float64(half)
 	return n.level+work <= allowance+work*unit(n.hash^l.s.Seed^mix(uint64(n.turn)))
 }
 
@@ -540,9 +540,9 @@
 // taken for silent and the download goes elsewhere; a source only where answers tell how fills went, since
 // few fills go through one from here, and slow is not silent. Guards against machines that vanish without a
 // reset; helps with any that hang. Could harm where a node's few answers are all long ones.
-func (l *Logic) look(now d.Micros, dl *d.Download, nt *notes, p *pull) d.Answer {
+func (l *Router) look(now d.Micros, dl *d.Request, nt *notes, p *pull) d.Decision {
 	if p.cancelled || now < nt.looked+p.target/checks {
-		return d.Answer{}
+		return d.Decision{}
 	}
 	nt.looked = now
 	n := p.edge
@@ -553,21 +553,21 @@
 			l.filled(now, p, lateFill, p.deep)
 		}
 	}
-	if n.heard >= p.sent || n == l.origin || n != p.edge && !l.s.SourcesTold {
-		return d.Answer{}
+	if n.heard >= p.sent || n == l.origin || n != p.edge && !l.s.ReportsCacheStatus {
+		return d.Decision{}
 	}
 	if n.unheard++; n.unheard < strikes {
-		return d.Answer{}
+		return d.Decision{}
 	}
 	l.skip(now, n, p, d.Second)
 	p.cancelled = true
-	return d.Answer{Verb: d.Cancel, Pull: len(nt.pulls) - 1}
+	return d.Decision{Action: d.CancelAttempt, Attempt: len(nt.pulls) - 1}
 }
 
 // learn takes a pull's end into what is known of its nodes. An error that names no cause is held against its
 // node once another does what was asked; two nodes that err are taken to agree. Guards against clients that
 // ask for what no node can use. Could harm where two nodes err on what a third would do.
-func (l *Logic) learn(now d.Micros, dl *d.Download, nt *notes, p *pull, out d.Outcome) {
+func (l *Router) learn(now d.Micros, dl *d.Request, nt *notes, p *pull, out d.Outcome) {
 	e, s, took := p.edge, p.source, now-p.sent
 	e.limit.out--
 	l.gate.out -= bit(p.fill)
@@ -578,14 +578,14 @@
 	if p.trial != nil {
 		p.trial.trying = false
 	}
-	step(&l.trouble, out.Ending == d.TurnedAway || out.Ending == d.TimedOut ||
-		out.Ending == d.Fulfilled && took > p.target)
-	if out.Ending == d.Failed && out.Filling == d.Untold && l.s.SourcesTold {
+	step(&l.trouble, out.Result == d.Rejected || out.Result == d.TimedOut ||
+		out.Result == d.Succeeded && took > p.target)
+	if out.Result == d.Failed && out.CacheStatus == d.Unknown && l.s.ReportsCacheStatus {
 		nt.errs = append(nt.errs, p)
 		e.heard, e.unheard = now, 0
 		return
 	}
-	if out.Ending == d.Fulfilled || out.Ending == d.Missing {
+	if out.Result == d.Succeeded || out.Result == d.CacheMiss {
 		for _, q := range nt.errs {
 			if q.edge.sign(q) >= strikes {
 				l.skip(now, q.edge, q, d.Second)
@@ -593,20 +593,20 @@
 		}
 		nt.errs = nil
 	}
-	switch out.Ending {
-	case d.Fulfilled:
-		e.good(now, p, out.Filling == d.Hit || out.Filling == d.Stale)
+	switch out.Result {
+	case d.Succeeded:
+		e.good(now, p, out.CacheStatus == d.Hit || out.CacheStatus == d.Stale)
 		part := float64(took) / float64(p.target)
-		if out.Filling != d.Untold { // where answers tell nothing the share of misses stays as it was
-			step(&l.missing, out.Filling > d.Hit && out.Filling != d.Stale)
+		if out.CacheStatus != d.Unknown { // where answers tell nothing the share of misses stays as it was
+			step(&l.missing, out.CacheStatus > d.Hit && out.CacheStatus != d.Stale)
 		}
-		if dl.SizeKB == 0 && p.light && (out.Filling == d.Hit || dl.Type.PassThrough) { // which is never a hit
+		if dl.SizeKB == 0 && p.light && (out.CacheStatus == d.Hit || dl.Type.Uncacheable) { // which is never a hit
 			l.works[dl.Type].learn(float64(took))
 		}
-		switch out.Filling {
-		case d.Hit, d.Untold:
+		switch out.CacheStatus {
+		case d.Hit, d.Unknown:
 			e.limit.ended(part, slowPart, cut, growBy)
-			if out.Filling == d.Untold && s != e { // it may have been a fill: the source is cleared, the jam learns
+			if out.CacheStatus == d.Unknown && s != e { // it may have been a fill: the source is cleared, the jam learns
 				s.good(now, p, false)
 				if !p.slow {
 					l.filled(now, p, part, p.deep)
@@ -615,38 +615,38 @@
 		case d.Filled, d.FilledByOrigin:
 			s.good(now, p, true)
 			if !p.slow {
-				l.filled(now, p, part, p.deep || out.Filling == d.FilledByOrigin)
+				l.filled(now, p, part, p.deep || out.CacheStatus == d.FilledByOrigin)
 			}
 		}
-	case d.Missing:
+	case d.CacheMiss:
 		e.good(now, p, false)
-	case d.Unreached, d.Broken:
-		if out.Ending == d.Unreached && e.State == d.Ready {
+	case d.ConnectFailed, d.ConnectionLost:
+		if out.Result == d.ConnectFailed && e.State == d.Ready {
 			e.down, e.trial = now, true
 		}
-		if n := e.sign(p); n >= strikes && out.Ending == d.Unreached || n >= strikes*strikes {
+		if n := e.sign(p); n >= strikes && out.Result == d.ConnectFailed || n >= strikes*strikes {
 			l.skip(now, e, p, d.Second)
-		} else if out.Ending == d.Broken { // the connection's fault as yet, told once: there again, but once
+		} else if out.Result == d.ConnectionLost { // the connection's fault as yet, told once: there again, but once
 			p.blameless, e.skipped = p == nt.pulls[0] || nt.pulls[len(nt.pulls)-2].edge != e, now
 		}
-	case d.TurnedAway, d.Failed, d.TimedOut:
-		if s != e && out.Filling != d.NoPlace && !p.slow {
+	case d.Rejected, d.Failed, d.TimedOut:
+		if s != e && out.CacheStatus != d.CacheFull && !p.slow {
 			l.filled(now, p, lateFill, p.deep)
 		}
-		if out.Ending != d.TimedOut {
+		if out.Result != d.TimedOut {
 			e.heard, e.unheard = now, 0
 		}
-		if out.Filling >= d.SourceRefused && out.Filling != d.NoPlace {
+		if out.CacheStatus >= d.SourceRejected && out.CacheStatus != d.CacheFull {
 			p.blameless = true
-			if out.Filling == d.SourceRefused || out.Filling == d.SourceLost {
+			if out.CacheStatus == d.SourceRejected || out.CacheStatus == d.SourceUnavailable {
 				s.strike(l, now, p)
 			}
 			return
 		}
-		if n := e.sign(p); n >= strikes && out.Ending != d.TurnedAway || n >= strikes*strikes {
+		if n := e.sign(p); n >= strikes && out.Result != d.Rejected || n >= strikes*strikes {
 			l.skip(now, e, p, d.Second)
 		}
-		if s != e && !l.s.SourcesTold {
+		if s != e && !l.s.ReportsCacheStatus {
 			s.strike(l, now, p)
 		}
 	}
@@ -671,7 +671,7 @@
 //
 // A parent whose fills are late, and twice as slow as another's, is skipped: the design page's skip where
 // answers tell that a source is slow, told here by how long fills through it take.
-func (l *Logic) filled(now d.Micros, p *pull, part float64, deep bool) {
+func (l *Router) filled(now d.Micros, p *pull, part float64, deep bool) {
 	if l.jam += (part - l.jam) / l.jamSeen; l.jam > jamPart {
 		l.gated = now
 	}
@@ -690,10 +690,10 @@
 	}
 }
 
-// Questioned takes what came of a question after another's hint: as a pull that did not reach the node, or
+// ProbeDone takes what came of a question after another's hint: as a pull that did not reach the node, or
 // word that it may be tried; one that may be full is tried with a pull at a time. Guards against learning
 // alone what others know; a false hint costs a question.
-func (l *Logic) Questioned(now d.Micros, id string, well, full bool) {
+func (l *Router) ProbeDone(now d.Micros, id string, well, full bool) {
 	if n := l.nodes[id]; n != nil && well {
 		n.skipUntil, n.trial = min(n.skipUntil, now), n.trial || full
 	} else if n != nil && n.State == d.Ready {
@@ -705,12 +705,12 @@
 // don't tell whose fault it was, every answer through it clears it, and when no other parent is left either
 // the trouble lies behind them: all are used again. Guards against dead and slow parents, and against giving
 // up what parents hold while the origin fails. Could harm while all parents are dead but still listed.
-func (n *node) strike(l *Logic, now d.Micros, p *pull) {
+func (n *node) strike(l *Router, now d.Micros, p *pull) {
 	if n.sign(p) < strikes {
 		return
 	}
 	usable := func(o *node) bool { return o != n && o.skipUntil <= now }
-	if l.s.SourcesTold || slices.ContainsFunc(l.parents.ready, usable) {
+	if l.s.ReportsCacheStatus || slices.ContainsFunc(l.parents.ready, usable) {
 		l.skip(now, n, p, skipParent)
 		return
 	}
@@ -728,7 +728,7 @@
 }
 
 // skip leaves a node alone for a while, twice as long each time, then lets one pull try it.
-func (l *Logic) skip(now d.Micros, n *node, p *pull, least d.Micros) {
+func (l *Router) skip(now d.Micros, n *node, p *pull, least d.Micros) {
 	if n == l.origin || n.skipUntil > now || p.sent < n.skipped {
 		return
 	}
@@ -739,80 +739,82 @@
 // room is the part of the gate that a download may use: all of it, or the less the more work it costs for
 // its benefit than most; of an edge's limit no less than half. Guards against a few long downloads that make
 // many short ones late; acts only where limits are reached. Could harm a content type that is all long.
-func (l *Logic) room(dl *d.Download) float64 { return min(1, l.costs.value/l.cost(dl)) }
+func (l *Router) room(dl *d.Request) float64 { return min(1, l.costs.value/l.cost(dl)) }
 
 // cost is a download's sending time for a unit of its benefit.
-func (l *Logic) cost(dl *d.Download) float64 { return max(1, l.work(dl)) / max(dl.Type.Benefit, 1e-9) }
+func (l *Router) cost(dl *d.Request) float64 {
+	return max(1, l.work(dl)) / max(dl.Type.PriorityWeight, 1e-9)
+}
 
 // giveUp ends a download at once: with a throttling reply where a new try is harmless, else abandoned. When
 // to come back is asked of the guard against storms; a key's window must not pass until then.
-func (l *Logic) giveUp(now d.Micros, dl *d.Download, nt *notes) d.Answer {
-	back := l.storm.Place(now, &nt.ask, min(l.s.MaxComeBack, dl.Type.TargetTime))
-	if t := dl.Type; nt.ran != nil && (t.Repeat == d.NonRetriable || t.Repeat == d.Deduped &&
-		(t.Scope != d.ScopeAll || dl.Key != "" && now+back >= nt.ran.sent+t.Window)) {
-		return d.Answer{Verb: d.Abandon}
+func (l *Router) giveUp(now d.Micros, dl *d.Request, nt *notes) d.Decision {
+	back := l.storm.Place(now, &nt.ask, min(l.s.MaxRetryAfter, dl.Type.LatencyObjective))
+	if t := dl.Type; nt.ran != nil && (t.RetrySafety == d.NotIdempotent || t.RetrySafety == d.IdempotentWithKey &&
+		(t.DedupScope != d.DedupScopeAll || dl.IdempotencyKey != "" && now+back >= nt.ran.sent+t.DedupWindow)) {
+		return d.Decision{Action: d.Fail}
 	}
-	return d.Answer{Verb: d.Throttle, ComeBack: back}
+	return d.Decision{Action: d.Reject, RetryAfter: back}
 }
 
-// Connected says that a client has connected.
-func (l *Logic) Connected(now d.Micros) { l.storm.Connected(now) }
+// ClientConnected says that a client has connected.
+func (l *Router) ClientConnected(now d.Micros) { l.storm.Connected(now) }
 
-// Storm tells how storms go.
-func (l *Logic) Storm(now d.Micros) overload.Report { return l.storm.Report(now) }
+// OverloadReport tells how storms go.
+func (l *Router) OverloadReport(now d.Micros) overload.Report { return l.storm.Report(now) }
 
-// Able is this director's part of what the location's ready caches can do, in transfers at full pace.
-func (l *Logic) Able(at d.Micros) (able float64) {
+// Capacity is this director's part of what the location's ready caches can do, in transfers at full pace.
+func (l *Router) Capacity(at d.Micros) (able float64) {
 	for _, n := range l.edges.ready {
 		if n.skipUntil <= at {
-			able += warmth(at, n, l.s.Edge) * n.Weight
+			able += warmth(at, n, l.s.EdgeSlowStart) * n.Weight
 		}
 	}
-	return able * l.held(at, false) * l.Full() / max(l.edges.weight, 1e-3)
+	return able * l.held(at, false) * l.WarmCapacity() / max(l.edges.weight, 1e-3)
 }
 
-// Full is what they can do when warm: what the link in carries over what they miss; untold, their sizes.
-func (l *Logic) Full() float64 {
-	if l.part == 0 && l.s.Sized {
-		return l.edges.weight / float64(max(1, l.s.Instances))
+// WarmCapacity is what they can do when warm: what the link in carries over what they miss; untold, their sizes.
+func (l *Router) WarmCapacity() float64 {
+	if l.part == 0 && l.s.WeightsAreSizes {
+		return l.edges.weight / float64(max(1, l.s.ZoneDirectors))
 	}
 	return l.part / max(l.missing, 1.0/memory)
 }
 
 // mayRun says whether rule 2 allows a pull to a node after what may have run.
-func mayRun(now d.Micros, dl *d.Download, nt *notes, n *node) bool {
+func mayRun(now d.Micros, dl *d.Request, nt *notes, n *node) bool {
 	switch t, ran := dl.Type, nt.ran; {
-	case ran == nil || t.Repeat == d.Retriable:
+	case ran == nil || t.RetrySafety == d.Idempotent:
 		return true
-	case t.Repeat == d.NonRetriable || now >= ran.sent+t.Window:
+	case t.RetrySafety == d.NotIdempotent || now >= ran.sent+t.DedupWindow:
 		return false
-	case t.Scope == d.ScopeZone:
+	case t.DedupScope == d.DedupScopeZone:
 		return n.Zone == ran.edge.Zone
 	default:
-		return t.Scope == d.ScopeAll || n.Cell == ran.edge.Cell
+		return t.DedupScope == d.DedupScopeAll || n.Cell == ran.edge.Cell
 	}
 }
 
 // oldest is the greatest age of a copy that may answer now; 0 for the content type's fresh time.
-func (l *Logic) oldest(now d.Micros, dl *d.Download) d.Micros {
-	at := max(l.purges[purgeKey{dl.Object, d.All}], l.purges[purgeKey{"", dl.Group}], l.purges[purgeKey{"", d.All}])
-	if age := max(1, now-at); at > 0 && at+l.s.PurgeKept >= now && (dl.Type.Fresh == 0 || age < dl.Type.Fresh) {
+func (l *Router) oldest(now d.Micros, dl *d.Request) d.Micros {
+	at := max(l.purges[purgeKey{dl.Object, d.AllGroups}], l.purges[purgeKey{"", dl.Group}], l.purges[purgeKey{"", d.AllGroups}])
+	if age := max(1, now-at); at > 0 && at+l.s.PurgeRetention >= now && (dl.Type.TTL == 0 || age < dl.Type.TTL) {
 		return age
 	}
 	return 0
 }
 
 // work is a download's sending time at full pace.
-func (l *Logic) work(dl *d.Download) float64 {
-	if dl.SizeKB > 0 && l.s.PaceKB > 0 {
-		return dl.SizeKB / l.s.PaceKB * float64(d.Second)
+func (l *Router) work(dl *d.Request) float64 {
+	if dl.SizeKB > 0 && l.s.TransferKBPerSecond > 0 {
+		return dl.SizeKB / l.s.TransferKBPerSecond * float64(d.Second)
 	}
 	return l.works[dl.Type].value
 }
 
 // target is the time within which a download earns its full benefit.
-func (l *Logic) target(dl *d.Download) d.Micros {
-	return min(dl.Type.TargetTime+d.Micros(dl.Type.Stretch*l.work(dl)), max(dl.Type.Expiry, 1))
+func (l *Router) target(dl *d.Request) d.Micros {
+	return min(dl.Type.LatencyObjective+d.Micros(dl.Type.TransferFactor*l.work(dl)), max(dl.Type.Timeout, 1))
 }
 
 func (nt *notes) last() *pull {
--- a/routing/logic_test.go
+++ b/routing/logic_test.go
@@ -13,16 +13,16 @@
 	for i := range 400 {
 		dl, ans := a.ask(fmt.Sprint(i))
 		other, again := b.ask(fmt.Sprint(i))
-		if ans.Node.ID != again.Node.ID || ans.Source.ID != again.Source.ID {
+		if ans.Endpoint.ID != again.Endpoint.ID || ans.Source.ID != again.Source.ID {
 			t.Fatalf("object %d: two instances disagree: %+v and %+v", i, ans, again)
 		}
-		if ans.Verb != d.Pull || ans.Keep != 2 || !ans.Join || ans.Held || ans.TimeOut != 3*d.Second {
+		if ans.Action != d.Send || ans.CacheRank != 2 || !ans.Coalesce || ans.OnlyIfCached || ans.Timeout != 3*d.Second {
 			t.Fatalf("object %d: %+v", i, ans)
 		}
-		times[ans.Node.ID]++
+		times[ans.Endpoint.ID]++
 		times[ans.Source.ID]++
-		a.end(dl, ms, d.Fulfilled, d.Hit)
-		b.end(other, ms, d.Fulfilled, d.Hit)
+		a.end(dl, ms, d.Succeeded, d.Hit)
+		b.end(other, ms, d.Succeeded, d.Hit)
 	}
 	for id, n := range times {
 		if n < 60 || n > 180 {
@@ -38,33 +38,33 @@
 	cases := []struct {
 		name           string
 		edges, parents int
-		change         []d.Node
-		verb           d.Verb
+		change         []d.Endpoint
+		verb           d.Action
 		source         string
 	}{
-		{"no parents", 2, 0, nil, d.Pull, "o"},
-		{"one of each", 1, 1, nil, d.Pull, "p0"},
-		{"no edges yet", 0, 1, nil, d.Hold, ""},
-		{"draining parent", 1, 1, []d.Node{{ID: "p0", Kind: 1, State: d.Draining}}, d.Pull, "o"},
-		{"gone parent", 1, 1, []d.Node{{ID: "p0", Kind: 1, State: d.Gone}}, d.Pull, "o"},
-		{"draining edge", 1, 1, []d.Node{{ID: "e0", Zone: 1, State: d.Draining}}, d.Hold, ""},
-		{"edge of another zone", 0, 1, []d.Node{{ID: "x", Zone: 2}}, d.Hold, ""},
-		{"no origin", 1, 0, []d.Node{{ID: "o", Kind: 2, State: d.Gone}}, d.Pull, "e0"},
+		{"no parents", 2, 0, nil, d.Send, "o"},
+		{"one of each", 1, 1, nil, d.Send, "p0"},
+		{"no edges yet", 0, 1, nil, d.Queue, ""},
+		{"draining parent", 1, 1, []d.Endpoint{{ID: "p0", Kind: 1, State: d.Draining}}, d.Send, "o"},
+		{"gone parent", 1, 1, []d.Endpoint{{ID: "p0", Kind: 1, State: d.Removed}}, d.Send, "o"},
+		{"draining edge", 1, 1, []d.Endpoint{{ID: "e0", Zone: 1, State: d.Draining}}, d.Queue, ""},
+		{"edge of another zone", 0, 1, []d.Endpoint{{ID: "x", Zone: 2}}, d.Queue, ""},
+		{"no origin", 1, 0, []d.Endpoint{{ID: "o", Kind: 2, State: d.Removed}}, d.Send, "e0"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(settings(), c.edges, c.parents)
 			b.list(c.change...)
 			dl, ans := b.ask("a")
-			if ans.Verb != c.verb || ans.Source != nil && ans.Source.ID != c.source {
+			if ans.Action != c.verb || ans.Source != nil && ans.Source.ID != c.source {
 				t.Fatalf("%+v", ans)
 			}
-			if c.verb == d.Hold {
-				if wait := b.Wait(b.now, dl); wait <= 0 || wait > b.t.TargetTime {
+			if c.verb == d.Queue {
+				if wait := b.RecheckAfter(b.now, dl); wait <= 0 || wait > b.t.LatencyObjective {
 					t.Errorf("held for %d", wait)
 				}
 				b.now += 2 * d.Second
-				if ans := b.Where(b.now, dl); ans.Verb != d.Throttle || ans.ComeBack <= 0 {
+				if ans := b.Route(b.now, dl); ans.Action != d.Reject || ans.RetryAfter <= 0 {
 					t.Errorf("after its target time: %+v", ans)
 				}
 			}
@@ -72,8 +72,8 @@
 	}
 	t.Run("a complete list leaves out the rest", func(t *testing.T) {
 		b := newBed(settings(), 3, 1)
-		b.Listed(b.now, []d.Node{{ID: "e1", Zone: 1}}, true)
-		if _, ans := b.ask("a"); ans.Node.ID != "e1" || ans.Source.ID != "e1" || len(b.nodes) != 1 {
+		b.UpdateEndpoints(b.now, []d.Endpoint{{ID: "e1", Zone: 1}}, true)
+		if _, ans := b.ask("a"); ans.Endpoint.ID != "e1" || ans.Source.ID != "e1" || len(b.nodes) != 1 {
 			t.Errorf("%+v", ans)
 		}
 	})
@@ -83,38 +83,38 @@
 func TestRepeats(t *testing.T) {
 	cases := []struct {
 		name   string
-		repeat d.Repeat
-		scope  d.Scope
-		ending d.Ending
+		repeat d.RetrySafety
+		scope  d.DedupScope
+		ending d.Result
 		after  d.Micros
-		verb   d.Verb
+		verb   d.Action
 	}{
-		{"retriable may run again", d.Retriable, d.ScopeAll, d.Broken, 0, d.Pull},
-		{"non-retriable that may have run", d.NonRetriable, d.ScopeAll, d.Broken, 0, d.Abandon},
-		{"non-retriable, error answer", d.NonRetriable, d.ScopeAll, d.Failed, 0, d.Abandon},
-		{"non-retriable that never ran", d.NonRetriable, d.ScopeAll, d.TurnedAway, 0, d.Pull},
-		{"non-retriable, not reached", d.NonRetriable, d.ScopeAll, d.Unreached, 0, d.Pull},
-		{"deduped in its window", d.Deduped, d.ScopeAll, d.Broken, d.Second, d.Pull},
-		{"deduped past its window", d.Deduped, d.ScopeAll, d.Broken, 3 * d.Second, d.Throttle},
-		{"deduped, same cell", d.Deduped, d.ScopeCell, d.Broken, 0, d.Pull},
-		{"deduped, other cell", d.Deduped, d.ScopeCell, d.Failed, 0, d.Abandon},
-		{"deduped, same zone", d.Deduped, d.ScopeZone, d.Failed, 0, d.Pull},
-		{"deduped, zone, past its window", d.Deduped, d.ScopeZone, d.TimedOut, 3 * d.Second, d.Abandon},
+		{"retriable may run again", d.Idempotent, d.DedupScopeAll, d.ConnectionLost, 0, d.Send},
+		{"non-retriable that may have run", d.NotIdempotent, d.DedupScopeAll, d.ConnectionLost, 0, d.Fail},
+		{"non-retriable, error answer", d.NotIdempotent, d.DedupScopeAll, d.Failed, 0, d.Fail},
+		{"non-retriable that never ran", d.NotIdempotent, d.DedupScopeAll, d.Rejected, 0, d.Send},
+		{"non-retriable, not reached", d.NotIdempotent, d.DedupScopeAll, d.ConnectFailed, 0, d.Send},
+		{"deduped in its window", d.IdempotentWithKey, d.DedupScopeAll, d.ConnectionLost, d.Second, d.Send},
+		{"deduped past its window", d.IdempotentWithKey, d.DedupScopeAll, d.ConnectionLost, 3 * d.Second, d.Reject},
+		{"deduped, same cell", d.IdempotentWithKey, d.DedupScopeCell, d.ConnectionLost, 0, d.Send},
+		{"deduped, other cell", d.IdempotentWithKey, d.DedupScopeCell, d.Failed, 0, d.Fail},
+		{"deduped, same zone", d.IdempotentWithKey, d.DedupScopeZone, d.Failed, 0, d.Send},
+		{"deduped, zone, past its window", d.IdempotentWithKey, d.DedupScopeZone, d.TimedOut, 3 * d.Second, d.Fail},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Types[0].Repeat, s.Types[0].Scope, s.Types[0].PassThrough = c.repeat, c.scope, true
+			s.ContentTypes[0].RetrySafety, s.ContentTypes[0].DedupScope, s.ContentTypes[0].Uncacheable = c.repeat, c.scope, true
 			b := newBed(s, 0, 1)
-			b.list(d.Node{ID: "e0", Zone: 1, Cell: 1}, d.Node{ID: "e1", Zone: 1, Cell: 2})
+			b.list(d.Endpoint{ID: "e0", Zone: 1, Cell: 1}, d.Endpoint{ID: "e1", Zone: 1, Cell: 2})
 			dl := b.download("a")
-			dl.Leaves += 5 * d.Second
-			first := b.Where(b.now, dl)
-			if first.Source.ID != "o" || first.Keep != 0 || first.Join {
+			dl.Deadline += 5 * d.Second
+			first := b.Route(b.now, dl)
+			if first.Source.ID != "o" || first.CacheRank != 0 || first.Coalesce {
 				t.Errorf("a pass-through pull: %+v", first)
 			}
-			if ans := b.end(dl, c.after, c.ending, d.Untold); ans.Verb != c.verb ||
-				ans.Verb == d.Pull && (ans.Node == first.Node) != (c.ending == d.Broken) { // a connection, not its node
+			if ans := b.end(dl, c.after, c.ending, d.Unknown); ans.Action != c.verb ||
+				ans.Action == d.Send && (ans.Endpoint == first.Endpoint) != (c.ending == d.ConnectionLost) { // a connection, not its node
 				t.Errorf("%+v", ans)
 			}
 		})
@@ -135,22 +135,22 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.MostPulls = c.most
+			s.MaxAttempts = c.most
 			b := newBed(s, 5, 2)
 			b.trouble = c.trouble
 			dl, ans := b.ask("a")
 			pulls := 0
-			for ; ans.Verb == d.Pull; pulls++ {
-				ans = b.end(dl, ms, d.TurnedAway, d.Untold)
+			for ; ans.Action == d.Send; pulls++ {
+				ans = b.end(dl, ms, d.Rejected, d.Unknown)
 			}
-			if pulls != c.pulls || ans.Verb != d.Throttle {
+			if pulls != c.pulls || ans.Action != d.Reject {
 				t.Errorf("%d pulls, then %+v", pulls, ans)
 			}
-			if dl.Over = true; b.Where(b.now, dl).Verb != d.Nothing || b.Wait(b.now, dl) != 0 {
+			if dl.Done = true; b.Route(b.now, dl).Action != d.None || b.RecheckAfter(b.now, dl) != 0 {
 				t.Error("something after the final answer")
 			}
 			late := b.download("a")
-			if late.Leaves = b.now; b.Where(b.now, late).Verb != d.Throttle {
+			if late.Deadline = b.now; b.Route(b.now, late).Action != d.Reject {
 				t.Error("something else than an end for a client without patience")
 			}
 		})
@@ -171,7 +171,7 @@
 		{"of the object", 0, "a", 7, d.Second, d.Second},
 		{"of the group", 0, "", 7, 2 * d.Second, 2 * d.Second},
 		{"of another group", 0, "", 8, d.Second, 0},
-		{"of all", 0, "", d.All, 2 * d.Second, 2 * d.Second},
+		{"of all", 0, "", d.AllGroups, 2 * d.Second, 2 * d.Second},
 		{"right now", 0, "a", 7, 0, 1},
 		{"all old copies are gone", 0, "a", 7, 7 * d.Second, 0},
 		{"older than fresh", d.Second, "a", 7, 2 * d.Second, 0},
@@ -180,19 +180,19 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Types[0].Fresh = c.fresh
+			s.ContentTypes[0].TTL = c.fresh
 			b := newBed(s, 2, 1)
 			dl, _ := b.ask("a")
-			b.Purged(b.now, c.object, c.group, b.now-c.ago)
-			if ans := b.end(dl, 0, d.TurnedAway, d.Untold); ans.Oldest != c.oldest || ans.Renew != (c.fresh > 0) {
+			b.Purge(b.now, c.object, c.group, b.now-c.ago)
+			if ans := b.end(dl, 0, d.Rejected, d.Unknown); ans.MaxAge != c.oldest || ans.Revalidate != (c.fresh > 0) {
 				t.Errorf("later pull of a download in hand: %+v", ans)
 			}
 			b.now += 7 * d.Second
-			b.Purged(b.now, "z", 1, b.now)
+			b.Purge(b.now, "z", 1, b.now)
 			if len(b.purges) != 1 {
 				t.Errorf("%d purges kept", len(b.purges))
 			}
-			if b.Purged(b.now, "z", 1, 0); len(b.purges) != 0 {
+			if b.Purge(b.now, "z", 1, 0); len(b.purges) != 0 {
 				t.Error("a purge that no longer binds was kept")
 			}
 		})
@@ -205,23 +205,23 @@
 	cases := []struct {
 		name           string
 		edges, parents int
-		cold           d.Node
-		filling        d.Filling
+		cold           d.Endpoint
+		filling        d.CacheStatus
 		directors      int
 	}{
-		{"edge, one director", 3, 1, d.Node{ID: "e9", Zone: 1}, d.Hit, 1},
-		{"edge, four directors", 3, 1, d.Node{ID: "e9", Zone: 1}, d.Hit, 4},
-		{"only edge", 0, 1, d.Node{ID: "e9", Zone: 1}, d.Hit, 2},
-		{"parent", 3, 1, d.Node{ID: "p9", Kind: 1}, d.Filled, 4},
+		{"edge, one director", 3, 1, d.Endpoint{ID: "e9", Zone: 1}, d.Hit, 1},
+		{"edge, four directors", 3, 1, d.Endpoint{ID: "e9", Zone: 1}, d.Hit, 4},
+		{"only edge", 0, 1, d.Endpoint{ID: "e9", Zone: 1}, d.Hit, 2},
+		{"parent", 3, 1, d.Endpoint{ID: "p9", Kind: 1}, d.Filled, 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Instances = c.directors
+			s.ZoneDirectors = c.directors
 			var beds []*bed
-			warm, capacity := s.Edge, 4/float64(c.edges+1)/0.5 // of the link's four transfers; half of pulls miss
+			warm, capacity := s.EdgeSlowStart, 4/float64(c.edges+1)/0.5 // of the link's four transfers; half of pulls miss
 			if c.cold.Kind == 1 {
-				warm, capacity = s.Parent, 4/float64(c.parents+1)
+				warm, capacity = s.ParentSlowStart, 4/float64(c.parents+1)
 			}
 			for range c.directors {
 				b := newBed(s, c.edges, c.parents)
@@ -230,24 +230,24 @@
 				beds = append(beds, b)
 			}
 			sent, other, budget := 0.0, 0, 0.0
-			for i := range 2 * int(warm.Window/ms) {
+			for i := range 2 * int(warm.OverloadWindow/ms) {
 				for _, b := range beds {
 					b.now += ms
 					b.missing = 0.5
 					dl, ans := b.ask(fmt.Sprint(i))
 					switch {
-					case ans.Verb != d.Pull:
+					case ans.Action != d.Send:
 						continue
-					case ans.Node.ID == c.cold.ID:
+					case ans.Endpoint.ID == c.cold.ID:
 						sent += 0.2
 					case ans.Source.ID == c.cold.ID:
 						sent += 0.2 * b.missing // the others are hits
 					default:
 						other++
 					}
-					b.end(dl, 0, d.Fulfilled, c.filling)
+					b.end(dl, 0, d.Succeeded, c.filling)
 				}
-				budget += warm.Multiple * capacity * warmth(beds[0].now, beds[0].nodes[c.cold.ID], warm) / 1000
+				budget += warm.OverloadFactor * capacity * warmth(beds[0].now, beds[0].nodes[c.cold.ID], warm) / 1000
 			}
 			if sent == 0 || sent > budget {
 				t.Errorf("sent %.1f of a budget of %.1f", sent, budget)
@@ -255,7 +255,7 @@
 			if c.edges > 0 && other == 0 {
 				t.Error("nothing went to the others")
 			}
-			if w := warmth(c.cold.Started+warm.Time, beds[0].nodes[c.cold.ID], warm); w != 1 {
+			if w := warmth(c.cold.Started+warm.Duration, beds[0].nodes[c.cold.ID], warm); w != 1 {
 				t.Errorf("still at %.2f after its time", w)
 			}
 		})
@@ -266,29 +266,29 @@
 	cases := []struct {
 		name   string
 		told   bool
-		ending d.Ending
-		fill   d.Filling
+		ending d.Result
+		fill   d.CacheStatus
 		times  int
 		edge   bool // the edge is skipped
 		parent bool // the parent is
 	}{
-		{"not reached, asked, not reached", false, d.Unreached, d.Untold, 2, true, false},
-		{"not reached once", false, d.Unreached, d.Untold, 1, false, false},
-		{"broken", false, d.Broken, d.Untold, 9, true, false},
-		{"broken a few times", false, d.Broken, d.Untold, 8, false, false},
-		{"one error", false, d.Failed, d.Untold, 1, false, false},
-		{"full for a while", true, d.TurnedAway, d.Untold, 8, false, false},
-		{"full, again and again", true, d.TurnedAway, d.Untold, 9, true, false},
-		{"source lost, told", true, d.TurnedAway, d.SourceLost, 3, false, true},
-		{"source lost once", true, d.TurnedAway, d.SourceLost, 1, false, false},
-		{"origin failed behind it", true, d.TurnedAway, d.OriginFailed, 5, false, false},
-		{"refused three times, not told why", false, d.TurnedAway, d.Untold, 3, false, true},
-		{"refused twice, not told why", false, d.TurnedAway, d.Untold, 2, false, false},
+		{"not reached, asked, not reached", false, d.ConnectFailed, d.Unknown, 2, true, false},
+		{"not reached once", false, d.ConnectFailed, d.Unknown, 1, false, false},
+		{"broken", false, d.ConnectionLost, d.Unknown, 9, true, false},
+		{"broken a few times", false, d.ConnectionLost, d.Unknown, 8, false, false},
+		{"one error", false, d.Failed, d.Unknown, 1, false, false},
+		{"full for a while", true, d.Rejected, d.Unknown, 8, false, false},
+		{"full, again and again", true, d.Rejected, d.Unknown, 9, true, false},
+		{"source lost, told", true, d.Rejected, d.SourceUnavailable, 3, false, true},
+		{"source lost once", true, d.Rejected, d.SourceUnavailable, 1, false, false},
+		{"origin failed behind it", true, d.Rejected, d.OriginFailed, 5, false, false},
+		{"refused three times, not told why", false, d.Rejected, d.Unknown, 3, false, true},
+		{"refused twice, not told why", false, d.Rejected, d.Unknown, 2, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.SourcesTold, s.MostPulls = c.told, 1
+			s.ReportsCacheStatus, s.MaxAttempts = c.told, 1
 			b := newBed(s, 3, 2)
 			b.jamSeen = 1e9 // the gate stays open
 			objects := b.objects("e1", 40)
@@ -298,8 +298,8 @@
 				if source == nil {
 					source = b.nodes[ans.Source.ID]
 				}
-				if ans.Source != &source.Node && ans.Source != ans.Node || c.times == 0 {
-					b.end(dl, 0, d.NeverSent, d.Untold)
+				if ans.Source != &source.Endpoint && ans.Source != ans.Endpoint || c.times == 0 {
+					b.end(dl, 0, d.NotSent, d.Unknown)
 					continue
 				}
 				b.end(dl, ms, c.ending, c.fill)
@@ -314,17 +314,17 @@
 			if !c.edge {
 				return
 			}
-			if _, ans := b.ask(objects[0]); ans.Node.ID == "e1" {
+			if _, ans := b.ask(objects[0]); ans.Endpoint.ID == "e1" {
 				t.Error("sent to a skipped edge")
 			}
 			b.now = home.skipUntil
 			dl, trial := b.ask(objects[0])
 			_, second := b.ask(objects[1])
-			if trial.Node.ID != "e1" || second.Node.ID == "e1" {
-				t.Errorf("tried with %s and %s", trial.Node.ID, second.Node.ID)
+			if trial.Endpoint.ID != "e1" || second.Endpoint.ID == "e1" {
+				t.Errorf("tried with %s and %s", trial.Endpoint.ID, second.Endpoint.ID)
 			}
-			b.end(dl, ms, d.Fulfilled, d.Hit)
-			if _, ans := b.ask(objects[2]); ans.Node.ID != "e1" {
+			b.end(dl, ms, d.Succeeded, d.Hit)
+			if _, ans := b.ask(objects[2]); ans.Endpoint.ID != "e1" {
 				t.Error("not back after a trial that went well")
 			}
 		})
@@ -332,8 +332,8 @@
 	t.Run("a restart forgets", func(t *testing.T) {
 		b := newBed(settings(), 1, 1)
 		b.skip(b.now, b.nodes["e0"], &pull{sent: b.now}, d.Second)
-		b.list(d.Node{ID: "e0", Zone: 1, Started: 1})
-		if _, ans := b.ask("a"); ans.Verb != d.Pull {
+		b.list(d.Endpoint{ID: "e0", Zone: 1, Started: 1})
+		if _, ans := b.ask("a"); ans.Action != d.Send {
 			t.Errorf("%+v", ans)
 		}
 	})
@@ -343,31 +343,31 @@
 func TestBackBeforeTheListTells(t *testing.T) {
 	cases := []struct {
 		name    string
-		first   d.Ending
-		answer  d.Ending
-		filling d.Filling
+		first   d.Result
+		answer  d.Result
+		filling d.CacheStatus
 		warming bool
 	}{
-		{"empty", d.Unreached, d.Missing, d.Untold, true},
-		{"still holds what it had", d.Unreached, d.Fulfilled, d.Hit, false},
-		{"only a break", d.Broken, d.Missing, d.Untold, false},
+		{"empty", d.ConnectFailed, d.CacheMiss, d.Unknown, true},
+		{"still holds what it had", d.ConnectFailed, d.Succeeded, d.Hit, false},
+		{"only a break", d.ConnectionLost, d.CacheMiss, d.Unknown, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(settings(), 3, 1)
 			objects := b.objects("e1", 60)
 			dl, _ := b.ask(objects[0])
-			b.end(dl, ms, c.first, d.Untold)
+			b.end(dl, ms, c.first, d.Unknown)
 			dl, ans := b.ask(objects[1])
-			if asked := ans.Source == ans.Node; ans.Node.ID != "e1" || asked != (c.first == d.Unreached) {
+			if asked := ans.Source == ans.Endpoint; ans.Endpoint.ID != "e1" || asked != (c.first == d.ConnectFailed) {
 				t.Fatalf("then %+v", ans)
 			}
-			if c.answer == d.Fulfilled {
+			if c.answer == d.Succeeded {
 				b.end(dl, ms, c.answer, c.filling)
-			} else if ans := b.end(dl, ms, c.answer, c.filling); ans.Verb != d.Pull || ans.Source == ans.Node {
+			} else if ans := b.end(dl, ms, c.answer, c.filling); ans.Action != d.Send || ans.Source == ans.Endpoint {
 				t.Errorf("after its answer: %+v", ans)
 			}
-			if w := warmth(b.now, b.nodes["e1"], b.s.Edge); (w < 1) != c.warming {
+			if w := warmth(b.now, b.nodes["e1"], b.s.EdgeSlowStart); (w < 1) != c.warming {
 				t.Errorf("taken for %.2f warm", w)
 			}
 		})
@@ -378,18 +378,18 @@
 func TestBrokenConnections(t *testing.T) {
 	t.Run("together", func(t *testing.T) {
 		b := newBed(settings(), 3, 2)
-		var together []*d.Download
+		var together []*d.Request
 		for _, o := range b.objects("e1", 2*strikes) {
 			dl, _ := b.ask(o)
 			together = append(together, dl)
 		}
 		b.now += ms
 		for i, dl := range together {
-			if ans := b.end(dl, 0, d.Broken, d.Untold); ans.Verb != d.Pull || ans.Node.ID != "e1" {
+			if ans := b.end(dl, 0, d.ConnectionLost, d.Unknown); ans.Action != d.Send || ans.Endpoint.ID != "e1" {
 				t.Fatalf("download %d: %+v", i, ans)
 			}
 		}
-		if ans := b.end(together[0], 0, d.Broken, d.Untold); ans.Verb != d.Pull || ans.Node.ID == "e1" {
+		if ans := b.end(together[0], 0, d.ConnectionLost, d.Unknown); ans.Action != d.Send || ans.Endpoint.ID == "e1" {
 			t.Errorf("a third time there: %+v", ans)
 		}
 	})
@@ -397,13 +397,13 @@
 		b := newBed(settings(), 3, 2)
 		for i, o := range b.objects("e1", strikes*strikes) {
 			dl, _ := b.ask(o)
-			ans := b.end(dl, ms, d.Broken, d.Untold)
+			ans := b.end(dl, ms, d.ConnectionLost, d.Unknown)
 			skipped := b.nodes["e1"].skipUntil > b.now
-			if skipped != (i+1 == strikes*strikes) || ans.Verb != d.Pull || (ans.Node.ID == "e1") == skipped {
+			if skipped != (i+1 == strikes*strikes) || ans.Action != d.Send || (ans.Endpoint.ID == "e1") == skipped {
 				t.Errorf("%d in a row: skipped %v, %+v", i+1, skipped, ans)
 			}
-			dl.Over = true
-			b.end(dl, 0, d.Cancelled, d.Untold)
+			dl.Done = true
+			b.end(dl, 0, d.Cancelled, d.Unknown)
 		}
 	})
 }
@@ -412,27 +412,27 @@
 func TestErrorsWithoutACause(t *testing.T) {
 	cases := []struct {
 		name  string
-		then  d.Ending
-		verb  d.Verb // of the answer to it
+		then  d.Result
+		verb  d.Action // of the answer to it
 		skips bool
 	}{
-		{"another node errs too", d.Failed, d.Throttle, false},
-		{"another node fulfils", d.Fulfilled, d.Nothing, true},
+		{"another node errs too", d.Failed, d.Reject, false},
+		{"another node fulfils", d.Succeeded, d.None, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.SourcesTold = true
+			s.ReportsCacheStatus = true
 			b := newBed(s, 3, 2)
 			for _, o := range b.objects("e1", 2*strikes) {
 				dl, ans := b.ask(o)
-				if ans.Node.ID != "e1" {
+				if ans.Endpoint.ID != "e1" {
 					break // it is skipped
 				}
-				if ans := b.end(dl, ms, d.Failed, d.Untold); ans.Verb != d.Pull || ans.Node.ID == "e1" {
+				if ans := b.end(dl, ms, d.Failed, d.Unknown); ans.Action != d.Send || ans.Endpoint.ID == "e1" {
 					t.Fatalf("after the first error: %+v", ans)
 				}
-				if ans := b.end(dl, ms, c.then, d.Untold); ans.Verb != c.verb {
+				if ans := b.end(dl, ms, c.then, d.Unknown); ans.Action != c.verb {
 					t.Fatalf("after the second node: %+v", ans)
 				}
 			}
@@ -449,26 +449,26 @@
 func TestSilentNode(t *testing.T) {
 	b := newBed(settings(), 3, 1)
 	objects := b.objects("e1", 4)
-	var dls []*d.Download
+	var dls []*d.Request
 	b.now += ms
 	for _, object := range objects {
 		dl, _ := b.ask(object)
 		dls = append(dls, dl)
 	}
-	b.now += b.Wait(b.now, dls[0])
-	verbs := []d.Verb{}
+	b.now += b.RecheckAfter(b.now, dls[0])
+	verbs := []d.Action{}
 	for _, dl := range dls {
-		verbs = append(verbs, b.Where(b.now, dl).Verb)
+		verbs = append(verbs, b.Route(b.now, dl).Action)
 	}
-	if want := fmt.Sprint([]d.Verb{d.Nothing, d.Nothing, d.Cancel, d.Cancel}); fmt.Sprint(verbs) != want {
+	if want := fmt.Sprint([]d.Action{d.None, d.None, d.CancelAttempt, d.CancelAttempt}); fmt.Sprint(verbs) != want {
 		t.Fatalf("verbs %v, want %v", verbs, want)
 	}
-	if ans := b.end(dls[2], ms, d.Cancelled, d.Untold); ans.Verb != d.Pull || ans.Node.ID == "e1" {
+	if ans := b.end(dls[2], ms, d.Cancelled, d.Unknown); ans.Action != d.Send || ans.Endpoint.ID == "e1" {
 		t.Errorf("after the cancel: %+v", ans)
 	}
-	b.end(dls[3], ms, d.Fulfilled, d.Hit)
-	b.now += b.Wait(b.now, dls[0])
-	if ans := b.Where(b.now, dls[0]); ans.Verb != d.Nothing {
+	b.end(dls[3], ms, d.Succeeded, d.Hit)
+	b.now += b.RecheckAfter(b.now, dls[0])
+	if ans := b.Route(b.now, dls[0]); ans.Action != d.None {
 		t.Errorf("a node that was heard of: %+v", ans)
 	}
 }
@@ -479,9 +479,9 @@
 	for _, told := range []bool{true, false} {
 		t.Run(fmt.Sprint("told ", told), func(t *testing.T) {
 			s := settings()
-			s.SourcesTold = told
+			s.ReportsCacheStatus = told
 			b := newBed(s, 1, 2)
-			var dls []*d.Download
+			var dls []*d.Request
 			source := ""
 			for i := 0; len(dls) < 3; i++ {
 				b.now += ms
@@ -490,21 +490,21 @@
 					source, dls = ans.Source.ID, append(dls, dl)
 					continue
 				}
-				b.end(dl, ms, d.Fulfilled, d.Filled)
+				b.end(dl, ms, d.Succeeded, d.Filled)
 			}
 			b.serve(1, ms, d.Hit)
 			b.now += d.Second
-			ans := d.Answer{}
+			ans := d.Decision{}
 			for _, dl := range dls {
-				ans = b.Where(b.now, dl)
+				ans = b.Route(b.now, dl)
 			}
-			if (ans.Verb == d.Cancel) != told || (b.nodes[source].skipUntil > b.now) != told || b.nodes["e0"].skipUntil > b.now {
+			if (ans.Action == d.CancelAttempt) != told || (b.nodes[source].skipUntil > b.now) != told || b.nodes["e0"].skipUntil > b.now {
 				t.Fatalf("%+v", ans)
 			}
 			if !told {
 				return
 			}
-			if ans := b.end(dls[2], ms, d.Cancelled, d.Untold); ans.Node.ID != "e0" || ans.Source.ID == source {
+			if ans := b.end(dls[2], ms, d.Cancelled, d.Unknown); ans.Endpoint.ID != "e0" || ans.Source.ID == source {
 				t.Errorf("after the cancel: %+v", ans)
 			}
 		})
@@ -515,14 +515,14 @@
 	for _, told := range []bool{false, true} {
 		t.Run(fmt.Sprint("told ", told), func(t *testing.T) {
 			s := settings()
-			s.SourcesTold, s.MostPulls = told, 1
+			s.ReportsCacheStatus, s.MaxAttempts = told, 1
 			b := newBed(s, 2, 2)
 			b.jamSeen = 1e9
 			for i := range 60 {
 				if dl, ans := b.ask(fmt.Sprint(i)); ans.Source.ID != "o" {
-					b.end(dl, ms, d.TurnedAway, d.SourceLost)
+					b.end(dl, ms, d.Rejected, d.SourceUnavailable)
 				} else {
-					b.end(dl, ms, d.Fulfilled, d.Filled)
+					b.end(dl, ms, d.Succeeded, d.Filled)
 				}
 			}
 			if _, ans := b.ask("a"); (ans.Source.ID == "o") != told {
@@ -546,9 +546,9 @@
 			for i := range 60 {
 				b.nodes["p1"].trial, b.nodes["p1"].trying = c.trial, c.trial
 				if dl, ans := b.ask(fmt.Sprint(i)); ans.Source.ID == "p0" {
-					b.end(dl, 900*ms, d.Fulfilled, d.Filled)
+					b.end(dl, 900*ms, d.Succeeded, d.Filled)
 				} else {
-					b.end(dl, c.other, d.Fulfilled, d.Filled)
+					b.end(dl, c.other, d.Succeeded, d.Filled)
 				}
 			}
 			if n := b.nodes["p0"]; (n.skipUntil > 0) != c.skipped || b.nodes["p1"].skipUntil > 0 {
@@ -562,21 +562,21 @@
 	cases := []struct {
 		name   string
 		direct bool
-		change d.Node
+		change d.Endpoint
 		node   string
 	}{
-		{"no cache left", true, d.Node{ID: "e0", Zone: 1, State: d.Gone}, "p0"},
-		{"not allowed", false, d.Node{ID: "e0", Zone: 1, State: d.Gone}, ""},
-		{"one cache", true, d.Node{ID: "e0", Zone: 1}, "e0"},
+		{"no cache left", true, d.Endpoint{ID: "e0", Zone: 1, State: d.Removed}, "p0"},
+		{"not allowed", false, d.Endpoint{ID: "e0", Zone: 1, State: d.Removed}, ""},
+		{"one cache", true, d.Endpoint{ID: "e0", Zone: 1}, "e0"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Direct = c.direct
+			s.AllowDirect = c.direct
 			b := newBed(s, 1, 1)
 			b.list(c.change)
 			dl, ans := b.ask("a")
-			if ans.Node == nil != (c.node == "") || ans.Node != nil && ans.Node.ID != c.node {
+			if ans.Endpoint == nil != (c.node == "") || ans.Endpoint != nil && ans.Endpoint.ID != c.node {
 				t.Fatalf("%+v", ans)
 			}
 			if c.node != "p0" {
@@ -586,10 +586,10 @@
 				t.Errorf("%+v, %d at the gate", ans, b.gate.out)
 			}
 			b.gate.most = 1
-			if _, ans := b.ask("b"); ans.Verb != d.Hold {
+			if _, ans := b.ask("b"); ans.Action != d.Queue {
 				t.Errorf("past what the link carries: %+v", ans)
 			}
-			b.end(dl, ms, d.Fulfilled, d.Filled)
+			b.end(dl, ms, d.Succeeded, d.Filled)
 			if b.gate.out != 0 {
 				t.Error("still counted")
 			}
@@ -606,15 +606,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(settings(), 1, 1)
 			for range 20 {
-				var dls []*d.Download
+				var dls []*d.Request
 				for i := range 12 {
-					if dl, ans := b.ask(fmt.Sprint(i)); ans.Verb == d.Pull {
+					if dl, ans := b.ask(fmt.Sprint(i)); ans.Action == d.Send {
 						dls = append(dls, dl)
 					}
 				}
 				b.now += c.took
 				for _, dl := range dls {
-					b.end(dl, 0, d.Fulfilled, d.Hit)
+					b.end(dl, 0, d.Succeeded, d.Hit)
 				}
 			}
 			if n := b.nodes["e0"]; (n.limit.most < firstLimit) != c.less || n.limit.out != 0 {
@@ -631,23 +631,23 @@
 		t.Fatal("the gate stayed open")
 	}
 	dl, look := b.ask("a")
-	if look.Source != look.Node {
+	if look.Source != look.Endpoint {
 		t.Fatalf("not asked first: %+v", look)
 	}
-	held := b.end(dl, ms, d.Missing, d.Untold)
-	if held.Verb != d.Pull || held.Node != look.Node || held.Source.ID != "p0" || !held.Held {
+	held := b.end(dl, ms, d.CacheMiss, d.Unknown)
+	if held.Action != d.Send || held.Endpoint != look.Endpoint || held.Source.ID != "p0" || !held.OnlyIfCached {
 		t.Fatalf("a miss: %+v", held)
 	}
-	if fill := b.end(dl, ms, d.Missing, d.Untold); fill.Verb != d.Pull || fill.Source.ID != "p0" || fill.Held {
+	if fill := b.end(dl, ms, d.CacheMiss, d.Unknown); fill.Action != d.Send || fill.Source.ID != "p0" || fill.OnlyIfCached {
 		t.Fatalf("a miss there too: %+v", fill)
 	}
 	b.gate.most = 1
 	other, _ := b.ask("b")
-	if ans := b.end(other, ms, d.Missing, d.Untold); ans.Verb != d.Hold {
+	if ans := b.end(other, ms, d.CacheMiss, d.Unknown); ans.Action != d.Queue {
 		t.Errorf("a miss before a full gate: %+v", ans)
 	}
-	b.end(dl, ms, d.Fulfilled, d.Filled)
-	if ans := b.Where(b.now, other); ans.Verb != d.Pull || !ans.Held {
+	b.end(dl, ms, d.Succeeded, d.Filled)
+	if ans := b.Route(b.now, other); ans.Action != d.Send || !ans.OnlyIfCached {
 		t.Errorf("once there is room: %+v", ans)
 	}
 	if b.gate.most, b.deep.most = 4, 2; b.deep.out != 0 || b.gate.out != 1 {
@@ -655,16 +655,16 @@
 	}
 	for i := range 3 {
 		dl, _ := b.ask(fmt.Sprint("c", i))
-		b.end(dl, ms, d.Missing, d.Untold)
-		if ans := b.end(dl, ms, d.Missing, d.Untold); (ans.Verb == d.Pull) != (i < 2) {
+		b.end(dl, ms, d.CacheMiss, d.Unknown)
+		if ans := b.end(dl, ms, d.CacheMiss, d.Unknown); (ans.Action == d.Send) != (i < 2) {
 			t.Errorf("fill %d from the origin: %+v", i, ans)
 		}
 	}
 	b.gate.out, b.deep.out = 1, 0
-	b.end(other, ms, d.Fulfilled, d.Filled)
+	b.end(other, ms, d.Succeeded, d.Filled)
 	b.now += 11 * d.Second
 	b.serve(1, ms, d.Hit)
-	if _, ans := b.ask("c"); ans.Source == ans.Node || b.gate.out != 0 {
+	if _, ans := b.ask("c"); ans.Source == ans.Endpoint || b.gate.out != 0 {
 		t.Errorf("the gate did not open again: %+v", ans)
 	}
 }
@@ -686,19 +686,19 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Sized = c.sized
+			s.WeightsAreSizes = c.sized
 			b := newBed(s, 0, 1)
-			var rows []d.Node
+			var rows []d.Endpoint
 			for i, w := range c.weights {
-				rows = append(rows, d.Node{ID: fmt.Sprint("e", i), Zone: 1, Weight: w})
+				rows = append(rows, d.Endpoint{ID: fmt.Sprint("e", i), Zone: 1, Weight: w})
 			}
 			b.list(rows...)
 			homes := map[string]int{}
 			const n = 3000
 			for i := range n {
 				dl, ans := b.ask(fmt.Sprint(i))
-				homes[ans.Node.ID]++
-				b.end(dl, ms, d.Fulfilled, d.Hit)
+				homes[ans.Endpoint.ID]++
+				b.end(dl, ms, d.Succeeded, d.Hit)
 			}
 			for i, want := range c.want {
 				if got := float64(homes[fmt.Sprint("e", i)]) / n; got < want-0.03 || got > want+0.03 {
@@ -724,11 +724,11 @@
 			for i := range 60 {
 				b.now += 100 * ms
 				dl, ans := b.ask(fmt.Sprint(i))
-				for ans.Verb == d.Pull && ans.Source == ans.Node { // asked first while jammed
-					ans = b.end(dl, ms, d.Missing, d.Untold)
+				for ans.Action == d.Send && ans.Source == ans.Endpoint { // asked first while jammed
+					ans = b.end(dl, ms, d.CacheMiss, d.Unknown)
 				}
-				if ans.Verb == d.Pull {
-					b.end(dl, c.took, d.Fulfilled, d.Untold)
+				if ans.Action == d.Send {
+					b.end(dl, c.took, d.Succeeded, d.Unknown)
 				}
 			}
 			if jammed := b.jam > jamPart; jammed != c.jammed || b.missing != 0.5 {
@@ -758,13 +758,13 @@
 				b.gated, b.gate.out, b.deep.out, b.deep.most, b.costs = b.now, 0, 0, 0.5, mean{200_000, memory}
 				dl := b.download(fmt.Sprint("x", i))
 				dl.SizeKB = c.size
-				b.Where(b.now, dl)
-				b.end(dl, 0, d.Missing, d.Untold)
-				ans := b.end(dl, 0, d.Missing, d.Untold)
-				went += bit(ans.Verb == d.Pull)
-				dl.Over = true
-				if ans.Verb == d.Pull {
-					b.end(dl, 0, d.Fulfilled, d.Filled)
+				b.Route(b.now, dl)
+				b.end(dl, 0, d.CacheMiss, d.Unknown)
+				ans := b.end(dl, 0, d.CacheMiss, d.Unknown)
+				went += bit(ans.Action == d.Send)
+				dl.Done = true
+				if ans.Action == d.Send {
+					b.end(dl, 0, d.Succeeded, d.Filled)
 				}
 			}
 			if part := float64(went) / asked; part < c.want-0.05 || part > c.want+0.05 {
@@ -782,7 +782,7 @@
 	}{{true, growBy}, {false, 2 * growBy}} {
 		t.Run(fmt.Sprint("told ", c.told), func(t *testing.T) {
 			s := settings()
-			s.SourcesTold = c.told
+			s.ReportsCacheStatus = c.told
 			b := newBed(s, 1, 1)
 			p := &pull{edge: b.nodes["e0"], source: b.nodes["p0"], fill: true, deep: true}
 			gate, deep := b.gate.most, b.deep.most
@@ -804,13 +804,13 @@
 	for i := range asked {
 		b.gated, b.gate.out, b.deep.out, b.deep.most = b.now, 0, 0, 0.25
 		dl, _ := b.ask(fmt.Sprint("x", i))
-		ans := b.end(dl, 0, d.Missing, d.Untold)
-		if went += bit(ans.Verb == d.Pull); ans.Verb == d.Pull && (ans.Source.ID != "o" || ans.Held || b.deep.out != 1) {
+		ans := b.end(dl, 0, d.CacheMiss, d.Unknown)
+		if went += bit(ans.Action == d.Send); ans.Action == d.Send && (ans.Source.ID != "o" || ans.OnlyIfCached || b.deep.out != 1) {
 			t.Fatalf("%+v, %d counted", ans, b.deep.out)
 		}
-		dl.Over = true
-		if ans.Verb == d.Pull {
-			b.end(dl, 0, d.Fulfilled, d.FilledByOrigin)
+		dl.Done = true
+		if ans.Action == d.Send {
+			b.end(dl, 0, d.Succeeded, d.FilledByOrigin)
 		}
 	}
 	if part := float64(went) / asked; part < 0.2 || part > 0.3 {
@@ -825,38 +825,38 @@
 		name   string
 		edges  int
 		gated  bool
-		second d.Ending
+		second d.Result
 	}{
-		{"it holds it", 3, true, d.Fulfilled},
-		{"it lacks it too", 3, true, d.Missing},
-		{"there is none", 1, true, d.Missing},
-		{"nothing is jammed", 3, false, d.Missing},
+		{"it holds it", 3, true, d.Succeeded},
+		{"it lacks it too", 3, true, d.CacheMiss},
+		{"there is none", 1, true, d.CacheMiss},
+		{"nothing is jammed", 3, false, d.CacheMiss},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(settings(), c.edges, 1)
 			dl, ans := b.ask("x")
-			home := ans.Node.ID
-			b.end(dl, ms, d.Fulfilled, d.Hit)
+			home := ans.Endpoint.ID
+			b.end(dl, ms, d.Succeeded, d.Hit)
 			if !c.gated {
 				b.nodes[home].trial = true // then the home alone is asked
 			} else {
 				b.gated = b.now
 			}
 			dl, ans = b.ask("x")
-			if ans.Node.ID != home || ans.Source != ans.Node {
+			if ans.Endpoint.ID != home || ans.Source != ans.Endpoint {
 				t.Fatalf("the home was not asked: %+v", ans)
 			}
-			ans = b.end(dl, ms, d.Missing, d.Untold)
-			if another := c.edges > 1 && c.gated; another != (ans.Node.ID != home && ans.Source == ans.Node) {
+			ans = b.end(dl, ms, d.CacheMiss, d.Unknown)
+			if another := c.edges > 1 && c.gated; another != (ans.Endpoint.ID != home && ans.Source == ans.Endpoint) {
 				t.Fatalf("after the home: %+v", ans)
 			} else if another {
 				ans = b.end(dl, ms, c.second, d.Hit)
 			}
-			if c.second == d.Fulfilled {
+			if c.second == d.Succeeded {
 				return
 			}
-			if ans.Verb != d.Pull || ans.Node.ID != home || ans.Source.ID != "p0" {
+			if ans.Action != d.Send || ans.Endpoint.ID != home || ans.Source.ID != "p0" {
 				t.Errorf("the fill: %+v", ans)
 			}
 		})
@@ -872,11 +872,11 @@
 	}{{"sizes vouched for", true, 10.0 / 4}, {"not", false, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.LinkKB, s.Sized, s.Instances = 0, c.sized, 4
+			s.FillLinkKBPerSecond, s.WeightsAreSizes, s.ZoneDirectors = 0, c.sized, 4
 			b := newBed(s, 0, 1)
-			b.list(d.Node{ID: "e0", Zone: 1, Weight: 4}, d.Node{ID: "e1", Zone: 1, Weight: 6})
-			if got := b.Able(b.now); got != c.want || b.Full() != c.want {
-				t.Errorf("able to %v, %v when warm, want %v", got, b.Full(), c.want)
+			b.list(d.Endpoint{ID: "e0", Zone: 1, Weight: 4}, d.Endpoint{ID: "e1", Zone: 1, Weight: 6})
+			if got := b.Capacity(b.now); got != c.want || b.WarmCapacity() != c.want {
+				t.Errorf("able to %v, %v when warm, want %v", got, b.WarmCapacity(), c.want)
 			}
 		})
 	}
--- a/routing/rare_test.go
+++ b/routing/rare_test.go
@@ -15,17 +15,17 @@
 		for _, busy := range []int{1, 12} { // how much more one of them is asked for
 			t.Run(fmt.Sprint(directors, " directors, one asked ", busy, " times as much"), func(t *testing.T) {
 				s := settings()
-				s.Instances = directors
+				s.ZoneDirectors = directors
 				var beds []*bed
 				for i := range directors {
 					s.Seed = mix(uint64(i))
 					b := newBed(s, 3, 1)
-					b.list(d.Node{ID: "e9", Zone: 1, Started: b.now})
+					b.list(d.Endpoint{ID: "e9", Zone: 1, Started: b.now})
 					beds = append(beds, b)
 				}
 				begun, number := beds[0].now, 0
 				var sent []d.Micros
-				for beds[0].now < begun+s.Edge.Time {
+				for beds[0].now < begun+s.EdgeSlowStart.Duration {
 					for i, b := range beds {
 						times := 1
 						if i == 0 {
@@ -35,31 +35,31 @@
 							number++
 							b.missing = 0.5
 							dl, ans := b.ask(fmt.Sprint(number))
-							if ans.Verb != d.Pull {
+							if ans.Action != d.Send {
 								continue
 							}
-							if ans.Node.ID == "e9" {
+							if ans.Endpoint.ID == "e9" {
 								sent = append(sent, b.now)
 							}
-							b.end(dl, 0, d.Fulfilled, d.Hit)
+							b.end(dl, 0, d.Succeeded, d.Hit)
 						}
 						b.now += 100 * ms
 					}
 				}
 				bears := func(at d.Micros) float64 { // of the link's four transfers; half of pulls miss; 0.2 s of work each
-					return s.Edge.Multiple * 4 / 4 / 0.5 * warmth(at, beds[0].nodes["e9"], s.Edge) / 0.2 * 2
+					return s.EdgeSlowStart.OverloadFactor * 4 / 4 / 0.5 * warmth(at, beds[0].nodes["e9"], s.EdgeSlowStart) / 0.2 * 2
 				}
 				all := 0.0
 				for i, at := range sent {
 					last := i
-					for last < len(sent) && sent[last] < at+s.Edge.Window {
+					for last < len(sent) && sent[last] < at+s.EdgeSlowStart.OverloadWindow {
 						last++
 					}
 					if n := bears(at); float64(last-i) > n+2*math.Sqrt(n)+2 {
 						t.Fatalf("%d in the window from %d ms, which bears %.1f", last-i, (at-begun)/ms, n)
 					}
 				}
-				for at := begun; at < begun+s.Edge.Time; at += s.Edge.Window {
+				for at := begun; at < begun+s.EdgeSlowStart.Duration; at += s.EdgeSlowStart.OverloadWindow {
 					all += bears(at)
 				}
 				if float64(len(sent)) < all/5 {
@@ -74,25 +74,25 @@
 func TestNoPullBeginsTooLate(t *testing.T) {
 	cases := []struct {
 		name   string
-		repeat d.Repeat
+		repeat d.RetrySafety
 		window d.Micros
 		before d.Micros // of the second pull, after the first was sent
 	}{
-		{"retriable", d.Retriable, d.Second, 3 * d.Second},
-		{"deduped, a short window", d.Deduped, d.Second, d.Second},
-		{"deduped, a long window", d.Deduped, 9 * d.Second, 3 * d.Second},
+		{"retriable", d.Idempotent, d.Second, 3 * d.Second},
+		{"deduped, a short window", d.IdempotentWithKey, d.Second, d.Second},
+		{"deduped, a long window", d.IdempotentWithKey, 9 * d.Second, 3 * d.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(settings(), 3, 1)
-			b.t.Repeat, b.t.Window = c.repeat, c.window
+			b.t.RetrySafety, b.t.DedupWindow = c.repeat, c.window
 			begun := b.now
 			dl, first := b.ask("a")
-			if first.Verb != d.Pull || first.Before != dl.Leaves {
+			if first.Action != d.Send || first.NotAfter != dl.Deadline {
 				t.Fatalf("first %+v", first)
 			}
-			again := b.end(dl, 10*ms, d.Failed, d.NoPlace)
-			if again.Verb != d.Pull || again.Before != begun+c.before {
+			again := b.end(dl, 10*ms, d.Failed, d.CacheFull)
+			if again.Action != d.Send || again.NotAfter != begun+c.before {
 				t.Errorf("again %+v, want it before %d", again, begun+c.before)
 			}
 		})
@@ -105,12 +105,12 @@
 	for _, connect := range []d.Micros{20 * ms, 400 * ms, 5 * d.Second} {
 		for _, expiry := range []d.Micros{500 * ms, 1500 * ms, 30 * d.Second} {
 			s := settings()
-			s.ConnectTimeout, s.KeepAlive, s.Streams = connect, 30*d.Second, 100
-			s.Types[0].Expiry = expiry
-			m := Margins(s)
-			if m.Linger <= 600*ms || m.Linger > d.Second || m.Stop > min(expiry, 3*d.Second)+500*ms || m.Late > 50*ms ||
-				m.Silent+m.Silent/8 > 3*d.Second || m.Silent < d.Second { // it is looked for eight times in that time
-				t.Errorf("connect %d, expiry %d: linger %d, stop %d, late %d, silent %d", connect, expiry, m.Linger, m.Stop, m.Late, m.Silent)
+			s.ConnectTimeout, s.KeepAliveTimeout, s.MaxConcurrentStreams = connect, 30*d.Second, 100
+			s.ContentTypes[0].Timeout = expiry
+			m := Timeouts(s)
+			if m.DrainAccept <= 600*ms || m.DrainAccept > d.Second || m.DrainDeadline > min(expiry, 3*d.Second)+500*ms || m.MaxDecisionAge > 50*ms ||
+				m.RequestRead+m.RequestRead/8 > 3*d.Second || m.RequestRead < d.Second { // it is looked for eight times in that time
+				t.Errorf("connect %d, expiry %d: linger %d, stop %d, late %d, silent %d", connect, expiry, m.DrainAccept, m.DrainDeadline, m.MaxDecisionAge, m.RequestRead)
 			}
 		}
 	}
@@ -125,13 +125,13 @@
 		if overloaded {
 			b.trouble = 1
 		}
-		for i := range 4 * b.s.MostPulls {
-			if ans.Verb != d.Pull {
+		for i := range 4 * b.s.MaxAttempts {
+			if ans.Action != d.Send {
 				t.Fatalf("overloaded %v: after %d recalls %+v", overloaded, i, ans)
 			}
-			ans = b.end(dl, ms, d.Recalled, d.Untold)
+			ans = b.end(dl, ms, d.Withdrawn, d.Unknown)
 		}
-		if ans = b.end(dl, ms, d.Fulfilled, d.Hit); ans.Verb != d.Nothing {
+		if ans = b.end(dl, ms, d.Succeeded, d.Hit); ans.Action != d.None {
 			t.Errorf("overloaded %v: in the end %+v", overloaded, ans)
 		}
 	}
@@ -143,49 +143,49 @@
 	for _, c := range []struct {
 		name        string
 		passThrough bool
-		filling     d.Filling
+		filling     d.CacheStatus
 		learned     bool
 	}{
 		{"what passes through", true, d.FilledByOrigin, true},
-		{"what passes through, untold", true, d.Untold, true},
+		{"what passes through, untold", true, d.Unknown, true},
 		{"a hit", false, d.Hit, true},
 		{"a fill", false, d.FilledByOrigin, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.SourcesTold = c.filling != d.Untold
-			s.Types[0].PassThrough = c.passThrough
+			s.ReportsCacheStatus = c.filling != d.Unknown
+			s.ContentTypes[0].Uncacheable = c.passThrough
 			b := newBed(s, 3, 1)
-			ask := func(object string) (*d.Download, d.Answer) {
+			ask := func(object string) (*d.Request, d.Decision) {
 				dl := b.download(object)
 				dl.SizeKB = 0
-				return dl, b.Where(b.now, dl)
+				return dl, b.Route(b.now, dl)
 			}
 			sent := func() (n int) { // to a cold node in a window
 				b.missing = 0.5
-				b.list(d.Node{ID: "e9", Zone: 1, Started: b.now})
-				for until := b.now + s.Edge.Window; b.now < until; b.now += 50 * ms {
+				b.list(d.Endpoint{ID: "e9", Zone: 1, Started: b.now})
+				for until := b.now + s.EdgeSlowStart.OverloadWindow; b.now < until; b.now += 50 * ms {
 					for i := range 20 {
 						dl, ans := ask(fmt.Sprint("cold", b.now, " ", i))
-						if ans.Verb == d.Pull && ans.Node.ID == "e9" {
+						if ans.Action == d.Send && ans.Endpoint.ID == "e9" {
 							n++
 						}
-						if ans.Verb == d.Pull {
-							dl.Over = true // its client has left
-							b.end(dl, 0, d.NeverSent, d.Untold)
+						if ans.Action == d.Send {
+							dl.Done = true // its client has left
+							b.end(dl, 0, d.NotSent, d.Unknown)
 						}
 					}
 				}
-				b.list(d.Node{ID: "e9", State: d.Gone})
+				b.list(d.Endpoint{ID: "e9", State: d.Removed})
 				return n
 			}
 			before := sent()
 			for i := range 200 {
 				dl, ans := ask(fmt.Sprint(i))
-				if ans.Verb != d.Pull {
+				if ans.Action != d.Send {
 					t.Fatalf("%+v", ans)
 				}
-				b.end(dl, s.Types[0].TargetTime/20, d.Fulfilled, c.filling)
+				b.end(dl, s.ContentTypes[0].LatencyObjective/20, d.Succeeded, c.filling)
 			}
 			if after := sent(); (after > 3*before) != c.learned {
 				t.Errorf("a cold node had %d in a window, %d before anything was known", after, before)
--- a/routing/storm_test.go
+++ b/routing/storm_test.go
@@ -13,85 +13,85 @@
 func TestKeysOverRetries(t *testing.T) {
 	cases := []struct {
 		name   string
-		ending d.Ending // of the first try's pull
+		ending d.Result // of the first try's pull
 		lost   bool     // the first answer never came: the client gave up
 		after  d.Micros
-		scope  d.Scope
-		want   d.Verb
+		scope  d.DedupScope
+		want   d.Action
 	}{
-		{"failed, inside the window", d.Failed, false, 2 * d.Second, d.ScopeAll, d.Pull},
-		{"failed, past it", d.Failed, false, 3100 * ms, d.ScopeAll, d.Abandon},
-		{"broken, past it", d.Broken, false, 5 * d.Second, d.ScopeAll, d.Abandon},
-		{"fulfilled but the answer was lost, past it", d.Fulfilled, true, 4 * d.Second, d.ScopeAll, d.Abandon},
-		{"fulfilled but the answer was lost, inside", d.Fulfilled, true, d.Second, d.ScopeAll, d.Pull},
-		{"turned away: it never ran", d.TurnedAway, false, 5 * d.Second, d.ScopeAll, d.Pull},
-		{"not reached: it never ran", d.Unreached, false, 5 * d.Second, d.ScopeAll, d.Pull},
-		{"remembered long after", d.Broken, false, 50 * d.Second, d.ScopeAll, d.Abandon},
-		{"another zone's caches", d.Broken, false, d.Second, d.ScopeZone, d.Pull},
+		{"failed, inside the window", d.Failed, false, 2 * d.Second, d.DedupScopeAll, d.Send},
+		{"failed, past it", d.Failed, false, 3100 * ms, d.DedupScopeAll, d.Fail},
+		{"broken, past it", d.ConnectionLost, false, 5 * d.Second, d.DedupScopeAll, d.Fail},
+		{"fulfilled but the answer was lost, past it", d.Succeeded, true, 4 * d.Second, d.DedupScopeAll, d.Fail},
+		{"fulfilled but the answer was lost, inside", d.Succeeded, true, d.Second, d.DedupScopeAll, d.Send},
+		{"turned away: it never ran", d.Rejected, false, 5 * d.Second, d.DedupScopeAll, d.Send},
+		{"not reached: it never ran", d.ConnectFailed, false, 5 * d.Second, d.DedupScopeAll, d.Send},
+		{"remembered long after", d.ConnectionLost, false, 50 * d.Second, d.DedupScopeAll, d.Fail},
+		{"another zone's caches", d.ConnectionLost, false, d.Second, d.DedupScopeZone, d.Send},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Types[0].Repeat, s.Types[0].Scope = d.Deduped, c.scope
+			s.ContentTypes[0].RetrySafety, s.ContentTypes[0].DedupScope = d.IdempotentWithKey, c.scope
 			b := newBed(s, 2, 1)
-			b.Use(Options{Keys: dedup.Settings{Most: 10, Remember: 20}})
+			b.SetOptions(Options{Dedup: dedup.Settings{Most: 10, Remember: 20}})
 			first := b.download("o")
-			first.Key = "k"
-			if ans := b.Where(b.now, first); ans.Verb != d.Pull {
+			first.IdempotencyKey = "k"
+			if ans := b.Route(b.now, first); ans.Action != d.Send {
 				t.Fatalf("first: %+v", ans)
 			}
 			sent := b.now
 			if c.lost {
-				first.Over = true
+				first.Done = true
 			}
-			b.After(b.now+100*ms, first, d.Outcome{Ending: c.ending, Last: true})
+			b.AttemptDone(b.now+100*ms, first, d.Outcome{Result: c.ending, Final: true})
 			b.now = sent + c.after
-			b.list(d.Node{ID: "e0", Zone: 1}, d.Node{ID: "e1", Zone: 1}) // what was held against them is past
+			b.list(d.Endpoint{ID: "e0", Zone: 1}, d.Endpoint{ID: "e1", Zone: 1}) // what was held against them is past
 			next := b.download("o")
-			next.Key, next.Again = "k", true
-			if ans := b.Where(b.now, next); ans.Verb != c.want {
+			next.IdempotencyKey, next.IsRetry = "k", true
+			if ans := b.Route(b.now, next); ans.Action != c.want {
 				t.Errorf("the next try: %+v, want verb %d", ans, c.want)
 			}
 			other := b.download("o")
-			other.Key = "another"
-			if ans := b.Where(b.now, other); ans.Verb != d.Pull {
+			other.IdempotencyKey = "another"
+			if ans := b.Route(b.now, other); ans.Action != d.Send {
 				t.Errorf("another key: %+v", ans)
 			}
 		})
 	}
 	t.Run("no throttling reply that outlives the window", func(t *testing.T) {
 		s := settings()
-		s.Types[0].Repeat = d.Deduped
+		s.ContentTypes[0].RetrySafety = d.IdempotentWithKey
 		b := newBed(s, 1, 1)
-		b.Use(Options{Keys: dedup.Settings{Most: 10, Remember: 20}})
+		b.SetOptions(Options{Dedup: dedup.Settings{Most: 10, Remember: 20}})
 		first := b.download("o")
-		first.Key = "k"
-		b.Where(b.now, first)
-		b.After(b.now, first, d.Outcome{Ending: d.Broken, Last: true})
+		first.IdempotencyKey = "k"
+		b.Route(b.now, first)
+		b.AttemptDone(b.now, first, d.Outcome{Result: d.ConnectionLost, Final: true})
 		for _, x := range []struct {
 			after d.Micros
-			want  d.Verb
-		}{{d.Second, d.Throttle}, {2900 * ms, d.Abandon}} {
+			want  d.Action
+		}{{d.Second, d.Reject}, {2900 * ms, d.Fail}} {
 			next := b.download("o")
-			next.Key, next.Again = "k", true
-			b.list(d.Node{ID: "e0", Zone: 1, State: d.Draining})
-			next.Arrived = b.now + x.after
-			next.Leaves = next.Arrived + d.Second
-			b.Where(next.Arrived, next)
-			if ans := b.Where(next.Leaves, next); ans.Verb != x.want {
+			next.IdempotencyKey, next.IsRetry = "k", true
+			b.list(d.Endpoint{ID: "e0", Zone: 1, State: d.Draining})
+			next.ArrivedAt = b.now + x.after
+			next.Deadline = next.ArrivedAt + d.Second
+			b.Route(next.ArrivedAt, next)
+			if ans := b.Route(next.Deadline, next); ans.Action != x.want {
 				t.Errorf("after %d ms: %+v", x.after/ms, ans)
 			}
 		}
 	})
 	t.Run("no room for a mark: throttled unsent", func(t *testing.T) {
 		s := settings()
-		s.Types[0].Repeat = d.Deduped
+		s.ContentTypes[0].RetrySafety = d.IdempotentWithKey
 		b := newBed(s, 2, 1)
-		b.Use(Options{Keys: dedup.Settings{Most: 1, Remember: 20}})
-		for i, want := range []d.Verb{d.Pull, d.Throttle} {
+		b.SetOptions(Options{Dedup: dedup.Settings{Most: 1, Remember: 20}})
+		for i, want := range []d.Action{d.Send, d.Reject} {
 			dl := b.download("o")
-			dl.Key, dl.Again = fmt.Sprint(i), true
-			if ans := b.Where(b.now, dl); ans.Verb != want {
+			dl.IdempotencyKey, dl.IsRetry = fmt.Sprint(i), true
+			if ans := b.Route(b.now, dl); ans.Action != want {
 				t.Errorf("key %d: %+v", i, ans)
 			}
 		}
@@ -99,12 +99,12 @@
 	t.Run("a stranger's repeat", func(t *testing.T) {
 		for _, abandon := range []bool{false, true} {
 			s := settings()
-			s.Types[0].Repeat = d.Deduped // its expiry is longer than its window
+			s.ContentTypes[0].RetrySafety = d.IdempotentWithKey // its expiry is longer than its window
 			b := newBed(s, 2, 1)
-			b.Use(Options{Keys: dedup.Settings{Most: 10, Remember: 20, Abandon: abandon}})
+			b.SetOptions(Options{Dedup: dedup.Settings{Most: 10, Remember: 20, Abandon: abandon}})
 			dl := b.download("o")
-			dl.Key, dl.Again = "k", true
-			if ans := b.Where(b.now, dl); (ans.Verb == d.Abandon) != abandon {
+			dl.IdempotencyKey, dl.IsRetry = "k", true
+			if ans := b.Route(b.now, dl); (ans.Action == d.Fail) != abandon {
 				t.Errorf("abandon %v: %+v", abandon, ans)
 			}
 		}
@@ -115,35 +115,35 @@
 // early has the same place.
 func TestPlacesInAStorm(t *testing.T) {
 	b := newBed(settings(), 2, 1)
-	rows := []d.Node{{ID: "e0", Zone: 1, Started: b.now}, {ID: "e1", Zone: 1, Started: b.now}}
+	rows := []d.Endpoint{{ID: "e0", Zone: 1, Started: b.now}, {ID: "e1", Zone: 1, Started: b.now}}
 	b.list(rows...)
 	o := overload.Defaults()
 	o.Mode = overload.Guards
-	b.Use(Options{Storm: o})
-	ask := func(i int, again bool) (*d.Download, d.Answer) {
+	b.SetOptions(Options{Overload: o})
+	ask := func(i int, again bool) (*d.Request, d.Decision) {
 		dl := b.download(fmt.Sprint("o", i))
-		dl.Client, dl.Again = uint64(i+1), again
-		return dl, b.Where(b.now, dl)
+		dl.ClientHash, dl.IsRetry = uint64(i+1), again
+		return dl, b.Route(b.now, dl)
 	}
 	told, turned := map[int]d.Micros{}, 0
-	held := map[int]*d.Download{}
+	held := map[int]*d.Request{}
 	for i := range 300 {
 		b.now += ms
-		b.Connected(b.now)
+		b.ClientConnected(b.now)
 		dl, ans := ask(i, false)
-		switch ans.Verb {
-		case d.Hold:
+		switch ans.Action {
+		case d.Queue:
 			held[i] = dl
-		case d.Throttle:
+		case d.Reject:
 			turned++
-			told[i] = b.now + ans.ComeBack
+			told[i] = b.now + ans.RetryAfter
 		}
 	}
 	b.now += 400 * ms
 	for i := range 300 {
 		if dl := held[i]; dl != nil {
-			if ans := b.Where(b.now, dl); ans.Verb == d.Throttle {
-				told[i] = b.now + ans.ComeBack
+			if ans := b.Route(b.now, dl); ans.Action == d.Reject {
+				told[i] = b.now + ans.RetryAfter
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 		if at := told[i]; at > b.now+100*ms {
 			times[at] = true
 			_, ans := ask(i, true)
-			if ans.Verb != d.Throttle || b.now+ans.ComeBack != at {
+			if ans.Action != d.Reject || b.now+ans.RetryAfter != at {
 				t.Fatalf("early: %+v, was told %d ms", ans, (at-b.now)/ms)
 			}
 		}
@@ -168,18 +168,18 @@
 // What two nodes agree on names what no node knows; one that asked for such costs one pull.
 func TestOfNoUse(t *testing.T) {
 	s := settings()
-	s.SourcesTold = true
+	s.ReportsCacheStatus = true
 	for _, doubted := range []bool{false, true} {
 		b := newBed(s, 3, 1)
 		dl := b.download("o")
-		dl.Doubted = doubted
-		b.Where(b.now, dl)
-		pulls, ans := 1, b.end(dl, ms, d.Failed, d.Untold)
-		for ans.Verb == d.Pull {
+		dl.ClientSuspect = doubted
+		b.Route(b.now, dl)
+		pulls, ans := 1, b.end(dl, ms, d.Failed, d.Unknown)
+		for ans.Action == d.Send {
 			pulls++
-			ans = b.end(dl, ms, d.Failed, d.Untold)
+			ans = b.end(dl, ms, d.Failed, d.Unknown)
 		}
-		if want := map[bool]int{false: 2, true: 1}[doubted]; pulls != want || !ans.NoUse || ans.Verb != d.Throttle {
+		if want := map[bool]int{false: 2, true: 1}[doubted]; pulls != want || !ans.Unprocessable || ans.Action != d.Reject {
 			t.Errorf("doubted %v: %d pulls, %+v", doubted, pulls, ans)
 		}
 	}
