--- a/policy/director.go
+++ b/policy/director.go
@@ -3,9 +3,17 @@
 // belongs to one protocol: an adapter fills these types from its wire and writes its wire from them.
 package policy
 
-// Micros is a point in time or a span, in whole microseconds.
+import "time"
+
+// Micros is a point in time or a duration, in whole microseconds.
 type Micros int64
 
+// Duration converts to the standard library's type, for timers and deadlines of the drivers.
+func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
+
+// MicrosOf converts from the standard library's type; what is less than a microsecond is cut off.
+func MicrosOf(d time.Duration) Micros { return Micros(d / time.Microsecond) }
+
 // Second is the span that rates are counted over.
 const Second Micros = 1_000_000
 
