--- /dev/null
+++ b/membership/golden_test.go
@@ -0,0 +1,102 @@
+package membership
+
+import (
+	"encoding/json"
+	"reflect"
+	"slices"
+	"testing"
+)
+
+// checkJSON holds a type to the text that other versions send and read: the value is written as that text, and the text is read as that value.
+func checkJSON[T any](t *testing.T, value T, text string) {
+	t.Helper()
+	raw, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(raw) != text {
+		t.Errorf("%T is written as\n%s, want\n%s", value, raw, text)
+	}
+	var read T
+	if err := json.Unmarshal([]byte(text), &read); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, value) {
+		t.Errorf("%s is read as\n%+v, want\n%+v", text, read, value)
+	}
+}
+
+// The encoded forms are recorded from a version in service: other versions send and read them during a roll-out.
+func TestGoldenMessages(t *testing.T) {
+	checkJSON(t, Ask{Number: 1, Born: 18446744073709551615, Zone: 3, Sum: 9223372036854775809},
+		`{"Number":1,"Born":18446744073709551615,"Zone":3,"Sum":9223372036854775809}`)
+	checkJSON(t, Ask{}, `{"Number":0,"Born":0,"Zone":0,"Sum":0}`)
+	checkJSON(t, Grant{Number: -1, Count: [2]int{4, 5}, Sum: 6}, `{"Number":-1,"Count":[4,5],"Sum":6}`)
+	checkJSON(t, Grant{}, `{"Number":0,"Count":[0,0],"Sum":0}`)
+	checkJSON(t, Hint{Node: "box-1", What: Warms, Age: 1500}, `{"Node":"box-1","What":"warms","Age":1500}`)
+	checkJSON(t, Hint{}, `{"Node":"","What":"","Age":0}`)
+	checkJSON(t, []What{Gone, Back, Warms, Full}, `["gone","back","warms","full"]`)
+}
+
+// The report goes into the state socket's JSON.
+func TestGoldenReport(t *testing.T) {
+	checkJSON(t, Report{Name: "n0", Born: 7, Standing: "few", Sum: "00000000000000ff", Since: 12, Sharing: 2, Clash: "127.0.0.1:1",
+		Zone: 1.25, Fleet: 0.5, Peers: []Row{{Name: "n1", Born: 8, State: "up", Since: 9, Alike: true}}},
+		`{"name":"n0","born":7,"standing":"few","sum":"00000000000000ff","since":12,"sharing":2,"clash":"127.0.0.1:1",`+
+			`"zone_part":1.25,"fleet_part":0.5,"peers":[{"name":"n1","born":8,"state":"up","since":9,"alike":true}]}`)
+	checkJSON(t, Report{}, `{"name":"","born":0,"standing":"","sum":"","since":0,"sharing":0,"zone_part":0,"fleet_part":0,"peers":null}`)
+
+	b := New(0, Settings{Name: "n0", Born: 7, Roster: [2]int{3, 4}, Memory: 9})
+	b.Seen(5, "n1", 8, 0, Up)
+	b.Seen(6, "n2", 9, 1, Failed)
+	b.Clash("127.0.0.1:1")
+	checkJSON(t, b.Report(10), `{"name":"n0","born":7,"standing":"few","sum":"49d447cd1d96caba","since":5,"sharing":0,"clash":"127.0.0.1:1",`+
+		`"zone_part":1,"fleet_part":1,"peers":[{"name":"n1","born":8,"state":"up","since":5,"alike":false},{"name":"n2","born":9,"state":"failed","since":4,"alike":false}]}`)
+	var states, standings []string
+	for s := Up; s <= Left; s++ {
+		states = append(states, s.String())
+	}
+	for s := Most; s <= Alone; s++ {
+		standings = append(standings, s.String())
+	}
+	if !slices.Equal(states, []string{"up", "suspected", "failed", "left"}) || !slices.Equal(standings, []string{"most", "few", "alone"}) {
+		t.Errorf("states are %q, standings %q", states, standings)
+	}
+	if Zone != 0 || Fleet != 1 {
+		t.Errorf("a count of two has the zone's at %d, the fleet's at %d", Zone, Fleet)
+	}
+}
+
+// The sum of a view and the choice of witnesses follow from hashes that all versions compute alike.
+func TestGoldenSums(t *testing.T) {
+	for text, want := range map[string]uint64{"": 0xc3817c016ba4ff30, "n0": 0x6401c4a877e40bdc, "director-17": 0x614f8dfaa02db980} {
+		if got := hashOf(text); got != want {
+			t.Errorf("the hash of %q is %#x", text, got)
+		}
+	}
+	for x, want := range map[uint64]uint64{0: 0xe220a8397b1dcdaf, 1: 0x910a2dec89025cc1, 1 << 63: 0x481ec0a212a9f3db} {
+		if got := mix(x); got != want {
+			t.Errorf("%d is mixed to %#x", x, got)
+		}
+	}
+	b := New(0, Settings{Name: "n0", Born: 7, Witnesses: 3, Memory: 99})
+	if b.Sum() != 0x56266a736aea3e1e {
+		t.Errorf("the sum of a view of one is %#x", b.Sum())
+	}
+	for i, name := range []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"} {
+		b.Seen(5, name, uint64(8+i), i%2, Up)
+	}
+	if b.Sum() != 0x5d0350a96e725886 {
+		t.Errorf("the sum of a view of nine is %#x", b.Sum())
+	}
+	var names []string
+	for _, p := range b.witnesses() {
+		names = append(names, p.Name)
+	}
+	if !slices.Equal(names, []string{"n6", "n8", "n2"}) {
+		t.Errorf("the witnesses are %q", names)
+	}
+	if text := hex(0x1234567890abcdef); text != "1234567890abcdef" || hex(15) != "000000000000000f" {
+		t.Errorf("%q, %q", text, hex(15))
+	}
+}
--- a/membership/hints.go
+++ b/membership/hints.go
@@ -9,9 +9,9 @@
 
 // Hint is what a director tells of a cache node: a reason for the others to ask it one question, and never more.
 type Hint struct {
-	Node string
-	What What
-	Age  d.Micros // of what is told, on the teller's clock, when it was sent
+	Node string   `json:"Node"`
+	What What     `json:"What"`
+	Age  d.Micros `json:"Age"` // of what is told, on the teller's clock, when it was sent
 }
 
 // What is told of a node.
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -124,17 +124,17 @@
 
 // Ask asks another to make room; a Grant answers it. Both carry the sum of their sender's view.
 type Ask struct {
-	Number int64 // the asker's own clock: what it gives counts from then
-	Born   uint64
-	Zone   int
-	Sum    uint64
+	Number int64  `json:"Number"` // the asker's own clock: what it gives counts from then
+	Born   uint64 `json:"Born"`
+	Zone   int    `json:"Zone"`
+	Sum    uint64 `json:"Sum"`
 }
 
 // Grant says how many directors the one that was asked counts, the asker among them.
 type Grant struct {
-	Number int64
-	Count  [2]int
-	Sum    uint64
+	Number int64  `json:"Number"`
+	Count  [2]int `json:"Count"`
+	Sum    uint64 `json:"Sum"`
 }
 
 // Board is one director's view of the others. Calls must not overlap.
