--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,6 +25,7 @@
 	"tallyproxy/internal/config"
 	"tallyproxy/internal/fleetpb"
 	"tallyproxy/internal/gossipnet"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/membership"
 	d "tallyproxy/policy"
 	"tallyproxy/rollout"
@@ -136,7 +137,7 @@
 	for _, name := range slices.Sorted(maps.Keys(a.directors)) {
 		if dir := a.directors[name]; len(dir.Command) > 0 {
 			if err := dir.Start(ctx); err != nil {
-				slog.Error("director_not_started", "agent", a.me.Name, "director", name, "err", err)
+				slog.Error(logevent.DirectorStartFailed, "agent", a.me.Name, "director", name, "err", err)
 			}
 		}
 	}
@@ -161,9 +162,9 @@
 		}
 	}
 	if err := a.meet(); err != nil {
-		slog.Error("no_talk", "agent", a.me.Name, "err", err) // it looks after its directors all the same
+		slog.Error(logevent.GossipUnavailable, "agent", a.me.Name, "err", err) // it looks after its directors all the same
 	}
-	slog.Info("agent_started", "agent", a.me.Name, "listen", l.Addr().String(), "directors", len(a.directors))
+	slog.Info(logevent.AgentStarted, "agent", a.me.Name, "listen", l.Addr().String(), "directors", len(a.directors))
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -226,9 +227,9 @@
 			continue
 		}
 		err = dir.Start(ctx)
-		slog.Warn("director_started_again", "agent", a.me.Name, "director", dir.Name, "ends", k.Ends(), "err", err)
+		slog.Warn(logevent.DirectorRestarted, "agent", a.me.Name, "director", dir.Name, "exits", k.Ends(), "err", err)
 		if nerr := a.store.Note(time.Now(), a.me.Name, "started again "+dir.Name); nerr != nil {
-			slog.Error("not_audited", "agent", a.me.Name, "err", nerr)
+			slog.Error(logevent.AuditWriteFailed, "agent", a.me.Name, "err", nerr)
 		}
 	}
 }
@@ -241,7 +242,7 @@
 	}
 	err := a.store.Save(a.a.State)
 	if err != nil {
-		slog.Error("not_stored", "agent", a.me.Name, "err", err)
+		slog.Error(logevent.StoreWriteFailed, "agent", a.me.Name, "err", err)
 		if lerr := a.load(); lerr != nil {
 			err = errors.Join(err, lerr)
 		}
@@ -264,7 +265,7 @@
 			if a.ctx.Err() != nil {
 				return // the agent stops; it takes the command up again when it is back
 			}
-			slog.Info("put", "agent", a.me.Name, "director", c.Instance, "change", c.ID, "failed", why)
+			slog.Info(logevent.ChangeApplied, "agent", a.me.Name, "director", c.Instance, "change", c.ID, "failed", why)
 			for a.ctx.Err() == nil {
 				a.mu.Lock()
 				a.a.Done(c, why)
@@ -296,7 +297,7 @@
 func (a *Agent) guard(ctx context.Context, req any, info *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (resp any, err error) {
 	defer func() {
 		if bad := recover(); bad != nil {
-			slog.Error("panic", "where", "agent", "err", bad)
+			slog.Error(logevent.PanicRecovered, "component", "agent", "err", bad)
 			err = status.Error(codes.Internal, "panic")
 		}
 	}()
@@ -341,7 +342,7 @@
 		}
 		what := fmt.Sprintf("%s %s %s ok=%v %s", verbs[m.Verb], id, m.Outcome, r.OK, r.Why)
 		if err := a.store.Note(time.Now(), who, strings.TrimSpace(what)); err != nil {
-			slog.Error("not_audited", "agent", a.me.Name, "err", err)
+			slog.Error(logevent.AuditWriteFailed, "agent", a.me.Name, "err", err)
 		}
 	}
 	return fleetpb.FromReply(r), nil
@@ -414,7 +415,7 @@
 	}
 	for _, c := range do {
 		if err := a.store.Note(time.Now(), a.me.Name, "settled, put in force "+c.ID+" "+c.Instance); err != nil {
-			slog.Error("not_audited", "agent", a.me.Name, "err", err)
+			slog.Error(logevent.AuditWriteFailed, "agent", a.me.Name, "err", err)
 		}
 	}
 	a.carry(do)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -21,6 +21,7 @@
 	"go.starlark.net/syntax"
 
 	"tallyproxy/dedup"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/overload"
 	"tallyproxy/policy"
 )
@@ -423,7 +424,7 @@
 		return located(path, err)
 	}
 	thread := &starlark.Thread{Name: path, Print: func(_ *starlark.Thread, text string) {
-		slog.Info("script", "file", path, "says", text)
+		slog.Info(logevent.SettingsPrint, "file", path, "text", text)
 	}}
 	thread.SetMaxExecutionSteps(mostSteps)
 	timer := time.AfterFunc(mostTime, func() { thread.Cancel(fmt.Sprintf("it runs longer than %v", mostTime)) })
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -18,6 +18,7 @@
 
 	"tallyproxy/backoff"
 	"tallyproxy/internal/config"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/policy"
 	"tallyproxy/stall"
 )
@@ -205,7 +206,7 @@
 				return nil, fmt.Errorf("cmds[%d].drop: neither id nor family", i)
 			}
 		default:
-			slog.Warn("feed_unknown", "cursor", cmd.Cursor)
+			slog.Warn(logevent.DiscoveryUnknownCommand, "cursor", cmd.Cursor)
 		}
 		last = cmd.Cursor
 		events = append(events, e)
@@ -213,7 +214,7 @@
 	if f.may != nil && *a.Cursor < f.cursor {
 		// It has started anew with fewer events than it had told: all that it has is read again. Where whole lists are made of what it
 		// tells nothing is undone by that.
-		slog.Warn("feed_restarted", "cursor", f.cursor, "last", *a.Cursor)
+		slog.Warn(logevent.DiscoveryRestarted, "cursor", f.cursor, "last", *a.Cursor)
 		f.cursor = 0
 		return nil, nil
 	}
@@ -302,9 +303,9 @@
 			end, back = ending(err)
 		}
 		if err == nil && failed {
-			slog.Info("feed_back", "cursor", f.cursor)
+			slog.Info(logevent.DiscoveryPollRecovered, "cursor", f.cursor)
 		} else if err != nil && !failed && end != backoff.GivenUp {
-			slog.Warn("feed_failed", "cursor", f.cursor, "how", end.String(), "err", err)
+			slog.Warn(logevent.DiscoveryPollFailed, "cursor", f.cursor, "result", end.String(), "err", err)
 		}
 		failed = err != nil && (failed || end != backoff.GivenUp)
 		f.mu.Lock()
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -15,6 +15,7 @@
 
 	"tallyproxy/internal/discovery"
 	"tallyproxy/internal/downstream"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/internal/upstream"
 	"tallyproxy/policy"
 	"tallyproxy/shard"
@@ -432,7 +433,7 @@
 // caught ends a download and its connection alone where a call about it panicked; events are of no download.
 func caught(dl *download) {
 	if bad := recover(); bad != nil {
-		slog.Error("panic", "where", "route", "err", bad, "stack", string(debug.Stack()))
+		slog.Error(logevent.PanicRecovered, "component", "dispatch", "err", bad, "stack", string(debug.Stack()))
 		if dl != nil {
 			dl.shard.finish(dl)
 			dl.conn.Drop()
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -19,6 +19,7 @@
 
 	"tallyproxy/internal/bufpool"
 	"tallyproxy/internal/config"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/internal/socket"
 	"tallyproxy/policy"
 )
@@ -91,7 +92,7 @@
 		}
 		s.came.Store(time.Now().UnixNano())
 		if err != nil { // descriptors used up, or the client left before
-			slog.Warn("accept_failed", "err", err)
+			slog.Warn(logevent.AcceptFailed, "err", err)
 			s.makeRoom(1)
 			time.Sleep(span(s.margins.PollRetry))
 			continue
@@ -347,7 +348,7 @@
 // Useless says that what a client asked for is of use to no node. Its next downloads cost less, until one is fulfilled. The
 // connection is listened to all the same: nodes in trouble can agree too, and others' downloads may come over it.
 func (c *Conn) Useless() {
-	c.s.fault("useless_request", errors.New("of use to no node"))
+	c.s.fault(logevent.UnprocessableRequest, errors.New("of use to no node"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.doubted = true
@@ -397,7 +398,7 @@
 		c.end()
 		c.mu.Unlock()
 		body.Free()
-		c.s.fault("client_left", errors.New("it reads nothing"))
+		c.s.fault(logevent.DownstreamWriteStalled, errors.New("it reads nothing"))
 		return
 	}
 	defer c.mu.Unlock()
@@ -415,7 +416,7 @@
 
 // Blame says that a request can't be used. A client that goes on with such is not listened to any more.
 func (c *Conn) Blame(err error) {
-	c.s.fault("bad_request", err)
+	c.s.fault(logevent.BadRequest, err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faults++; c.faults >= mostOpen {
@@ -484,7 +485,7 @@
 // caught ends the connection alone where its goroutine panicked.
 func (c *Conn) caught() {
 	if bad := recover(); bad != nil {
-		slog.Error("panic", "where", "front", "err", bad, "stack", string(debug.Stack()))
+		slog.Error(logevent.PanicRecovered, "component", "downstream", "err", bad, "stack", string(debug.Stack()))
 		c.Drop()
 	}
 }
@@ -507,7 +508,7 @@
 		for c.listens(now, p.begun()) {
 			msg, ok, err := p.next()
 			if err != nil {
-				c.s.fault("unreadable_client", err)
+				c.s.fault(logevent.DownstreamMalformed, err)
 				if msg.tag > 0 {
 					c.take(message{tag: msg.tag}, now)
 				}
--- a/internal/experiment/start.go
+++ b/internal/experiment/start.go
@@ -12,6 +12,7 @@
 
 	"tallyproxy/internal/fakes"
 	"tallyproxy/internal/faulttest"
+	"tallyproxy/internal/logevent"
 )
 
 // Start is what `tallybench start` plays: many directors as processes that start at once, and a list service that is away for a while.
@@ -180,8 +181,12 @@
 		into  *float64
 	}
 	var news []told
-	listed := func(e faulttest.Entry) bool { return e.Event == "list" || e.Event == "events" && e.Of["lists"] != "0" }
-	purged := func(e faulttest.Entry) bool { return e.Event == "word" || e.Event == "events" && e.Of["all"] != "0" }
+	listed := func(e faulttest.Entry) bool {
+		return e.Event == logevent.EndpointListRelayed || e.Event == logevent.DiscoveryEvents && e.Of["lists"] != "0"
+	}
+	purged := func(e faulttest.Entry) bool {
+		return e.Event == logevent.GossipReceived || e.Event == logevent.DiscoveryEvents && e.Of["events"] != "0"
+	}
 	box := func(status string) func() {
 		return func() { w.Nodes[0].Tell(status) }
 	}
--- a/internal/experiment/storm.go
+++ b/internal/experiment/storm.go
@@ -16,6 +16,7 @@
 
 	"tallyproxy/internal/fakes"
 	"tallyproxy/internal/faulttest"
+	"tallyproxy/internal/logevent"
 )
 
 // Storm is what `tallybench storm` plays.
@@ -149,8 +150,8 @@
 func (c *counter) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seen += strings.Count(string(b), "event=storm state=rising")
-	c.jumps += strings.Count(string(b), "event=time_jumped")
+	c.seen += strings.Count(string(b), "event="+logevent.OverloadState+" state=rising")
+	c.jumps += strings.Count(string(b), "event="+logevent.ClockStall)
 	if c.to != nil {
 		c.to.Write(b)
 	}
--- a/internal/experiment/storm_test.go
+++ b/internal/experiment/storm_test.go
@@ -16,6 +16,7 @@
 
 	"tallyproxy/internal/fakes"
 	"tallyproxy/internal/faulttest"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/internal/server"
 )
 
@@ -96,7 +97,7 @@
 				r.Series = Series{}
 				t.Errorf("broken: %v; %+v", broken, r)
 			}
-			if strings.Contains(log.String(), "event=panic") {
+			if strings.Contains(log.String(), "event="+logevent.PanicRecovered) {
 				t.Error(log.String())
 			}
 			if r.Answered < s.Clients || r.Asked < s.Clients/2 || r.Fulfilled == 0 {
--- a/internal/faulttest/follow_test.go
+++ b/internal/faulttest/follow_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/logevent"
 )
 
 // program is the director as it is built for use: forty of them, several times slower under the race detector, would test the machine.
@@ -52,9 +53,9 @@
 			60, func(t *testing.T, o Outcome) { // nobody can vouch for what is in force until then, whatever they answer each other
 				careful := map[int]time.Time{}
 				for _, e := range o.History.Entries() {
-					if on := e.Of["on"] == "true"; e.Event == "unvouched" && on {
+					if on := e.Of["active"] == "true"; e.Event == logevent.ViewUnconfirmed && on {
 						careful[e.Who] = e.At
-					} else if e.Event == "unvouched" && e.At.Sub(careful[e.Who]) < time.Second {
+					} else if e.Event == logevent.ViewUnconfirmed && e.At.Sub(careful[e.Who]) < time.Second {
 						t.Errorf("n%d went carefully for %v", e.Who, e.At.Sub(careful[e.Who]))
 					}
 				}
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -10,6 +10,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"tallyproxy/internal/logevent"
 )
 
 // Entry is one thing that a process said, or that was done to it.
@@ -31,8 +33,28 @@
 
 // kept are the events of directors that checkers look at.
 var kept = map[string]bool{
-	"peer": true, "view": true, "part": true, "started": true, "stopping": true, "stopped": true, "time_jumped": true,
-	"time_settled": true, "peer_name_taken": true, "peer_errors": true, "hint": true, "word": true, "channel_lost": true, "channel_found": true, "unvouched": true, "beliefs": true, "events": true, "follows": true, "list": true, "panic": true, "failed": true, "feed_failed": true,
+	logevent.PeerState:            true,
+	logevent.MembershipView:       true,
+	logevent.Quota:                true,
+	logevent.Started:              true,
+	logevent.Stopping:             true,
+	logevent.Stopped:              true,
+	logevent.ClockStall:           true,
+	logevent.ClockStallResolved:   true,
+	logevent.PeerNameConflict:     true,
+	logevent.MemberlistErrors:     true,
+	logevent.HintProbed:           true,
+	logevent.GossipReceived:       true,
+	logevent.DiscoveryUnreachable: true,
+	logevent.DiscoveryReachable:   true,
+	logevent.ViewUnconfirmed:      true,
+	logevent.WarmStart:            true,
+	logevent.DiscoveryEvents:      true,
+	logevent.RelayRole:            true,
+	logevent.EndpointListRelayed:  true,
+	logevent.PanicRecovered:       true,
+	logevent.StartFailed:          true,
+	logevent.DiscoveryPollFailed:  true,
 }
 
 func (h *History) add(e Entry) {
@@ -112,7 +134,7 @@
 			e.Of[name] = value
 		}
 	}
-	if e.Event == "" || e.At.IsZero() || e.Event != "memberlist" { // its own lines, and those of a crash
+	if e.Event == "" || e.At.IsZero() || e.Event != logevent.Memberlist { // its own lines, and those of a crash
 		if r.tail = append(r.tail, text); len(r.tail) > 40 {
 			r.tail = r.tail[1:]
 		}
@@ -185,11 +207,11 @@
 			held[e.Who] = h
 		}
 		switch {
-		case e.Event == "started":
+		case e.Event == logevent.Started:
 			*h = holding{there: true, part: 1}
-		case e.Event == "stopped", e.Event == "do" && e.Of["what"] == Kill:
+		case e.Event == logevent.Stopped, e.Event == "do" && e.Of["what"] == Kill:
 			h.there = false
-		case e.Event == "part":
+		case e.Event == logevent.Quota:
 			h.part, _ = strconv.ParseFloat(e.Of[scope], 64)
 			left, err := time.ParseDuration(e.Of[scope+"_for"])
 			if h.until = e.At.Add(left); err != nil || left < 0 {
@@ -220,7 +242,7 @@
 	for _, e := range entries {
 		what := e.Of["what"]
 		switch {
-		case e.Event == "started":
+		case e.Event == logevent.Started:
 			alive[e.Who], since[e.Who] = true, e.At
 			for _, d := range open {
 				d.spoil = d.spoil || d.who == e.Who
@@ -248,9 +270,9 @@
 			}
 		case e.Event == "do" && e.Of["trouble"] == "off":
 			troubled--
-		case e.Event == "peer" && e.Of["state"] == "up":
-			born[e.Of["name"]] = e.Of["born"]
-		case e.Event == "peer" && (e.Of["state"] == "failed" || e.Of["state"] == "left"):
+		case e.Event == logevent.PeerState && e.Of["state"] == "up":
+			born[e.Of["name"]] = e.Of["incarnation"]
+		case e.Event == logevent.PeerState && (e.Of["state"] == "failed" || e.Of["state"] == "left"):
 			for _, d := range open {
 				if _, waits := d.heard[e.Who]; waits && names[d.who] == e.Of["name"] {
 					d.heard[e.Who] = true
@@ -295,7 +317,7 @@
 	alive, clear, troubled := map[string]bool{}, time.Time{}, 0
 	for _, e := range entries {
 		switch {
-		case e.Event == "started" && e.Who >= 0 && e.Who < len(names):
+		case e.Event == logevent.Started && e.Who >= 0 && e.Who < len(names):
 			alive[names[e.Who]] = true
 		case e.Event == "do" && e.Who >= 0 && e.Who < len(names) && (e.Of["what"] == Kill || e.Of["what"] == Term):
 			alive[names[e.Who]] = false
@@ -304,7 +326,7 @@
 		case e.Event == "do" && e.Of["trouble"] == "off":
 			troubled--
 			clear = e.At
-		case e.Event == "peer" && alive[e.Of["name"]] && troubled == 0 && e.At.Sub(clear) > settled:
+		case e.Event == logevent.PeerState && alive[e.Of["name"]] && troubled == 0 && e.At.Sub(clear) > settled:
 			failed += bit(e.Of["state"] == "failed")
 			suspected += bit(e.Of["state"] == "suspected")
 		}
@@ -318,15 +340,15 @@
 	since := time.Time{}
 	for _, e := range entries {
 		switch {
-		case e.Event == "started":
+		case e.Event == logevent.Started:
 			alive[e.Who], views[e.Who] = true, ""
-		case e.Event == "stopping", e.Event == "do" && (e.Of["what"] == Kill || e.Of["what"] == Term):
-			if e.Event == "stopping" && e.Of["open"] != "" && since != (time.Time{}) {
+		case e.Event == logevent.Stopping, e.Event == "do" && (e.Of["what"] == Kill || e.Of["what"] == Term):
+			if e.Event == logevent.Stopping && e.Of["open"] != "" && since != (time.Time{}) {
 				return max(0, since.Sub(from)) // the end
 			}
 			alive[e.Who] = false
-		case e.Event == "view":
-			views[e.Who] = e.Of["sum"]
+		case e.Event == logevent.MembershipView:
+			views[e.Who] = e.Of["digest"]
 		default:
 			continue
 		}
--- a/internal/faulttest/outcome.go
+++ b/internal/faulttest/outcome.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/membership"
 )
 
@@ -142,14 +143,14 @@
 	}
 	var entries []Entry
 	for _, e := range r.History.Entries() {
-		if !e.At.After(settled) || e.Event == "panic" {
+		if !e.At.After(settled) || e.Event == logevent.PanicRecovered {
 			entries = append(entries, e)
 		}
-		o.Panics += bit(e.Event == "panic")
-		o.Clashes += bit(e.Event == "peer_name_taken")
-		o.Hints += bit(e.Event == "hint")
-		o.Words += bit(e.Event == "word")
-		o.Lists += bit(e.Event == "list")
+		o.Panics += bit(e.Event == logevent.PanicRecovered)
+		o.Clashes += bit(e.Event == logevent.PeerNameConflict)
+		o.Hints += bit(e.Event == logevent.HintProbed)
+		o.Words += bit(e.Event == logevent.GossipReceived)
+		o.Lists += bit(e.Event == logevent.EndpointListRelayed)
 	}
 	for scope, name := range []string{"zone", "fleet"} {
 		peak, over := Parts(entries, s.Directors, name, membership.Room)
--- a/internal/faulttest/rare_test.go
+++ b/internal/faulttest/rare_test.go
@@ -23,6 +23,7 @@
 	"github.com/tidwall/redcon"
 
 	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/logevent"
 )
 
 // counted is a node that answers every request at once, as a fill, and keeps when each came.
@@ -324,7 +325,7 @@
 	if n := drains.Asked(); n != before {
 		t.Errorf("%d more reached the node that drains", n-before)
 	}
-	if text := log.String(); strings.Contains(text, "too many open files") || strings.Contains(text, "accept_failed") {
+	if text := log.String(); strings.Contains(text, "too many open files") || strings.Contains(text, logevent.AcceptFailed) {
 		t.Errorf("its log: %s", text)
 	}
 }
--- a/internal/faulttest/rig_test.go
+++ b/internal/faulttest/rig_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"tallyproxy/internal/logevent"
 	"tallyproxy/internal/server"
 )
 
@@ -81,7 +82,7 @@
 			{Kind: Drain, At: 1500, For: ms(6000, 20000)}, {Kind: Purge, At: 2800}, {Kind: Restart, At: 3000, Who: []int{1, 3}}},
 			func(t *testing.T, o Outcome) {
 				for _, e := range o.History.Entries() {
-					if e.Event == "time_settled" && e.Of["how"] == "bound" {
+					if e.Event == logevent.ClockStallResolved && e.Of["result"] == "bound" {
 						t.Errorf("n%d met nobody in time who knows", e.Who)
 					}
 				}
@@ -91,8 +92,8 @@
 			func(t *testing.T, o Outcome) {
 				careful := 0
 				for _, e := range o.History.Entries() {
-					careful += bit(e.Event == "unvouched" && e.Who == 1)
-					if e.Who == 1 && e.Event == "word" && careful == 2 {
+					careful += bit(e.Event == logevent.ViewUnconfirmed && e.Who == 1)
+					if e.Who == 1 && e.Event == logevent.GossipReceived && careful == 2 {
 						t.Errorf("n1 is careful no longer, and only then hears a purge that was told before: %v", e.Of)
 						break
 					}
@@ -109,7 +110,7 @@
 			}
 			raised := 0
 			for _, e := range o.History.Entries() {
-				raised += bit(e.Event == "part" && e.Of["zone"] == "2")
+				raised += bit(e.Event == logevent.Quota && e.Of["zone"] == "2")
 			}
 			if raised == 0 {
 				t.Error("none of the three that were left used more than its fixed part")
@@ -202,7 +203,7 @@
 	})
 	check(t, o, err)
 	for _, e := range o.History.Entries() {
-		if e.Event == "peer" && (strings.HasPrefix(e.Of["name"], "x") || e.Who > 2) {
+		if e.Event == logevent.PeerState && (strings.HasPrefix(e.Of["name"], "x") || e.Who > 2) {
 			t.Errorf("n%d took in %v", e.Who, e.Of)
 		}
 	}
@@ -268,9 +269,9 @@
 		return e
 	}
 	names := []string{"n0", "n1", "n2"}
-	started := []Entry{entry(0, 0, "started"), entry(0, 1, "started"), entry(0, 2, "started")}
+	started := []Entry{entry(0, 0, logevent.Started), entry(0, 1, logevent.Started), entry(0, 2, logevent.Started)}
 	part := func(ms, who int, value, left string) Entry {
-		return entry(ms, who, "part", "zone", value, "zone_for", left)
+		return entry(ms, who, logevent.Quota, "zone", value, "zone_for", left)
 	}
 	for _, c := range []struct {
 		name    string
@@ -288,7 +289,7 @@
 		}
 	}
 	up := func(ms, who int, name, state string) Entry {
-		return entry(ms, who, "peer", "name", name, "born", "1", "state", state)
+		return entry(ms, who, logevent.PeerState, "name", name, "incarnation", "1", "state", state)
 	}
 	history := append(slices.Clone(started), up(10, 0, "n2", "up"), up(11, 1, "n2", "up"), entry(5000, 2, "do", "what", Kill),
 		up(6000, 0, "n2", "failed"), up(6500, 1, "n2", "failed"))
@@ -301,7 +302,7 @@
 	if failed, suspected := Wrong(append(slices.Clone(started), up(20000, 0, "n1", "failed"), up(20001, 2, "n1", "suspected")), names, time.Second); failed != 1 || suspected != 1 {
 		t.Errorf("%d failed, %d suspected", failed, suspected)
 	}
-	view := func(ms, who int, sum string) Entry { return entry(ms, who, "view", "sum", sum) }
+	view := func(ms, who int, sum string) Entry { return entry(ms, who, logevent.MembershipView, "digest", sum) }
 	views := append(slices.Clone(started), view(10, 0, "a"), view(20, 1, "a"), view(30, 2, "a"), view(50, 1, "b"), view(90, 1, "a"))
 	if got := OneView(views, at.Add(40*time.Millisecond)); got != 50*time.Millisecond {
 		t.Errorf("one view after %v", got)
--- a/internal/gossipnet/peering.go
+++ b/internal/gossipnet/peering.go
@@ -23,6 +23,7 @@
 	"tallyproxy/backoff"
 	"tallyproxy/gossip"
 	"tallyproxy/internal/config"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/membership"
 	"tallyproxy/policy"
 	"tallyproxy/relays"
@@ -173,7 +174,7 @@
 	t.ended.Go(t.tick)
 	t.ended.Go(t.send)
 	t.ended.Go(t.join)
-	slog.Info("peers", "listen", o.Listen, "advertise", net.JoinHostPort(c.AdvertiseAddr, strconv.Itoa(c.AdvertisePort)),
+	slog.Info(logevent.GossipStarted, "listen", o.Listen, "advertise", net.JoinHostPort(c.AdvertiseAddr, strconv.Itoa(c.AdvertisePort)),
 		"seeds", len(o.Seeds), "born", s.Born)
 	return t, nil
 }
@@ -290,7 +291,7 @@
 		}
 		return span(p.until - now)
 	}
-	slog.Log(context.Background(), level, "part", "zone", held[0].value, "zone_for", left(held[0]), "fleet", held[1].value,
+	slog.Log(context.Background(), level, logevent.Quota, "zone", held[0].value, "zone_for", left(held[0]), "fleet", held[1].value,
 		"fleet_for", left(held[1]))
 	for scope := range held {
 		t.parts[scope].Store(&held[scope])
@@ -320,7 +321,7 @@
 			if !t.clash.IsZero() && time.Since(t.clash) > quiet {
 				t.clash = time.Time{}
 				b.Clash("")
-				slog.Info("peer_name_free", "name", t.s.Name)
+				slog.Info(logevent.PeerNameReleased, "name", t.s.Name)
 			}
 			out := map[string]message{}
 			for to, ask := range b.Tick(now) {
@@ -393,11 +394,11 @@
 		if t.shown[n.Name] = text; len(t.shown) > 2*t.s.Memory {
 			clear(t.shown)
 		}
-		slog.Info("peer", "name", n.Name, "born", m.Born, "state", s.String())
+		slog.Info(logevent.PeerState, "name", n.Name, "incarnation", m.Born, "state", s.String())
 	}
 	if sum := fmt.Sprintf("%016x %s", t.board.Sum(), t.board.Stands()); sum != t.last {
 		t.last = sum
-		slog.Info("view", "sum", strings.Fields(sum)[0], "standing", t.board.Stands().String(), "zone_count", t.board.Count(now, membership.Zone),
+		slog.Info(logevent.MembershipView, "digest", strings.Fields(sum)[0], "quorum", t.board.Stands().String(), "zone_count", t.board.Count(now, membership.Zone),
 			"fleet_count", t.board.Count(now, membership.Fleet))
 	}
 }
@@ -423,7 +424,7 @@
 					t.ended.Go(func() {
 						defer func() { <-t.large }()
 						if err := t.list.SendReliable(&n, raw); err != nil {
-							slog.Debug("peer_list", "to", e.to, "err", err)
+							slog.Debug(logevent.PeerListFailed, "to", e.to, "err", err)
 						}
 					})
 				default: // it is asked for again
@@ -452,7 +453,7 @@
 			asked = append(asked, to)
 			t.ended.Go(func() {
 				if _, err := t.list.Join([]string{to}); err != nil {
-					slog.Debug("peer_join", "address", to, "err", err)
+					slog.Debug(logevent.PeerJoinFailed, "address", to, "err", err)
 				}
 			})
 		}
@@ -497,7 +498,7 @@
 	for {
 		if to := t.lost(); to != "" {
 			if _, err := t.list.Join([]string{to}); err != nil {
-				slog.Debug("peer_join", "address", to, "err", err)
+				slog.Debug(logevent.PeerJoinFailed, "address", to, "err", err)
 				wait = min(2*wait, 16*span(t.s.Probe))
 			} else {
 				wait = 4 * span(t.s.Probe)
@@ -672,7 +673,7 @@
 func (t *Talk) NotifyMsg(raw []byte) {
 	var m message
 	if json.Unmarshal(raw, &m) != nil {
-		slog.Debug("peer_message", "bytes", len(raw))
+		slog.Debug(logevent.PeerMessageMalformed, "bytes", len(raw))
 		return
 	}
 	if len(m.Words) > 0 && t.ears.Word != nil {
@@ -782,7 +783,7 @@
 	}
 	t.with(func(_ policy.Micros, b *membership.Board) map[string]message {
 		if t.clash.IsZero() {
-			slog.Warn("peer_name_taken", "name", t.s.Name, "by", other.Address())
+			slog.Warn(logevent.PeerNameConflict, "name", t.s.Name, "holder", other.Address())
 		}
 		t.clash = time.Now()
 		b.Clash(other.Address())
--- a/internal/gossipnet/transport.go
+++ b/internal/gossipnet/transport.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"github.com/hashicorp/memberlist"
+
+	"tallyproxy/internal/logevent"
 )
 
 // transport is memberlist's own, but connections come from the address at which the director listens: on a machine with several
@@ -54,7 +56,7 @@
 
 func (n *noise) Write(line []byte) (int, error) {
 	text := string(bytes.TrimSpace(line))
-	slog.Debug("memberlist", "says", text)
+	slog.Debug(logevent.Memberlist, "text", text)
 	if m := suspects.FindStringSubmatch(text); m != nil {
 		n.suspect(m[1])
 	}
@@ -73,7 +75,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.bad > 0 && time.Since(n.at) >= noiseEvery {
-		slog.Warn("peer_errors", "lines", n.bad, "last", n.sample)
+		slog.Warn(logevent.MemberlistErrors, "lines", n.bad, "last", n.sample)
 		n.bad, n.at = 0, time.Now()
 	}
 }
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -11,6 +11,7 @@
 	"tallyproxy/internal/config"
 	"tallyproxy/internal/discovery"
 	"tallyproxy/internal/gossipnet"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/internal/upstream"
 	"tallyproxy/membership"
 	"tallyproxy/policy"
@@ -88,7 +89,7 @@
 		events = g.ears.fold(events)
 	}
 	g.d.apply(events)
-	slog.Debug("events", "lists", lists(events), "all", len(events))
+	slog.Debug(logevent.DiscoveryEvents, "lists", lists(events), "events", len(events))
 	if g.book != nil {
 		g.talk.Load().Pass(g.took(events, g.clock()))
 	}
@@ -158,7 +159,7 @@
 				g.avoid(nil)
 			}
 			if bind {
-				slog.Info("word", "from", w.from, "node", w.Node, "object", w.Object, "group", w.Group, "age", span(w.Age))
+				slog.Info(logevent.GossipReceived, "from", w.from, "endpoint", w.Node, "object", w.Object, "group", w.Group, "age", span(w.Age))
 			}
 			if on {
 				onward = append(onward, w.Item)
@@ -209,7 +210,7 @@
 	if g.doubts.Swap(on) == on {
 		return
 	}
-	slog.Info("unvouched", "on", on)
+	slog.Info(logevent.ViewUnconfirmed, "active", on)
 	for i, r := range g.d.routers {
 		at := policy.Micros(0)
 		if on {
@@ -262,9 +263,9 @@
 	}
 	if lost := r.Best > int64(g.kept); lost != g.lost {
 		if g.lost = lost; lost {
-			slog.Warn("channel_lost", "newest", time.Duration(r.Best)*time.Microsecond)
+			slog.Warn(logevent.DiscoveryUnreachable, "newest", time.Duration(r.Best)*time.Microsecond)
 		} else {
-			slog.Info("channel_found", "newest", time.Duration(r.Best)*time.Microsecond)
+			slog.Info(logevent.DiscoveryReachable, "newest", time.Duration(r.Best)*time.Microsecond)
 		}
 	}
 }
@@ -352,7 +353,7 @@
 		}
 	}
 	if len(beliefs) > 0 {
-		slog.Info("beliefs", "from", from, "nodes", len(beliefs))
+		slog.Info(logevent.WarmStart, "from", from, "endpoints", len(beliefs))
 	}
 }
 
@@ -421,7 +422,7 @@
 			}
 			err := g.fleet.Question(addr)
 			anew, full := h.Doubts()
-			slog.Info("hint", "node", h.Node, "what", h.What, "well", err == nil)
+			slog.Info(logevent.HintProbed, "endpoint", h.Node, "kind", h.What, "reachable", err == nil)
 			for i, r := range g.d.routers {
 				r.WithPolicy(func() { g.d.modules[i].ProbeDone(r.Now(), h.Node, err == nil && !anew, err == nil && full) })
 			}
--- a/internal/server/hearing.go
+++ b/internal/server/hearing.go
@@ -8,6 +8,7 @@
 	"tallyproxy/gossip"
 	"tallyproxy/internal/discovery"
 	"tallyproxy/internal/gossipnet"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/policy"
 	"tallyproxy/relays"
 )
@@ -55,7 +56,7 @@
 	defer h.mu.Unlock()
 	calls := h.book.Calls(h.g.clock())
 	if calls != h.calls {
-		slog.Info("follows", "channel", calls)
+		slog.Info(logevent.RelayRole, "polls_discovery", calls)
 	}
 	h.calls = calls
 	return calls
@@ -227,7 +228,7 @@
 			h.g.d.apply(events)
 			h.g.took(events, until)
 			h.g.hold(until)
-			slog.Info("list", "from", s.from, "nodes", len(s.List), "age", span(now-until))
+			slog.Info(logevent.EndpointListRelayed, "from", s.from, "endpoints", len(s.List), "age", span(now-until))
 		}
 	}
 }
--- a/internal/server/heart.go
+++ b/internal/server/heart.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"tallyproxy/backoff"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/policy"
 	"tallyproxy/stall"
 )
@@ -22,10 +23,10 @@
 	// A call may take the channel's time, and be given up only after that of its connection; then comes a pause.
 	cycle := m.LongPoll + 2*m.Connect + backoff.Derive(s, m).Most + m.StallThreshold
 	h.Watch = stall.New(stall.Times{Gap: m.StallThreshold, Cycle: cycle, Bound: m.SuspectTimeout}, h.Read(), func(gap policy.Micros) {
-		slog.Warn("time_jumped", "by", span(gap))
+		slog.Warn(logevent.ClockStall, "gap", span(gap))
 		hurry()
 	}, func(how stall.How, took policy.Micros) {
-		slog.Info("time_settled", "how", how.String(), "after", span(took))
+		slog.Info(logevent.ClockStallResolved, "result", how.String(), "duration", span(took))
 		settled(how)
 	})
 	return h
--- a/internal/server/rest.go
+++ b/internal/server/rest.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"strings"
 	"syscall"
+
+	"tallyproxy/internal/logevent"
 )
 
 // giveBack lets go of the pages of the program's file, and of the system's libraries, that only its start needed: the beginnings of
@@ -19,7 +21,7 @@
 	}
 	for _, m := range clean(raw) {
 		if _, _, errno := syscall.Syscall(syscall.SYS_MADVISE, m[0], m[1]-m[0], syscall.MADV_DONTNEED); errno != 0 {
-			slog.Debug("pages_kept", "err", errno)
+			slog.Debug(logevent.MemoryReleaseFailed, "err", errno)
 		}
 	}
 }
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -25,6 +25,7 @@
 	"tallyproxy/internal/discovery"
 	"tallyproxy/internal/dispatch"
 	"tallyproxy/internal/downstream"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/internal/status"
 	"tallyproxy/internal/upstream"
 	"tallyproxy/overload"
@@ -76,7 +77,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	if err := run(f, os.Getenv, level, stop, reload); err != nil {
-		slog.Error("failed", "err", err)
+		slog.Error(logevent.StartFailed, "err", err)
 		return 1
 	}
 	return 0
@@ -145,8 +146,8 @@
 // options are what the operator's file says to the decisions.
 func options(o config.Operator, l config.Limits, g *gossipDriver) routing.Options {
 	return routing.Options{Overload: o.Storm, Dedup: o.Marks(l), QuotaShare: g.held, OnOverloadReport: func(_ policy.Micros, r overload.Report) {
-		slog.Info("storm", "state", r.State, "demand", r.Demand, "warm", r.Warm, "asks", r.Asks, "repeats", r.Repeats,
-			"early", r.Early, "connects", r.Connects, "promised", r.Promised, "kept", r.Kept)
+		slog.Info(logevent.OverloadState, "state", r.State, "demand", r.Demand, "warm", r.Warm, "admissions", r.Asks, "retries", r.Repeats,
+			"early_retries", r.Early, "connects", r.Connects, "reserved", r.Promised, "reservations_kept", r.Kept)
 	}}
 }
 
@@ -163,7 +164,7 @@
 	fleet := upstream.New(buffers, margins, c.Limits.Dials())
 	shards := o.Shards(c.Limits)
 	if o.Cores > shards {
-		slog.Warn("fewer_cores", "asked", o.Cores, "allowed", shards)
+		slog.Warn(logevent.CoresLimited, "requested", o.Cores, "allowed", shards)
 	}
 	channel := discovery.New(c.Site)
 	channel.Seed(backoff.Seed(c.Site.Seed, c.Name))
@@ -209,7 +210,7 @@
 	channel.Move(c.Channel)
 	go channel.Follow(ctx, margins, g.told)
 	giveBack()
-	slog.Info("started", "name", c.Name, "listen", c.Listen, "events", len(known), "settings", f.Settings, "cores", shards)
+	slog.Info(logevent.Started, "name", c.Name, "listen", c.Listen, "events", len(known), "settings", f.Settings, "cores", shards)
 
 	for stopping := false; !stopping; {
 		select {
@@ -224,7 +225,7 @@
 				err = o.Follow(nextO, c.Limits, next.Limits)
 			}
 			if err != nil {
-				slog.Warn("reload_refused", "err", err)
+				slog.Warn(logevent.ReloadRejected, "err", err)
 				keeper.refused(err)
 				continue
 			}
@@ -238,11 +239,11 @@
 			g.avoid(append([]string{}, o.Avoid...))
 			keeper.took(c, o)
 			channel.Move(c.Channel)
-			slog.Info("reloaded", "channel", c.Channel)
+			slog.Info(logevent.Reloaded, "channel", c.Channel)
 		}
 	}
 	stopped := time.Now()
-	slog.Info("stopping", "open", d.open())
+	slog.Info(logevent.Stopping, "open", d.open())
 	server.Stop()
 	keeper.stop()
 	// What waits in the listener's queue was taken: it is let in, and has a moment to ask. Clients that go on coming keep the
@@ -263,7 +264,7 @@
 	leave()
 	fleet.Close()
 	d.stop()
-	slog.Info("stopped")
+	slog.Info(logevent.Stopped)
 	return nil
 }
 
--- a/internal/status/state.go
+++ b/internal/status/state.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"tallyproxy/gossip"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/membership"
 	"tallyproxy/overload"
 	"tallyproxy/relays"
@@ -88,7 +89,7 @@
 	s.s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
 			if bad := recover(); bad != nil {
-				slog.Error("panic", "where", "state", "err", bad, "stack", string(debug.Stack()))
+				slog.Error(logevent.PanicRecovered, "component", "status", "err", bad, "stack", string(debug.Stack()))
 			}
 		}()
 		if r.Method != http.MethodGet || r.URL.Path != "/state" {
--- a/internal/upstream/back.go
+++ b/internal/upstream/back.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"tallyproxy/internal/bufpool"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/internal/socket"
 	"tallyproxy/policy"
 )
@@ -155,7 +156,7 @@
 	if f.faults++; time.Since(f.logged) < span(f.margins.Connect) {
 		return
 	}
-	slog.Warn("bad_answer", "node", addr, "err", err, "faults", f.faults)
+	slog.Warn(logevent.UpstreamBadResponse, "endpoint", addr, "err", err, "faults", f.faults)
 	f.faults, f.logged = 0, time.Now()
 }
 
@@ -515,7 +516,7 @@
 // caught ends the connection alone where its goroutine panicked.
 func (c *conn) caught() {
 	if bad := recover(); bad != nil {
-		slog.Error("panic", "where", "back", "node", c.p.addr, "err", bad, "stack", string(debug.Stack()))
+		slog.Error(logevent.PanicRecovered, "component", "upstream", "node", c.p.addr, "err", bad, "stack", string(debug.Stack()))
 		c.p.mu.Lock()
 		c.end(fmt.Errorf("panic: %v", bad))
 		c.p.mu.Unlock()
