--- /dev/null
+++ b/internal/downstream/golden_test.go
@@ -0,0 +1,176 @@
+package downstream
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"tallyproxy/internal/bufpool"
+	"tallyproxy/policy"
+)
+
+// TestGoldenRequests holds the bytes that clients send, and what is read from them. The bytes are the platform's protocol: they
+// are never recorded anew.
+func TestGoldenRequests(t *testing.T) {
+	const plain = "txn=9b1f03aa5c7e2d41,limit=1500,item=7f3a9c21e0b4d655,n=3,shard=17"
+	cases := []struct {
+		name, frame string
+		verb        string
+		tag         uint64
+		ask         Ask
+	}{
+		{
+			name:  "a read",
+			frame: "*4\r\n$3\r\nASK\r\n$1\r\n7\r\n$7\r\nsegment\r\n$66\r\n" + plain + "\r\n",
+			verb:  "ASK", tag: 7,
+			ask: Ask{
+				Type: site.Settings.Types[0], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
+				Limit: 1500 * time.Millisecond,
+			},
+		},
+		{
+			name: "every field of a read",
+			frame: "*5\r\n$3\r\nASK\r\n$20\r\n18446744073709551615\r\n$7\r\nsegment\r\n$97\r\n" + plain +
+				",second=1,mine=4be0c1927d55a6f3\r\n$4\r\nbo\r\n\r\n",
+			verb: "ASK", tag: 18446744073709551615,
+			ask: Ask{
+				Type: site.Settings.Types[0], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
+				Held: "4be0c1927d55a6f3", Again: true, Limit: 1500 * time.Millisecond, bytes: []byte("bo\r\n"),
+			},
+		},
+		{
+			name: "every field of a request with a key",
+			frame: "*5\r\n$3\r\nASK\r\n$2\r\n41\r\n$5\r\ncover\r\n$138\r\n" +
+				"shard=255,n=0,item=7F3A9C21E0B4D655,limit=2000,txn=0000000000000001,mine=4be0c1927d55a6f3,second=1," +
+				"unique=5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a\r\n$0\r\n\r\n",
+			verb: "ASK", tag: 41,
+			ask: Ask{
+				Type: site.Settings.Types[1], Sort: "cover", Txn: "0000000000000001", Object: "7F3A9C21E0B4D655", Group: 255,
+				Key: "5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a", Held: "4be0c1927d55a6f3", Again: true, Limit: 2 * time.Second, bytes: []byte{},
+			},
+		},
+		{name: "a cancel", frame: "*2\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n", verb: "NEVERMIND", tag: 7},
+		{name: "a status", frame: "*2\r\n$6\r\nSTATUS\r\n$1\r\n8\r\n", verb: "STATUS", tag: 8},
+		{name: "a status with a word", frame: "*3\r\n$6\r\nSTATUS\r\n$1\r\n8\r\n$0\r\n\r\n", verb: "STATUS", tag: 8},
+		{name: "none of the protocol's", frame: "*2\r\n$4\r\nPING\r\n$1\r\n9\r\n", tag: 9},
+		{name: "a cancel with a word too many", frame: "*3\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n$0\r\n\r\n", tag: 7},
+	}
+	types := map[string]*policy.ContentType{"segment": site.Settings.Types[0], "cover": site.Settings.Types[1]}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			p := parser{pool: bufpool.New(1)}
+			p.fed(copy(p.space(), c.frame))
+			msg, ok, err := p.next()
+			if !ok || err != nil {
+				t.Fatalf("got %t, %v", ok, err)
+			}
+			if msg.verb == "ASK" {
+				if err := msg.ask.admit(types); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if want := (message{verb: c.verb, tag: c.tag, ask: c.ask}); !reflect.DeepEqual(msg, want) {
+				t.Errorf("got %+v, want %+v", msg, want)
+			}
+			if p.begun() {
+				t.Error("bytes are left over")
+			}
+		})
+	}
+}
+
+// TestGoldenAnswers holds the bytes that clients are sent for what they ask and for what becomes of it.
+func TestGoldenAnswers(t *testing.T) {
+	b := serve(t, 8, 64, 10*time.Second)
+	c := b.dial(t)
+	var conn *Conn
+	asked := func(tag string) func() {
+		return func() {
+			if _, err := io.WriteString(c, "*4\r\n$3\r\nASK\r\n$"+string('0'+byte(len(tag)))+"\r\n"+tag+
+				"\r\n$7\r\nsegment\r\n$66\r\ntxn=9b1f03aa5c7e2d41,limit=1500,item=7f3a9c21e0b4d655,n=3,shard=17\r\n"); err != nil {
+				t.Fatal(err)
+			}
+			conn = get(t, b.asks).c
+		}
+	}
+	sent := func(frame string) func() {
+		return func() {
+			if _, err := io.WriteString(c, frame); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	cases := []struct {
+		name   string
+		before func() // what the client sends
+		do     func() // what becomes of it
+		want   string
+	}{
+		{"serving", sent("*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"serving, with a word", sent("*3\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n$0\r\n\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"a body", asked("2"), func() { conn.Fulfil(2, b.body(3), false) }, "*4\r\n$1\r\n2\r\n$3\r\n200\r\n$0\r\n\r\n$3\r\nxxx\r\n"},
+		{"an empty body", asked("3"), func() { conn.Fulfil(3, nil, false) }, "*4\r\n$1\r\n3\r\n$3\r\n200\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{
+			"a body of several buffers", asked("4"), func() { conn.Fulfil(4, b.body(100_000), false) },
+			"*4\r\n$1\r\n4\r\n$3\r\n200\r\n$0\r\n\r\n$100000\r\n" + strings.Repeat("x", 100_000) + "\r\n",
+		},
+		{"the client's copy holds", asked("55"), func() { conn.Fulfil(55, nil, true) }, "*4\r\n$2\r\n55\r\n$3\r\n200\r\n$7\r\nstill=1\r\n$0\r\n\r\n"},
+		{"come back later", asked("6"), func() { conn.Throttle(6, 1250*time.Millisecond) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$10\r\nlater=1250\r\n$0\r\n\r\n"},
+		{"come back at once", asked("6"), func() { conn.Throttle(6, 0) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{
+			"no room", asked("6"), func() { conn.TurnAway(6, Ask{}) },
+			"*4\r\n$1\r\n6\r\n$3\r\n503\r\n$8\r\nlater=70\r\n$0\r\n\r\n",
+		},
+		{
+			"no room for a further try of a key", asked("6"), func() { conn.TurnAway(6, Ask{Again: true, Key: "5c"}) },
+			"*4\r\n$1\r\n6\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n",
+		},
+		{"failed", asked("7"), func() { conn.Abandon(7) }, "*4\r\n$1\r\n7\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"a message that is none", sent("*2\r\n$4\r\nPING\r\n$1\r\n9\r\n"), nil, "*4\r\n$1\r\n9\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{
+			"an unknown content type", sent("*4\r\n$3\r\nASK\r\n$1\r\n9\r\n$4\r\nsong\r\n$1\r\nx\r\n"), nil,
+			"*4\r\n$1\r\n9\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n",
+		},
+		{
+			"not serving", func() { b.Stop() }, sent("*2\r\n$6\r\nSTATUS\r\n$2\r\n10\r\n"),
+			"*4\r\n$2\r\n10\r\n$11\r\nnot_serving\r\n$0\r\n\r\n$0\r\n\r\n",
+		},
+	}
+	for _, x := range cases {
+		t.Run(x.name, func(t *testing.T) {
+			x.before()
+			if x.do != nil {
+				x.do()
+			}
+			got := make([]byte, len(x.want))
+			if _, err := io.ReadFull(c.in, got); err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(got, []byte(x.want)) {
+				t.Errorf("got %.120q, want %.120q", got, x.want)
+			}
+		})
+	}
+}
+
+// TestGoldenClientHash holds the hash of a client's address, by which decisions tell clients apart.
+func TestGoldenClientHash(t *testing.T) {
+	cases := []struct {
+		address net.Addr
+		want    uint64
+	}{
+		{&net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 1234}, 0xed16cb68c786e3d7},
+		{&net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 80}, 0xed16cb68c786e3d7},
+		{&net.TCPAddr{IP: net.ParseIP("2001:db8::1"), Port: 1234}, 0x26c33ef1c67e1031},
+		{&net.UnixAddr{Net: "unix", Name: "/run/x"}, 0x2ff2c44c9b5125dd},
+	}
+	for _, c := range cases {
+		if got := hostOf(c.address); got != c.want {
+			t.Errorf("%s: %#x, want %#x", c.address, got, c.want)
+		}
+	}
+}
