--- a/internal/dispatch/rare_test.go
+++ b/internal/dispatch/rare_test.go
@@ -17,25 +17,25 @@
 type barred struct {
 	*script
 	stands chan string                         // objects that it stands still over
-	let    chan policy.Answer                  // what to say
+	let    chan policy.Decision                // what to say
 	after  chan policy.Outcome                 // ends that it heard of
-	then   func() policy.Answer                // what to say to those
+	then   func() policy.Decision              // what to say to those
 	bound  func(d policy.Micros) policy.Micros // of what is let go, from now
 }
 
-func (m *barred) Where(now policy.Micros, dl *policy.Download) policy.Answer {
+func (m *barred) Route(now policy.Micros, dl *policy.Request) policy.Decision {
 	m.stands <- dl.Object
 	a := <-m.let
 	if m.bound != nil {
-		a.Before = m.bound(now)
+		a.NotAfter = m.bound(now)
 	}
 	return a
 }
 
-func (m *barred) After(_ policy.Micros, dl *policy.Download, out policy.Outcome) policy.Answer {
+func (m *barred) AttemptDone(_ policy.Micros, dl *policy.Request, out policy.Outcome) policy.Decision {
 	m.after <- out
-	if out.Last {
-		return policy.Answer{}
+	if out.Final {
+		return policy.Decision{}
 	}
 	return m.then()
 }
@@ -43,10 +43,10 @@
 func newBarred(t *testing.T) (*bed, *barred) {
 	b := newBed(t, 0)
 	m := &barred{
-		script: b.script, stands: make(chan string, 2000), let: make(chan policy.Answer), after: make(chan policy.Outcome, 64),
-		then: func() policy.Answer { return policy.Answer{Verb: policy.Throttle} },
+		script: b.script, stands: make(chan string, 2000), let: make(chan policy.Decision), after: make(chan policy.Outcome, 64),
+		then: func() policy.Decision { return policy.Decision{Action: policy.Reject} },
 	}
-	b.Do(func() { b.Router.module = m })
+	b.WithPolicy(func() { b.Router.module = m })
 	return b, m
 }
 
@@ -65,7 +65,7 @@
 // handedBack waits until something waits for the shard, which stands still and has taken all else: a request, or a pull's end.
 func (b *bed) handedBack() {
 	b.t.Helper()
-	for until := time.Now().Add(10 * time.Second); len(b.Shards()[0].calls.Wake()) == 0; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); len(b.Shards()[0].calls.Ready()) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			b.t.Fatal("nothing waits for the shard")
 		}
@@ -136,7 +136,7 @@
 		})
 		t.Run("a further attempt, "+l.name, func(t *testing.T) {
 			b, m := newBarred(t)
-			m.then = func() policy.Answer { return pulls }
+			m.then = func() policy.Decision { return pulls }
 			c := b.another()
 			askOver(c, "1")
 			get(t, m.stands)
@@ -149,12 +149,12 @@
 			b.ask("3", "") // and it stands still again behind that
 			b.readOn()
 			l.do(b, c)
-			m.let <- policy.Answer{Verb: policy.Abandon}
+			m.let <- policy.Decision{Action: policy.Fail}
 			b.answered("2 500  ")
 			if got := get(t, m.stands); got != id("o", "3") {
 				t.Fatalf("stands over %s", got)
 			}
-			if out := get(t, m.after); !out.Last { // before the shard hears of the leaving
+			if out := get(t, m.after); !out.Final { // before the shard hears of the leaving
 				t.Errorf("it is to go on after %+v", out)
 			}
 			m.let <- pulls
@@ -185,8 +185,8 @@
 				b.answered("1 200  ")
 				return
 			}
-			if out := get(t, m.after); out.Ending != policy.Recalled {
-				t.Errorf("ended as %d", out.Ending)
+			if out := get(t, m.after); out.Result != policy.Withdrawn {
+				t.Errorf("ended as %d", out.Result)
 			}
 			b.answered("1 503  ")
 			b.ask("2", "")
@@ -210,7 +210,7 @@
 	b.ask("1", "")
 	get(t, m.stands)
 	for range waiting {
-		b.Shards()[0].calls.Push(func() {})
+		b.Shards()[0].calls.PutUnbounded(func() {})
 	}
 	b.ask("2", "")
 	b.answered("2 503  ")
@@ -220,7 +220,7 @@
 	}
 	c.Close()
 	b.waitGone(1)
-	m.let <- policy.Answer{Verb: policy.Abandon}
+	m.let <- policy.Decision{Action: policy.Fail}
 	b.answered("1 500  ")
 	if len(m.stands) != 0 {
 		t.Errorf("asked about %s", <-m.stands)
@@ -234,9 +234,9 @@
 	get(t, m.stands)
 	m.let <- pulls
 	b.nodeHears("want " + id("t", "1"))
-	b.Router.Close(time.Now())
-	if out := get(t, m.after); out.Ending != policy.TimedOut {
-		t.Errorf("ended as %d", out.Ending)
+	b.Router.DrainBy(time.Now())
+	if out := get(t, m.after); out.Result != policy.TimedOut {
+		t.Errorf("ended as %d", out.Result)
 	}
 	b.answered("1 503  ")
 	b.ask("2", "")
@@ -244,19 +244,19 @@
 	for _, s := range b.Shards() {
 		for _, of := range s.downloads { // its goroutine stands still
 			for _, dl := range of {
-				if now := b.Now(); dl.Leaves > now {
-					t.Errorf("it may take %d more", dl.Leaves-now)
+				if now := b.Now(); dl.Deadline > now {
+					t.Errorf("it may take %d more", dl.Deadline-now)
 				}
 			}
 		}
 	}
-	m.let <- policy.Answer{Verb: policy.Throttle}
+	m.let <- policy.Decision{Action: policy.Reject}
 	b.answered("2 503  ")
 }
 
 // That no connection could be had is no word of the node.
 func TestNoConnectionIsNoWordOfTheNode(t *testing.T) {
-	if got := ending(upstream.Answer{}, &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrNoRoom}); got != policy.NeverSent {
+	if got := ending(upstream.Answer{}, &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrNoRoom}); got != policy.NotSent {
 		t.Errorf("got %d", got)
 	}
 }
@@ -284,7 +284,7 @@
 		nc.Close()
 	}
 	b.waitGone(1)
-	m.let <- policy.Answer{Verb: policy.Abandon}
+	m.let <- policy.Decision{Action: policy.Fail}
 	b.answered("1 500  ")
 	b.ask("2", "")
 	if got := get(t, m.stands); got != id("o", "2") {
@@ -299,7 +299,7 @@
 // doubt is a director that does not trust what it knows until it is told to.
 type doubt struct{ clear chan struct{} }
 
-func (d doubt) Sound() bool {
+func (d doubt) Trusted() bool {
 	select {
 	case <-d.clear:
 		return true
@@ -307,8 +307,8 @@
 		return false
 	}
 }
-func (d doubt) Clear() <-chan struct{}     { return d.clear }
-func (doubt) Late(time.Time) time.Duration { return 0 }
+func (d doubt) Clear() <-chan struct{}        { return d.clear }
+func (doubt) StaleBy(time.Time) time.Duration { return 0 }
 
 // A client leaves, or takes back, while the shard rests in doubt: nothing of it is asked about afterwards.
 func TestLeavingBehindADoubt(t *testing.T) {
@@ -317,7 +317,7 @@
 			b, m := newBarred(t)
 			c := b.another()
 			own, set := doubt{make(chan struct{})}, make(chan struct{})
-			b.Shards()[0].calls.Push(func() { b.Watch(own); close(set) }) // by the shard itself, which reads it
+			b.Shards()[0].calls.PutUnbounded(func() { b.SetStallMonitor(own); close(set) }) // by the shard itself, which reads it
 			<-set
 			askOver(c, "1")
 			if closes {
