--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -28,7 +28,7 @@
 			frame: "*4\r\n$3\r\nASK\r\n$1\r\n7\r\n$7\r\nsegment\r\n$66\r\n" + plain + "\r\n",
 			verb:  "ASK", tag: 7,
 			ask: Ask{
-				Type: site.Settings.Types[0], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
+				Type: site.Settings.ContentTypes[0], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
 				Limit: 1500 * time.Millisecond,
 			},
 		},
@@ -38,7 +38,7 @@
 				",second=1,mine=4be0c1927d55a6f3\r\n$4\r\nbo\r\n\r\n",
 			verb: "ASK", tag: 18446744073709551615,
 			ask: Ask{
-				Type: site.Settings.Types[0], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
+				Type: site.Settings.ContentTypes[0], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
 				Held: "4be0c1927d55a6f3", Again: true, Limit: 1500 * time.Millisecond, bytes: []byte("bo\r\n"),
 			},
 		},
@@ -49,7 +49,7 @@
 				"unique=5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a\r\n$0\r\n\r\n",
 			verb: "ASK", tag: 41,
 			ask: Ask{
-				Type: site.Settings.Types[1], Sort: "cover", Txn: "0000000000000001", Object: "7F3A9C21E0B4D655", Group: 255,
+				Type: site.Settings.ContentTypes[1], Sort: "cover", Txn: "0000000000000001", Object: "7F3A9C21E0B4D655", Group: 255,
 				Key: "5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a", Held: "4be0c1927d55a6f3", Again: true, Limit: 2 * time.Second, bytes: []byte{},
 			},
 		},
@@ -59,7 +59,7 @@
 		{name: "none of the protocol's", frame: "*2\r\n$4\r\nPING\r\n$1\r\n9\r\n", tag: 9},
 		{name: "a cancel with a word too many", frame: "*3\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n$0\r\n\r\n", tag: 7},
 	}
-	types := map[string]*policy.ContentType{"segment": site.Settings.Types[0], "cover": site.Settings.Types[1]}
+	types := map[string]*policy.ContentType{"segment": site.Settings.ContentTypes[0], "cover": site.Settings.ContentTypes[1]}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := parser{pool: bufpool.New(1)}
