--- /dev/null
+++ b/backoff/golden_test.go
@@ -0,0 +1,58 @@
+package backoff
+
+import (
+	"slices"
+	"testing"
+
+	d "tallyproxy/policy"
+)
+
+// Seeds decide which instances of a fleet poll and in which order, and simulated runs are compared figure by figure: the literals were
+// recorded before any rename and are not to be recorded again.
+func TestGoldenSeed(t *testing.T) {
+	for _, c := range []struct {
+		seed uint64
+		name string
+		want uint64
+	}{
+		{0, "", 17665956581633026203},
+		{0, "n0", 735820747266598374},
+		{1, "n0", 16592364779642962035},
+		{18446744073709551615, "director-17", 12427795502663148861},
+	} {
+		if got := Seed(c.seed, c.name); got != c.want {
+			t.Errorf("Seed(%d, %q) = %d, want %d", c.seed, c.name, got, c.want)
+		}
+	}
+}
+
+// The pauses of one caller in their order: each draw of the generator and each sum.
+func TestGoldenPauses(t *testing.T) {
+	c := New(times, Seed(1, "n0"))
+	var got []d.Micros
+	pause, poll := c.First()
+	got = append(got, pause, poll)
+	for _, e := range []Ending{News, Nothing, Refused, HalfWay, Hung, Busy, Rubbish, GivenUp, News, HalfWay, News, Busy, Busy, Hung, Nothing} {
+		pause, poll = c.Next(e, 150*ms, 700*ms)
+		got = append(got, pause, poll)
+	}
+	want := []d.Micros{27915, 1200000, 166926, 625588, 0, 1200000, 1151873, 1200000, 758109, 1200000, 661642, 1200000, 980529, 1200000,
+		1118354, 1200000, 0, 1200000, 14429, 954162, 105071, 1200000, 110763, 1115628, 1145286, 1200000, 942726, 1200000, 503243, 1200000, 0, 1200000}
+	if !slices.Equal(got, want) {
+		t.Errorf("pauses and waits %v, want %v", got, want)
+	}
+	if few := times.Few(); few != (Times{Poll: 300000, First: 450000, Spread: 41666, Most: 2000000, Base: 1500000, Least: 400000}) {
+		t.Errorf("few: %+v", few)
+	}
+}
+
+// The texts are values of log lines.
+func TestGoldenEndings(t *testing.T) {
+	var got []string
+	for e := News; e <= GivenUp; e++ {
+		got = append(got, e.String())
+	}
+	if want := []string{"news", "nothing", "refused", "half", "hung", "busy", "rubbish", "given up"}; !slices.Equal(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
--- /dev/null
+++ b/relays/golden_test.go
@@ -0,0 +1,90 @@
+package relays
+
+import (
+	"encoding/json"
+	"reflect"
+	"slices"
+	"testing"
+
+	d "tallyproxy/policy"
+)
+
+// goldenRows are two rows of a list: one with every field set, one with none but the name.
+var goldenRows = []Row{
+	{ID: "box-1", Addr: "10.1.0.9:1", Zone: 1, Kind: 2, Cell: 3, Weight: 4.5, Started: 1764576000123000, State: d.Draining},
+	{ID: "box-2"},
+}
+
+// The encoded forms are what instances of different versions exchange during a roll-out. The literals were recorded before any rename
+// and are not to be recorded again.
+func TestGoldenJSON(t *testing.T) {
+	cases := []struct {
+		name  string
+		value any
+		text  string
+	}{
+		{"rows", goldenRows, `[{"i":"box-1","a":"10.1.0.9:1","z":1,"k":2,"c":3,"w":4.5,"s":1764576000123000,"x":1},` +
+			`{"i":"box-2","a":"","z":0,"k":0,"w":0}]`},
+		{"no rows", []Row(nil), `null`},
+		{"question", Message{Ask: &Ask{Number: 123456789, Words: 18446744073709551615}}, `{"q":{"n":123456789,"w":18446744073709551615}}`},
+		{"empty question", Message{Ask: &Ask{}}, `{"q":{"n":0,"w":0}}`},
+		{"answer", Message{Answer: &Answer{Number: 123456789, Age: -1, Sum: "5f"}}, `{"a":{"n":123456789,"a":-1,"s":"5f"}}`},
+		{"empty answer", Message{Answer: &Answer{}}, `{"a":{"n":0,"a":0,"s":""}}`},
+		{"wanted list", Message{Want: "5f"}, `{"w":"5f"}`},
+		{"list", Message{List: goldenRows[1:]}, `{"l":[{"i":"box-2","a":"","z":0,"k":0,"w":0}]}`},
+		{"empty message", Message{}, `{}`},
+		{"report", Report{Calls: true, Chosen: true, Sources: []string{"n0", "n1"}, Age: 7_000_000, Sum: "5f"},
+			`{"calls":true,"chosen":true,"sources":["n0","n1"],"age_us":7000000,"sum":"5f"}`},
+		{"empty report", Report{Sources: []string{}}, `{"calls":false,"chosen":false,"sources":[],"age_us":0,"sum":""}`},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			raw, err := json.Marshal(c.value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(raw) != c.text {
+				t.Errorf("encoded as %s, want %s", raw, c.text)
+			}
+			read := reflect.New(reflect.TypeOf(c.value))
+			if err := json.Unmarshal([]byte(c.text), read.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if got := read.Elem().Interface(); !reflect.DeepEqual(got, c.value) {
+				t.Errorf("read as %+v, want %+v", got, c.value)
+			}
+		})
+	}
+}
+
+// The sum is compared between instances, and who asks whom follows from the names alone.
+func TestGoldenSum(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		rows []Row
+		want string
+	}{
+		{"none", nil, "74234e98afe7498fb5daf1f3"},
+		{"empty", []Row{}, "4f53cda18c2baa0c0354bb5f"},
+		{"two", goldenRows, "e9157e6a0a7982f7acf3ce3c"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := Sum(c.rows); got != c.want {
+				t.Errorf("sum %s, want %s", got, c.want)
+			}
+		})
+	}
+}
+
+// The order in which instances come to poll the channel, and the order in which one of them asks the others, are the same in every
+// version.
+func TestGoldenOrder(t *testing.T) {
+	b := New(0, settings("n3"))
+	b.There([]string{"n0", "n1", "n2", "n4", "n5", "n6", "n7"})
+	if want := []string{"n0", "n5", "n7", "n3", "n4", "n6", "n2", "n1"}; !slices.Equal(b.order, want) {
+		t.Errorf("order %q, want %q", b.order, want)
+	}
+	if want := []string{"n7", "n0", "n5", "n4", "n6", "n2"}; !slices.Equal(b.next, want) {
+		t.Errorf("asks %q, want %q", b.next, want)
+	}
+}
