--- /dev/null
+++ b/overload/golden_test.go
@@ -0,0 +1,88 @@
+package overload
+
+import (
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"testing"
+
+	d "tallyproxy/policy"
+)
+
+// The values in this file were recorded once and are never recorded anew: tools of other versions read the report, and simulated
+// runs compare decisions.
+
+// TestGoldenReport checks the report's JSON, which the state socket tells.
+func TestGoldenReport(t *testing.T) {
+	const want = `{"State":2,"Asks":1,"Repeats":2,"Early":3,"Connects":4,"Demand":5.5,"Warm":0.25,"Promised":6.5,"Kept":0.5,"Part":7.5,"Remembers":8}`
+	report := Report{
+		State: Held, Asks: 1, Repeats: 2, Early: 3, Connects: 4, Demand: 5.5, Warm: 0.25, Promised: 6.5, Kept: 0.5, Part: 7.5, Remembers: 8,
+	}
+	if got, err := json.Marshal(report); err != nil || string(got) != want {
+		t.Errorf("%s, %v", got, err)
+	}
+	var back Report
+	if err := json.Unmarshal([]byte(want), &back); err != nil || back != report {
+		t.Errorf("%+v, %v", back, err)
+	}
+}
+
+// TestGoldenStates checks the states' numbers, which the report's JSON holds, and their names, which logs and tools print.
+func TestGoldenStates(t *testing.T) {
+	for i, want := range []string{"calm", "rising", "held", "draining"} {
+		if got := State(i).String(); got != want {
+			t.Errorf("state %d: %q, want %q", i, got, want)
+		}
+	}
+	if Calm != 0 || Rising != 1 || Held != 2 || Draining != 3 {
+		t.Error("the states have other numbers")
+	}
+}
+
+// TestGoldenHashes checks the hashes and the random numbers that decisions depend on.
+func TestGoldenHashes(t *testing.T) {
+	r := newMultiply(7)
+	got := fmt.Sprintf("%#x %#x %v %v %v", mix(0x9e3779b97f4a7c15), id(&Ask{Who: 5, Object: 9}), r.unit(), r.unit(), r.unit())
+	if want := "0xe220a8397b1dcdaf 0x87f32aed3fc9fe71 0.7566713308915496 0.8468314164783806 0.9232975307386369"; got != want {
+		t.Errorf("%q", got)
+	}
+}
+
+// TestGoldenDecisions plays drawn storms and compares a hash of every decision, in its order.
+func TestGoldenDecisions(t *testing.T) {
+	for _, c := range []struct{ seed, want uint64 }{
+		{1, 0xa0372a5b91a323a5},
+		{2, 0xdc3a9a8d4642bcde},
+		{3, 0xd9bbb6fb8533018d},
+	} {
+		r := rand.New(rand.NewPCG(c.seed, 11))
+		trace := fnv.New64a()
+		f := &caches{full: 12, from: 0.2, began: 10 * d.Second, warm: 8 * d.Second}
+		g := guard(f, func(now d.Micros, r Report) {
+			fmt.Fprintln(trace, now, r.State, r.Asks, r.Demand, r.Promised, r.Kept, r.Part)
+		})
+		now := 10 * d.Second
+		for range 8000 {
+			now += d.Micros(r.IntN(int(8 * ms)))
+			if r.IntN(4) == 0 {
+				g.Connected(now)
+			}
+			a := ask(r.IntN(300), r.IntN(3) == 0)
+			a.Work *= 2 * r.Float64()
+			a.Cost = 3 * r.Float64()
+			in := g.Asked(now, a)
+			fmt.Fprintln(trace, now, in, a.Due())
+			if in && r.IntN(3) > 0 {
+				g.Served(now, a, r.IntN(5) == 0)
+				continue
+			}
+			fmt.Fprintln(trace, g.Place(now, a, 250*ms))
+		}
+		report := g.Report(now)
+		fmt.Fprintln(trace, report.Warm, report.Remembers, report.Early)
+		if got := trace.Sum64(); got != c.want {
+			t.Errorf("{%d, %#x},", c.seed, got)
+		}
+	}
+}
--- /dev/null
+++ b/routing/golden_test.go
@@ -0,0 +1,280 @@
+package routing
+
+import (
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"strings"
+	"testing"
+
+	"tallyproxy/dedup"
+	"tallyproxy/overload"
+	d "tallyproxy/policy"
+)
+
+// The values in this file were recorded once and are never recorded anew: routers of different versions run side by side during a
+// roll-out and must place every object alike.
+
+func TestGoldenHashes(t *testing.T) {
+	for _, c := range []struct {
+		text        string
+		hash, mixed uint64
+		unit        float64
+	}{
+		{"", 0xc3817c016ba4ff30, 0x21fa69a58f3d62f5, 0.1327272443006584},
+		{"a", 0x5f29c2aadd9b8527, 0xd6b886a45cb41f2b, 0.8387531424784388},
+		{"e0", 0x39a03e255a057248, 0x2c9c56e30350eeb6, 0.1742605499487727},
+		{"/o/1", 0xb17f32bde0aa7eb5, 0xcc297afa2fc8045d, 0.7975079403693428},
+		{"cache-17.zone-3", 0xc4ec27172491a000, 0xdc72db6e89fa2b04, 0.8611275811071911},
+		{"ä", 0x9f520a0861a56b8a, 0xbcfcbcb3295f1745, 0.73823146223128},
+		{"a much longer name of an object, with spaces", 0x90e72f0bddc5d21b, 0x1684f64a8253e419, 0.08796634024686467},
+	} {
+		if got := hashOf(c.text); got != c.hash || mix(got) != c.mixed || unit(got) != c.unit {
+			t.Errorf("{%q, %#x, %#x, %v},", c.text, got, mix(got), unit(got))
+		}
+	}
+}
+
+// TestGoldenPlacement checks the order in which the rendezvous hash prefers nodes, one letter a node, for objects and sizes.
+func TestGoldenPlacement(t *testing.T) {
+	want := map[string]string{
+		"/object/0 [1 1 1 1 1]":    "31024",
+		"/object/1 [1 1 1 1 1]":    "32014",
+		"/object/2 [1 1 1 1 1]":    "13024",
+		"/object/3 [1 1 1 1 1]":    "24130",
+		"/object/4 [1 1 1 1 1]":    "41203",
+		"/object/5 [1 1 1 1 1]":    "13024",
+		"/object/6 [1 1 1 1 1]":    "12430",
+		"/object/7 [1 1 1 1 1]":    "30124",
+		"/object/8 [1 1 1 1 1]":    "14032",
+		"/object/9 [1 1 1 1 1]":    "14320",
+		"/object/10 [1 1 1 1 1]":   "01432",
+		"/object/11 [1 1 1 1 1]":   "02413",
+		"/object/12 [1 1 1 1 1]":   "32401",
+		"/object/13 [1 1 1 1 1]":   "41302",
+		"/object/14 [1 1 1 1 1]":   "32401",
+		"/object/15 [1 1 1 1 1]":   "42310",
+		"/object/16 [1 1 1 1 1]":   "14203",
+		"/object/17 [1 1 1 1 1]":   "12340",
+		"/object/18 [1 1 1 1 1]":   "10423",
+		"/object/19 [1 1 1 1 1]":   "40231",
+		"/object/0 [1 2 4 0.5 1]":  "12304",
+		"/object/1 [1 2 4 0.5 1]":  "32104",
+		"/object/2 [1 2 4 0.5 1]":  "12034",
+		"/object/3 [1 2 4 0.5 1]":  "24103",
+		"/object/4 [1 2 4 0.5 1]":  "14203",
+		"/object/5 [1 2 4 0.5 1]":  "12043",
+		"/object/6 [1 2 4 0.5 1]":  "12403",
+		"/object/7 [1 2 4 0.5 1]":  "20134",
+		"/object/8 [1 2 4 0.5 1]":  "12403",
+		"/object/9 [1 2 4 0.5 1]":  "14230",
+		"/object/10 [1 2 4 0.5 1]": "10243",
+		"/object/11 [1 2 4 0.5 1]": "20143",
+		"/object/12 [1 2 4 0.5 1]": "21340",
+		"/object/13 [1 2 4 0.5 1]": "14023",
+		"/object/14 [1 2 4 0.5 1]": "24301",
+		"/object/15 [1 2 4 0.5 1]": "42103",
+		"/object/16 [1 2 4 0.5 1]": "12403",
+		"/object/17 [1 2 4 0.5 1]": "12430",
+		"/object/18 [1 2 4 0.5 1]": "12043",
+		"/object/19 [1 2 4 0.5 1]": "42013",
+	}
+	for _, weights := range [][]float64{{1, 1, 1, 1, 1}, {1, 2, 4, 0.5, 1}} {
+		s := settings()
+		s.Sized = true
+		b := newBed(s, 0, 1)
+		var rows []d.Node
+		for i, w := range weights {
+			rows = append(rows, d.Node{ID: fmt.Sprint("edge-", i), Zone: 1, Weight: w})
+		}
+		b.list(rows...)
+		for i := range 20 {
+			object := fmt.Sprint("/object/", i)
+			key := fmt.Sprint(object, " ", weights)
+			nt := &notes{hash: mix(hashOf(object) + uint64(i%3))}
+			var order strings.Builder
+			seen := map[*node]bool{}
+			for range weights {
+				n := b.pick(b.now, &b.edges, nt, 0, func(n *node) bool { return !seen[n] })
+				seen[n] = true
+				order.WriteString(strings.TrimPrefix(n.ID, "edge-"))
+			}
+			if got := order.String(); got != want[key] {
+				t.Errorf("%q: %q,", key, got)
+			}
+		}
+	}
+}
+
+// TestGoldenDecisions plays a drawn history against the module and compares a hash of every decision, in its order.
+func TestGoldenDecisions(t *testing.T) {
+	for _, c := range []struct {
+		seed   uint64
+		told   bool
+		direct bool
+		pulls  int
+		want   uint64
+	}{
+		{1, false, false, 921, 0xb4b7986d983c5426},
+		{2, true, false, 939, 0xbde08a9f4ca6048f},
+		{3, false, true, 1059, 0xfe888ba49c67dd49},
+		{4, true, true, 1453, 0x9fb1a112da7e482a},
+		{5, true, true, 1500, 0x41b4d9549f287acf},
+		{6, true, false, 1067, 0xdb5cb4a7ce79ea4b},
+	} {
+		pulls, hash := playDrawn(c.seed, c.told, c.direct)
+		if pulls != c.pulls || hash != c.want {
+			t.Errorf("{%d, %v, %v, %d, %#x},", c.seed, c.told, c.direct, pulls, hash)
+		}
+	}
+}
+
+// playDrawn plays a history that depends on the seed alone.
+func playDrawn(seed uint64, told, direct bool) (pulls int, hash uint64) {
+	r := rand.New(rand.NewPCG(seed, 7))
+	trace := fnv.New64a()
+	s := settings()
+	s.Seed, s.SourcesTold, s.Direct, s.Sized, s.Instances, s.Directors = seed, told, direct, seed%2 == 0, 2, 6
+	s.Types = append(s.Types,
+		&d.ContentType{TargetTime: 800 * ms, Stretch: 1, Expiry: 6 * d.Second, Repeat: d.Deduped, Window: d.Second, Benefit: 3, Fresh: 9 * d.Second},
+		&d.ContentType{TargetTime: 300 * ms, Expiry: 2 * d.Second, Repeat: d.NonRetriable, Benefit: 2, PassThrough: true},
+		&d.ContentType{TargetTime: 500 * ms, Expiry: 4 * d.Second, Repeat: d.Deduped, Scope: d.ScopeCell, Window: 2 * d.Second, Benefit: 1})
+	if seed%3 == 0 {
+		s.LinkKB = 0
+	}
+	b := newBed(s, 4, 2)
+	o := Options{Storm: overload.Defaults(), Keys: dedup.Settings{Most: 60, Remember: 3, Abandon: seed%2 == 1}}
+	if seed > 2 {
+		o.Storm.Mode = overload.Guards
+	}
+	b.Use(o)
+	type flight struct {
+		dl   *d.Download
+		pull int
+	}
+	var out []flight
+	var waiting []*d.Download
+	take := func(dl *d.Download, ans d.Answer) {
+		node, source := "-", "-"
+		if ans.Node != nil {
+			node = ans.Node.ID
+		}
+		if ans.Source != nil {
+			source = ans.Source.ID
+		}
+		fmt.Fprintf(trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, ans.Verb, node, source, ans.Keep, ans.Oldest,
+			ans.Join, ans.Held, ans.Renew, ans.TimeOut, ans.Before, ans.Pull, ans.ComeBack, ans.NoUse, b.Wait(b.now, dl))
+		switch ans.Verb {
+		case d.Pull:
+			out = append(out, flight{dl, len(dl.Notes.(*notes).pulls) - 1})
+			pulls++
+		case d.Hold:
+			waiting = append(waiting, dl)
+		case d.Throttle, d.Abandon:
+			dl.Over = true
+		}
+	}
+	for step := range 6000 {
+		b.now += d.Micros(r.IntN(int(12 * ms)))
+		if r.IntN(60) == 0 {
+			b.now += d.Micros(r.IntN(int(900 * ms)))
+		}
+		switch what := r.IntN(100); {
+		case what < 35:
+			kind := s.Types[r.IntN(len(s.Types))]
+			dl := &d.Download{Type: kind, Object: fmt.Sprint("/o/", r.IntN(60)), Part: r.IntN(3), Group: r.IntN(4), Again: r.IntN(8) == 0,
+				Client: uint64(r.IntN(50)), Doubted: r.IntN(20) == 0, Arrived: b.now, Leaves: b.now + kind.Expiry}
+			if r.IntN(2) == 0 {
+				dl.SizeKB = float64(50 + r.IntN(400))
+			}
+			if kind.Repeat == d.Deduped {
+				dl.Key = fmt.Sprint("key", r.IntN(2000))
+			}
+			take(dl, b.Where(b.now, dl))
+		case what < 80 && len(out) > 0:
+			i := r.IntN(len(out))
+			f := out[i]
+			out = append(out[:i], out[i+1:]...)
+			ending := d.Fulfilled
+			if r.IntN(4) == 0 {
+				ending = d.Ending(r.IntN(int(d.Recalled) + 1))
+			}
+			filling := d.Untold
+			if r.IntN(4) > 0 {
+				filling = d.Filling(r.IntN(int(d.OriginFailed) + 1))
+			}
+			if ending == d.Fulfilled {
+				if filling > d.Stale {
+					filling = d.Filled
+				}
+				f.dl.Over = true
+			}
+			take(f.dl, b.After(b.now, f.dl, d.Outcome{Pull: f.pull, Ending: ending, Filling: filling, Last: f.dl.Over}))
+		case what < 90 && len(waiting) > 0:
+			dl := waiting[0]
+			waiting = waiting[1:]
+			take(dl, b.Where(b.now, dl))
+		case what < 96 && len(out) > 0:
+			f := out[r.IntN(len(out))]
+			if ans := b.Where(b.now, f.dl); ans.Verb == d.Cancel {
+				take(f.dl, ans)
+			}
+		case what < 97:
+			b.Purged(b.now, []string{"", fmt.Sprint("/o/", r.IntN(60))}[r.IntN(2)], r.IntN(5)-1, b.now-d.Micros(r.IntN(int(d.Second))))
+		case what < 98:
+			id, kind, zone := fmt.Sprint("e", r.IntN(5)), 0, 1
+			if r.IntN(3) == 0 {
+				id, kind, zone = fmt.Sprint("p", r.IntN(3)), 1, 0
+			}
+			started := d.Micros(0)
+			if r.IntN(2) == 0 {
+				started = b.now
+			}
+			b.list(d.Node{ID: id, Kind: kind, Zone: zone, Cell: r.IntN(3), Weight: float64(1 + r.IntN(3)), State: d.State(r.IntN(8) / 6), Started: started})
+		case what < 99:
+			b.Connected(b.now)
+			b.Questioned(b.now, fmt.Sprint("e", r.IntN(5)), r.IntN(2) == 0, r.IntN(2) == 0)
+		default:
+			fmt.Fprintln(trace, step, b.Able(b.now), b.Full(), b.jam, b.missing, b.trouble, b.gate.most, b.deep.most)
+		}
+	}
+	return pulls, trace.Sum64()
+}
+
+// TestGoldenMargins checks the times that sockets call for.
+func TestGoldenMargins(t *testing.T) {
+	s := settings()
+	s.AnswerGrace, s.ConnectTimeout, s.KeepAlive, s.Streams = 30*ms, 400*ms, 30*d.Second, 250
+	s.PurgeWithin, s.DrainWithin = 900*ms, 700*ms
+	m := Margins(s)
+	got := fmt.Sprint(m.Answer, m.Connect, m.Stall, m.Idle, m.Shared, m.Most, m.Confirm, m.Silent, m.Resting, m.Back, m.Flush, m.Linger,
+		m.Stop, m.Block, m.Retry, m.Beat, m.Gap, m.Doubt, m.Late)
+	if want := "60000 400000 200000 1875000 2 250 100000 2000000 5000000 400000 5000000 800000 3350000 1200000 100000 40000 200000 800000 50000"; got != want {
+		t.Errorf("%q", got)
+	}
+}
+
+// TestGoldenView checks the JSON of the state socket.
+func TestGoldenView(t *testing.T) {
+	const want = `{"id":"e0","kind":"edge","state":"ready","warm":0.5,"out":3,"limit":2.5,"skipped":1.25,"trial":true,"heard":0.125}`
+	view := View{ID: "e0", Kind: "edge", State: "ready", Warm: 0.5, Out: 3, Limit: 2.5, Skipped: 1.25, Trial: true, Heard: 0.125}
+	if got, err := json.Marshal(view); err != nil || string(got) != want {
+		t.Errorf("%s, %v", got, err)
+	}
+	var back View
+	if err := json.Unmarshal([]byte(want), &back); err != nil || back != view {
+		t.Errorf("%+v, %v", back, err)
+	}
+}
+
+// TestGoldenNodes checks the words for kinds and states of nodes.
+func TestGoldenNodes(t *testing.T) {
+	b := newBed(settings(), 1, 1)
+	b.list(d.Node{ID: "e1", Zone: 1, State: d.Draining, Started: b.now}, d.Node{ID: "x", Zone: 2})
+	b.now += d.Second
+	got, err := json.Marshal(b.Nodes(b.now))
+	if want := `[{"id":"e0","kind":"edge","state":"ready","warm":1,"out":0,"limit":8,"skipped":0,"trial":false,"heard":1},{"id":"e1","kind":"edge","state":"draining","warm":0.28,"out":0,"limit":8,"skipped":0,"trial":false,"heard":1},{"id":"o","kind":"origin","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1},{"id":"p0","kind":"parent","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1},{"id":"x","kind":"other","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1}]`; err != nil || string(got) != want {
+		t.Errorf("%s, %v", got, err)
+	}
+}
