--- a/internal/dispatch/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -73,11 +73,11 @@
 
 func newCores(t *testing.T, shards int) *cores {
 	s := policy.Settings{
-		Zone: 1, Instances: 1, ParentKind: 1, OriginKind: 2, CanCancel: true, MostPulls: 8, PaceKB: 1000, LinkKB: 1e6,
-		PurgeKept: 6 * policy.Second, SourcesTold: true, ConnectTimeout: policy.Second, KeepAlive: 30 * policy.Second, Streams: 100,
-		Types: []*policy.ContentType{{TargetTime: policy.Second, Expiry: 10 * policy.Second, Benefit: 1}},
+		Zone: 1, ZoneDirectors: 1, ParentKind: 1, OriginKind: 2, CanCancel: true, MaxAttempts: 8, TransferKBPerSecond: 1000, FillLinkKBPerSecond: 1e6,
+		PurgeRetention: 6 * policy.Second, ReportsCacheStatus: true, ConnectTimeout: policy.Second, KeepAliveTimeout: 30 * policy.Second, MaxConcurrentStreams: 100,
+		ContentTypes: []*policy.ContentType{{LatencyObjective: policy.Second, Timeout: 10 * policy.Second, PriorityWeight: 1}},
 	}
-	m := routing.Margins(s)
+	m := routing.Timeouts(s)
 	p := bufpool.New(64)
 	fleet := upstream.New(p, m, 64)
 	c := &cores{Router: New(routing.New(s, routing.Options{}), m, fleet, shards)}
@@ -121,8 +121,8 @@
 	return c
 }
 
-func (c *cores) node(id string, zone, kind int, b *box, s policy.State) discovery.Node {
-	return discovery.Node{Node: policy.Node{ID: id, Zone: zone, Kind: kind, State: s}, Addr: b.Addr().String()}
+func (c *cores) node(id string, zone, kind int, b *box, s policy.EndpointState) discovery.Node {
+	return discovery.Node{Endpoint: policy.Endpoint{ID: id, Zone: zone, Kind: kind, State: s}, Addr: b.Addr().String()}
 }
 
 func (c *cores) ask(client int) {
@@ -162,7 +162,7 @@
 		t.Fatal("a box or a parent has no share")
 	}
 	busy, goOn := make(chan struct{}), make(chan struct{})
-	c.Shards()[1].calls.Push(func() { close(busy); <-goOn })
+	c.Shards()[1].calls.PutUnbounded(func() { close(busy); <-goOn })
 	<-busy
 	for range 10 {
 		c.ask(1) // they wait for the busy core
@@ -178,7 +178,7 @@
 			t.Fatalf("answered %s", word)
 		}
 	}
-	if told, inForce := c.Told(); inForce >= told {
+	if told, inForce := c.Epochs(); inForce >= told {
 		t.Errorf("event %d is in force at %d while a core has not taken it", told, inForce)
 	}
 	close(goOn)
@@ -194,7 +194,7 @@
 		t.Errorf("%d more named the source after its drain", n-fills)
 	}
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if told, inForce := c.Told(); inForce == told {
+		if told, inForce := c.Epochs(); inForce == told {
 			break
 		}
 		if time.Now().After(until) {
@@ -218,9 +218,9 @@
 			default:
 			}
 			c.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
-				c.node("e0", 1, 0, c.boxes[0], []policy.State{policy.Draining, policy.Ready}[n%2]),
+				c.node("e0", 1, 0, c.boxes[0], []policy.EndpointState{policy.Draining, policy.Ready}[n%2]),
 			}}})
-			for told, inForce := c.Told(); inForce < told; told, inForce = c.Told() { // the next as soon as all cores have taken it
+			for told, inForce := c.Epochs(); inForce < told; told, inForce = c.Epochs() { // the next as soon as all cores have taken it
 				runtime.Gosched()
 			}
 		}
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -75,12 +75,12 @@
 
 // Derive gives the settings that follow from the platform's.
 func Derive(name string, born uint64, s d.Settings) Settings {
-	window := max(s.Edge.Window, 4*s.ConnectTimeout)
+	window := max(s.EdgeSlowStart.OverloadWindow, 4*s.ConnectTimeout)
 	return Settings{
-		Name: name, Zone: s.Zone, Born: born, Roster: [2]int{max(1, s.Instances), max(1, s.Directors)},
+		Name: name, Zone: s.Zone, Born: born, Roster: [2]int{max(1, s.ZoneDirectors), max(1, s.TotalDirectors)},
 		Lease: window / 4, Renew: window / 12, Calm: window / 8, Witnesses: 2, Forget: 400 * window,
 		Probe: s.ConnectTimeout / 2, Answer: s.ConnectTimeout / 4,
-		Suspicion: 3 + bit(s.Directors < manyDirectors),
+		Suspicion: 3 + bit(s.TotalDirectors < manyDirectors),
 		HintAge:   window, HintEvery: window, Hints: 16, Memory: 4096,
 	}
 }
@@ -124,17 +124,17 @@
 
 // Ask asks another to make room; a Grant answers it. Both carry the sum of their sender's view.
 type Ask struct {
-	Number int64 // the asker's own clock: what it gives counts from then
-	Born   uint64
-	Zone   int
-	Sum    uint64
+	Number int64  `json:"Number"` // the asker's own clock: what it gives counts from then
+	Born   uint64 `json:"Born"`
+	Zone   int    `json:"Zone"`
+	Sum    uint64 `json:"Sum"`
 }
 
 // Grant says how many directors the one that was asked counts, the asker among them.
 type Grant struct {
-	Number int64
-	Count  [2]int
-	Sum    uint64
+	Number int64  `json:"Number"`
+	Count  [2]int `json:"Count"`
+	Sum    uint64 `json:"Sum"`
 }
 
 // Board is one director's view of the others. Calls must not overlap.
