--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -82,11 +82,11 @@
 	}
 	for _, weights := range [][]float64{{1, 1, 1, 1, 1}, {1, 2, 4, 0.5, 1}} {
 		s := settings()
-		s.Sized = true
+		s.WeightsAreSizes = true
 		b := newBed(s, 0, 1)
-		var rows []d.Node
+		var rows []d.Endpoint
 		for i, w := range weights {
-			rows = append(rows, d.Node{ID: fmt.Sprint("edge-", i), Zone: 1, Weight: w})
+			rows = append(rows, d.Endpoint{ID: fmt.Sprint("edge-", i), Zone: 1, Weight: w})
 		}
 		b.list(rows...)
 		for i := range 20 {
@@ -135,44 +135,44 @@
 	r := rand.New(rand.NewPCG(seed, 7))
 	trace := fnv.New64a()
 	s := settings()
-	s.Seed, s.SourcesTold, s.Direct, s.Sized, s.Instances, s.Directors = seed, told, direct, seed%2 == 0, 2, 6
-	s.Types = append(s.Types,
-		&d.ContentType{TargetTime: 800 * ms, Stretch: 1, Expiry: 6 * d.Second, Repeat: d.Deduped, Window: d.Second, Benefit: 3, Fresh: 9 * d.Second},
-		&d.ContentType{TargetTime: 300 * ms, Expiry: 2 * d.Second, Repeat: d.NonRetriable, Benefit: 2, PassThrough: true},
-		&d.ContentType{TargetTime: 500 * ms, Expiry: 4 * d.Second, Repeat: d.Deduped, Scope: d.ScopeCell, Window: 2 * d.Second, Benefit: 1})
+	s.Seed, s.ReportsCacheStatus, s.AllowDirect, s.WeightsAreSizes, s.ZoneDirectors, s.TotalDirectors = seed, told, direct, seed%2 == 0, 2, 6
+	s.ContentTypes = append(s.ContentTypes,
+		&d.ContentType{LatencyObjective: 800 * ms, TransferFactor: 1, Timeout: 6 * d.Second, RetrySafety: d.IdempotentWithKey, DedupWindow: d.Second, PriorityWeight: 3, TTL: 9 * d.Second},
+		&d.ContentType{LatencyObjective: 300 * ms, Timeout: 2 * d.Second, RetrySafety: d.NotIdempotent, PriorityWeight: 2, Uncacheable: true},
+		&d.ContentType{LatencyObjective: 500 * ms, Timeout: 4 * d.Second, RetrySafety: d.IdempotentWithKey, DedupScope: d.DedupScopeCell, DedupWindow: 2 * d.Second, PriorityWeight: 1})
 	if seed%3 == 0 {
-		s.LinkKB = 0
+		s.FillLinkKBPerSecond = 0
 	}
 	b := newBed(s, 4, 2)
-	o := Options{Storm: overload.Defaults(), Keys: dedup.Settings{Most: 60, Remember: 3, Abandon: seed%2 == 1}}
+	o := Options{Overload: overload.Defaults(), Dedup: dedup.Settings{Most: 60, Remember: 3, Abandon: seed%2 == 1}}
 	if seed > 2 {
-		o.Storm.Mode = overload.Guards
+		o.Overload.Mode = overload.Guards
 	}
-	b.Use(o)
+	b.SetOptions(o)
 	type flight struct {
-		dl   *d.Download
+		dl   *d.Request
 		pull int
 	}
 	var out []flight
-	var waiting []*d.Download
-	take := func(dl *d.Download, ans d.Answer) {
+	var waiting []*d.Request
+	take := func(dl *d.Request, ans d.Decision) {
 		node, source := "-", "-"
-		if ans.Node != nil {
-			node = ans.Node.ID
+		if ans.Endpoint != nil {
+			node = ans.Endpoint.ID
 		}
 		if ans.Source != nil {
 			source = ans.Source.ID
 		}
-		fmt.Fprintf(trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, ans.Verb, node, source, ans.Keep, ans.Oldest,
-			ans.Join, ans.Held, ans.Renew, ans.TimeOut, ans.Before, ans.Pull, ans.ComeBack, ans.NoUse, b.Wait(b.now, dl))
-		switch ans.Verb {
-		case d.Pull:
-			out = append(out, flight{dl, len(dl.Notes.(*notes).pulls) - 1})
+		fmt.Fprintf(trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, ans.Action, node, source, ans.CacheRank, ans.MaxAge,
+			ans.Coalesce, ans.OnlyIfCached, ans.Revalidate, ans.Timeout, ans.NotAfter, ans.Attempt, ans.RetryAfter, ans.Unprocessable, b.RecheckAfter(b.now, dl))
+		switch ans.Action {
+		case d.Send:
+			out = append(out, flight{dl, len(dl.PolicyState.(*notes).pulls) - 1})
 			pulls++
-		case d.Hold:
+		case d.Queue:
 			waiting = append(waiting, dl)
-		case d.Throttle, d.Abandon:
-			dl.Over = true
+		case d.Reject, d.Fail:
+			dl.Done = true
 		}
 	}
 	for step := range 6000 {
@@ -182,46 +182,46 @@
 		}
 		switch what := r.IntN(100); {
 		case what < 35:
-			kind := s.Types[r.IntN(len(s.Types))]
-			dl := &d.Download{Type: kind, Object: fmt.Sprint("/o/", r.IntN(60)), Part: r.IntN(3), Group: r.IntN(4), Again: r.IntN(8) == 0,
-				Client: uint64(r.IntN(50)), Doubted: r.IntN(20) == 0, Arrived: b.now, Leaves: b.now + kind.Expiry}
+			kind := s.ContentTypes[r.IntN(len(s.ContentTypes))]
+			dl := &d.Request{Type: kind, Object: fmt.Sprint("/o/", r.IntN(60)), Part: r.IntN(3), Group: r.IntN(4), IsRetry: r.IntN(8) == 0,
+				ClientHash: uint64(r.IntN(50)), ClientSuspect: r.IntN(20) == 0, ArrivedAt: b.now, Deadline: b.now + kind.Timeout}
 			if r.IntN(2) == 0 {
 				dl.SizeKB = float64(50 + r.IntN(400))
 			}
-			if kind.Repeat == d.Deduped {
-				dl.Key = fmt.Sprint("key", r.IntN(2000))
+			if kind.RetrySafety == d.IdempotentWithKey {
+				dl.IdempotencyKey = fmt.Sprint("key", r.IntN(2000))
 			}
-			take(dl, b.Where(b.now, dl))
+			take(dl, b.Route(b.now, dl))
 		case what < 80 && len(out) > 0:
 			i := r.IntN(len(out))
 			f := out[i]
 			out = append(out[:i], out[i+1:]...)
-			ending := d.Fulfilled
+			ending := d.Succeeded
 			if r.IntN(4) == 0 {
-				ending = d.Ending(r.IntN(int(d.Recalled) + 1))
+				ending = d.Result(r.IntN(int(d.Withdrawn) + 1))
 			}
-			filling := d.Untold
+			filling := d.Unknown
 			if r.IntN(4) > 0 {
-				filling = d.Filling(r.IntN(int(d.OriginFailed) + 1))
+				filling = d.CacheStatus(r.IntN(int(d.OriginFailed) + 1))
 			}
-			if ending == d.Fulfilled {
+			if ending == d.Succeeded {
 				if filling > d.Stale {
 					filling = d.Filled
 				}
-				f.dl.Over = true
+				f.dl.Done = true
 			}
-			take(f.dl, b.After(b.now, f.dl, d.Outcome{Pull: f.pull, Ending: ending, Filling: filling, Last: f.dl.Over}))
+			take(f.dl, b.AttemptDone(b.now, f.dl, d.Outcome{Attempt: f.pull, Result: ending, CacheStatus: filling, Final: f.dl.Done}))
 		case what < 90 && len(waiting) > 0:
 			dl := waiting[0]
 			waiting = waiting[1:]
-			take(dl, b.Where(b.now, dl))
+			take(dl, b.Route(b.now, dl))
 		case what < 96 && len(out) > 0:
 			f := out[r.IntN(len(out))]
-			if ans := b.Where(b.now, f.dl); ans.Verb == d.Cancel {
+			if ans := b.Route(b.now, f.dl); ans.Action == d.CancelAttempt {
 				take(f.dl, ans)
 			}
 		case what < 97:
-			b.Purged(b.now, []string{"", fmt.Sprint("/o/", r.IntN(60))}[r.IntN(2)], r.IntN(5)-1, b.now-d.Micros(r.IntN(int(d.Second))))
+			b.Purge(b.now, []string{"", fmt.Sprint("/o/", r.IntN(60))}[r.IntN(2)], r.IntN(5)-1, b.now-d.Micros(r.IntN(int(d.Second))))
 		case what < 98:
 			id, kind, zone := fmt.Sprint("e", r.IntN(5)), 0, 1
 			if r.IntN(3) == 0 {
@@ -231,12 +231,12 @@
 			if r.IntN(2) == 0 {
 				started = b.now
 			}
-			b.list(d.Node{ID: id, Kind: kind, Zone: zone, Cell: r.IntN(3), Weight: float64(1 + r.IntN(3)), State: d.State(r.IntN(8) / 6), Started: started})
+			b.list(d.Endpoint{ID: id, Kind: kind, Zone: zone, Cell: r.IntN(3), Weight: float64(1 + r.IntN(3)), State: d.EndpointState(r.IntN(8) / 6), Started: started})
 		case what < 99:
-			b.Connected(b.now)
-			b.Questioned(b.now, fmt.Sprint("e", r.IntN(5)), r.IntN(2) == 0, r.IntN(2) == 0)
+			b.ClientConnected(b.now)
+			b.ProbeDone(b.now, fmt.Sprint("e", r.IntN(5)), r.IntN(2) == 0, r.IntN(2) == 0)
 		default:
-			fmt.Fprintln(trace, step, b.Able(b.now), b.Full(), b.jam, b.missing, b.trouble, b.gate.most, b.deep.most)
+			fmt.Fprintln(trace, step, b.Capacity(b.now), b.WarmCapacity(), b.jam, b.missing, b.trouble, b.gate.most, b.deep.most)
 		}
 	}
 	return pulls, trace.Sum64()
@@ -245,11 +245,11 @@
 // TestGoldenMargins checks the times that sockets call for.
 func TestGoldenMargins(t *testing.T) {
 	s := settings()
-	s.AnswerGrace, s.ConnectTimeout, s.KeepAlive, s.Streams = 30*ms, 400*ms, 30*d.Second, 250
-	s.PurgeWithin, s.DrainWithin = 900*ms, 700*ms
-	m := Margins(s)
-	got := fmt.Sprint(m.Answer, m.Connect, m.Stall, m.Idle, m.Shared, m.Most, m.Confirm, m.Silent, m.Resting, m.Back, m.Flush, m.Linger,
-		m.Stop, m.Block, m.Retry, m.Beat, m.Gap, m.Doubt, m.Late)
+	s.AnswerGrace, s.ConnectTimeout, s.KeepAliveTimeout, s.MaxConcurrentStreams = 30*ms, 400*ms, 30*d.Second, 250
+	s.PurgePropagation, s.DrainPropagation = 900*ms, 700*ms
+	m := Timeouts(s)
+	got := fmt.Sprint(m.AnswerReserve, m.Connect, m.ReadStall, m.Idle, m.PreferredStreams, m.MaxStreams, m.CancelConfirm, m.RequestRead, m.DownstreamIdle, m.DefaultRetryAfter, m.WriteFlush, m.DrainAccept,
+		m.DrainDeadline, m.LongPoll, m.PollRetry, m.Heartbeat, m.StallThreshold, m.SuspectTimeout, m.MaxDecisionAge)
 	if want := "60000 400000 200000 1875000 2 250 100000 2000000 5000000 400000 5000000 800000 3350000 1200000 100000 40000 200000 800000 50000"; got != want {
 		t.Errorf("%q", got)
 	}
@@ -258,11 +258,13 @@
 // TestGoldenView checks the JSON of the state socket.
 func TestGoldenView(t *testing.T) {
 	const want = `{"id":"e0","kind":"edge","state":"ready","warm":0.5,"out":3,"limit":2.5,"skipped":1.25,"trial":true,"heard":0.125}`
-	view := View{ID: "e0", Kind: "edge", State: "ready", Warm: 0.5, Out: 3, Limit: 2.5, Skipped: 1.25, Trial: true, Heard: 0.125}
+	view := EndpointView{
+		ID: "e0", Kind: "edge", State: "ready", SlowStartShare: 0.5, InFlight: 3, Limit: 2.5, EjectedFor: 1.25, HalfOpen: true, LastAnswer: 0.125,
+	}
 	if got, err := json.Marshal(view); err != nil || string(got) != want {
 		t.Errorf("%s, %v", got, err)
 	}
-	var back View
+	var back EndpointView
 	if err := json.Unmarshal([]byte(want), &back); err != nil || back != view {
 		t.Errorf("%+v, %v", back, err)
 	}
@@ -271,9 +273,9 @@
 // TestGoldenNodes checks the words for kinds and states of nodes.
 func TestGoldenNodes(t *testing.T) {
 	b := newBed(settings(), 1, 1)
-	b.list(d.Node{ID: "e1", Zone: 1, State: d.Draining, Started: b.now}, d.Node{ID: "x", Zone: 2})
+	b.list(d.Endpoint{ID: "e1", Zone: 1, State: d.Draining, Started: b.now}, d.Endpoint{ID: "x", Zone: 2})
 	b.now += d.Second
-	got, err := json.Marshal(b.Nodes(b.now))
+	got, err := json.Marshal(b.Endpoints(b.now))
 	if want := `[{"id":"e0","kind":"edge","state":"ready","warm":1,"out":0,"limit":8,"skipped":0,"trial":false,"heard":1},{"id":"e1","kind":"edge","state":"draining","warm":0.28,"out":0,"limit":8,"skipped":0,"trial":false,"heard":1},{"id":"o","kind":"origin","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1},{"id":"p0","kind":"parent","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1},{"id":"x","kind":"other","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1}]`; err != nil || string(got) != want {
 		t.Errorf("%s, %v", got, err)
 	}
