--- a/gossip/golden_test.go
+++ b/gossip/golden_test.go
@@ -27,28 +27,28 @@
 
 // The encoded forms are recorded from a version in service: other versions send and read them during a roll-out.
 func TestGoldenItem(t *testing.T) {
-	checkJSON(t, Item{Object: "o", Group: 1, At: 2, Node: "n", Started: 3, Gone: true, Age: 4},
+	checkJSON(t, Update{Object: "o", Group: 1, PurgedAt: 2, Node: "n", Started: 3, Removed: true, Age: 4},
 		`{"o":"o","g":1,"t":2,"n":"n","s":3,"x":true,"a":4}`)
-	checkJSON(t, Item{}, `{"a":0}`)
-	checkJSON(t, Item{Object: "a", Group: -1, At: 1500000}, `{"o":"a","g":-1,"t":1500000,"a":0}`)
-	checkJSON(t, Item{Node: "box-1", Started: 7, Age: 20}, `{"n":"box-1","s":7,"a":20}`)
+	checkJSON(t, Update{}, `{"a":0}`)
+	checkJSON(t, Update{Object: "a", Group: -1, PurgedAt: 1500000}, `{"o":"a","g":-1,"t":1500000,"a":0}`)
+	checkJSON(t, Update{Node: "box-1", Started: 7, Age: 20}, `{"n":"box-1","s":7,"a":20}`)
 }
 
 // The report goes into the state socket's JSON.
 func TestGoldenReport(t *testing.T) {
-	checkJSON(t, Report{Own: 1, Best: 2, Held: []string{"box-1"}, Heard: 3}, `{"own_age_us":1,"newest_age_us":2,"avoided":["box-1"],"heard":3}`)
+	checkJSON(t, Report{ChannelAge: 1, NewestAge: 2, Avoided: []string{"box-1"}, Received: 3}, `{"own_age_us":1,"newest_age_us":2,"avoided":["box-1"],"heard":3}`)
 	checkJSON(t, Report{}, `{"own_age_us":0,"newest_age_us":0,"avoided":null,"heard":0}`)
 }
 
 // The sum of recent purges is compared with those of other versions.
 func TestGoldenRecent(t *testing.T) {
-	b := New(0, Settings{Kept: 600, Items: 10, Memory: 100})
-	if _, sum := b.Recent(50); sum != 0xcbf29ce484222325 {
+	b := New(0, Settings{Retention: 600, MaxUpdates: 10, MaxEntries: 100})
+	if _, sum := b.RecentPurges(50); sum != 0xcbf29ce484222325 {
 		t.Errorf("the sum of none is %#x", sum)
 	}
-	b.Purged(100, Item{Object: "x", Group: -1, At: 5})
-	b.Purged(110, Item{Group: 3, At: 6})
-	if _, sum := b.Recent(120); sum != 0xdad473e0ab7a47b5 {
+	b.RecordPurge(100, Update{Object: "x", Group: -1, PurgedAt: 5})
+	b.RecordPurge(110, Update{Group: 3, PurgedAt: 6})
+	if _, sum := b.RecentPurges(120); sum != 0xdad473e0ab7a47b5 {
 		t.Errorf("the sum of two is %#x", sum)
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -48,7 +48,7 @@
 	mu      sync.Mutex
 	a       *rollout.Agent
 	settler *rollout.Settler
-	talk    atomic.Pointer[gossipnet.Talk] // none where the inventory has no key for it
+	talk    atomic.Pointer[gossipnet.Driver] // none where the inventory has no key for it
 }
 
 const (
@@ -200,7 +200,7 @@
 	s := membership.Derive(a.me.Name, uint64(time.Now().UnixMicro()), d.Settings{
 		ConnectTimeout: meetTime, ZoneDirectors: len(a.inv.Agents), TotalDirectors: len(a.inv.Agents),
 	})
-	talk, err := gossipnet.Start(o, s, a.now, gossipnet.Ears{})
+	talk, err := gossipnet.Start(o, s, a.now, gossipnet.Handlers{})
 	if err == nil {
 		a.talk.Store(talk)
 	}
--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -19,8 +19,8 @@
 	for _, d := range v.Directors {
 		if p := d.Report.Peers; d.Up && p != nil {
 			talk = append(talk, d)
-			groups[p.Sum] = append(groups[p.Sum], d.Name)
-			parts[p.Sum] = fmt.Sprintf("with %s, part %.2f of the zone's, %.2f of all", p.Standing, p.Zone, p.Fleet)
+			groups[p.Digest] = append(groups[p.Digest], d.Name)
+			parts[p.Digest] = fmt.Sprintf("with %s, part %.2f of the zone's, %.2f of all", p.PartitionState, p.ZoneQuota, p.FleetQuota)
 		}
 	}
 	if len(talk) == 0 {
@@ -44,13 +44,13 @@
 		var missing []string
 		for _, p := range d.Report.Peers.Peers {
 			if p.State != "up" {
-				missing = append(missing, fmt.Sprintf("%s %s for %v", p.Name, p.State, (time.Duration(p.Since)*time.Microsecond).Round(time.Second)))
+				missing = append(missing, fmt.Sprintf("%s %s for %v", p.Name, p.State, (time.Duration(p.StateAge)*time.Microsecond).Round(time.Second)))
 			}
 		}
 		if len(missing) > 0 {
 			lines = append(lines, fmt.Sprintf("%s sees: %s", d.Name, strings.Join(missing, ", ")))
 		}
-		if c := d.Report.Peers.Clash; c != "" {
+		if c := d.Report.Peers.NameConflict; c != "" {
 			lines = append(lines, fmt.Sprintf("%s: another director goes by this name, at %s", d.Name, c))
 		}
 	}
--- a/internal/ctl/views_test.go
+++ b/internal/ctl/views_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestViews(t *testing.T) {
-	director := func(name, sum, standing string, rows ...membership.Row) Director {
-		return Director{Name: name, Up: true, Report: status.Report{Peers: &membership.Report{Sum: sum, Standing: standing, Zone: 1, Fleet: 1.25, Peers: rows}}}
+	director := func(name, sum, standing string, rows ...membership.PeerReport) Director {
+		return Director{Name: name, Up: true, Report: status.Report{Peers: &membership.Report{Digest: sum, PartitionState: standing, ZoneQuota: 1, FleetQuota: 1.25, Peers: rows}}}
 	}
-	gone := membership.Row{Name: "n2", State: "failed", Since: 4_000_000}
+	gone := membership.PeerReport{Name: "n2", State: "failed", StateAge: 4_000_000}
 	cases := []struct {
 		name      string
 		directors []Director
@@ -25,7 +25,11 @@
 		{"one is cut off", []Director{director("n0", "a", "most", gone), director("n1", "a", "most", gone), director("n2", "b", "alone")},
 			[]string{"3 directors have 2 views of who is there:", "one view: n0, n1 (with most", "one view: n2 (with alone",
 				"n0 sees: n2 failed for 4s", "n1 sees: n2 failed for 4s"}},
-		{"a name twice", []Director{func() Director { d := director("n0", "a", "most"); d.Report.Peers.Clash = "127.0.0.9:1"; return d }()},
+		{"a name twice", []Director{func() Director {
+			d := director("n0", "a", "most")
+			d.Report.Peers.NameConflict = "127.0.0.9:1"
+			return d
+		}()},
 			[]string{"one view: n0", "n0: another director goes by this name, at 127.0.0.9:1"}},
 	}
 	follower, hearer := director("n0", "a", "most"), director("n1", "a", "most")
--- a/internal/experiment/peersim.go
+++ b/internal/experiment/peersim.go
@@ -19,7 +19,7 @@
 	n        int
 	r        *rand.Rand
 	now      d.Micros
-	boards   []*membership.Board
+	boards   []*membership.View
 	settings []membership.Settings
 	skew     []float64 // how fast each clock goes
 	offset   []d.Micros
@@ -44,8 +44,8 @@
 type simLetter struct {
 	at       d.Micros
 	from, to int
-	ask      *membership.Ask
-	grant    *membership.Grant
+	ask      *membership.LeaseRequest
+	grant    *membership.LeaseGrant
 	born     uint64 // of whom it is for
 }
 
@@ -70,7 +70,7 @@
 		n: s.Directors, r: rand.New(rand.NewPCG(s.Seed, uint64(s.Number)+77)), now: d.Second, cut: make([]int32, s.Directors*s.Directors),
 		due: make([]bool, s.Directors*s.Directors), said: slices.Repeat([]int8{unsaid}, s.Directors*s.Directors), alive: make([]bool, s.Directors), stopped: make([]bool, s.Directors),
 	}
-	m.boards, m.settings = make([]*membership.Board, m.n), make([]membership.Settings, m.n)
+	m.boards, m.settings = make([]*membership.View, m.n), make([]membership.Settings, m.n)
 	for i := range m.n {
 		m.skew = append(m.skew, 1+(m.r.Float64()-0.5)/64)
 		m.offset = append(m.offset, d.Micros(m.r.IntN(1e9)))
@@ -101,14 +101,14 @@
 			if !m.alive[i] {
 				continue
 			}
-			for _, scope := range []membership.Scope{membership.Zone, membership.Fleet} {
-				part, _ := b.Held(m.clock(i), scope)
-				if out.Raised = out.Raised || part > 1; scope == membership.Zone {
+			for _, scope := range []membership.Scope{membership.ScopeZone, membership.ScopeFleet} {
+				part, _ := b.Quota(m.clock(i), scope)
+				if out.Raised = out.Raised || part > 1; scope == membership.ScopeZone {
 					sum += part / float64(m.n)
 				}
 			}
 		}
-		if out.Peak = max(out.Peak, sum); sum > membership.Room+1e-6 {
+		if out.Peak = max(out.Peak, sum); sum > membership.MaxQuotaFactor+1e-6 {
 			out.Over++
 		}
 		if healed > 0 && m.agreed() {
@@ -140,7 +140,7 @@
 func (m *peerSim) tell(i, j int, s membership.State) {
 	if i != j && m.alive[i] {
 		m.said[m.pair(i, j)] = int8(s)
-		m.boards[i].Seen(m.clock(i), m.settings[j].Name, m.settings[j].Born, 0, s)
+		m.boards[i].UpdatePeer(m.clock(i), m.settings[j].Name, m.settings[j].Incarnation, 0, s)
 	}
 }
 
@@ -267,7 +267,7 @@
 			j, _ := strconv.Atoi(to[1:])
 			ask := asks[to]
 			sent++
-			m.send(simLetter{from: i, to: j, ask: &ask, born: m.settings[j].Born})
+			m.send(simLetter{from: i, to: j, ask: &ask, born: m.settings[j].Incarnation})
 		}
 	}
 	due := m.post
@@ -277,16 +277,16 @@
 			m.post = append(m.post, l) // it lies in the socket of one that is stopped
 			continue
 		}
-		if !m.alive[l.to] || m.settings[l.to].Born != l.born {
+		if !m.alive[l.to] || m.settings[l.to].Incarnation != l.born {
 			continue
 		}
 		if l.ask != nil {
-			if g, ok := m.boards[l.to].Asked(m.clock(l.to), m.settings[l.from].Name, *l.ask); ok {
+			if g, ok := m.boards[l.to].HandleLeaseRequest(m.clock(l.to), m.settings[l.from].Name, *l.ask); ok {
 				sent++
-				m.send(simLetter{from: l.to, to: l.from, grant: &g, born: m.settings[l.from].Born})
+				m.send(simLetter{from: l.to, to: l.from, grant: &g, born: m.settings[l.from].Incarnation})
 			}
 		} else {
-			m.boards[l.to].Granted(m.clock(l.to), m.settings[l.from].Name, *l.grant)
+			m.boards[l.to].HandleLeaseGrant(m.clock(l.to), m.settings[l.from].Name, *l.grant)
 		}
 	}
 	return sent
@@ -306,8 +306,8 @@
 // agreed says whether all see all, and hold what they hold when all are there.
 func (m *peerSim) agreed() bool {
 	for i, b := range m.boards {
-		if part, _ := b.Held(m.clock(i), membership.Zone); part != 1 || b.Sum() != m.boards[0].Sum() || b.Stands() != membership.Most ||
-			b.Count(m.clock(i), membership.Fleet) != m.n {
+		if part, _ := b.Quota(m.clock(i), membership.ScopeZone); part != 1 || b.Digest() != m.boards[0].Digest() || b.PartitionState() != membership.Majority ||
+			b.Count(m.clock(i), membership.ScopeFleet) != m.n {
 			return false
 		}
 	}
--- a/internal/experiment/together.go
+++ b/internal/experiment/together.go
@@ -45,10 +45,10 @@
 	run := &PeersRun{Instances: g.Directors, Faults: fmt.Sprintf("%dx%d die", g.Times, g.Dying), Schedules: 1}
 	begun := time.Now()
 	now := func() policy.Micros { return policy.Second + policy.Micros(time.Since(begun)/time.Microsecond) }
-	live := map[int]*gossipnet.Talk{}
+	live := map[int]*gossipnet.Driver{}
 	defer func() {
 		for _, t := range live {
-			t.Die()
+			t.Shutdown()
 		}
 	}()
 	var seeds []string
@@ -60,7 +60,7 @@
 		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: g.Directors, TotalDirectors: g.Directors,
 			ConnectTimeout: 400_000 * slow, EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second * slow}})
 		t, err := gossipnet.Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "lab", KeyBytes: bytes.Repeat([]byte{7}, 32)}, s, now,
-			gossipnet.Ears{})
+			gossipnet.Handlers{})
 		if err != nil {
 			return nil, err
 		}
@@ -93,9 +93,9 @@
 }
 
 // die has some die at once, by turns over the fleet, and gives how long it took until all knew of each, and had one view, in ms.
-func (g Together) die(ctx context.Context, live map[int]*gossipnet.Talk, first int) (took []float64, view float64, ok bool) {
+func (g Together) die(ctx context.Context, live map[int]*gossipnet.Driver, first int) (took []float64, view float64, ok bool) {
 	waits := map[int]map[int]bool{} // for whom, who
-	var dying []*gossipnet.Talk
+	var dying []*gossipnet.Driver
 	for k := range g.Dying {
 		i := (first + k) * 7 % g.Directors // numbers are not in order of their seeds
 		for ; live[i] == nil; i = (i + 1) % g.Directors {
@@ -110,7 +110,7 @@
 	}
 	begun := time.Now()
 	for _, t := range dying {
-		t.Die()
+		t.Shutdown()
 	}
 	for len(waits) > 0 && time.Since(begun) < g.bound() && ctx.Err() == nil {
 		for i, who := range waits {
@@ -131,11 +131,11 @@
 }
 
 // oneView waits until all see the same ones.
-func oneView(ctx context.Context, live map[int]*gossipnet.Talk, bound time.Duration) bool {
+func oneView(ctx context.Context, live map[int]*gossipnet.Driver, bound time.Duration) bool {
 	for until := time.Now().Add(bound); time.Now().Before(until) && ctx.Err() == nil; fakes.Sleep(ctx, 50*time.Millisecond) {
 		ok, sum := true, ""
 		for _, t := range live {
-			s, count := t.View()
+			s, count := t.ViewDigest()
 			if ok = ok && count == len(live) && (sum == "" || s == sum); !ok {
 				break
 			}
--- a/internal/faulttest/outcome.go
+++ b/internal/faulttest/outcome.go
@@ -152,7 +152,7 @@
 		o.Lists += bit(e.Event == "list")
 	}
 	for scope, name := range []string{"zone", "fleet"} {
-		peak, over := Parts(entries, s.Directors, name, membership.Room)
+		peak, over := Parts(entries, s.Directors, name, membership.MaxQuotaFactor)
 		o.PartsPeak[scope] = math.Round(peak*1000) / 1000
 		o.PartsOver += over
 	}
--- a/internal/faulttest/rig.go
+++ b/internal/faulttest/rig.go
@@ -229,10 +229,10 @@
 		for _, o := range report.Peers.Peers {
 			up += bit(o.State == "up")
 		}
-		if up != len(there) || sum != "" && sum != report.Peers.Sum {
+		if up != len(there) || sum != "" && sum != report.Peers.Digest {
 			return false
 		}
-		sum = report.Peers.Sum
+		sum = report.Peers.Digest
 	}
 	return true
 }
@@ -415,7 +415,7 @@
 				trouble("off")
 			}
 	case Liar:
-		var liar *gossipnet.Talk
+		var liar *gossipnet.Driver
 		return func() { liar = r.lie(ctx, span) }, func() {
 			if liar != nil {
 				liar.Leave()
@@ -481,7 +481,7 @@
 	case Replace:
 		return func() { r.replace(ctx, span) }, nil
 	case Rubbish:
-		var talk *gossipnet.Talk
+		var talk *gossipnet.Driver
 		return func() { talk = r.rubbish(ctx, span) }, func() {
 			if talk != nil {
 				talk.Leave()
@@ -601,7 +601,7 @@
 
 // rubbish joins the directors under a name that is the first to be heard. It tells of a list that was never the channel's, in which all
 // caches are elsewhere, whoever asks and who does not, and of words that can't be.
-func (r *Rig) rubbish(ctx context.Context, span time.Duration) *gossipnet.Talk {
+func (r *Rig) rubbish(ctx context.Context, span time.Duration) *gossipnet.Driver {
 	name := ""
 	for i, first := 0, true; first || name == ""; i++ {
 		name, first = fmt.Sprint("liar-", i), false
@@ -609,7 +609,7 @@
 			first = first || backoff.Seed(0, p.Name) < backoff.Seed(0, name)
 		}
 	}
-	var talk atomic.Pointer[gossipnet.Talk]
+	var talk atomic.Pointer[gossipnet.Driver]
 	rows := []relays.Row{}
 	for i := range r.Boxes {
 		rows = append(rows, relays.Row{ID: fmt.Sprint("box-", i), Addr: "127.0.0.1:9", Zone: 1, Weight: 1})
@@ -618,31 +618,31 @@
 		switch t := talk.Load(); {
 		case t == nil:
 		case m.Ask != nil:
-			t.Say(from, relays.Message{Answer: &relays.Answer{Number: m.Ask.Number, Sum: relays.Sum(rows)}})
-			t.Say(from, relays.Message{Answer: &relays.Answer{Number: -5, Age: -7, Sum: "\x00"}})
-			t.Say(from, relays.Message{List: rows})
-			t.Say(from, relays.Message{Want: "?"})
-			t.Repeat(from, []gossip.Item{{Node: "box-0", Age: -1}, {Node: "\x00", Object: "x", At: 1}, {Group: -9, At: 1}, {}})
+			t.SendRelay(from, relays.Message{Answer: &relays.Answer{Number: m.Ask.Number, Sum: relays.Sum(rows)}})
+			t.SendRelay(from, relays.Message{Answer: &relays.Answer{Number: -5, Age: -7, Sum: "\x00"}})
+			t.SendRelay(from, relays.Message{List: rows})
+			t.SendRelay(from, relays.Message{Want: "?"})
+			t.SendUpdates(from, []gossip.Update{{Node: "box-0", Age: -1}, {Node: "\x00", Object: "x", PurgedAt: 1}, {Group: -9, PurgedAt: 1}, {}})
 		case m.Want != "":
-			t.Say(from, relays.Message{List: rows})
+			t.SendRelay(from, relays.Message{List: rows})
 		}
 	}
-	t := r.join(name, gossipnet.Ears{Follow: hear, Question: func(membership.Hint) {}, Heard: func(string) policy.Micros { return 0 }}, func(*membership.Settings) {})
+	t := r.join(name, gossipnet.Handlers{Relay: hear, ProbeNode: func(membership.Hint) {}, LastAnswer: func(string) policy.Micros { return 0 }}, func(*membership.Settings) {})
 	talk.Store(t)
 	return t
 }
 
 // lie joins the directors as one of them, and tells of all caches all the time that they are dead, cold and full.
-func (r *Rig) lie(ctx context.Context, span time.Duration) *gossipnet.Talk {
+func (r *Rig) lie(ctx context.Context, span time.Duration) *gossipnet.Driver {
 	begun := time.Now()
-	talk := r.join("liar", gossipnet.Ears{}, func(s *membership.Settings) { s.Hints, s.HintEvery = 1<<20, 1 }) // it keeps to no bounds
+	talk := r.join("liar", gossipnet.Handlers{}, func(s *membership.Settings) { s.HintsPerInterval, s.HintInterval = 1<<20, 1 }) // it keeps to no bounds
 	if talk == nil {
 		return nil
 	}
 	r.crowd.Go(func() {
 		for round := 0; time.Now().Before(begun.Add(span)) && ctx.Err() == nil && r.ctx.Err() == nil; round++ {
 			for i := range r.Boxes {
-				talk.Tell(membership.Hint{Node: fmt.Sprint("box-", i), What: []membership.What{membership.Gone, membership.Warms, membership.Full}[round%3]})
+				talk.BroadcastHint(membership.Hint{Node: fmt.Sprint("box-", i), Condition: []membership.Condition{membership.Unreachable, membership.Restarted, membership.Overloaded}[round%3]})
 			}
 			fakes.Sleep(ctx, 100*time.Millisecond)
 		}
@@ -651,7 +651,7 @@
 }
 
 // join has one in this process join the directors under a name; nil where it can't.
-func (r *Rig) join(name string, ears gossipnet.Ears, change func(*membership.Settings)) *gossipnet.Talk {
+func (r *Rig) join(name string, ears gossipnet.Handlers, change func(*membership.Settings)) *gossipnet.Driver {
 	listen, err := FreeAddress()
 	if err != nil {
 		return nil
--- a/internal/gossipnet/golden_test.go
+++ b/internal/gossipnet/golden_test.go
@@ -32,39 +32,41 @@
 
 // The encoded forms are recorded from a version in service: other versions send and read them during a roll-out.
 func TestGoldenMessages(t *testing.T) {
-	words := []gossip.Item{{Object: "o", Group: 1, At: 2, Age: 3}, {Node: "box-1", Started: 4, Gone: true, Age: 5}}
+	words := []gossip.Update{{Object: "o", Group: 1, PurgedAt: 2, Age: 3}, {Node: "box-1", Started: 4, Removed: true, Age: 5}}
 	checkJSON(t, message{From: "n0"}, `{"f":"n0"}`)
-	checkJSON(t, message{From: "n0", Ask: &membership.Ask{Number: 1, Born: 2, Zone: 3, Sum: 4}},
+	checkJSON(t, message{From: "n0", LeaseRequest: &membership.LeaseRequest{RequestedAt: 1, Incarnation: 2, Zone: 3, Digest: 4}},
 		`{"f":"n0","a":{"Number":1,"Born":2,"Zone":3,"Sum":4}}`)
-	checkJSON(t, message{From: "n0", Grant: &membership.Grant{Number: 1, Count: [2]int{2, 3}, Sum: 4}},
+	checkJSON(t, message{From: "n0", LeaseGrant: &membership.LeaseGrant{RequestedAt: 1, Counts: [2]int{2, 3}, Digest: 4}},
 		`{"f":"n0","g":{"Number":1,"Count":[2,3],"Sum":4}}`)
-	checkJSON(t, message{From: "n0", Hint: &membership.Hint{Node: "box-1", What: membership.Gone, Age: 6}},
+	checkJSON(t, message{From: "n0", Hint: &membership.Hint{Node: "box-1", Condition: membership.Unreachable, Age: 6}},
 		`{"f":"n0","h":{"Node":"box-1","What":"gone","Age":6}}`)
-	checkJSON(t, message{From: "n0", Words: words},
+	checkJSON(t, message{From: "n0", Updates: words},
 		`{"f":"n0","w":[{"o":"o","g":1,"t":2,"a":3},{"n":"box-1","s":4,"x":true,"a":5}]}`)
-	checkJSON(t, message{From: "n0", Follow: &relays.Message{Ask: &relays.Ask{Number: 1, Words: 2}}},
+	checkJSON(t, message{From: "n0", Relay: &relays.Message{Ask: &relays.Ask{Number: 1, Words: 2}}},
 		`{"f":"n0","o":{"q":{"n":1,"w":2}}}`)
-	checkJSON(t, message{From: "n0", Follow: &relays.Message{Answer: &relays.Answer{Number: 1, Age: 2, Sum: "ab"}, Want: "cd"}},
+	checkJSON(t, message{From: "n0", Relay: &relays.Message{Answer: &relays.Answer{Number: 1, Age: 2, Sum: "ab"}, Want: "cd"}},
 		`{"f":"n0","o":{"a":{"n":1,"a":2,"s":"ab"},"w":"cd"}}`)
-	checkJSON(t, message{From: "n0", Follow: &relays.Message{List: []relays.Row{
+	checkJSON(t, message{From: "n0", Relay: &relays.Message{List: []relays.Row{
 		{ID: "box-1", Addr: "127.0.0.1:1", Zone: 2, Kind: 1, Cell: 3, Weight: 1.5, Started: 4, State: policy.Draining}}}},
 		`{"f":"n0","o":{"l":[{"i":"box-1","a":"127.0.0.1:1","z":2,"k":1,"c":3,"w":1.5,"s":4,"x":1}]}}`)
-	checkJSON(t, message{From: "n0", Query: 7}, `{"f":"n0","q":7}`)
-	checkJSON(t, message{From: "n0", Reply: &reply{7, Meeting{"n1", 8, words, []membership.Hint{{Node: "box-2", What: membership.Full}}}}},
+	checkJSON(t, message{From: "n0", SnapshotRequest: 7}, `{"f":"n0","q":7}`)
+	checkJSON(t, message{From: "n0", SnapshotReply: &snapshotReply{7, Snapshot{"n1", 8, words, []membership.Hint{{Node: "box-2", Condition: membership.Overloaded}}}}},
 		`{"f":"n0","r":{"q":7,"f":"n1","a":8,"w":[{"o":"o","g":1,"t":2,"a":3},{"n":"box-1","s":4,"x":true,"a":5}],"b":[{"Node":"box-2","What":"full","Age":0}]}}`)
 }
 
 // The metadata of a node, the state that goes along with a push/pull exchange, and the payload of an answer to a probe.
 func TestGoldenStates(t *testing.T) {
-	checkJSON(t, meta{Born: 18446744073709551615, Zone: 2, Leave: true}, `{"b":18446744073709551615,"z":2,"l":true}`)
-	checkJSON(t, meta{Born: 1}, `{"b":1,"z":0}`)
-	checkJSON(t, Meeting{From: "n0", Age: 1, Words: []gossip.Item{{Group: 2, At: 3, Age: 4}}, Beliefs: []membership.Hint{{Node: "box-1", What: membership.Back, Age: 5}}},
+	checkJSON(t, nodeMeta{Incarnation: 18446744073709551615, Zone: 2, Leaving: true}, `{"b":18446744073709551615,"z":2,"l":true}`)
+	checkJSON(t, nodeMeta{Incarnation: 1}, `{"b":1,"z":0}`)
+	checkJSON(t, Snapshot{From: "n0", ChannelAge: 1, Updates: []gossip.Update{{Group: 2, PurgedAt: 3, Age: 4}}, UnhealthyNodes: []membership.Hint{{Node: "box-1", Condition: membership.Recovered, Age: 5}}},
 		`{"f":"n0","a":1,"w":[{"g":2,"t":3,"a":4}],"b":[{"Node":"box-1","What":"back","Age":5}]}`)
-	checkJSON(t, Meeting{}, `{"f":"","a":0,"w":null}`)
+	checkJSON(t, Snapshot{}, `{"f":"","a":0,"w":null}`)
 
-	s := membership.Settings{Name: "n0", Zone: 2, Born: 7, Memory: 9}
-	talk := &Talk{s: s, now: func() policy.Micros { return 1 }, board: membership.New(0, s),
-		ears: Ears{InForce: func() (Meeting, bool) { return Meeting{Age: 5, Words: []gossip.Item{{Group: 2, At: 3}}}, false }}}
+	s := membership.Settings{Name: "n0", Zone: 2, Incarnation: 7, MaxEntries: 9}
+	talk := &Driver{s: s, now: func() policy.Micros { return 1 }, board: membership.New(0, s),
+		ears: Handlers{Snapshot: func() (Snapshot, bool) {
+			return Snapshot{ChannelAge: 5, Updates: []gossip.Update{{Group: 2, PurgedAt: 3}}}, false
+		}}}
 	for _, c := range []struct{ what, got, want string }{
 		{"metadata", string(talk.NodeMeta(512)), `{"b":7,"z":2}`},
 		{"state of one that joins", string(talk.LocalState(true)), `{"f":"n0","a":5,"w":[{"g":2,"t":3,"a":0}]}`},
@@ -79,7 +81,7 @@
 	if got := string(talk.NodeMeta(512)); got != `{"b":7,"z":2,"l":true}` {
 		t.Errorf("the metadata of one that leaves is %s", got)
 	}
-	talk.ears.Age = func() policy.Micros { return 300 }
+	talk.ears.ChannelAge = func() policy.Micros { return 300 }
 	if got := string(talk.AckPayload()); got != "56266a736aea3e1e 12c" {
 		t.Errorf("a payload with the age of the channel's word is %q", got)
 	}
--- a/internal/gossipnet/peering.go
+++ b/internal/gossipnet/peering.go
@@ -30,27 +30,27 @@
 
 // message is what one director says to another; one of the seven is there.
 type message struct {
-	From   string            `json:"f"`
-	Ask    *membership.Ask   `json:"a,omitempty"`
-	Grant  *membership.Grant `json:"g,omitempty"`
-	Hint   *membership.Hint  `json:"h,omitempty"`
-	Words  []gossip.Item     `json:"w,omitempty"`
-	Follow *relays.Message   `json:"o,omitempty"`
-	Query  policy.Micros     `json:"q,omitempty"` // what is in force? The asker's time, which the answer gives back
-	Reply  *reply            `json:"r,omitempty"`
+	From            string                   `json:"f"`
+	LeaseRequest    *membership.LeaseRequest `json:"a,omitempty"`
+	LeaseGrant      *membership.LeaseGrant   `json:"g,omitempty"`
+	Hint            *membership.Hint         `json:"h,omitempty"`
+	Updates         []gossip.Update          `json:"w,omitempty"`
+	Relay           *relays.Message          `json:"o,omitempty"`
+	SnapshotRequest policy.Micros            `json:"q,omitempty"` // what is in force? The asker's time, which the answer gives back
+	SnapshotReply   *snapshotReply           `json:"r,omitempty"`
 }
 
-// reply tells what was in force after a query had been put.
-type reply struct {
-	Query policy.Micros `json:"q"`
-	Meeting
+// snapshotReply tells what was in force after a query had been put.
+type snapshotReply struct {
+	RequestedAt policy.Micros `json:"q"`
+	Snapshot
 }
 
-// meta is what each tells of itself.
-type meta struct {
-	Born  uint64 `json:"b"`
-	Zone  int    `json:"z"`
-	Leave bool   `json:"l,omitempty"` // it sends nothing any more, and is about to go
+// nodeMeta is what each tells of itself.
+type nodeMeta struct {
+	Incarnation uint64 `json:"b"`
+	Zone        int    `json:"z"`
+	Leaving     bool   `json:"l,omitempty"` // it sends nothing any more, and is about to go
 }
 
 // part is one that may be used until a time.
@@ -59,15 +59,15 @@
 	until policy.Micros
 }
 
-// Talk is a director among the others. Parts and Report may be used from any goroutine.
-type Talk struct {
+// Driver is a director among the others. Parts and Report may be used from any goroutine.
+type Driver struct {
 	s     membership.Settings
 	now   func() policy.Micros
 	seeds []string
-	ears  Ears
+	ears  Handlers
 
 	mu     sync.Mutex // never held while memberlist is called
-	board  *membership.Board
+	board  *membership.View
 	clash  time.Time
 	doubts map[string]policy.Micros // others that did not answer this director's probe, until they do or must have said that they are well; bounded by the members
 	leaves bool
@@ -93,18 +93,18 @@
 	ended  sync.WaitGroup
 }
 
-// Ears are who hears what others say, and tells what they ask for. None may wait; any may be nil, but
+// Handlers are who hears what others say, and tells what they ask for. None may wait; any may be nil, but
 // Question goes with Heard, and InForce with Age.
-type Ears struct {
-	Question func(membership.Hint)                                  // a hint is worth a question to its node
-	Heard    func(node string) policy.Micros                        // when a node last answered here
-	Word     func(from string, i gossip.Item)                       // what the channel told another
-	InForce  func() (m Meeting, vouches bool)                       // what one that has just come should hear, and whether it can go by that
-	Met      func(from string, m Meeting)                           // one told what was in force at some time: it may have lain in a socket since
-	Doubts   func() bool                                            // whether one is wanted who tells what is in force
-	Told     func(from string, asked policy.Micros, m Meeting) bool // one did, after it was asked at a time; true where that will do
-	Age      func() policy.Micros                                   // how old the newest word of the own channel is
-	Follow   func(from string, m relays.Message)                    // who follows the channel, and what those tell
+type Handlers struct {
+	ProbeNode     func(membership.Hint)                                   // a hint is worth a question to its node
+	LastAnswer    func(node string) policy.Micros                         // when a node last answered here
+	Update        func(from string, i gossip.Update)                      // what the channel told another
+	Snapshot      func() (m Snapshot, vouches bool)                       // what one that has just come should hear, and whether it can go by that
+	MergeSnapshot func(from string, m Snapshot)                           // one told what was in force at some time: it may have lain in a socket since
+	NeedsSnapshot func() bool                                             // whether one is wanted who tells what is in force
+	SnapshotReply func(from string, asked policy.Micros, m Snapshot) bool // one did, after it was asked at a time; true where that will do
+	ChannelAge    func() policy.Micros                                    // how old the newest word of the own channel is
+	Relay         func(from string, m relays.Message)                     // who follows the channel, and what those tell
 }
 
 // aged is how old another's newest word of the channel was, when it said so.
@@ -126,8 +126,8 @@
 )
 
 // Start opens the sockets and begins to look for others; that nobody is there yet is no error.
-func Start(o config.Peers, s membership.Settings, now func() policy.Micros, ears Ears) (*Talk, error) {
-	t := &Talk{
+func Start(o config.Peers, s membership.Settings, now func() policy.Micros, ears Handlers) (*Driver, error) {
+	t := &Driver{
 		s: s, now: now, seeds: o.Seeds, board: membership.New(now(), s), shown: map[string]string{}, known: map[string]string{}, doubts: map[string]policy.Micros{}, there: map[string]memberlist.Node{},
 		outbox: make(chan envelope, outbox), large: make(chan struct{}, larges),
 		done: make(chan struct{}), ears: ears, noise: &noise{}, ages: map[string]aged{},
@@ -154,11 +154,11 @@
 			return nil, fmt.Errorf("peers.advertise: %w", err)
 		}
 	}
-	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval = span(s.Probe), span(s.Answer), span(s.Answer)
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult, c.AwarenessMaxMultiplier = s.Suspicion, suspicionMost, 2
-	c.PushPullInterval, c.TCPTimeout, c.GossipToTheDeadTime = 60*span(s.Probe), 4*span(s.Probe), 60*span(s.Probe)
-	c.DeadNodeReclaimTime = span(s.Probe) // a restart may come from another address
-	c.EnableCompression = false           // messages are short, and each would cost a compressor of 100 kB
+	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval = span(s.ProbeInterval), span(s.ProbeTimeout), span(s.ProbeTimeout)
+	c.SuspicionMult, c.SuspicionMaxTimeoutMult, c.AwarenessMaxMultiplier = s.SuspicionMultiplier, suspicionMost, 2
+	c.PushPullInterval, c.TCPTimeout, c.GossipToTheDeadTime = 60*span(s.ProbeInterval), 4*span(s.ProbeInterval), 60*span(s.ProbeInterval)
+	c.DeadNodeReclaimTime = span(s.ProbeInterval) // a restart may come from another address
+	c.EnableCompression = false                   // messages are short, and each would cost a compressor of 100 kB
 	c.DNSConfigPath, c.UDPBufferSize = "", readBuffer
 	c.Delegate, c.Events, c.Conflict, c.Ping = t, t, t, t
 	t.hints = memberlist.TransmitLimitedQueue{NumNodes: func() int { return max(1, int(t.count.Load())) }, RetransmitMult: c.RetransmitMult}
@@ -174,7 +174,7 @@
 	t.ended.Go(t.send)
 	t.ended.Go(t.join)
 	slog.Info("peers", "listen", o.Listen, "advertise", net.JoinHostPort(c.AdvertiseAddr, strconv.Itoa(c.AdvertisePort)),
-		"seeds", len(o.Seeds), "born", s.Born)
+		"seeds", len(o.Seeds), "born", s.Incarnation)
 	return t, nil
 }
 
@@ -189,8 +189,8 @@
 
 func span(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// Part is what may be used of a scope's limits at a moment, over the fixed part.
-func (t *Talk) Part(now policy.Micros, scope membership.Scope) float64 {
+// Quota is what may be used of a scope's limits at a moment, over the fixed part.
+func (t *Driver) Quota(now policy.Micros, scope membership.Scope) float64 {
 	if t == nil {
 		return 1
 	}
@@ -201,7 +201,7 @@
 }
 
 // Report tells what is believed.
-func (t *Talk) Report() *membership.Report {
+func (t *Driver) Report() *membership.Report {
 	if t == nil {
 		return nil
 	}
@@ -211,29 +211,29 @@
 	return &r
 }
 
-// Die ends it without a word, as a death does.
-func (t *Talk) Die() {
+// Shutdown ends it without a word, as a death does.
+func (t *Driver) Shutdown() {
 	close(t.done)
 	t.ended.Wait()
 	t.list.Shutdown()
 }
 
 // State is what is believed of another; false where it is not known.
-func (t *Talk) State(name string) (membership.State, bool) {
+func (t *Driver) State(name string) (membership.State, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.board.State(name)
 }
 
-// View is the sum of what is believed, and of how many that are there, this one among them.
-func (t *Talk) View() (sum string, count int) {
+// ViewDigest is the sum of what is believed, and of how many that are there, this one among them.
+func (t *Driver) ViewDigest() (sum string, count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return strconv.FormatUint(t.board.Sum(), 16), t.board.There()
+	return strconv.FormatUint(t.board.Digest(), 16), t.board.NumMembers()
 }
 
 // Leave tells the others, and ends it.
-func (t *Talk) Leave() {
+func (t *Driver) Leave() {
 	if t == nil {
 		return
 	}
@@ -249,7 +249,7 @@
 
 // with makes a call of the board, and says afterwards what has changed. Messages go out on the side: many calls come from within
 // memberlist, which must not be called back.
-func (t *Talk) with(call func(now policy.Micros, b *membership.Board) map[string]message) {
+func (t *Driver) with(call func(now policy.Micros, b *membership.View) map[string]message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -262,11 +262,11 @@
 
 // publish puts the parts in force that hold now. What falls is taken back before it is told, what rises is told before it is
 // given, so that a log never shows less than was used.
-func (t *Talk) publish(now policy.Micros) {
+func (t *Driver) publish(now policy.Micros) {
 	var held [2]part
 	changed, raised := false, false // a renewal is a change, and no other part
 	for scope := range held {
-		value, until := t.board.Held(now, membership.Scope(scope))
+		value, until := t.board.Quota(now, membership.Scope(scope))
 		held[scope] = part{value, until}
 		was := t.parts[scope].Load()
 		changed = changed || value != was.value || until != was.until
@@ -298,8 +298,8 @@
 }
 
 // tick renews leases, looks who is suspected, and asks what is in force where that is in doubt.
-func (t *Talk) tick() {
-	tick := time.NewTicker(span(t.s.Renew) / 4)
+func (t *Driver) tick() {
+	tick := time.NewTicker(span(t.s.RenewInterval) / 4)
 	defer tick.Stop()
 	for {
 		select {
@@ -307,7 +307,7 @@
 			return
 		case <-tick.C:
 		}
-		t.with(func(now policy.Micros, b *membership.Board) map[string]message {
+		t.with(func(now policy.Micros, b *membership.View) map[string]message {
 			for name, n := range t.there { // the others are many, and few of them are news
 				s := membership.Up
 				if until, doubted := t.doubts[name]; doubted && now < until {
@@ -319,12 +319,12 @@
 			}
 			if !t.clash.IsZero() && time.Since(t.clash) > quiet {
 				t.clash = time.Time{}
-				b.Clash("")
+				b.SetNameConflict("")
 				slog.Info("peer_name_free", "name", t.s.Name)
 			}
 			out := map[string]message{}
 			for to, ask := range b.Tick(now) {
-				out[to] = message{Ask: &ask}
+				out[to] = message{LeaseRequest: &ask}
 			}
 			return out
 		})
@@ -338,8 +338,8 @@
 
 // query asks some others what is in force, others each time, while this director doubts what it knows. What one says of itself as they
 // meet tells only what was so when it said it: a connection may hold that back for as long as the two are cut off from each other.
-func (t *Talk) query() {
-	if t.ears.Doubts == nil || !t.ears.Doubts() {
+func (t *Driver) query() {
+	if t.ears.NeedsSnapshot == nil || !t.ears.NeedsSnapshot() {
 		return
 	}
 	t.mu.Lock()
@@ -352,58 +352,58 @@
 	}
 }
 
-func (t *Talk) ask(name string) {
-	t.put(envelope{to: name, m: message{From: t.s.Name, Query: t.now()}})
+func (t *Driver) ask(name string) {
+	t.put(envelope{to: name, m: message{From: t.s.Name, SnapshotRequest: t.now()}})
 }
 
 // suspect takes memberlist's word that one did not answer: it has no other way to say so than its log.
-func (t *Talk) suspect(name string) {
+func (t *Driver) suspect(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.board.Knows(name) && len(t.doubts) < t.s.Memory {
+	if t.board.Knows(name) && len(t.doubts) < t.s.MaxEntries {
 		t.doubts[name] = t.now() + t.suspicion()
 	}
 }
 
 // suspicion is how long memberlist lets a suspect refute at the most. One that has not failed by then has: it is not told of that, and the
 // next probe of this director may be as many probes away as there are members.
-func (t *Talk) suspicion() policy.Micros {
+func (t *Driver) suspicion() policy.Micros {
 	nodes := math.Max(1, math.Log10(float64(max(1, t.count.Load()))))
-	return t.s.Probe + policy.Micros(float64(t.s.Probe)*float64(t.s.Suspicion)*nodes*suspicionMost)
+	return t.s.ProbeInterval + policy.Micros(float64(t.s.ProbeInterval)*float64(t.s.SuspicionMultiplier)*nodes*suspicionMost)
 }
 
 // seen takes what memberlist says of a director, and logs what is new. The caller holds the lock.
-func (t *Talk) seen(now policy.Micros, n *memberlist.Node, s membership.State) {
-	var m meta
+func (t *Driver) seen(now policy.Micros, n *memberlist.Node, s membership.State) {
+	var m nodeMeta
 	if json.Unmarshal(n.Meta, &m) != nil || n.Name == t.s.Name {
 		return
 	}
 	if s >= membership.Failed {
 		delete(t.doubts, n.Name)
 	}
-	if m.Leave {
+	if m.Leaving {
 		s = membership.Left
 	}
-	t.board.Seen(now, n.Name, m.Born, m.Zone, s)
+	t.board.UpdatePeer(now, n.Name, m.Incarnation, m.Zone, s)
 	if t.known[n.Name] = n.Address(); s == membership.Left {
 		delete(t.known, n.Name)
 	}
-	t.count.Store(int64(t.board.Count(now, membership.Fleet)))
-	if text := fmt.Sprint(m.Born, s); t.shown[n.Name] != text && (s != membership.Suspected || t.shown[n.Name] != "") {
-		if t.shown[n.Name] = text; len(t.shown) > 2*t.s.Memory {
+	t.count.Store(int64(t.board.Count(now, membership.ScopeFleet)))
+	if text := fmt.Sprint(m.Incarnation, s); t.shown[n.Name] != text && (s != membership.Suspected || t.shown[n.Name] != "") {
+		if t.shown[n.Name] = text; len(t.shown) > 2*t.s.MaxEntries {
 			clear(t.shown)
 		}
-		slog.Info("peer", "name", n.Name, "born", m.Born, "state", s.String())
+		slog.Info("peer", "name", n.Name, "born", m.Incarnation, "state", s.String())
 	}
-	if sum := fmt.Sprintf("%016x %s", t.board.Sum(), t.board.Stands()); sum != t.last {
+	if sum := fmt.Sprintf("%016x %s", t.board.Digest(), t.board.PartitionState()); sum != t.last {
 		t.last = sum
-		slog.Info("view", "sum", strings.Fields(sum)[0], "standing", t.board.Stands().String(), "zone_count", t.board.Count(now, membership.Zone),
-			"fleet_count", t.board.Count(now, membership.Fleet))
+		slog.Info("view", "sum", strings.Fields(sum)[0], "standing", t.board.PartitionState().String(), "zone_count", t.board.Count(now, membership.ScopeZone),
+			"fleet_count", t.board.Count(now, membership.ScopeFleet))
 	}
 }
 
 // send sends what waits.
-func (t *Talk) send() {
+func (t *Driver) send() {
 	for {
 		select {
 		case <-t.done:
@@ -442,8 +442,8 @@
 
 // meet has one that starts meet others, some at a time, until one tells what is in force. One that starts itself knows no more, and
 // one that can't be reached would have it wait for as long as it may: so it is never one after the other.
-func (t *Talk) meet() {
-	if t.ears.Met == nil {
+func (t *Driver) meet() {
+	if t.ears.MergeSnapshot == nil {
 		return
 	}
 	var asked []string
@@ -460,7 +460,7 @@
 			select {
 			case <-t.done:
 				return
-			case <-time.After(span(t.s.Probe) / 16):
+			case <-time.After(span(t.s.ProbeInterval) / 16):
 			}
 			if t.met.Load() {
 				return
@@ -470,7 +470,7 @@
 }
 
 // strangers are the next to be met: seeds, each director beginning elsewhere among them, then who has come to be known.
-func (t *Talk) strangers(asked []string) (to []string) {
+func (t *Driver) strangers(asked []string) (to []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := slices.Clone(t.seeds)
@@ -491,16 +491,16 @@
 }
 
 // join looks for those that are not there: the seeds, and others that were there before. memberlist itself gives up on both.
-func (t *Talk) join() {
+func (t *Driver) join() {
 	t.meet()
-	wait := span(t.s.Probe)
+	wait := span(t.s.ProbeInterval)
 	for {
 		if to := t.lost(); to != "" {
 			if _, err := t.list.Join([]string{to}); err != nil {
 				slog.Debug("peer_join", "address", to, "err", err)
-				wait = min(2*wait, 16*span(t.s.Probe))
+				wait = min(2*wait, 16*span(t.s.ProbeInterval))
 			} else {
-				wait = 4 * span(t.s.Probe)
+				wait = 4 * span(t.s.ProbeInterval)
 			}
 		}
 		select {
@@ -514,7 +514,7 @@
 // lost is the next address to try: of one that is missing, or of one that sees others than this director does, and has for a
 // while, whose whole list makes the two alike. Empty where there is none. So what gossip has missed is mended at once, while
 // whole lists go round seldom otherwise.
-func (t *Talk) lost() string {
+func (t *Driver) lost() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	there := map[string]bool{t.self: true}
@@ -534,7 +534,7 @@
 			missing = append(missing, addr)
 		}
 	}
-	if other := t.other; other != "" && t.board.Stood(t.now()) > 5*t.s.Probe {
+	if other := t.other; other != "" && t.board.StableFor(t.now()) > 5*t.s.ProbeInterval {
 		t.other = "" // before those that are missing, of whom there may be many
 		return other
 	}
@@ -545,13 +545,13 @@
 	return missing[t.tried%len(missing)]
 }
 
-// Tell has the others hear of a node, where it is worth it.
-func (t *Talk) Tell(h membership.Hint) {
+// BroadcastHint has the others hear of a node, where it is worth it.
+func (t *Driver) BroadcastHint(h membership.Hint) {
 	if t == nil {
 		return
 	}
 	t.mu.Lock()
-	worth := t.board.Tell(t.now(), h)
+	worth := t.board.ShouldSendHint(t.now(), h)
 	t.mu.Unlock()
 	if !worth {
 		return
@@ -561,33 +561,33 @@
 	}
 }
 
-// Say says something to one other; a list goes over a connection. What finds no room is dropped, and asked for again.
-func (t *Talk) Say(to string, m relays.Message) {
-	t.put(envelope{to, message{From: t.s.Name, Follow: &m}, m.List != nil})
+// SendRelay says something to one other; a list goes over a connection. What finds no room is dropped, and asked for again.
+func (t *Driver) SendRelay(to string, m relays.Message) {
+	t.put(envelope{to, message{From: t.s.Name, Relay: &m}, m.List != nil})
 }
 
-// Repeat tells one other what the channel told.
-func (t *Talk) Repeat(to string, all []gossip.Item) {
+// SendUpdates tells one other what the channel told.
+func (t *Driver) SendUpdates(to string, all []gossip.Update) {
 	for some := range slices.Chunk(all, inPacket) {
-		t.put(envelope{to: to, m: message{From: t.s.Name, Words: some}})
+		t.put(envelope{to: to, m: message{From: t.s.Name, Updates: some}})
 	}
 }
 
-func (t *Talk) put(e envelope) {
+func (t *Driver) put(e envelope) {
 	select {
 	case t.outbox <- e:
 	default:
 	}
 }
 
-// Near are those of the location that are there, besides this one.
-func (t *Talk) Near() []string {
+// ZonePeers are those of the location that are there, besides this one.
+func (t *Driver) ZonePeers() []string {
 	if t == nil {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.board.Near()
+	return t.board.ZonePeers()
 }
 
 // atOnce is to how many a word goes at once by each that hears it first; it reaches a thousand in five steps.
@@ -595,8 +595,8 @@
 
 const inPacket = 12 // words; a purge of many groups is told as many words at once
 
-// Pass has the others hear what the channel told: some of them at once, others each time, and all with what goes round anyway.
-func (t *Talk) Pass(all []gossip.Item) {
+// BroadcastUpdates has the others hear what the channel told: some of them at once, others each time, and all with what goes round anyway.
+func (t *Driver) BroadcastUpdates(all []gossip.Update) {
 	if t == nil {
 		return
 	}
@@ -605,8 +605,8 @@
 	}
 }
 
-func (t *Talk) pass(some []gossip.Item) {
-	raw, err := json.Marshal(message{From: t.s.Name, Words: some})
+func (t *Driver) pass(some []gossip.Update) {
+	raw, err := json.Marshal(message{From: t.s.Name, Updates: some})
 	if err != nil {
 		return
 	}
@@ -631,8 +631,8 @@
 func (p passed) Message() []byte                       { return p.raw }
 func (p passed) Finished()                             {}
 
-// Newest is the least age of the channel's word that any of the others has told, as it is by now; negative where none has.
-func (t *Talk) Newest() policy.Micros {
+// NewestChannelAge is the least age of the channel's word that any of the others has told, as it is by now; negative where none has.
+func (t *Driver) NewestChannelAge() policy.Micros {
 	if t == nil {
 		return -1
 	}
@@ -661,55 +661,55 @@
 func (h hint) Finished()       {}
 
 // NodeMeta is memberlist's question for what is told of this director.
-func (t *Talk) NodeMeta(int) []byte {
+func (t *Driver) NodeMeta(int) []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	raw, _ := json.Marshal(meta{t.s.Born, t.s.Zone, t.leaves})
+	raw, _ := json.Marshal(nodeMeta{t.s.Incarnation, t.s.Zone, t.leaves})
 	return raw
 }
 
 // NotifyMsg takes what another says.
-func (t *Talk) NotifyMsg(raw []byte) {
+func (t *Driver) NotifyMsg(raw []byte) {
 	var m message
 	if json.Unmarshal(raw, &m) != nil {
 		slog.Debug("peer_message", "bytes", len(raw))
 		return
 	}
-	if len(m.Words) > 0 && t.ears.Word != nil {
-		for _, i := range m.Words {
-			t.ears.Word(m.From, i)
+	if len(m.Updates) > 0 && t.ears.Update != nil {
+		for _, i := range m.Updates {
+			t.ears.Update(m.From, i)
 		}
 		return
 	}
-	if m.Follow != nil && t.ears.Follow != nil {
-		t.ears.Follow(m.From, *m.Follow)
+	if m.Relay != nil && t.ears.Relay != nil {
+		t.ears.Relay(m.From, *m.Relay)
 		return
 	}
-	if m.Query > 0 && t.ears.InForce != nil {
-		if told, vouches := t.ears.InForce(); vouches { // who can't is silent: while nobody can, many ask
+	if m.SnapshotRequest > 0 && t.ears.Snapshot != nil {
+		if told, vouches := t.ears.Snapshot(); vouches { // who can't is silent: while nobody can, many ask
 			told.From = t.s.Name
-			t.put(envelope{m.From, message{From: t.s.Name, Reply: &reply{m.Query, told}}, true})
+			t.put(envelope{m.From, message{From: t.s.Name, SnapshotReply: &snapshotReply{m.SnapshotRequest, told}}, true})
 		}
 		return
 	}
-	if m.Reply != nil && t.ears.Told != nil {
-		if t.ears.Told(m.From, m.Reply.Query, m.Reply.Meeting) {
+	if m.SnapshotReply != nil && t.ears.SnapshotReply != nil {
+		if t.ears.SnapshotReply(m.From, m.SnapshotReply.RequestedAt, m.SnapshotReply.Snapshot) {
 			t.met.Store(true)
 		}
 		return
 	}
-	t.with(func(now policy.Micros, b *membership.Board) map[string]message {
+	t.with(func(now policy.Micros, b *membership.View) map[string]message {
 		switch {
-		case m.Ask != nil:
-			if g, ok := b.Asked(now, m.From, *m.Ask); ok {
-				return map[string]message{m.From: {Grant: &g}}
+		case m.LeaseRequest != nil:
+			if g, ok := b.HandleLeaseRequest(now, m.From, *m.LeaseRequest); ok {
+				return map[string]message{m.From: {LeaseGrant: &g}}
 			}
-		case m.Grant != nil:
-			b.Granted(now, m.From, *m.Grant)
-		case m.Hint != nil && t.ears.Question != nil:
-			if b.Hinted(now, m.From, *m.Hint, t.ears.Heard(m.Hint.Node)) {
-				t.ears.Question(*m.Hint)
-				if b.Tell(now, *m.Hint) { // who has a question passes it on; who has none does not
+		case m.LeaseGrant != nil:
+			b.HandleLeaseGrant(now, m.From, *m.LeaseGrant)
+		case m.Hint != nil && t.ears.ProbeNode != nil:
+			if b.ShouldProbe(now, m.From, *m.Hint, t.ears.LastAnswer(m.Hint.Node)) {
+				t.ears.ProbeNode(*m.Hint)
+				if b.ShouldSendHint(now, *m.Hint) { // who has a question passes it on; who has none does not
 					t.hints.QueueBroadcast(hint{*m.Hint, slices.Clone(raw)})
 				}
 			}
@@ -719,51 +719,51 @@
 }
 
 // GetBroadcasts gives hints that go along with what memberlist sends anyway.
-func (t *Talk) GetBroadcasts(overhead, limit int) [][]byte {
+func (t *Driver) GetBroadcasts(overhead, limit int) [][]byte {
 	return t.hints.GetBroadcasts(overhead, limit)
 }
 
-// Meeting is what two tell each other when one of them joins.
-type Meeting struct {
-	From    string            `json:"f"`
-	Age     policy.Micros     `json:"a"` // of the newest word of the channel
-	Words   []gossip.Item     `json:"w"`
-	Beliefs []membership.Hint `json:"b,omitempty"` // of nodes that are not well
+// Snapshot is what two tell each other when one of them joins.
+type Snapshot struct {
+	From           string            `json:"f"`
+	ChannelAge     policy.Micros     `json:"a"` // of the newest word of the channel
+	Updates        []gossip.Update   `json:"w"`
+	UnhealthyNodes []membership.Hint `json:"b,omitempty"` // of nodes that are not well
 }
 
 // LocalState is what goes along with whole lists: where one joins, what is in force.
-func (t *Talk) LocalState(join bool) []byte {
-	if !join || t.ears.InForce == nil {
+func (t *Driver) LocalState(join bool) []byte {
+	if !join || t.ears.Snapshot == nil {
 		return nil
 	}
-	m, _ := t.ears.InForce()
+	m, _ := t.ears.Snapshot()
 	m.From = t.s.Name
 	raw, _ := json.Marshal(m)
 	return raw
 }
 
 // MergeRemoteState takes it.
-func (t *Talk) MergeRemoteState(raw []byte, join bool) {
-	var m Meeting
-	if !join || t.ears.Met == nil || len(raw) == 0 || json.Unmarshal(raw, &m) != nil {
+func (t *Driver) MergeRemoteState(raw []byte, join bool) {
+	var m Snapshot
+	if !join || t.ears.MergeSnapshot == nil || len(raw) == 0 || json.Unmarshal(raw, &m) != nil {
 		return
 	}
-	if t.ears.Met(m.From, m); t.ears.Doubts != nil && t.ears.Doubts() {
+	if t.ears.MergeSnapshot(m.From, m); t.ears.NeedsSnapshot != nil && t.ears.NeedsSnapshot() {
 		t.ask(m.From)
 	}
 }
 
 // NotifyJoin, NotifyLeave and NotifyUpdate are what memberlist finds out.
-func (t *Talk) NotifyJoin(n *memberlist.Node) { t.event(n, membership.Up) }
+func (t *Driver) NotifyJoin(n *memberlist.Node) { t.event(n, membership.Up) }
 
 // NotifyLeave hears of one that has failed, or said that it leaves.
-func (t *Talk) NotifyLeave(n *memberlist.Node) { t.event(n, membership.Failed) }
+func (t *Driver) NotifyLeave(n *memberlist.Node) { t.event(n, membership.Failed) }
 
 // NotifyUpdate hears of one that tells something else of itself.
-func (t *Talk) NotifyUpdate(n *memberlist.Node) { t.event(n, membership.Up) }
+func (t *Driver) NotifyUpdate(n *memberlist.Node) { t.event(n, membership.Up) }
 
-func (t *Talk) event(n *memberlist.Node, s membership.State) {
-	t.with(func(now policy.Micros, _ *membership.Board) map[string]message {
+func (t *Driver) event(n *memberlist.Node, s membership.State) {
+	t.with(func(now policy.Micros, _ *membership.View) map[string]message {
 		if s == membership.Failed {
 			delete(t.there, n.Name)
 			delete(t.ages, n.Name)
@@ -776,33 +776,33 @@
 }
 
 // NotifyConflict hears that two go by one name. Where it is this director's own, one line says so.
-func (t *Talk) NotifyConflict(existing, other *memberlist.Node) {
+func (t *Driver) NotifyConflict(existing, other *memberlist.Node) {
 	if existing.Name != t.s.Name {
 		return
 	}
-	t.with(func(_ policy.Micros, b *membership.Board) map[string]message {
+	t.with(func(_ policy.Micros, b *membership.View) map[string]message {
 		if t.clash.IsZero() {
 			slog.Warn("peer_name_taken", "name", t.s.Name, "by", other.Address())
 		}
 		t.clash = time.Now()
-		b.Clash(other.Address())
+		b.SetNameConflict(other.Address())
 		return nil
 	})
 }
 
 // AckPayload goes with each answer to a probe: the sum of this director's view, and how old its newest word of the channel is.
-func (t *Talk) AckPayload() []byte {
+func (t *Driver) AckPayload() []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := strconv.AppendUint(nil, t.board.Sum(), 16)
-	if t.ears.Age != nil {
-		out = strconv.AppendInt(append(out, ' '), int64(max(0, t.ears.Age())), 16)
+	out := strconv.AppendUint(nil, t.board.Digest(), 16)
+	if t.ears.ChannelAge != nil {
+		out = strconv.AppendInt(append(out, ' '), int64(max(0, t.ears.ChannelAge())), 16)
 	}
 	return out
 }
 
 // NotifyPingComplete takes another's.
-func (t *Talk) NotifyPingComplete(other *memberlist.Node, _ time.Duration, payload []byte) {
+func (t *Driver) NotifyPingComplete(other *memberlist.Node, _ time.Duration, payload []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.doubts, other.Name)
@@ -813,7 +813,7 @@
 		}
 	}
 	if sum, err := strconv.ParseUint(text, 16, 64); err == nil {
-		if t.board.Heard(t.now(), other.Name, sum); sum != t.board.Sum() {
+		if t.board.DigestReceived(t.now(), other.Name, sum); sum != t.board.Digest() {
 			if n, there := t.there[other.Name]; there {
 				t.other = n.Address()
 			}
--- a/internal/gossipnet/peering_test.go
+++ b/internal/gossipnet/peering_test.go
@@ -25,7 +25,7 @@
 }
 
 // start starts one of three directors.
-func start(t *testing.T, i int, listen string, seeds []string, key byte, hints chan membership.Hint) *Talk {
+func start(t *testing.T, i int, listen string, seeds []string, key byte, hints chan membership.Hint) *Driver {
 	begun := time.Now()
 	s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: 3, TotalDirectors: 3, ConnectTimeout: 400_000,
 		EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second}})
@@ -33,17 +33,17 @@
 		func() policy.Micros {
 			return policy.Second*100 + policy.Micros(time.Since(begun)/time.Microsecond)
 		},
-		Ears{Question: func(h membership.Hint) { hints <- h }, Heard: func(string) policy.Micros { return 0 },
-			Word: func(from string, i gossip.Item) { hints <- membership.Hint{Node: from + " " + i.Object} },
-			InForce: func() (Meeting, bool) {
-				return Meeting{Age: policy.Micros(i+1) * policy.Second, Words: []gossip.Item{{Object: fmt.Sprint("of n", i), At: 1}}}, true
+		Handlers{ProbeNode: func(h membership.Hint) { hints <- h }, LastAnswer: func(string) policy.Micros { return 0 },
+			Update: func(from string, i gossip.Update) { hints <- membership.Hint{Node: from + " " + i.Object} },
+			Snapshot: func() (Snapshot, bool) {
+				return Snapshot{ChannelAge: policy.Micros(i+1) * policy.Second, Updates: []gossip.Update{{Object: fmt.Sprint("of n", i), PurgedAt: 1}}}, true
 			},
-			Met: func(from string, m Meeting) {
-				if len(m.Words) != 1 || m.Words[0].Object != "of "+from || m.Age < policy.Second {
+			MergeSnapshot: func(from string, m Snapshot) {
+				if len(m.Updates) != 1 || m.Updates[0].Object != "of "+from || m.ChannelAge < policy.Second {
 					t.Errorf("n%d met %s: %+v", i, from, m)
 				}
 			},
-			Age: func() policy.Micros { return policy.Micros(i+1) * policy.Second }})
+			ChannelAge: func() policy.Micros { return policy.Micros(i+1) * policy.Second }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 }
 
 // state is what one believes of another; empty where it does not know it.
-func state(t *Talk, of string) string {
+func state(t *Driver, of string) string {
 	if s, known := t.State(of); known {
 		return s.String()
 	}
@@ -71,7 +71,7 @@
 // suspected before it has failed; memberlist tells a suspicion only in its log, which this holds it to.
 func TestTalk(t *testing.T) {
 	at, hints := []string{free(t), free(t), free(t)}, make(chan membership.Hint, 99)
-	var talks []*Talk
+	var talks []*Driver
 	for i := range at {
 		talks = append(talks, start(t, i, at[i], at[:1], 1, hints))
 	}
@@ -85,30 +85,30 @@
 		}
 	}
 	eventually(t, "their views differ", func() bool {
-		return talks[0].Report().Sum == talks[1].Report().Sum && talks[1].Report().Sum == talks[2].Report().Sum
+		return talks[0].Report().Digest == talks[1].Report().Digest && talks[1].Report().Digest == talks[2].Report().Digest
 	})
-	if talks[0].Part(talks[0].now(), membership.Zone) != 1 {
+	if talks[0].Quota(talks[0].now(), membership.ScopeZone) != 1 {
 		t.Error("all are there, and one holds more than its part")
 	}
-	talks[0].Tell(membership.Hint{Node: "box-1", What: membership.Full})
+	talks[0].BroadcastHint(membership.Hint{Node: "box-1", Condition: membership.Overloaded})
 	for range 2 {
-		if h := <-hints; h.Node != "box-1" || h.What != membership.Full {
+		if h := <-hints; h.Node != "box-1" || h.Condition != membership.Overloaded {
 			t.Errorf("heard %+v", h)
 		}
 	}
-	talks[1].Pass([]gossip.Item{{Object: "o", At: 1}})
+	talks[1].BroadcastUpdates([]gossip.Update{{Object: "o", PurgedAt: 1}})
 	for range 4 { // to each at once, and again with what goes round
 		if h := <-hints; h.Node != "n1 o" {
 			t.Errorf("heard %+v", h)
 		}
 	}
 	eventually(t, "nobody has told how old the newest word is", func() bool {
-		age := talks[2].Newest()
+		age := talks[2].NewestChannelAge()
 		return age >= policy.Second && age < 2*policy.Second
 	})
 	talks[2].Leave()
 	eventually(t, "one that left is not taken for it", func() bool { return state(talks[0], "n2") == "left" && state(talks[1], "n2") == "left" })
-	talks[1].Die()
+	talks[1].Shutdown()
 	suspected := false
 	eventually(t, "one that died has not failed", func() bool {
 		now := state(talks[0], "n1")
@@ -193,7 +193,7 @@
 	got := make(chan heard, 99)
 	var doubts atomic.Bool
 	doubts.Store(true)
-	begin := func(i int, advertise string, seeds []string, ears Ears) *Talk {
+	begin := func(i int, advertise string, seeds []string, ears Handlers) *Driver {
 		begun := time.Now()
 		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: 2, TotalDirectors: 2, ConnectTimeout: 400_000,
 			EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second}})
@@ -205,22 +205,22 @@
 		t.Cleanup(talk.Leave)
 		return talk
 	}
-	begin(1, door, nil, Ears{Met: func(_ string, m Meeting) { got <- heard{true, len(m.Words)} }, Doubts: doubts.Load,
-		Told: func(_ string, asked policy.Micros, m Meeting) bool {
+	begin(1, door, nil, Handlers{MergeSnapshot: func(_ string, m Snapshot) { got <- heard{true, len(m.Updates)} }, NeedsSnapshot: doubts.Load,
+		SnapshotReply: func(_ string, asked policy.Micros, m Snapshot) bool {
 			if asked <= policy.Second {
 				t.Errorf("asked at %d", asked)
 			}
 			doubts.Store(false)
-			got <- heard{false, len(m.Words)}
+			got <- heard{false, len(m.Updates)}
 			return true
-		}, InForce: func() (Meeting, bool) { return Meeting{}, false }, Age: func() policy.Micros { return 0 }})
-	begin(0, "", []string{door}, Ears{InForce: func() (m Meeting, vouches bool) {
+		}, Snapshot: func() (Snapshot, bool) { return Snapshot{}, false }, ChannelAge: func() policy.Micros { return 0 }})
+	begin(0, "", []string{door}, Handlers{Snapshot: func() (m Snapshot, vouches bool) {
 		if known.Load() {
-			m.Words = []gossip.Item{{Object: "o", At: 1}}
+			m.Updates = []gossip.Update{{Object: "o", PurgedAt: 1}}
 		}
 		said <- true
 		return m, true
-	}, Met: func(string, Meeting) {}, Age: func() policy.Micros { return 0 }})
+	}, MergeSnapshot: func(string, Snapshot) {}, ChannelAge: func() policy.Micros { return 0 }})
 	<-said
 	known.Store(true)
 	release.Store(true)
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -21,20 +21,20 @@
 
 // gossipDriver joins the talk among directors to the decisions: parts one way, hints both ways. Without peers it does nothing.
 type gossipDriver struct {
-	talk    atomic.Pointer[gossipnet.Talk]
+	talk    atomic.Pointer[gossipnet.Driver]
 	d       *decider
 	fleet   *upstream.Fleet
 	every   time.Duration
 	asked   chan membership.Hint
 	heard   atomic.Pointer[map[string]policy.Micros] // when nodes last answered, as of the last look
-	sights  map[string]membership.Sight              // of nodes, at the last look
+	sights  map[string]membership.NodeStatus         // of nodes, at the last look
 	beliefs atomic.Pointer[[]membership.Hint]        // of those that are not well, for who starts
 	done    chan struct{}
 
-	mu      sync.Mutex   // of the book, and what is avoided
-	book    *gossip.Book // nil without peers
-	ears    *hearing     // nil without peers
-	avoided []string     // by the operator's file
+	mu      sync.Mutex    // of the book, and what is avoided
+	book    *gossip.Store // nil without peers
+	ears    *hearing      // nil without peers
+	avoided []string      // by the operator's file
 	words   chan heardWord
 	own     *heart
 	channel *discovery.Feed
@@ -46,7 +46,7 @@
 // heardWord is what another said that the channel had told.
 type heardWord struct {
 	from string
-	gossip.Item
+	gossip.Update
 	all bool // no word: all that its teller had when it was asked have come before
 }
 
@@ -56,11 +56,11 @@
 
 // held is the part that the decisions may use.
 func (g *gossipDriver) held(now policy.Micros, all bool) float64 {
-	scope := membership.Zone
+	scope := membership.ScopeZone
 	if all {
-		scope = membership.Fleet
+		scope = membership.ScopeFleet
 	}
-	return g.talk.Load().Part(now, scope)
+	return g.talk.Load().Quota(now, scope)
 }
 
 // keep begins a book of what the channel tells, for a director that is to talk with others.
@@ -68,7 +68,7 @@
 func (g *gossipDriver) keep(c config.Config, followers int, own *heart, channel *discovery.Feed, known []discovery.Event) {
 	s := c.Site.Settings
 	w := gossip.Derive(s)
-	g.own, g.channel, g.kept = own, channel, w.Kept
+	g.own, g.channel, g.kept = own, channel, w.Retention
 	g.book = gossip.New(g.clock(), w)
 	own.Begin(own.Read())
 	g.took(known, g.clock()-2*g.kept) // what others hear of the channel is newer than a file
@@ -90,7 +90,7 @@
 	g.d.apply(events)
 	slog.Debug("events", "lists", lists(events), "all", len(events))
 	if g.book != nil {
-		g.talk.Load().Pass(g.took(events, g.clock()))
+		g.talk.Load().BroadcastUpdates(g.took(events, g.clock()))
 	}
 }
 
@@ -105,19 +105,19 @@
 }
 
 // took books what was told at a time, and gives what is news.
-func (g *gossipDriver) took(events []discovery.Event, now policy.Micros) (tell []gossip.Item) {
+func (g *gossipDriver) took(events []discovery.Event, now policy.Micros) (tell []gossip.Update) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, e := range events {
-		if i := (gossip.Item{Object: e.Object, Group: e.Group, At: e.At}); !e.Listed && e.At > 0 && g.book.Purged(now, i) {
+		if i := (gossip.Update{Object: e.Object, Group: e.Group, PurgedAt: e.At}); !e.Listed && e.At > 0 && g.book.RecordPurge(now, i) {
 			tell = append(tell, i)
 		}
-		var rows []gossip.Row
+		var rows []gossip.NodeState
 		for _, n := range e.Nodes {
-			rows = append(rows, gossip.Row{Node: n.ID, Started: n.Started, State: n.State})
+			rows = append(rows, gossip.NodeState{Node: n.ID, Started: n.Started, State: n.State})
 		}
 		if e.Listed {
-			tell = append(tell, g.book.Listed(now, rows, e.Complete)...)
+			tell = append(tell, g.book.RecordNodes(now, rows, e.Complete)...)
 		}
 	}
 	return tell
@@ -135,10 +135,10 @@
 
 // listen takes what others say that the channel told them.
 func (g *gossipDriver) listen() {
-	var onward []gossip.Item
+	var onward []gossip.Update
 	for {
 		if len(g.words) == 0 || len(onward) == words { // many come together, and go on together
-			g.talk.Load().Pass(onward)
+			g.talk.Load().BroadcastUpdates(onward)
 			onward = nil
 		}
 		select {
@@ -150,10 +150,10 @@
 				continue
 			}
 			g.mu.Lock()
-			bind, on := g.book.Heard(g.clock(), w.from, w.Item)
+			bind, on := g.book.Received(g.clock(), w.from, w.Update)
 			g.mu.Unlock()
-			if bind && w.At > 0 {
-				g.d.apply([]discovery.Event{{Object: w.Object, Group: w.Group, At: w.At}})
+			if bind && w.PurgedAt > 0 {
+				g.d.apply([]discovery.Event{{Object: w.Object, Group: w.Group, At: w.PurgedAt}})
 			} else if bind {
 				g.avoid(nil)
 			}
@@ -161,7 +161,7 @@
 				slog.Info("word", "from", w.from, "node", w.Node, "object", w.Object, "group", w.Group, "age", span(w.Age))
 			}
 			if on {
-				onward = append(onward, w.Item)
+				onward = append(onward, w.Update)
 			}
 		}
 	}
@@ -179,7 +179,7 @@
 // hold hears until when all that the channel had to tell is known.
 func (g *gossipDriver) hold(began policy.Micros) {
 	g.mu.Lock()
-	changed := g.book.Answered(began)
+	changed := g.book.ChannelAnswered(began)
 	g.mu.Unlock()
 	if changed {
 		g.avoid(nil)
@@ -233,7 +233,7 @@
 	}
 	all := g.avoided
 	if g.book != nil {
-		all = append(slices.Clone(all), g.book.Avoid()...)
+		all = append(slices.Clone(all), g.book.AvoidedNodes()...)
 	}
 	g.d.avoid(all)
 }
@@ -243,7 +243,7 @@
 	if g.book == nil {
 		return nil
 	}
-	others := g.talk.Load().Newest()
+	others := g.talk.Load().NewestChannelAge()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.book.Report(g.clock(), others)
@@ -252,40 +252,40 @@
 
 // hear asks the own channel where others know more, and says once when nobody knows any more.
 func (g *gossipDriver) hear() {
-	fails, others := g.channel.Fails(), g.talk.Load().Newest()
+	fails, others := g.channel.Fails(), g.talk.Load().NewestChannelAge()
 	g.mu.Lock()
 	now := g.clock()
-	ask, r := g.book.Ask(now, fails), g.book.Report(now, others)
+	ask, r := g.book.ShouldPoll(now, fails), g.book.Report(now, others)
 	g.mu.Unlock()
 	if ask && g.ears.may() {
 		g.channel.Ask()
 	}
-	if lost := r.Best > int64(g.kept); lost != g.lost {
+	if lost := r.NewestAge > int64(g.kept); lost != g.lost {
 		if g.lost = lost; lost {
-			slog.Warn("channel_lost", "newest", time.Duration(r.Best)*time.Microsecond)
+			slog.Warn("channel_lost", "newest", time.Duration(r.NewestAge)*time.Microsecond)
 		} else {
-			slog.Info("channel_found", "newest", time.Duration(r.Best)*time.Microsecond)
+			slog.Info("channel_found", "newest", time.Duration(r.NewestAge)*time.Microsecond)
 		}
 	}
 }
 
 func (g *gossipDriver) start(o config.Peers, c config.Config, fleet *upstream.Fleet) error {
 	s := membership.Derive(c.Name, uint64(time.Now().UnixMicro()), c.Site.Settings)
-	g.fleet, g.every = fleet, span(s.HintEvery)/8
-	g.asked, g.done, g.sights = make(chan membership.Hint, questions), make(chan struct{}), map[string]membership.Sight{}
+	g.fleet, g.every = fleet, span(s.HintInterval)/8
+	g.asked, g.done, g.sights = make(chan membership.Hint, questions), make(chan struct{}), map[string]membership.NodeStatus{}
 	g.words = make(chan heardWord, words)
-	talk, err := gossipnet.Start(o, s, g.d.routers[0].Now, gossipnet.Ears{Question: func(h membership.Hint) {
+	talk, err := gossipnet.Start(o, s, g.d.routers[0].Now, gossipnet.Handlers{ProbeNode: func(h membership.Hint) {
 		select {
 		case g.asked <- h:
 		default:
 		}
-	}, Heard: g.lastHeard, Word: func(from string, i gossip.Item) {
+	}, LastAnswer: g.lastHeard, Update: func(from string, i gossip.Update) {
 		g.hears(heardWord{from, i, false})
-	}, InForce: g.inForce, Met: g.met, Doubts: g.doubting, Told: g.toldAll, Age: func() policy.Micros {
+	}, Snapshot: g.inForce, MergeSnapshot: g.met, NeedsSnapshot: g.doubting, SnapshotReply: g.toldAll, ChannelAge: func() policy.Micros {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return g.book.Age(g.clock())
-	}, Follow: g.ears.hear})
+		return g.book.ChannelAge(g.clock())
+	}, Relay: g.ears.hear})
 	if err != nil {
 		return err
 	}
@@ -300,27 +300,27 @@
 }
 
 // inForce is what one that has just come should hear, and whether it can go by that.
-func (g *gossipDriver) inForce() (m gossipnet.Meeting, vouches bool) {
+func (g *gossipDriver) inForce() (m gossipnet.Snapshot, vouches bool) {
 	if told := g.beliefs.Load(); told != nil {
-		m.Beliefs = *told
+		m.UnhealthyNodes = *told
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.Age, m.Words = g.book.Age(g.clock()), g.book.InForce(g.clock())
-	return m, g.book.Vouches(m.Age)
+	m.ChannelAge, m.Updates = g.book.ChannelAge(g.clock()), g.book.Snapshot(g.clock())
+	return m, g.book.Confirms(m.ChannelAge)
 }
 
 // met takes what another told as the two met. What makes careful binds, but it is no reason to be careful no longer.
-func (g *gossipDriver) met(from string, m gossipnet.Meeting) { g.heed(from, m) }
+func (g *gossipDriver) met(from string, m gossipnet.Snapshot) { g.heed(from, m) }
 
 // heed has what another told bind careful; false where there was no room for all of it.
-func (g *gossipDriver) heed(from string, m gossipnet.Meeting) bool {
+func (g *gossipDriver) heed(from string, m gossipnet.Snapshot) bool {
 	all := true
-	for _, i := range m.Words {
+	for _, i := range m.Updates {
 		all = g.hears(heardWord{from, i, false}) && all
 	}
 	if g.own.Doubted() { // it has just started
-		g.warm(from, m.Beliefs)
+		g.warm(from, m.UnhealthyNodes)
 	}
 	return all
 }
@@ -331,12 +331,12 @@
 }
 
 // toldAll takes what another told when it was asked, at a time, what is in force. It settles a doubt, once all of it has been taken.
-func (g *gossipDriver) toldAll(from string, asked policy.Micros, m gossipnet.Meeting) bool {
+func (g *gossipDriver) toldAll(from string, asked policy.Micros, m gossipnet.Snapshot) bool {
 	took := g.d.routers[0].Now() - asked
 	g.mu.Lock()
-	vouched := g.book.Vouched(took, m.Age)
+	vouched := g.book.ConfirmsReply(took, m.ChannelAge)
 	g.mu.Unlock()
-	return vouched && g.heed(from, m) && g.hears(heardWord{from, gossip.Item{}, true})
+	return vouched && g.heed(from, m) && g.hears(heardWord{from, gossip.Update{}, true})
 }
 
 // mostBeliefs are handed to one that starts.
@@ -346,7 +346,7 @@
 // until it shows that it holds what it is asked for. It is a reason for care, never a verdict, and over with the first pull.
 func (g *gossipDriver) warm(from string, beliefs []membership.Hint) {
 	for _, h := range beliefs[:min(len(beliefs), mostBeliefs)] {
-		_, full := h.Doubts()
+		_, full := h.UnresolvedByProbe()
 		for i, r := range g.d.routers {
 			go r.WithPolicy(func() { g.d.modules[i].ProbeDone(r.Now(), h.Node, full, full) }) // this is a call from within the talk
 		}
@@ -389,17 +389,17 @@
 			now = g.d.routers[0].Now()
 			views = g.d.modules[0].Endpoints(now)
 		})
-		heard, sights, beliefs := map[string]policy.Micros{}, map[string]membership.Sight{}, []membership.Hint{}
+		heard, sights, beliefs := map[string]policy.Micros{}, map[string]membership.NodeStatus{}, []membership.Hint{}
 		for _, v := range views {
 			heard[v.ID] = now - policy.Micros(v.LastAnswer*float64(policy.Second))
-			now := membership.Sight{Skipped: v.EjectedFor > 0, Trial: v.HalfOpen, Warm: v.SlowStartShare, Limit: v.Limit}
+			now := membership.NodeStatus{Ejected: v.EjectedFor > 0, HalfOpen: v.HalfOpen, SlowStartShare: v.SlowStartShare, Limit: v.Limit}
 			before, seen := g.sights[v.ID]
-			if what, news := membership.News(before, now); seen && news {
-				g.talk.Load().Tell(membership.Hint{Node: v.ID, What: what})
+			if what, news := membership.ConditionChange(before, now); seen && news {
+				g.talk.Load().BroadcastHint(membership.Hint{Node: v.ID, Condition: what})
 			}
 			sights[v.ID] = now
-			if what, unwell := membership.Unwell(now); unwell && len(beliefs) < mostBeliefs {
-				beliefs = append(beliefs, membership.Hint{Node: v.ID, What: what})
+			if what, unwell := membership.UnhealthyCondition(now); unwell && len(beliefs) < mostBeliefs {
+				beliefs = append(beliefs, membership.Hint{Node: v.ID, Condition: what})
 			}
 		}
 		g.sights = sights
@@ -420,8 +420,8 @@
 				continue
 			}
 			err := g.fleet.Question(addr)
-			anew, full := h.Doubts()
-			slog.Info("hint", "node", h.Node, "what", h.What, "well", err == nil)
+			anew, full := h.UnresolvedByProbe()
+			slog.Info("hint", "node", h.Node, "what", h.Condition, "well", err == nil)
 			for i, r := range g.d.routers {
 				r.WithPolicy(func() { g.d.modules[i].ProbeDone(r.Now(), h.Node, err == nil && !anew, err == nil && full) })
 			}
--- a/internal/server/hearing.go
+++ b/internal/server/hearing.go
@@ -130,7 +130,7 @@
 }
 
 // run asks others and answers them until the end.
-func (h *hearing) run(talk *gossipnet.Talk, done <-chan struct{}) {
+func (h *hearing) run(talk *gossipnet.Driver, done <-chan struct{}) {
 	tick := time.NewTicker(h.every)
 	defer tick.Stop()
 	for {
@@ -148,11 +148,11 @@
 	}
 }
 
-func (h *hearing) ask(talk *gossipnet.Talk) {
+func (h *hearing) ask(talk *gossipnet.Driver) {
 	now := h.g.clock()
 	h.mu.Lock()
 	if h.ticks++; h.ticks%looks == 1 {
-		h.book.There(talk.Near())
+		h.book.There(talk.ZonePeers())
 	}
 	ask, wakes := h.book.Tick(now), h.book.Calls(now) && !h.calls
 	h.mu.Unlock()
@@ -163,41 +163,41 @@
 		return
 	}
 	h.g.mu.Lock()
-	_, words := h.g.book.Recent(now)
+	_, words := h.g.book.RecentPurges(now)
 	h.g.mu.Unlock()
 	for _, to := range ask {
-		talk.Say(to, relays.Message{Ask: &relays.Ask{Number: now, Words: words}})
+		talk.SendRelay(to, relays.Message{Ask: &relays.Ask{Number: now, Words: words}})
 	}
 }
 
 // lacks is what an asker may lack who knows other purges of late, by their sum.
-func (h *hearing) lacks(known uint64) []gossip.Item {
+func (h *hearing) lacks(known uint64) []gossip.Update {
 	h.g.mu.Lock()
 	defer h.g.mu.Unlock()
 	now := h.g.clock()
-	if _, sum := h.g.book.Recent(now); known == sum {
+	if _, sum := h.g.book.RecentPurges(now); known == sum {
 		return nil
 	}
-	return h.g.book.Lately(now)
+	return h.g.book.RepairPurges(now)
 }
 
 // take takes what another has said.
-func (h *hearing) take(talk *gossipnet.Talk, s said) {
+func (h *hearing) take(talk *gossipnet.Driver, s said) {
 	now := h.g.clock()
 	switch {
 	case s.Ask != nil:
 		h.mu.Lock()
 		a := h.book.Asked(now, *s.Ask)
 		h.mu.Unlock()
-		talk.Say(s.from, relays.Message{Answer: &a})
-		talk.Repeat(s.from, h.lacks(s.Ask.Words))
+		talk.SendRelay(s.from, relays.Message{Answer: &a})
+		talk.SendUpdates(s.from, h.lacks(s.Ask.Words))
 	case s.Answer != nil:
 		h.mu.Lock()
 		want := h.book.Answered(now, s.from, *s.Answer)
 		until, _ := h.book.Until()
 		h.mu.Unlock()
 		if want != "" {
-			talk.Say(s.from, relays.Message{Want: want})
+			talk.SendRelay(s.from, relays.Message{Want: want})
 			return
 		}
 		if until > h.began { // else no list is known to have held since this process began
@@ -211,7 +211,7 @@
 		}
 		h.mu.Unlock()
 		if rows != nil {
-			talk.Say(s.from, relays.Message{List: rows})
+			talk.SendRelay(s.from, relays.Message{List: rows})
 		}
 	case s.List != nil:
 		h.force.Lock()
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -28,42 +28,42 @@
 
 // The encoded forms are recorded from a version in service: other versions send and read them during a roll-out.
 func TestGoldenMessages(t *testing.T) {
-	checkJSON(t, Ask{Number: 1, Born: 18446744073709551615, Zone: 3, Sum: 9223372036854775809},
+	checkJSON(t, LeaseRequest{RequestedAt: 1, Incarnation: 18446744073709551615, Zone: 3, Digest: 9223372036854775809},
 		`{"Number":1,"Born":18446744073709551615,"Zone":3,"Sum":9223372036854775809}`)
-	checkJSON(t, Ask{}, `{"Number":0,"Born":0,"Zone":0,"Sum":0}`)
-	checkJSON(t, Grant{Number: -1, Count: [2]int{4, 5}, Sum: 6}, `{"Number":-1,"Count":[4,5],"Sum":6}`)
-	checkJSON(t, Grant{}, `{"Number":0,"Count":[0,0],"Sum":0}`)
-	checkJSON(t, Hint{Node: "box-1", What: Warms, Age: 1500}, `{"Node":"box-1","What":"warms","Age":1500}`)
+	checkJSON(t, LeaseRequest{}, `{"Number":0,"Born":0,"Zone":0,"Sum":0}`)
+	checkJSON(t, LeaseGrant{RequestedAt: -1, Counts: [2]int{4, 5}, Digest: 6}, `{"Number":-1,"Count":[4,5],"Sum":6}`)
+	checkJSON(t, LeaseGrant{}, `{"Number":0,"Count":[0,0],"Sum":0}`)
+	checkJSON(t, Hint{Node: "box-1", Condition: Restarted, Age: 1500}, `{"Node":"box-1","What":"warms","Age":1500}`)
 	checkJSON(t, Hint{}, `{"Node":"","What":"","Age":0}`)
-	checkJSON(t, []What{Gone, Back, Warms, Full}, `["gone","back","warms","full"]`)
+	checkJSON(t, []Condition{Unreachable, Recovered, Restarted, Overloaded}, `["gone","back","warms","full"]`)
 }
 
 // The report goes into the state socket's JSON.
 func TestGoldenReport(t *testing.T) {
-	checkJSON(t, Report{Name: "n0", Born: 7, Standing: "few", Sum: "00000000000000ff", Since: 12, Sharing: 2, Clash: "127.0.0.1:1",
-		Zone: 1.25, Fleet: 0.5, Peers: []Row{{Name: "n1", Born: 8, State: "up", Since: 9, Alike: true}}},
+	checkJSON(t, Report{Name: "n0", Incarnation: 7, PartitionState: "few", Digest: "00000000000000ff", StableFor: 12, AgreeingPeers: 2, NameConflict: "127.0.0.1:1",
+		ZoneQuota: 1.25, FleetQuota: 0.5, Peers: []PeerReport{{Name: "n1", Incarnation: 8, State: "up", StateAge: 9, Agrees: true}}},
 		`{"name":"n0","born":7,"standing":"few","sum":"00000000000000ff","since":12,"sharing":2,"clash":"127.0.0.1:1",`+
 			`"zone_part":1.25,"fleet_part":0.5,"peers":[{"name":"n1","born":8,"state":"up","since":9,"alike":true}]}`)
 	checkJSON(t, Report{}, `{"name":"","born":0,"standing":"","sum":"","since":0,"sharing":0,"zone_part":0,"fleet_part":0,"peers":null}`)
 
-	b := New(0, Settings{Name: "n0", Born: 7, Roster: [2]int{3, 4}, Memory: 9})
-	b.Seen(5, "n1", 8, 0, Up)
-	b.Seen(6, "n2", 9, 1, Failed)
-	b.Clash("127.0.0.1:1")
+	b := New(0, Settings{Name: "n0", Incarnation: 7, ConfiguredDirectors: [2]int{3, 4}, MaxEntries: 9})
+	b.UpdatePeer(5, "n1", 8, 0, Up)
+	b.UpdatePeer(6, "n2", 9, 1, Failed)
+	b.SetNameConflict("127.0.0.1:1")
 	checkJSON(t, b.Report(10), `{"name":"n0","born":7,"standing":"few","sum":"49d447cd1d96caba","since":5,"sharing":0,"clash":"127.0.0.1:1",`+
 		`"zone_part":1,"fleet_part":1,"peers":[{"name":"n1","born":8,"state":"up","since":5,"alike":false},{"name":"n2","born":9,"state":"failed","since":4,"alike":false}]}`)
 	var states, standings []string
 	for s := Up; s <= Left; s++ {
 		states = append(states, s.String())
 	}
-	for s := Most; s <= Alone; s++ {
+	for s := Majority; s <= Isolated; s++ {
 		standings = append(standings, s.String())
 	}
 	if !slices.Equal(states, []string{"up", "suspected", "failed", "left"}) || !slices.Equal(standings, []string{"most", "few", "alone"}) {
 		t.Errorf("states are %q, standings %q", states, standings)
 	}
-	if Zone != 0 || Fleet != 1 {
-		t.Errorf("a count of two has the zone's at %d, the fleet's at %d", Zone, Fleet)
+	if ScopeZone != 0 || ScopeFleet != 1 {
+		t.Errorf("a count of two has the zone's at %d, the fleet's at %d", ScopeZone, ScopeFleet)
 	}
 }
 
@@ -79,19 +79,19 @@
 			t.Errorf("%d is mixed to %#x", x, got)
 		}
 	}
-	b := New(0, Settings{Name: "n0", Born: 7, Witnesses: 3, Memory: 99})
-	if b.Sum() != 0x56266a736aea3e1e {
-		t.Errorf("the sum of a view of one is %#x", b.Sum())
+	b := New(0, Settings{Name: "n0", Incarnation: 7, RequiredGrants: 3, MaxEntries: 99})
+	if b.Digest() != 0x56266a736aea3e1e {
+		t.Errorf("the sum of a view of one is %#x", b.Digest())
 	}
 	for i, name := range []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"} {
-		b.Seen(5, name, uint64(8+i), i%2, Up)
+		b.UpdatePeer(5, name, uint64(8+i), i%2, Up)
 	}
-	if b.Sum() != 0x5d0350a96e725886 {
-		t.Errorf("the sum of a view of nine is %#x", b.Sum())
+	if b.Digest() != 0x5d0350a96e725886 {
+		t.Errorf("the sum of a view of nine is %#x", b.Digest())
 	}
 	var names []string
 	for _, p := range b.witnesses() {
-		names = append(names, p.Name)
+		names = append(names, p.name)
 	}
 	if !slices.Equal(names, []string{"n6", "n8", "n2"}) {
 		t.Errorf("the witnesses are %q", names)
--- a/membership/peers_test.go
+++ b/membership/peers_test.go
@@ -23,7 +23,7 @@
 // world is some directors with one clock, that tell each other at once unless the script keeps them from it.
 type world struct {
 	now    d.Micros
-	boards []*Board
+	boards []*View
 	cut    map[[2]int]bool // from, to
 }
 
@@ -43,7 +43,7 @@
 func (w *world) see(i int, s State) {
 	for j, b := range w.boards {
 		if j != i {
-			b.Seen(w.now, fmt.Sprint("n", i), w.boards[i].s.Born, 0, s)
+			b.UpdatePeer(w.now, fmt.Sprint("n", i), w.boards[i].s.Incarnation, 0, s)
 		}
 	}
 }
@@ -54,12 +54,12 @@
 		for _, i := range alive {
 			asks := w.boards[i].Tick(w.now)
 			for _, name := range slices.Sorted(maps.Keys(asks)) {
-				j := slices.IndexFunc(w.boards, func(b *Board) bool { return b.s.Name == name })
+				j := slices.IndexFunc(w.boards, func(b *View) bool { return b.s.Name == name })
 				if !slices.Contains(alive, j) || w.cut[[2]int{i, j}] || w.cut[[2]int{j, i}] {
 					continue
 				}
-				if g, ok := w.boards[j].Asked(w.now, w.boards[i].s.Name, asks[name]); ok {
-					w.boards[i].Granted(w.now, name, g)
+				if g, ok := w.boards[j].HandleLeaseRequest(w.now, w.boards[i].s.Name, asks[name]); ok {
+					w.boards[i].HandleLeaseGrant(w.now, name, g)
 				}
 			}
 		}
@@ -67,7 +67,7 @@
 }
 
 func (w *world) part(i int) float64 {
-	part, _ := w.boards[i].Held(w.now, Zone)
+	part, _ := w.boards[i].Quota(w.now, ScopeZone)
 	return part
 }
 
@@ -120,7 +120,7 @@
 		{"it has just started, and met two of the others", func(w *world) d.Micros {
 			w.boards[0] = New(w.now, settings(0, 5))
 			for _, name := range []string{"n1", "n2"} {
-				w.boards[0].Seen(w.now, name, 1, 0, Up)
+				w.boards[0].UpdatePeer(w.now, name, 1, 0, Up)
 			}
 			w.pass(2*d.Second, 0, 1, 2, 3, 4)
 			return 0
@@ -135,7 +135,7 @@
 			w.see(4, Failed)
 			w.pass(5*d.Second, 0, 1, 2, 3)
 			for i := 1; i < 4; i++ {
-				w.boards[i].Seen(w.now, "n4", 2, 0, Up)
+				w.boards[i].UpdatePeer(w.now, "n4", 2, 0, Up)
 			}
 			w.pass(500*ms, 0, 1, 2, 3)
 			return 0
@@ -143,12 +143,12 @@
 		{"another process under its name", func(w *world) d.Micros {
 			w.see(4, Failed)
 			w.pass(5*d.Second, 0, 1, 2, 3)
-			w.boards[0].Clash("127.0.0.9:1")
+			w.boards[0].SetNameConflict("127.0.0.9:1")
 			return 0
 		}, 1},
 		{"more than the settings tell", func(w *world) d.Micros {
 			for i := range 5 {
-				w.boards[0].Seen(w.now, fmt.Sprint("x", i), 1, 0, Up)
+				w.boards[0].UpdatePeer(w.now, fmt.Sprint("x", i), 1, 0, Up)
 			}
 			return 0
 		}, 0.5},
@@ -187,7 +187,7 @@
 		granted := map[[2]int]note{} // to whom, by whom: when it was asked
 		type letter struct {
 			from, to int
-			ask      Ask
+			ask      LeaseRequest
 			sent     d.Micros
 		}
 		var post []letter
@@ -196,13 +196,13 @@
 			i, j := rapid.IntRange(0, n-1).Draw(t, "i"), rapid.IntRange(0, n-1).Draw(t, "j")
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
-				w.boards[i].Seen(w.now, fmt.Sprint("n", j), w.boards[j].s.Born, 0, State(rapid.IntRange(0, 3).Draw(t, "state")))
+				w.boards[i].UpdatePeer(w.now, fmt.Sprint("n", j), w.boards[j].s.Incarnation, 0, State(rapid.IntRange(0, 3).Draw(t, "state")))
 			case 1, 2:
 				w.now += d.Micros(rapid.IntRange(1, 900).Draw(t, "ms")) * ms
 			case 3:
 				asks := w.boards[i].Tick(w.now)
 				for _, name := range slices.Sorted(maps.Keys(asks)) {
-					to := slices.IndexFunc(w.boards, func(b *Board) bool { return b.s.Name == name })
+					to := slices.IndexFunc(w.boards, func(b *View) bool { return b.s.Name == name })
 					post = append(post, letter{i, to, asks[name], w.now})
 				}
 			case 4, 5:
@@ -214,21 +214,21 @@
 				if rapid.Bool().Draw(t, "gone") {
 					post = slices.Delete(post, k, k+1)
 				}
-				if g, ok := w.boards[l.to].Asked(w.now, w.boards[l.from].s.Name, l.ask); ok {
-					w.boards[l.from].Granted(w.now, w.boards[l.to].s.Name, g)
+				if g, ok := w.boards[l.to].HandleLeaseRequest(w.now, w.boards[l.from].s.Name, l.ask); ok {
+					w.boards[l.from].HandleLeaseGrant(w.now, w.boards[l.to].s.Name, g)
 					granted[[2]int{l.from, l.to}] = note{l.sent}
 				}
 			case 6:
 				born++
 				s := settings(i, n)
-				s.Born = born
+				s.Incarnation = born
 				w.boards[i] = New(w.now, s)
 				post = slices.DeleteFunc(post, func(l letter) bool { return l.from == i })
 			}
 			sum := 0.0
 			for k, b := range w.boards {
-				part, until := b.Held(w.now, Zone)
-				if sum += part / float64(n); part > Room || part < 0.5 {
+				part, until := b.Quota(w.now, ScopeZone)
+				if sum += part / float64(n); part > MaxQuotaFactor || part < 0.5 {
 					t.Fatalf("n%d holds %v", k, part)
 				}
 				if part <= 1 {
@@ -236,15 +236,15 @@
 				}
 				witnesses := 0
 				for by := range n {
-					if g, ok := granted[[2]int{k, by}]; ok && w.now < g.at+b.s.Lease {
+					if g, ok := granted[[2]int{k, by}]; ok && w.now < g.at+b.s.LeaseDuration {
 						witnesses++
 					}
 				}
-				if witnesses < min(2, b.all) || until <= w.now || until > w.now+b.s.Lease {
+				if witnesses < min(2, b.all) || until <= w.now || until > w.now+b.s.LeaseDuration {
 					t.Fatalf("n%d holds %v until %d at %d with %d witnesses", k, part, until, w.now, witnesses)
 				}
 			}
-			if sum > Room+1e-9 {
+			if sum > MaxQuotaFactor+1e-9 {
 				t.Fatalf("the parts sum up to %v", sum)
 			}
 		}
@@ -262,7 +262,7 @@
 		}
 		w.pass(60*d.Second, alive...)
 		want, sum := 1.0, 0.0
-		if want = min(want, Room*float64(len(alive))/float64(n)); len(alive) == 1 {
+		if want = min(want, MaxQuotaFactor*float64(len(alive))/float64(n)); len(alive) == 1 {
 			want = 1 / float64(n)
 		}
 		for _, i := range alive {
@@ -286,51 +286,51 @@
 		heard d.Micros
 		want  bool
 	}{
-		{"of a cache not heard from lately", "n1", Hint{Node: "a", What: Gone}, old, true},
-		{"the same again", "n2", Hint{Node: "a", What: Gone}, old, false},
-		{"too old", "n1", Hint{Node: "b", What: Gone, Age: 4 * d.Second}, old, false},
-		{"from the future", "n1", Hint{Node: "b", What: Gone, Age: -1}, old, false},
-		{"of one that has just answered here", "n1", Hint{Node: "b", What: Warms}, w.now - 100*ms, false},
-		{"that it is back", "n1", Hint{Node: "b", What: Back}, w.now - 100*ms, true},
-		{"what a later version may tell", "n1", Hint{Node: "c", What: "glad"}, old, false},
-		{"from a stranger", "x", Hint{Node: "c", What: Gone}, old, false},
+		{"of a cache not heard from lately", "n1", Hint{Node: "a", Condition: Unreachable}, old, true},
+		{"the same again", "n2", Hint{Node: "a", Condition: Unreachable}, old, false},
+		{"too old", "n1", Hint{Node: "b", Condition: Unreachable, Age: 4 * d.Second}, old, false},
+		{"from the future", "n1", Hint{Node: "b", Condition: Unreachable, Age: -1}, old, false},
+		{"of one that has just answered here", "n1", Hint{Node: "b", Condition: Restarted}, w.now - 100*ms, false},
+		{"that it is back", "n1", Hint{Node: "b", Condition: Recovered}, w.now - 100*ms, true},
+		{"what a later version may tell", "n1", Hint{Node: "c", Condition: "glad"}, old, false},
+		{"from a stranger", "x", Hint{Node: "c", Condition: Unreachable}, old, false},
 	}
 	for _, c := range cases {
-		if got := b.Hinted(w.now, c.from, c.h, c.heard); got != c.want {
+		if got := b.ShouldProbe(w.now, c.from, c.h, c.heard); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 	asked, told := 0, 0
 	for i := range 1000 {
-		asked += bit(b.Hinted(w.now, "n2", Hint{Node: fmt.Sprint("box-", i), What: Gone}, old))
-		told += bit(b.Tell(w.now, Hint{Node: fmt.Sprint("box-", i), What: Full}))
+		asked += bit(b.ShouldProbe(w.now, "n2", Hint{Node: fmt.Sprint("box-", i), Condition: Unreachable}, old))
+		told += bit(b.ShouldSendHint(w.now, Hint{Node: fmt.Sprint("box-", i), Condition: Overloaded}))
 	}
-	if asked != b.s.Hints || told != b.s.Hints {
+	if asked != b.s.HintsPerInterval || told != b.s.HintsPerInterval {
 		t.Errorf("%d asked, %d told of", asked, told)
 	}
-	if w.now += b.s.HintEvery; !b.Hinted(w.now, "n2", Hint{Node: "box-999", What: Gone}, old) || !b.Tell(w.now, Hint{Node: "box-999", What: Warms}) {
+	if w.now += b.s.HintInterval; !b.ShouldProbe(w.now, "n2", Hint{Node: "box-999", Condition: Unreachable}, old) || !b.ShouldSendHint(w.now, Hint{Node: "box-999", Condition: Restarted}) {
 		t.Error("nothing is heeded a while later")
 	}
 }
 
 // What is told of a node follows from two sights of it, one after the other.
 func TestNews(t *testing.T) {
-	well := Sight{Warm: 1, Limit: 10}
+	well := NodeStatus{SlowStartShare: 1, Limit: 10}
 	for _, c := range []struct {
 		name        string
-		before, now Sight
-		want        What
+		before, now NodeStatus
+		want        Condition
 	}{
 		{"nothing new", well, well, ""},
-		{"a little colder, a little less", well, Sight{Warm: 0.8, Limit: 7}, ""},
-		{"gone", well, Sight{Skipped: true, Trial: true, Warm: 1, Limit: 10}, Gone},
-		{"tried after a skip", Sight{Skipped: true, Warm: 1}, Sight{Trial: true, Warm: 1}, ""},
-		{"back", Sight{Skipped: true, Warm: 1}, well, Back},
-		{"started anew", well, Sight{Warm: 0.2, Limit: 10}, Warms},
-		{"turns away", well, Sight{Warm: 1, Limit: 4}, Full},
-		{"one without a limit", Sight{Warm: 1}, Sight{Warm: 1}, ""},
+		{"a little colder, a little less", well, NodeStatus{SlowStartShare: 0.8, Limit: 7}, ""},
+		{"gone", well, NodeStatus{Ejected: true, HalfOpen: true, SlowStartShare: 1, Limit: 10}, Unreachable},
+		{"tried after a skip", NodeStatus{Ejected: true, SlowStartShare: 1}, NodeStatus{HalfOpen: true, SlowStartShare: 1}, ""},
+		{"back", NodeStatus{Ejected: true, SlowStartShare: 1}, well, Recovered},
+		{"started anew", well, NodeStatus{SlowStartShare: 0.2, Limit: 10}, Restarted},
+		{"turns away", well, NodeStatus{SlowStartShare: 1, Limit: 4}, Overloaded},
+		{"one without a limit", NodeStatus{SlowStartShare: 1}, NodeStatus{SlowStartShare: 1}, ""},
 	} {
-		if got, news := News(c.before, c.now); news != (c.want != "") || news && got != c.want {
+		if got, news := ConditionChange(c.before, c.now); news != (c.want != "") || news && got != c.want {
 			t.Errorf("%s: %q, %v", c.name, got, news)
 		}
 	}
@@ -338,15 +338,15 @@
 
 func TestStanding(t *testing.T) {
 	w := newWorld(5)
-	for i, want := range []Standing{Most, Most, Most, Few, Alone} {
+	for i, want := range []PartitionState{Majority, Majority, Majority, Minority, Isolated} {
 		if i > 0 {
 			w.see(i, Failed)
 		}
-		if got := w.boards[0].Stands(); got != want {
+		if got := w.boards[0].PartitionState(); got != want {
 			t.Errorf("%d failed: %v, want %v", i, got, want)
 		}
 	}
-	if r := w.boards[0].Report(w.now); len(r.Peers) != 4 || r.Standing != "alone" || r.Zone != 1 {
+	if r := w.boards[0].Report(w.now); len(r.Peers) != 4 || r.PartitionState != "alone" || r.ZoneQuota != 1 {
 		t.Errorf("%+v", r)
 	}
 }
