--- a/internal/bufpool/pool_test.go
+++ b/internal/bufpool/pool_test.go
@@ -12,19 +12,19 @@
 		most, fit, parts int
 	}{
 		{"empty", 0, 1, 2, 1, 0},
-		{"one buffer to the brim", Size, 1, 2, 1, 1},
+		{"one buffer to the brim", BufferSize, 1, 2, 1, 1},
 		{"pieces across buffers", 50_000, 3, 3, 3, 3},
 		{"no room left", 50_000, 3, 2, 2, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := New(c.most)
-			b, fit := p.Body(0), 0
+			b, fit := p.NewBody(0), 0
 			var want []byte
 			for i := range c.pieces {
 				piece := bytes.Repeat([]byte{byte(i + 1)}, c.piece)
 				want = append(want, piece...)
-				if b.Write(piece) {
+				if b.Append(piece) {
 					fit++
 				}
 			}
@@ -35,12 +35,12 @@
 				t.Error("the bytes differ")
 			}
 			buf := p.Get()
-			if len(buf) != Size {
+			if len(buf) != BufferSize {
 				t.Error("a connection got no buffer")
 			}
 			p.Put(buf)
 			b.Free()
-			if out, _ := p.Out(); out != 0 || b.Len() != 0 {
+			if out, _ := p.InUse(); out != 0 || b.Len() != 0 {
 				t.Errorf("%d buffers are still out", out)
 			}
 		})
--- a/internal/dispatch/rare_test.go
+++ b/internal/dispatch/rare_test.go
@@ -256,7 +256,7 @@
 
 // That no connection could be had is no word of the node.
 func TestNoConnectionIsNoWordOfTheNode(t *testing.T) {
-	if got := ending(upstream.Answer{}, &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrNoRoom}); got != policy.NotSent {
+	if got := ending(upstream.Response{}, &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrConnectionLimit}); got != policy.NotSent {
 		t.Errorf("got %d", got)
 	}
 }
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -26,7 +26,7 @@
 // Router holds what all shards share. Its methods may be called from any goroutine.
 type Router struct {
 	margins policy.Timeouts
-	fleet   *upstream.Fleet
+	fleet   *upstream.Pool
 	start   time.Time
 	offset  policy.Micros // the system's clock at the start
 	shards  []*Shard
@@ -47,14 +47,14 @@
 // peer is one process of a node. Each shard has connections of its own to it, within the fleet's one limit: shared ones
 // would have all shards wait for each other's locks.
 type peer struct {
-	of      []*upstream.Peer // by shard
+	of      []*upstream.Endpoint // by shard
 	addr    string
 	started policy.Micros
 }
 
 func (p *peer) leave() {
 	for _, q := range p.of {
-		q.Leave()
+		q.CloseWhenIdle()
 	}
 }
 
@@ -109,13 +109,13 @@
 }
 
 type pull struct {
-	*upstream.Pull
+	*upstream.Attempt
 	until policy.Micros
 	over  bool
 }
 
 // New makes a router of so many shards; Run lets it work.
-func New(module policy.Policy, m policy.Timeouts, fleet *upstream.Fleet, shards int) *Router {
+func New(module policy.Policy, m policy.Timeouts, fleet *upstream.Pool, shards int) *Router {
 	r := &Router{
 		module: module, margins: m, fleet: fleet, start: time.Now(), peers: map[string]*peer{}, ids: shard.NewOwners(),
 		epochs: shard.NewEpochs(shards), listed: map[string]discovery.Node{},
@@ -275,15 +275,15 @@
 			p = nil
 		}
 		if p == nil && n.State != policy.Removed {
-			p = &peer{make([]*upstream.Peer, len(r.shards)), n.Addr, n.Started}
+			p = &peer{make([]*upstream.Endpoint, len(r.shards)), n.Addr, n.Started}
 			for i := range p.of {
-				p.of[i] = r.fleet.Peer(n.Addr)
+				p.of[i] = r.fleet.NewEndpoint(n.Addr)
 			}
 			r.peers[n.ID] = p
 		}
 		if p != nil {
 			for _, q := range p.of {
-				q.Shun(n.State != policy.Ready)
+				q.SetDraining(n.State != policy.Ready)
 			}
 		}
 	}
@@ -476,7 +476,7 @@
 	}
 	for _, p := range dl.pulls {
 		if !p.over {
-			p.GiveUp(false)
+			p.Cancel(false)
 		}
 	}
 	dl.ask.Body.Free()
@@ -498,7 +498,7 @@
 		s.pull(dl, a)
 	case policy.CancelAttempt:
 		if p := dl.pulls[a.Attempt]; !p.over {
-			p.GiveUp(true)
+			p.Cancel(true)
 		}
 	case policy.Reject, policy.Fail:
 		if a.Unprocessable {
@@ -523,19 +523,19 @@
 }
 
 func (s *Shard) pull(dl *download, a decided) {
-	w := upstream.Want{
-		ID: dl.ask.Txn, Sort: dl.ask.Sort, Asset: dl.Object, Slice: dl.Part, Patience: span(a.Timeout),
-		Key: dl.ask.Key, Rank: a.CacheRank, Oldest: span(a.MaxAge), Join: a.Coalesce, Held: a.OnlyIfCached, Renew: a.Revalidate,
-		Seen: dl.ask.Held, Body: dl.ask.Body,
+	w := upstream.Request{
+		ID: dl.ask.Txn, ContentType: dl.ask.Sort, Object: dl.Object, Part: dl.Part, Timeout: span(a.Timeout),
+		IdempotencyKey: dl.ask.Key, CacheRank: a.CacheRank, MaxAge: span(a.MaxAge), Coalesce: a.Coalesce, OnlyIfCached: a.OnlyIfCached, Revalidate: a.Revalidate,
+		ClientTag: dl.ask.Held, Body: dl.ask.Body,
 	}
 	if a.Source != a.Endpoint {
-		w.From = a.source
+		w.SourceID = a.source
 		if a.from != nil {
 			w.Source = a.from.of[s.number]
 		}
 	}
 	decided, end := s.start.Add(span(a.at-s.offset)), s.start.Add(span(a.NotAfter-s.offset))
-	w.Void = func() bool {
+	w.Superseded = func() bool {
 		now := time.Now()
 		return !dl.conn.Waits(dl.tag) || a.NotAfter > 0 && !now.Before(end) ||
 			s.margins.MaxDecisionAge > 0 && s.purges.Load() != a.purges && now.Sub(decided) > span(s.margins.MaxDecisionAge)
@@ -543,23 +543,23 @@
 	s.pulled.Add(1)
 	p := &pull{until: a.at + a.Timeout}
 	number := len(dl.pulls)
-	var before []*upstream.Pull
+	var before []*upstream.Attempt
 	for _, earlier := range dl.pulls {
-		before = append(before, earlier.Pull)
+		before = append(before, earlier.Attempt)
 	}
 	dl.pulls = append(dl.pulls, p)
 	if a.to == nil { // the list has just lost it
-		p.Pull = &upstream.Pull{}
-		s.calls.PutUnbounded(func() { s.ended(dl, number, policy.Withdrawn, upstream.Answer{}) })
+		p.Attempt = &upstream.Attempt{}
+		s.calls.PutUnbounded(func() { s.ended(dl, number, policy.Withdrawn, upstream.Response{}) })
 		return
 	}
-	p.Pull = a.to.of[s.number].Send(w, func(answer upstream.Answer, err error) {
+	p.Attempt = a.to.of[s.number].Send(w, func(answer upstream.Response, err error) {
 		s.calls.PutUnbounded(func() { s.ended(dl, number, ending(answer, err), answer) })
 	}, before...)
 }
 
 // ended takes a pull's end.
-func (s *Shard) ended(dl *download, number int, how policy.Result, answer upstream.Answer) {
+func (s *Shard) ended(dl *download, number int, how policy.Result, answer upstream.Response) {
 	p := dl.pulls[number]
 	if p.over {
 		answer.Body.Free()
@@ -573,7 +573,7 @@
 	defer s.forget(dl)
 	if !dl.Done && how == policy.Succeeded {
 		s.fulfilled.Add(1)
-		dl.conn.Fulfil(dl.tag, answer.Body, answer.Word == upstream.Unchanged)
+		dl.conn.Fulfil(dl.tag, answer.Body, answer.Status == upstream.StatusUnchanged)
 		s.finish(dl)
 	} else {
 		answer.Body.Free()
@@ -581,7 +581,7 @@
 	if !dl.Done && !dl.conn.Waits(dl.tag) {
 		s.finish(dl)
 	}
-	out := policy.Outcome{Attempt: number, Result: how, CacheStatus: fillings[answer.Note], Final: dl.Done}
+	out := policy.Outcome{Attempt: number, Result: how, CacheStatus: fillings[answer.CacheStatus], Final: dl.Done}
 	s.act(dl, s.decide(dl, func(now policy.Micros) policy.Decision { return s.module.AttemptDone(now, &dl.Request, out) }))
 }
 
@@ -592,8 +592,8 @@
 	now := s.now()
 	for i, p := range dl.pulls {
 		if !p.over && p.until <= now && !dl.Done {
-			p.GiveUp(false)
-			s.ended(dl, i, policy.TimedOut, upstream.Answer{})
+			p.Cancel(false)
+			s.ended(dl, i, policy.TimedOut, upstream.Response{})
 		}
 	}
 	if !dl.Done && dl.wake > 0 && dl.wake <= now {
@@ -621,9 +621,9 @@
 	}
 }
 
-var endings = map[upstream.Word]policy.Result{
-	upstream.Data: policy.Succeeded, upstream.Unchanged: policy.Succeeded, upstream.Absent: policy.CacheMiss,
-	upstream.Full: policy.Rejected, upstream.Failed: policy.Failed, upstream.Moot: policy.NotSent,
+var endings = map[upstream.Status]policy.Result{
+	upstream.StatusData: policy.Succeeded, upstream.StatusUnchanged: policy.Succeeded, upstream.StatusAbsent: policy.CacheMiss,
+	upstream.StatusFull: policy.Rejected, upstream.StatusFailed: policy.Failed, upstream.StatusMoot: policy.NotSent,
 }
 
 var fillings = map[string]policy.CacheStatus{
@@ -634,20 +634,20 @@
 }
 
 // ending is what the module hears of a pull: one that was not wholly written never ran, any other may have.
-func ending(a upstream.Answer, err error) policy.Result {
+func ending(a upstream.Response, err error) policy.Result {
 	e := (*upstream.Error)(nil)
 	switch {
 	case err == nil:
-		return endings[a.Word]
+		return endings[a.Status]
 	case !errors.As(err, &e):
 		return policy.ConnectionLost
-	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrRecalled):
+	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrWithdrawn):
 		return policy.Withdrawn
-	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrNoRoom): // which is no word of the node
+	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrConnectionLimit): // which is no word of the node
 		return policy.NotSent
-	case e.GaveUp && e.Stage < upstream.WhollyWritten:
+	case e.Cancelled && e.Stage < upstream.WhollyWritten:
 		return policy.NotSent
-	case e.GaveUp:
+	case e.Cancelled:
 		return policy.Cancelled
 	case e.Stage < upstream.WhollyWritten:
 		return policy.ConnectFailed
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -22,31 +22,31 @@
 
 func TestEndings(t *testing.T) {
 	fail := func(stage upstream.Stage, gaveUp bool) error {
-		return &upstream.Error{Stage: stage, GaveUp: gaveUp, Err: errors.New("x")}
+		return &upstream.Error{Stage: stage, Cancelled: gaveUp, Err: errors.New("x")}
 	}
 	cases := []struct {
 		name string
-		word upstream.Word
+		word upstream.Status
 		err  error
 		want policy.Result
 	}{
-		{"data", upstream.Data, nil, policy.Succeeded}, {"unchanged", upstream.Unchanged, nil, policy.Succeeded},
-		{"absent", upstream.Absent, nil, policy.CacheMiss}, {"full", upstream.Full, nil, policy.Rejected},
-		{"failed", upstream.Failed, nil, policy.Failed}, {"moot", upstream.Moot, nil, policy.NotSent},
+		{"data", upstream.StatusData, nil, policy.Succeeded}, {"unchanged", upstream.StatusUnchanged, nil, policy.Succeeded},
+		{"absent", upstream.StatusAbsent, nil, policy.CacheMiss}, {"full", upstream.StatusFull, nil, policy.Rejected},
+		{"failed", upstream.StatusFailed, nil, policy.Failed}, {"moot", upstream.StatusMoot, nil, policy.NotSent},
 		{"not connected", "", fail(upstream.NotConnected, false), policy.ConnectFailed},
 		{"nothing written", "", fail(upstream.NothingWritten, false), policy.ConnectFailed},
 		{"partly written", "", fail(upstream.PartlyWritten, false), policy.ConnectFailed},
 		{"wholly written", "", fail(upstream.WhollyWritten, false), policy.ConnectionLost},
-		{"answer begun", "", fail(upstream.AnswerBegun, false), policy.ConnectionLost},
+		{"answer begun", "", fail(upstream.ResponseStarted, false), policy.ConnectionLost},
 		{"given up, not connected", "", fail(upstream.NotConnected, true), policy.NotSent},
 		{"given up, partly written", "", fail(upstream.PartlyWritten, true), policy.NotSent},
 		{"given up, wholly written", "", fail(upstream.WhollyWritten, true), policy.Cancelled},
-		{"given up, answer begun", "", fail(upstream.AnswerBegun, true), policy.Cancelled},
+		{"given up, answer begun", "", fail(upstream.ResponseStarted, true), policy.Cancelled},
 		{"another error", "", errors.New("x"), policy.ConnectionLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := ending(upstream.Answer{Word: c.word}, c.err); got != c.want {
+			if got := ending(upstream.Response{Status: c.word}, c.err); got != c.want {
 				t.Errorf("got %d, want %d", got, c.want)
 			}
 		})
@@ -113,7 +113,7 @@
 	node   net.Listener
 	back   *bufio.Reader // what the node hears
 	nc     net.Conn      // its connection
-	fleet  *upstream.Fleet
+	fleet  *upstream.Pool
 	server *downstream.Server
 }
 
@@ -227,13 +227,13 @@
 			}
 		}
 		fleet.Close()
-		for until := time.Now().Add(10 * time.Second); fleet.Conns() > 0; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(10 * time.Second); fleet.Connections() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Fatal("connections to nodes are left")
 			}
 		}
 		b.Router.Stop()
-		if out, _ := p.Out(); out != 0 {
+		if out, _ := p.InUse(); out != 0 {
 			t.Errorf("%d buffers are still out", out)
 		}
 	})
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -246,7 +246,7 @@
 	}
 	for _, r := range worst[:min(len(worst), max(0, most))] {
 		r.c.mu.Lock()
-		if bytes, _ := socket.Unread(r.c.nc); r.c.answered() && !bytes { // still
+		if bytes, _ := socket.PendingInput(r.c.nc); r.c.answered() && !bytes { // still
 			r.c.end()
 			ended++
 		}
@@ -380,7 +380,7 @@
 
 // answer queues an answer and never waits. A client that leaves too much of it unread is left.
 func (c *Conn) answer(tag uint64, word, fields string, body *bufpool.Body) {
-	out, most := c.s.pool.Out()
+	out, most := c.s.pool.InUse()
 	share := most / 8
 	if out > most/2 {
 		share = most / 64
@@ -393,7 +393,7 @@
 	}
 	delete(c.open, tag)
 	c.used = time.Now()
-	if c.queued > max(share, 4)*bufpool.Size {
+	if c.queued > max(share, 4)*bufpool.BufferSize {
 		c.end()
 		c.mu.Unlock()
 		body.Free()
@@ -548,7 +548,7 @@
 	if c.first.IsZero() {
 		c.first = now
 	}
-	if bytes, end := socket.Unread(c.nc); !bytes && !end || now.Sub(c.first) >= span(c.s.margins.MaxDecisionAge) {
+	if bytes, end := socket.PendingInput(c.nc); !bytes && !end || now.Sub(c.first) >= span(c.s.margins.MaxDecisionAge) {
 		c.pass(true)
 		c.first = time.Time{}
 	}
@@ -568,13 +568,13 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	switch {
-	case c.phase == shut && socket.Unsent(c.nc) && now.Before(c.left): // a slow reader: its answers are still on their way
+	case c.phase == shut && socket.HasUnsentOutput(c.nc) && now.Before(c.left): // a slow reader: its answers are still on their way
 		c.nc.SetReadDeadline(now.Add(span(c.s.margins.Connect)))
 	case c.phase >= shut:
 		return false
 	default:
 		c.nc.SetReadDeadline(time.Time{})
-		bytes, _ := socket.Unread(c.nc)
+		bytes, _ := socket.PendingInput(c.nc)
 		if c.phase == serving || !c.answered() || bytes && c.hears == hearsAll && now.Before(c.left) {
 			break
 		}
@@ -676,8 +676,8 @@
 	case late:
 		c.TurnAway(msg.tag, msg.ask)
 	default:
-		msg.ask.Came, msg.ask.Body = came, c.s.pool.Body(len(msg.ask.bytes))
-		if !msg.ask.Body.Write(msg.ask.bytes) {
+		msg.ask.Came, msg.ask.Body = came, c.s.pool.NewBody(len(msg.ask.bytes))
+		if !msg.ask.Body.Append(msg.ask.bytes) {
 			msg.ask.Body.Free()
 			c.TurnAway(msg.tag, msg.ask)
 			return
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -102,7 +102,7 @@
 		}
 		b.Server.mu.Unlock()
 		eventually(t, "connections are left", func() bool { return b.Conns() == 0 })
-		if out, _ := b.pool.Out(); out != 0 {
+		if out, _ := b.pool.InUse(); out != 0 {
 			t.Errorf("%d buffers are still out", out)
 		}
 	})
@@ -146,8 +146,8 @@
 }
 
 func (b *bed) body(size int) *bufpool.Body {
-	body := b.pool.Body(0)
-	body.Write(bytes.Repeat([]byte("x"), size))
+	body := b.pool.NewBody(0)
+	body.Append(bytes.Repeat([]byte("x"), size))
 	return body
 }
 
--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -89,7 +89,7 @@
 
 // close gives the buffer back.
 func (p *parser) close() {
-	if len(p.buf) == bufpool.Size {
+	if len(p.buf) == bufpool.BufferSize {
 		p.pool.Put(p.buf)
 	}
 	p.buf, p.from, p.to = nil, 0, 0
--- a/internal/downstream/protocol_test.go
+++ b/internal/downstream/protocol_test.go
@@ -52,7 +52,7 @@
 		frame("NEVERMIND", "7"), frame("SING", "10"),
 	}, nil)
 	want := []string{"ASK 7 7f3a9c21e0b4d655 0", "STATUS 8  0", "ASK 9 7f3a9c21e0b4d655 48000", "NEVERMIND 7  0", " 10  0"}
-	for _, piece := range []int{1, 7, 1000, bufpool.Size, len(data)} {
+	for _, piece := range []int{1, 7, 1000, bufpool.BufferSize, len(data)} {
 		if piece == 1 {
 			data := bytes.Replace(data, []byte(body), nil, 1) // a byte at a time, without the long one's body
 			data = bytes.Replace(data, []byte("$48000"), []byte("$0"), 1)
@@ -142,7 +142,7 @@
 		piece = max(1, piece)
 		whole, wholeErr := all(data, len(data)+1)
 		pieces, err := all(data, piece)
-		if len(data) < bufpool.Size && (!reflect.DeepEqual(whole, pieces) || (err == nil) != (wholeErr == nil)) {
+		if len(data) < bufpool.BufferSize && (!reflect.DeepEqual(whole, pieces) || (err == nil) != (wholeErr == nil)) {
 			t.Errorf("whole %v, %v; in pieces %v, %v", whole, wholeErr, pieces, err)
 		}
 	})
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -23,7 +23,7 @@
 type gossipDriver struct {
 	talk    atomic.Pointer[gossipnet.Driver]
 	d       *decider
-	fleet   *upstream.Fleet
+	fleet   *upstream.Pool
 	every   time.Duration
 	asked   chan membership.Hint
 	heard   atomic.Pointer[map[string]policy.Micros] // when nodes last answered, as of the last look
@@ -269,7 +269,7 @@
 	}
 }
 
-func (g *gossipDriver) start(o config.Peers, c config.Config, fleet *upstream.Fleet) error {
+func (g *gossipDriver) start(o config.Peers, c config.Config, fleet *upstream.Pool) error {
 	s := membership.Derive(c.Name, uint64(time.Now().UnixMicro()), c.Site.Settings)
 	g.fleet, g.every = fleet, span(s.HintInterval)/8
 	g.asked, g.done, g.sights = make(chan membership.Hint, questions), make(chan struct{}), map[string]membership.NodeStatus{}
@@ -419,7 +419,7 @@
 			if addr == "" {
 				continue
 			}
-			err := g.fleet.Question(addr)
+			err := g.fleet.Probe(addr)
 			anew, full := h.UnresolvedByProbe()
 			slog.Info("hint", "node", h.Node, "what", h.Condition, "well", err == nil)
 			for i, r := range g.d.routers {
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -159,7 +159,7 @@
 	level.Set(o.Log)
 	limitRuntime(c.Limits, o)
 	margins := routing.Timeouts(c.Site.Settings)
-	buffers := bufpool.New(c.Limits.Buffers(bufpool.Size))
+	buffers := bufpool.New(c.Limits.Buffers(bufpool.BufferSize))
 	fleet := upstream.New(buffers, margins, c.Limits.Dials())
 	shards := o.Shards(c.Limits)
 	if o.Cores > shards {
@@ -169,7 +169,7 @@
 	channel.Seed(backoff.Seed(c.Site.Seed, c.Name))
 	g := &gossipDriver{}
 	own := newHeart(c.Site.Settings, margins, channel.Hurry, g.settled)
-	fleet.Heed(own.Trusted)
+	fleet.SetWriteCheck(own.Trusted)
 	channel.Watch(heard{own, g})
 	d := newDecider(ownSettings(c), options(o, c.Limits, g), margins, fleet, shards, f.Divided)
 	d.watch(own)
@@ -231,8 +231,8 @@
 			c, o = next, nextO
 			level.Set(o.Log)
 			limitRuntime(c.Limits, o)
-			buffers.Limit(c.Limits.Buffers(bufpool.Size))
-			fleet.Limit(c.Limits.Dials())
+			buffers.SetLimit(c.Limits.Buffers(bufpool.BufferSize))
+			fleet.SetLimit(c.Limits.Dials())
 			server.Limit(c.Limits.Clients())
 			d.use(options(o, c.Limits, g))
 			g.avoid(append([]string{}, o.Avoid...))
@@ -282,7 +282,7 @@
 	sinks   []downstream.Sink
 }
 
-func newDecider(s policy.Settings, o routing.Options, m policy.Timeouts, fleet *upstream.Fleet, shards int, divided bool) *decider {
+func newDecider(s policy.Settings, o routing.Options, m policy.Timeouts, fleet *upstream.Pool, shards int, divided bool) *decider {
 	d, each := &decider{}, shards
 	if divided {
 		s.ZoneDirectors, each = max(1, s.ZoneDirectors)*shards, 1
@@ -378,12 +378,12 @@
 }
 
 // report tells how the director is.
-func (k *keeper) report(d *decider, s *downstream.Server, fleet *upstream.Fleet, g *gossipDriver) status.Report {
+func (k *keeper) report(d *decider, s *downstream.Server, fleet *upstream.Pool, g *gossipDriver) status.Report {
 	k.mu.Lock()
 	r := status.Report{
 		Name: k.c.Name, PID: os.Getpid(), Started: k.started, Stopping: k.stopping, Settings: k.o.Sum, Platform: k.c.Sum,
 		Reloads: k.reloads, Refused: k.why, Cores: k.o.Shards(k.c.Limits), Avoided: k.o.Avoid, Clients: s.Conns(),
-		MostClient: k.c.Limits.Clients(), Nodes: fleet.Conns(), Open: d.open(), Counts: map[string]int64{},
+		MostClient: k.c.Limits.Clients(), Nodes: fleet.Connections(), Open: d.open(), Counts: map[string]int64{},
 	}
 	k.mu.Unlock()
 	r.Peers, r.Word, r.Follow = g.talk.Load().Report(), g.report(), g.ears.report()
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unread says whether bytes have come that were not read yet, or the other side's end.
-func Unread(nc net.Conn) (bytes, end bool) {
-	control(nc, func(fd int) {
+// PendingInput says whether bytes have come that were not read yet, or the other side's end.
+func PendingInput(nc net.Conn) (bytes, end bool) {
+	withDescriptor(nc, func(fd int) {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		bytes = err == nil && n > 0
@@ -19,16 +19,16 @@
 	return bytes, end
 }
 
-// Unsent says whether the system still holds bytes that the other side has not taken.
-func Unsent(nc net.Conn) (some bool) {
-	control(nc, func(fd int) {
+// HasUnsentOutput says whether the system still holds bytes that the other side has not taken.
+func HasUnsentOutput(nc net.Conn) (some bool) {
+	withDescriptor(nc, func(fd int) {
 		n, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ)
 		some = err == nil && n > 0
 	})
 	return some
 }
 
-func control(nc net.Conn, do func(fd int)) {
+func withDescriptor(nc net.Conn, do func(fd int)) {
 	if raw, ok := nc.(syscall.Conn); ok {
 		if in, err := raw.SyscallConn(); err == nil {
 			in.Control(func(fd uintptr) { do(int(fd)) })
--- a/internal/upstream/back.go
+++ b/internal/upstream/back.go
@@ -28,105 +28,105 @@
 	NothingWritten
 	PartlyWritten
 	WhollyWritten
-	AnswerBegun
+	ResponseStarted
 )
 
-var stages = [...]string{"not connected", "nothing written", "partly written", "wholly written", "answer begun"}
+var stageNames = [...]string{"not connected", "nothing written", "partly written", "wholly written", "answer begun"}
 
-func (s Stage) String() string { return stages[s] }
+func (s Stage) String() string { return stageNames[s] }
 
 // Error is a pull's end without an answer.
 type Error struct {
-	Stage  Stage
-	GaveUp bool // it was given up from this side
-	Err    error
+	Stage     Stage
+	Cancelled bool // it was given up from this side
+	Err       error
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%s: %v", e.Stage, e.Err) }
 func (e *Error) Unwrap() error { return e.Err }
 
 var (
-	errGaveUp  = errors.New("given up")
-	errSilent  = errors.New("silent")
-	errStalled = errors.New("stalled in an answer")
-
-	// ErrNoRoom ends a pull for which no connection could be had within the limit.
-	ErrNoRoom = errors.New("no connection is free")
-	// ErrRecalled ends a pull that was not written yet when its node or source was shunned, or it no longer stood.
-	ErrRecalled = errors.New("recalled")
+	errCancelled      = errors.New("given up")
+	errNoConfirmation = errors.New("silent")
+	errStalled        = errors.New("stalled in an answer")
+
+	// ErrConnectionLimit ends a pull for which no connection could be had within the limit.
+	ErrConnectionLimit = errors.New("no connection is free")
+	// ErrWithdrawn ends a pull that was not written yet when its node or source was shunned, or it no longer stood.
+	ErrWithdrawn = errors.New("recalled")
 )
 
 const (
-	mostOld    = 256     // ids given up on a connection before it is replaced
-	mostStray  = 16      // answers that nobody asked for
-	smallRead  = 4 << 10 // what is read at once but for bodies
-	smallWrite = 2 << 10 // what is written at once but for clients' writes
+	maxCancelledIDs = 256     // ids given up on a connection before it is replaced
+	maxUnsolicited  = 16      // answers that nobody asked for
+	readBufferSize  = 4 << 10 // what is read at once but for bodies
+	writeBufferSize = 2 << 10 // what is written at once but for clients' writes
 )
 
-// Fleet is what all nodes' connections have in common.
-type Fleet struct {
-	pool    *bufpool.Pool
-	margins policy.Timeouts
-	most    atomic.Int64 // connections that may be held
-	held    atomic.Int64 // or are on their way
-	done    chan struct{}
-	sound   func() bool
-	mu      sync.Mutex
-	peers   map[*Peer]struct{}
-	faults  int       // of nodes, since one was logged
-	logged  time.Time // when
+// Pool is what all nodes' connections have in common.
+type Pool struct {
+	buffers        *bufpool.Pool
+	timeouts       policy.Timeouts
+	limit          atomic.Int64 // connections that may be held
+	connections    atomic.Int64 // or are on their way
+	done           chan struct{}
+	mayWrite       func() bool
+	mu             sync.Mutex
+	endpoints      map[*Endpoint]struct{}
+	unloggedErrors int       // of nodes, since one was logged
+	lastLogged     time.Time // when
 }
 
 // New makes a fleet of at most so many connections.
-func New(p *bufpool.Pool, m policy.Timeouts, most int) *Fleet {
-	f := &Fleet{
-		pool: p, margins: m, done: make(chan struct{}), peers: map[*Peer]struct{}{}, sound: func() bool { return true },
+func New(p *bufpool.Pool, m policy.Timeouts, most int) *Pool {
+	f := &Pool{
+		buffers: p, timeouts: m, done: make(chan struct{}), endpoints: map[*Endpoint]struct{}{}, mayWrite: func() bool { return true },
 	}
-	f.Limit(most)
-	go f.tidy()
+	f.SetLimit(most)
+	go f.closeIdleConnections()
 	return f
 }
 
-// Firsts is how many more may be held by nodes that have no other, where all that may be are in use.
-func Firsts(most int64) int64 { return max(1, most/4) }
+// firstConnectionReserve is how many more may be held by nodes that have no other, where all that may be are in use.
+func firstConnectionReserve(most int64) int64 { return max(1, most/4) }
 
-// Limit sets how many connections may be held when another is opened.
-func (f *Fleet) Limit(most int) { f.most.Store(int64(most)) }
+// SetLimit sets how many connections may be held when another is opened.
+func (f *Pool) SetLimit(most int) { f.limit.Store(int64(most)) }
 
-// Heed has nothing written while sound says that what it was decided on may be out of date; before the first peer.
-func (f *Fleet) Heed(sound func() bool) { f.sound = sound }
+// SetWriteCheck has nothing written while sound says that what it was decided on may be out of date; before the first peer.
+func (f *Pool) SetWriteCheck(sound func() bool) { f.mayWrite = sound }
 
 // Close ends all connections.
-func (f *Fleet) Close() {
+func (f *Pool) Close() {
 	close(f.done)
-	f.each(func(p *Peer) { p.sweep(func(*conn) bool { return true }) })
+	f.forEachEndpoint(func(p *Endpoint) { p.closeMatching(func(*conn) bool { return true }) })
 }
 
-// Question asks a node once whether it is there, over a connection of its own, and waits for its word.
-func (f *Fleet) Question(addr string) error {
-	defer f.held.Add(-1)
-	if f.held.Add(1) > f.most.Load() {
-		return ErrNoRoom
+// Probe asks a node once whether it is there, over a connection of its own, and waits for its word.
+func (f *Pool) Probe(addr string) error {
+	defer f.connections.Add(-1)
+	if f.connections.Add(1) > f.limit.Load() {
+		return ErrConnectionLimit
 	}
-	nc, err := net.DialTimeout("tcp4", addr, span(f.margins.Connect))
+	nc, err := net.DialTimeout("tcp4", addr, span(f.timeouts.Connect))
 	if err != nil {
 		return &Error{NotConnected, false, err}
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(span(f.margins.Connect)))
-	if _, err := nc.Write(appendThere(nil, question)); err != nil {
+	nc.SetDeadline(time.Now().Add(span(f.timeouts.Connect)))
+	if _, err := nc.Write(appendProbe(nil, probeID)); err != nil {
 		return &Error{NothingWritten, false, err}
 	}
 	heard := false
-	r := reader{
-		pool: f.pool, begun: func(string) bool { return false }, ended: func(string, Answer, error) error { return nil },
-		there: func(string) { heard = true },
+	r := parser{
+		buffers: f.buffers, onStart: func(string) bool { return false }, onResponse: func(string, Response, error) error { return nil },
+		onProbeAnswer: func(string) { heard = true },
 	}
 	defer r.close()
-	for buf := make([]byte, smallRead); !heard; {
+	for buf := make([]byte, readBufferSize); !heard; {
 		n, err := nc.Read(buf)
 		if err == nil {
-			err = r.feed(buf[:n])
+			err = r.parse(buf[:n])
 		}
 		if err != nil {
 			return &Error{WhollyWritten, false, err}
@@ -135,33 +135,33 @@
 	return nil
 }
 
-const question = "1" // the only tag on its connection
+const probeID = "1" // the only tag on its connection
 
-// Conns is how many connections are held or on their way.
-func (f *Fleet) Conns() int { return int(f.held.Load()) }
+// Connections is how many connections are held or on their way.
+func (f *Pool) Connections() int { return int(f.connections.Load()) }
 
-func (f *Fleet) each(do func(*Peer)) {
+func (f *Pool) forEachEndpoint(do func(*Endpoint)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for p := range f.peers {
+	for p := range f.endpoints {
 		do(p)
 	}
 }
 
-// fault logs an answer that can't be trusted: a line at a time, with the number of those that went without.
-func (f *Fleet) fault(addr string, err error) {
+// logBadResponse logs an answer that can't be trusted: a line at a time, with the number of those that went without.
+func (f *Pool) logBadResponse(addr string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.faults++; time.Since(f.logged) < span(f.margins.Connect) {
+	if f.unloggedErrors++; time.Since(f.lastLogged) < span(f.timeouts.Connect) {
 		return
 	}
-	slog.Warn("bad_answer", "node", addr, "err", err, "faults", f.faults)
-	f.faults, f.logged = 0, time.Now()
+	slog.Warn("bad_answer", "node", addr, "err", err, "faults", f.unloggedErrors)
+	f.unloggedErrors, f.lastLogged = 0, time.Now()
 }
 
-// tidy closes connections that were not used for long, before the nodes do.
-func (f *Fleet) tidy() {
-	idle := span(f.margins.Idle)
+// closeIdleConnections closes connections that were not used for long, before the nodes do.
+func (f *Pool) closeIdleConnections() {
+	idle := span(f.timeouts.Idle)
 	tick := time.NewTicker(idle / 8)
 	defer tick.Stop()
 	for {
@@ -169,486 +169,488 @@
 		case <-f.done:
 			return
 		case now := <-tick.C:
-			f.each(func(p *Peer) {
-				p.sweep(func(c *conn) bool { return len(c.open) == 0 && now.Sub(c.used) > idle })
+			f.forEachEndpoint(func(p *Endpoint) {
+				p.closeMatching(func(c *conn) bool { return len(c.attempts) == 0 && now.Sub(c.lastUsed) > idle })
 			})
 		}
 	}
 }
 
-// Peer is one process of a node, at its address.
-type Peer struct {
-	f     *Fleet
-	addr  string
-	mu    sync.Mutex
-	conns []*conn
-	gone  bool
-	shun  atomic.Bool // nothing new goes to it, and no fill is asked of it
+// Endpoint is one process of a node, at its address.
+type Endpoint struct {
+	pool     *Pool
+	address  string
+	mu       sync.Mutex
+	conns    []*conn
+	closing  bool
+	draining atomic.Bool // nothing new goes to it, and no fill is asked of it
 }
 
-// Shun says whether anything new may still be written to it, or name it as a source.
-func (p *Peer) Shun(shun bool) { p.shun.Store(shun) }
+// SetDraining says whether anything new may still be written to it, or name it as a source.
+func (p *Endpoint) SetDraining(shun bool) { p.draining.Store(shun) }
 
-// recalled says whether a pull that waits to be written must not be.
-func (l *Pull) recalled() bool {
-	w := &l.want
-	return l.peer.shun.Load() || w.Source != nil && w.Source.shun.Load() || w.Void != nil && w.Void()
+// withdrawn says whether a pull that waits to be written must not be.
+func (l *Attempt) withdrawn() bool {
+	w := &l.request
+	return l.endpoint.draining.Load() || w.Source != nil && w.Source.draining.Load() || w.Superseded != nil && w.Superseded()
 }
 
-// Peer makes one; no connection is opened yet.
-func (f *Fleet) Peer(addr string) *Peer {
-	p := &Peer{f: f, addr: addr}
+// NewEndpoint makes one; no connection is opened yet.
+func (f *Pool) NewEndpoint(addr string) *Endpoint {
+	p := &Endpoint{pool: f, address: addr}
 	f.mu.Lock()
-	f.peers[p] = struct{}{}
+	f.endpoints[p] = struct{}{}
 	f.mu.Unlock()
 	return p
 }
 
-// Leave closes the connections as soon as nothing is open on them.
-func (p *Peer) Leave() {
-	p.f.mu.Lock()
-	delete(p.f.peers, p)
-	p.f.mu.Unlock()
-	p.shun.Store(true)
+// CloseWhenIdle closes the connections as soon as nothing is open on them.
+func (p *Endpoint) CloseWhenIdle() {
+	p.pool.mu.Lock()
+	delete(p.pool.endpoints, p)
+	p.pool.mu.Unlock()
+	p.draining.Store(true)
 	p.mu.Lock()
-	p.gone = true
+	p.closing = true
 	p.mu.Unlock()
-	p.sweep(func(c *conn) bool { return len(c.open) == 0 })
+	p.closeMatching(func(c *conn) bool { return len(c.attempts) == 0 })
 }
 
-// sweep closes the connections for which the test holds.
-func (p *Peer) sweep(test func(*conn) bool) {
+// closeMatching closes the connections for which the test holds.
+func (p *Endpoint) closeMatching(test func(*conn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range append([]*conn(nil), p.conns...) {
 		if test(c) {
-			c.end(errGaveUp)
+			c.close(errCancelled)
 		}
 	}
 }
 
-// Pull is one request to a node.
-type Pull struct {
-	want   Want
-	done   func(Answer, error)
-	peer   *Peer
-	before []*Pull // of the same download: it goes over none of their connections
-	size   int     // of what is written for it, at the most
+// Attempt is one request to a node.
+type Attempt struct {
+	request  Request
+	done     func(Response, error)
+	endpoint *Endpoint
+	previous []*Attempt // of the same download: it goes over none of their connections
+	maxSize  int        // of what is written for it, at the most
 	// guarded by the peer's lock
-	conn   *conn
-	sent   time.Time // when it was last known not to be written
-	stage  Stage
-	gaveUp bool
-	sure   bool
-	moved  bool // to another connection, when the first ended before the request was written
-	over   bool
+	conn      *conn
+	sentAt    time.Time // when it was last known not to be written
+	stage     Stage
+	cancelled bool
+	confirm   bool
+	moved     bool // to another connection, when the first ended before the request was written
+	finished  bool
 }
 
 // Send sends a request and never waits. Done is called once, with the answer or an *Error; it must not wait nor call back. The request goes over none of the connections that pulls before it went over: an answer of theirs that is
 // late, or comes twice, would be taken for its own.
-func (p *Peer) Send(w Want, done func(Answer, error), before ...*Pull) *Pull {
-	pull := &Pull{want: w, done: done, peer: p, before: before, size: longestHead + w.Body.Len(), sent: time.Now()}
-	p.f.makeRoom(p)
+func (p *Endpoint) Send(w Request, done func(Response, error), before ...*Attempt) *Attempt {
+	pull := &Attempt{request: w, done: done, endpoint: p, previous: before, maxSize: maxRequestHead + w.Body.Len(), sentAt: time.Now()}
+	p.pool.evictIdle(p)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.put(pull) {
-		pull.over = true
-		done(Answer{}, &Error{NotConnected, false, ErrNoRoom})
+	if !p.enqueue(pull) {
+		pull.finished = true
+		done(Response{}, &Error{NotConnected, false, ErrConnectionLimit})
 	}
 	return pull
 }
 
-// put queues a request on a connection; false where there is none. The caller holds the lock.
-func (p *Peer) put(l *Pull) bool {
-	c := p.choose(l)
+// enqueue queues a request on a connection; false where there is none. The caller holds the lock.
+func (p *Endpoint) enqueue(l *Attempt) bool {
+	c := p.pickConn(l)
 	if c == nil {
 		return false
 	}
-	if l.conn, l.stage = c, NotConnected; c.nc != nil {
+	if l.conn, l.stage = c, NotConnected; c.netConn != nil {
 		l.stage = NothingWritten
 	}
-	c.open[l.want.ID], c.used = l, l.sent
-	c.queue = append(c.queue, item{pull: l})
-	c.signal()
+	c.attempts[l.request.ID], c.lastUsed = l, l.sentAt
+	c.queue = append(c.queue, message{attempt: l})
+	c.wakeWriter()
 	return true
 }
 
-// choose takes the connection with the fewest open requests, one that is up before one that is not, or opens
+// pickConn takes the connection with the fewest open requests, one that is up before one that is not, or opens
 // another where all have their share. One on which the id was given up is left out too.
-func (p *Peer) choose(l *Pull) *conn {
+func (p *Endpoint) pickConn(l *Attempt) *conn {
 	var best *conn
 	for _, c := range p.conns {
-		if !c.takes(l) {
+		if !c.accepts(l) {
 			continue
 		}
-		if best == nil || c.rank() < best.rank() || c.rank() == best.rank() && len(c.open) < len(best.open) {
+		if best == nil || c.rank() < best.rank() || c.rank() == best.rank() && len(c.attempts) < len(best.attempts) {
 			best = c
 		}
 	}
-	if best != nil && len(best.open) < p.f.margins.PreferredStreams {
+	if best != nil && len(best.attempts) < p.pool.timeouts.PreferredStreams {
 		return best
 	}
-	most := p.f.most.Load()
+	most := p.pool.limit.Load()
 	if len(p.conns) == 0 {
-		most += Firsts(most)
+		most += firstConnectionReserve(most)
 	}
-	if p.f.held.Add(1) > most {
-		p.f.held.Add(-1)
+	if p.pool.connections.Add(1) > most {
+		p.pool.connections.Add(-1)
 		return best
 	}
-	c := &conn{p: p, open: map[string]*Pull{}, old: map[string]bool{}, wake: make(chan struct{}, 1), used: time.Now()}
+	c := &conn{endpoint: p, attempts: map[string]*Attempt{}, cancelledIDs: map[string]bool{}, wake: make(chan struct{}, 1), lastUsed: time.Now()}
 	p.conns = append(p.conns, c)
 	go c.run()
 	return c
 }
 
-// takes says whether a pull may go over a connection. The caller holds the lock.
-func (c *conn) takes(l *Pull) bool {
-	return !c.retired && c.open[l.want.ID] == nil && !c.old[l.want.ID] && len(c.open) < c.p.f.margins.MaxStreams &&
-		!slices.ContainsFunc(l.before, func(b *Pull) bool { return b.peer == c.p && b.conn == c })
+// accepts says whether a pull may go over a connection. The caller holds the lock.
+func (c *conn) accepts(l *Attempt) bool {
+	return !c.retired && c.attempts[l.request.ID] == nil && !c.cancelledIDs[l.request.ID] && len(c.attempts) < c.endpoint.pool.timeouts.MaxStreams &&
+		!slices.ContainsFunc(l.previous, func(b *Attempt) bool { return b.endpoint == c.endpoint && b.conn == c })
 }
 
-// makeRoom closes the connection that has rested longest, of any node, where as many are held as may be and this one has none
+// evictIdle closes the connection that has rested longest, of any node, where as many are held as may be and this one has none
 // that rests: so each node gets its first within the limit, however many there are.
-func (f *Fleet) makeRoom(p *Peer) {
-	if f.held.Load() < f.most.Load() {
+func (f *Pool) evictIdle(p *Endpoint) {
+	if f.connections.Load() < f.limit.Load() {
 		return
 	}
 	p.mu.Lock()
-	rests := slices.ContainsFunc(p.conns, func(c *conn) bool { return !c.retired && len(c.open) == 0 })
+	rests := slices.ContainsFunc(p.conns, func(c *conn) bool { return !c.retired && len(c.attempts) == 0 })
 	p.mu.Unlock()
 	if rests {
 		return
 	}
 	var oldest *conn
 	var used time.Time
-	f.each(func(q *Peer) {
+	f.forEachEndpoint(func(q *Endpoint) {
 		q.mu.Lock()
 		defer q.mu.Unlock()
 		for _, c := range q.conns {
-			if c.rests() && (oldest == nil || c.used.Before(used)) {
-				oldest, used = c, c.used
+			if c.isIdle() && (oldest == nil || c.lastUsed.Before(used)) {
+				oldest, used = c, c.lastUsed
 			}
 		}
 	})
 	if oldest == nil {
 		return
 	}
-	oldest.p.mu.Lock()
-	if oldest.rests() {
+	oldest.endpoint.mu.Lock()
+	if oldest.isIdle() {
 		oldest.release()
-		oldest.end(errGaveUp)
+		oldest.close(errCancelled)
 	}
-	oldest.p.mu.Unlock()
+	oldest.endpoint.mu.Unlock()
 }
 
 // release gives the connection's place free, once. The caller holds the lock.
 func (c *conn) release() {
-	if !c.freed {
-		c.freed = true
-		c.p.f.held.Add(-1)
+	if !c.released {
+		c.released = true
+		c.endpoint.pool.connections.Add(-1)
 	}
 }
 
-// rests says whether a connection is up and nothing is open on it. The caller holds the lock.
-func (c *conn) rests() bool { return !c.dead && c.nc != nil && len(c.open) == 0 && len(c.queue) == 0 }
+// isIdle says whether a connection is up and nothing is open on it. The caller holds the lock.
+func (c *conn) isIdle() bool {
+	return !c.closed && c.netConn != nil && len(c.attempts) == 0 && len(c.queue) == 0
+}
 
-// GiveUp tells the node to drop the request. Done is called all the same, once the node has been told, unless
+// Cancel tells the node to drop the request. Done is called all the same, once the node has been told, unless
 // an answer comes first.
 //
 // A silent node would not hear it, and what it had taken would stay out. So where another pull may follow, the end is
 // sure: if nothing has come since the request was written, the connection is reset, which gives up all that is open on
 // it, and so it is where nothing else is open; else the node is asked whether it is there, and Done waits for its word,
 // or for a reset when that does not come.
-func (l *Pull) GiveUp(sure bool) {
-	if l.peer == nil {
+func (l *Attempt) Cancel(sure bool) {
+	if l.endpoint == nil {
 		return
 	}
-	l.peer.mu.Lock()
-	defer l.peer.mu.Unlock()
-	if l.over || l.gaveUp {
+	l.endpoint.mu.Lock()
+	defer l.endpoint.mu.Unlock()
+	if l.finished || l.cancelled {
 		return
 	}
 	c := l.conn
-	l.gaveUp = true
+	l.cancelled = true
 	if l.stage == NotConnected {
-		c.over(l, Answer{}, &Error{NotConnected, true, errGaveUp})
+		c.finish(l, Response{}, &Error{NotConnected, true, errCancelled})
 		return
 	}
-	l.sure = sure
-	if sure && (c.heard.Load() < l.sent.UnixNano() || len(c.open) == 1) {
+	l.confirm = sure
+	if sure && (c.lastRead.Load() < l.sentAt.UnixNano() || len(c.attempts) == 1) {
 		c.reset()
 		return
 	}
-	if c.heard.Load() < l.sent.UnixNano() {
-		c.retired = c.retired || time.Since(l.sent) >= span(c.p.f.margins.Connect) // what follows goes over another
+	if c.lastRead.Load() < l.sentAt.UnixNano() {
+		c.retired = c.retired || time.Since(l.sentAt) >= span(c.endpoint.pool.timeouts.Connect) // what follows goes over another
 	}
-	c.queue = append(c.queue, item{pull: l, never: true})
-	c.signal()
+	c.queue = append(c.queue, message{attempt: l, isCancel: true})
+	c.wakeWriter()
 }
 
 // conn is one connection; the peer's lock guards it.
 type conn struct {
-	p       *Peer
-	nc      net.Conn // nil until it is up
-	open    map[string]*Pull
-	old     map[string]bool // ids given up here, of which an answer may still come; emptied with the connection
-	asked   []*Pull         // given up, in the order in which the node was asked whether it is there
-	queue   []item
-	wake    chan struct{}
-	heard   atomic.Int64 // when, as Unix nanoseconds
-	used    time.Time
-	retired bool
-	dead    bool
-	freed   bool // its place is another's
-	strays  int  // answers that nobody asked for: some bring more than belongs to them, but not without end
+	endpoint     *Endpoint
+	netConn      net.Conn // nil until it is up
+	attempts     map[string]*Attempt
+	cancelledIDs map[string]bool // ids given up here, of which an answer may still come; emptied with the connection
+	unconfirmed  []*Attempt      // given up, in the order in which the node was asked whether it is there
+	queue        []message
+	wake         chan struct{}
+	lastRead     atomic.Int64 // when, as Unix nanoseconds
+	lastUsed     time.Time
+	retired      bool
+	closed       bool
+	released     bool // its place is another's
+	unsolicited  int  // answers that nobody asked for: some bring more than belongs to them, but not without end
 }
 
 // rank says which connection is better, the lower the better.
 func (c *conn) rank() (rank int) {
-	if len(c.open) >= c.p.f.margins.PreferredStreams {
+	if len(c.attempts) >= c.endpoint.pool.timeouts.PreferredStreams {
 		rank = 2
 	}
-	if c.nc == nil {
+	if c.netConn == nil {
 		rank++
 	}
 	return rank
 }
 
-// item is a request or its giving up, to be written.
-type item struct {
-	pull  *Pull
-	never bool
+// message is a request or its giving up, to be written.
+type message struct {
+	attempt  *Attempt
+	isCancel bool
 }
 
-func (c *conn) signal() {
+func (c *conn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// over ends a pull. The caller holds the lock.
-func (c *conn) over(l *Pull, a Answer, err error) {
-	if l.over {
+// finish ends a pull. The caller holds the lock.
+func (c *conn) finish(l *Attempt, a Response, err error) {
+	if l.finished {
 		return
 	}
-	l.over = true
-	delete(c.open, l.want.ID)
+	l.finished = true
+	delete(c.attempts, l.request.ID)
 	l.done(a, err)
 }
 
-// end closes the connection; what is open on it fails. The caller holds the lock.
-func (c *conn) end(err error) {
-	if c.dead {
+// close closes the connection; what is open on it fails. The caller holds the lock.
+func (c *conn) close(err error) {
+	if c.closed {
 		return
 	}
-	c.dead = true
-	for i, o := range c.p.conns {
+	c.closed = true
+	for i, o := range c.endpoint.conns {
 		if o == c {
-			c.p.conns = append(c.p.conns[:i], c.p.conns[i+1:]...)
+			c.endpoint.conns = append(c.endpoint.conns[:i], c.endpoint.conns[i+1:]...)
 			break
 		}
 	}
-	closed := c.nc != nil && err != errGaveUp && err != errSilent && !errors.Is(err, os.ErrDeadlineExceeded) ||
+	closed := c.netConn != nil && err != errCancelled && err != errNoConfirmation && !errors.Is(err, os.ErrDeadlineExceeded) ||
 		errors.Is(err, syscall.ECONNRESET) // also while it came up
-	for id, l := range c.open {
-		delete(c.open, id)
+	for id, l := range c.attempts {
+		delete(c.attempts, id)
 		// The node closed the connection before it had the request, which goes over another, once.
-		if closed && l.stage < WhollyWritten && !l.gaveUp && !l.moved && !c.p.gone && !l.recalled() {
-			if l.moved = true; c.p.put(l) {
+		if closed && l.stage < WhollyWritten && !l.cancelled && !l.moved && !c.endpoint.closing && !l.withdrawn() {
+			if l.moved = true; c.endpoint.enqueue(l) {
 				continue
 			}
 		}
-		c.over(l, Answer{}, &Error{l.stage, l.gaveUp, err})
+		c.finish(l, Response{}, &Error{l.stage, l.cancelled, err})
 	}
-	if c.nc != nil {
-		c.nc.Close()
+	if c.netConn != nil {
+		c.netConn.Close()
 	}
-	c.signal()
+	c.wakeWriter()
 }
 
 // reset closes the connection without a word more. The caller holds the lock.
 func (c *conn) reset() {
-	if half, ok := c.nc.(*net.TCPConn); ok {
+	if half, ok := c.netConn.(*net.TCPConn); ok {
 		half.SetLinger(0)
 	}
-	c.end(errSilent)
+	c.close(errNoConfirmation)
 }
 
 // run opens the connection and holds it to its end.
 func (c *conn) run() {
 	defer func() {
-		c.p.mu.Lock()
+		c.endpoint.mu.Lock()
 		c.release()
-		c.p.mu.Unlock()
+		c.endpoint.mu.Unlock()
 	}()
-	nc, err := net.DialTimeout("tcp4", c.p.addr, span(c.p.f.margins.Connect))
-	c.p.mu.Lock()
-	if err != nil || c.dead {
+	nc, err := net.DialTimeout("tcp4", c.endpoint.address, span(c.endpoint.pool.timeouts.Connect))
+	c.endpoint.mu.Lock()
+	if err != nil || c.closed {
 		if err == nil {
 			nc.Close()
 		}
-		c.end(err)
-		c.p.mu.Unlock()
+		c.close(err)
+		c.endpoint.mu.Unlock()
 		return
 	}
-	c.nc = nc
-	c.heard.Store(time.Now().UnixNano())
-	for _, l := range c.open {
+	c.netConn = nc
+	c.lastRead.Store(time.Now().UnixNano())
+	for _, l := range c.attempts {
 		l.stage = NothingWritten
 	}
-	c.p.mu.Unlock()
+	c.endpoint.mu.Unlock()
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		defer c.caught()
-		c.write()
+		defer c.recoverPanic()
+		c.writeLoop()
 	}()
 	func() {
-		defer c.caught()
-		c.read()
+		defer c.recoverPanic()
+		c.readLoop()
 	}()
 	<-written
 }
 
-// caught ends the connection alone where its goroutine panicked.
-func (c *conn) caught() {
+// recoverPanic ends the connection alone where its goroutine panicked.
+func (c *conn) recoverPanic() {
 	if bad := recover(); bad != nil {
-		slog.Error("panic", "where", "back", "node", c.p.addr, "err", bad, "stack", string(debug.Stack()))
-		c.p.mu.Lock()
-		c.end(fmt.Errorf("panic: %v", bad))
-		c.p.mu.Unlock()
+		slog.Error("panic", "where", "back", "node", c.endpoint.address, "err", bad, "stack", string(debug.Stack()))
+		c.endpoint.mu.Lock()
+		c.close(fmt.Errorf("panic: %v", bad))
+		c.endpoint.mu.Unlock()
 	}
 }
 
-// read takes answers in.
-func (c *conn) read() {
-	small, pool := make([]byte, smallRead), c.p.f.pool
-	r := reader{pool: pool, begun: c.begun, ended: c.ended, there: c.there}
+// readLoop takes answers in.
+func (c *conn) readLoop() {
+	small, pool := make([]byte, readBufferSize), c.endpoint.pool.buffers
+	r := parser{buffers: pool, onStart: c.responseStarted, onResponse: c.responseEnded, onProbeAnswer: c.probeAnswered}
 	defer r.close()
 	for timed := false; ; {
-		if within := r.within(); within {
-			c.nc.SetReadDeadline(time.Now().Add(span(c.p.f.margins.ReadStall)))
+		if within := r.midResponse(); within {
+			c.netConn.SetReadDeadline(time.Now().Add(span(c.endpoint.pool.timeouts.ReadStall)))
 			timed = true
 		} else if timed {
-			c.nc.SetReadDeadline(time.Time{})
+			c.netConn.SetReadDeadline(time.Time{})
 			timed = false
 		}
 		buf := small
-		if r.left > len(small) {
+		if r.bodyLeft > len(small) {
 			buf = pool.Get()
 		}
-		n, err := c.nc.Read(buf)
+		n, err := c.netConn.Read(buf)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			err = errStalled
-			c.p.f.fault(c.p.addr, err)
+			c.endpoint.pool.logBadResponse(c.endpoint.address, err)
 		}
 		if n > 0 {
-			c.heard.Store(time.Now().UnixNano())
-			if bad := r.feed(buf[:n]); bad != nil {
+			c.lastRead.Store(time.Now().UnixNano())
+			if bad := r.parse(buf[:n]); bad != nil {
 				err = bad
-				c.p.f.fault(c.p.addr, err)
+				c.endpoint.pool.logBadResponse(c.endpoint.address, err)
 			}
 		}
 		if len(buf) > len(small) {
 			pool.Put(buf)
 		}
 		if err != nil {
-			c.p.mu.Lock()
-			c.end(err)
-			c.p.mu.Unlock()
+			c.endpoint.mu.Lock()
+			c.close(err)
+			c.endpoint.mu.Unlock()
 			return
 		}
 	}
 }
 
-func (c *conn) begun(id string) bool {
-	c.p.mu.Lock()
-	defer c.p.mu.Unlock()
-	l := c.open[id]
+func (c *conn) responseStarted(id string) bool {
+	c.endpoint.mu.Lock()
+	defer c.endpoint.mu.Unlock()
+	l := c.attempts[id]
 	if l != nil {
-		l.stage = AnswerBegun
+		l.stage = ResponseStarted
 		return true
 	}
-	if c.strays++; c.strays >= mostStray {
+	if c.unsolicited++; c.unsolicited >= maxUnsolicited {
 		c.retired = true
-		c.leave()
+		c.closeIfUnused()
 	}
 	return false
 }
 
-func (c *conn) ended(id string, a Answer, err error) error {
-	c.p.mu.Lock()
-	defer c.p.mu.Unlock()
-	l := c.open[id]
+func (c *conn) responseEnded(id string, a Response, err error) error {
+	c.endpoint.mu.Lock()
+	defer c.endpoint.mu.Unlock()
+	l := c.attempts[id]
 	if l == nil { // given up while its body came
 		a.Body.Free()
 		return nil
 	}
-	if a.Word == Unchanged && l.want.Seen == "" {
+	if a.Status == StatusUnchanged && l.request.ClientTag == "" {
 		return errors.New("an unchanged copy where none is held")
 	}
 	if err != nil {
-		err = &Error{AnswerBegun, false, err}
+		err = &Error{ResponseStarted, false, err}
 	}
-	c.over(l, a, err)
-	c.used = time.Now()
-	c.leave()
+	c.finish(l, a, err)
+	c.lastUsed = time.Now()
+	c.closeIfUnused()
 	return nil
 }
 
-// ask waits for the node's word that it heard of a pull's giving up. The caller holds the lock.
-func (c *conn) ask(l *Pull) {
-	c.asked = append(c.asked, l)
-	time.AfterFunc(span(c.p.f.margins.CancelConfirm), func() {
-		c.p.mu.Lock()
-		defer c.p.mu.Unlock()
-		if !l.over {
+// awaitConfirmation waits for the node's word that it heard of a pull's giving up. The caller holds the lock.
+func (c *conn) awaitConfirmation(l *Attempt) {
+	c.unconfirmed = append(c.unconfirmed, l)
+	time.AfterFunc(span(c.endpoint.pool.timeouts.CancelConfirm), func() {
+		c.endpoint.mu.Lock()
+		defer c.endpoint.mu.Unlock()
+		if !l.finished {
 			c.reset()
 		}
 	})
 }
 
-// there takes the node's word.
-func (c *conn) there(tag string) {
-	c.p.mu.Lock()
-	defer c.p.mu.Unlock()
-	for i, l := range c.asked {
-		if l.want.ID == tag {
-			c.asked = append(c.asked[:i], c.asked[i+1:]...)
-			c.over(l, Answer{}, &Error{l.stage, true, errGaveUp})
-			c.leave()
+// probeAnswered takes the node's word.
+func (c *conn) probeAnswered(tag string) {
+	c.endpoint.mu.Lock()
+	defer c.endpoint.mu.Unlock()
+	for i, l := range c.unconfirmed {
+		if l.request.ID == tag {
+			c.unconfirmed = append(c.unconfirmed[:i], c.unconfirmed[i+1:]...)
+			c.finish(l, Response{}, &Error{l.stage, true, errCancelled})
+			c.closeIfUnused()
 			return
 		}
 	}
 }
 
-// leave closes a connection that is to have no further requests and has none open. The caller holds the lock.
-func (c *conn) leave() {
-	if (c.retired || c.p.gone) && len(c.open) == 0 && len(c.queue) == 0 {
-		c.end(errGaveUp)
+// closeIfUnused closes a connection that is to have no further requests and has none open. The caller holds the lock.
+func (c *conn) closeIfUnused() {
+	if (c.retired || c.endpoint.closing) && len(c.attempts) == 0 && len(c.queue) == 0 {
+		c.close(errCancelled)
 	}
 }
 
-// recall takes the requests out of what is not written yet and ends them, where they no longer stand, or all of them. What
+// withdraw takes the requests out of what is not written yet and ends them, where they no longer stand, or all of them. What
 // gives others up stays in, and so does what the node has begun to get: from is where that ends.
-func (c *conn) recall(queue []item, out []byte, ends []int, from int, all bool) []byte {
-	c.p.mu.Lock()
-	defer c.p.mu.Unlock()
+func (c *conn) withdraw(queue []message, out []byte, ends []int, from int, all bool) []byte {
+	c.endpoint.mu.Lock()
+	defer c.endpoint.mu.Unlock()
 	kept, begin := out[:0], 0
 	for i, it := range queue {
 		part := out[begin:ends[i]]
 		begun := begin < from
 		begin = ends[i]
-		if it.pull != nil && !it.never && !begun && len(part) > 0 && (all || it.pull.gaveUp || it.pull.recalled()) {
-			err := error(ErrRecalled)
-			if it.pull.gaveUp {
-				err = errGaveUp
+		if it.attempt != nil && !it.isCancel && !begun && len(part) > 0 && (all || it.attempt.cancelled || it.attempt.withdrawn()) {
+			err := error(ErrWithdrawn)
+			if it.attempt.cancelled {
+				err = errCancelled
 			}
-			it.pull.stage = NothingWritten
-			c.over(it.pull, Answer{}, &Error{NothingWritten, it.pull.gaveUp, err})
-			queue[i].pull, part = nil, nil
+			it.attempt.stage = NothingWritten
+			c.finish(it.attempt, Response{}, &Error{NothingWritten, it.attempt.cancelled, err})
+			queue[i].attempt, part = nil, nil
 		}
 		kept = append(kept, part...)
 		ends[i] = len(kept)
@@ -656,103 +658,103 @@
 	return kept
 }
 
-// send writes, and looks anew at what waits behind a node that is slow to take bytes: an attempt that no longer stands is not
+// flush writes, and looks anew at what waits behind a node that is slow to take bytes: an attempt that no longer stands is not
 // begun. It says how many bytes of what is left in out were written.
-func (c *conn) send(queue []item, out []byte, ends []int) (left []byte, n int, err error) {
+func (c *conn) flush(queue []message, out []byte, ends []int) (left []byte, n int, err error) {
 	// As late as can be: a pause of the process between decision and writing is none between this and the next line.
-	if !c.p.f.sound() {
-		out = c.recall(queue, out, ends, 0, true)
+	if !c.endpoint.pool.mayWrite() {
+		out = c.withdraw(queue, out, ends, 0, true)
 	}
-	step := span(c.p.f.margins.Connect)
-	if late := span(c.p.f.margins.MaxDecisionAge); late > 0 {
+	step := span(c.endpoint.pool.timeouts.Connect)
+	if late := span(c.endpoint.pool.timeouts.MaxDecisionAge); late > 0 {
 		step = min(step, late)
 	}
-	for until := time.Now().Add(span(c.p.f.margins.Connect)); ; {
-		c.nc.SetWriteDeadline(time.Now().Add(step))
+	for until := time.Now().Add(span(c.endpoint.pool.timeouts.Connect)); ; {
+		c.netConn.SetWriteDeadline(time.Now().Add(step))
 		wrote := 0
-		wrote, err = c.nc.Write(out[n:])
+		wrote, err = c.netConn.Write(out[n:])
 		if n += wrote; err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || !time.Now().Before(until) {
 			return out, n, err
 		}
-		out = c.recall(queue, out, ends, n, !c.p.f.sound())
+		out = c.withdraw(queue, out, ends, n, !c.endpoint.pool.mayWrite())
 	}
 }
 
-// write passes requests on until the connection ends.
-func (c *conn) write() {
+// writeLoop passes requests on until the connection ends.
+func (c *conn) writeLoop() {
 	var ends []int
-	small := make([]byte, smallWrite)
+	small := make([]byte, writeBufferSize)
 	for range c.wake {
-		c.p.mu.Lock()
-		if c.dead {
-			c.p.mu.Unlock()
+		c.endpoint.mu.Lock()
+		if c.closed {
+			c.endpoint.mu.Unlock()
 			return
 		}
 		queue := c.queue
 		if len(queue) == 0 {
-			c.p.mu.Unlock()
+			c.endpoint.mu.Unlock()
 			continue
 		}
 		// The node may have closed it while it rested, which its reader has not seen yet: what is written then is lost, and may
 		// have run for all that is known. It goes over another.
-		if _, end := socket.Unread(c.nc); end && queue[0].pull.stage == NothingWritten {
-			c.end(io.EOF)
-			c.p.mu.Unlock()
+		if _, end := socket.PendingInput(c.netConn); end && queue[0].attempt.stage == NothingWritten {
+			c.close(io.EOF)
+			c.endpoint.mu.Unlock()
 			return
 		}
 		buf := small
-		if queue[0].pull.size > len(small) {
-			buf = c.p.f.pool.Get()
+		if queue[0].attempt.maxSize > len(small) {
+			buf = c.endpoint.pool.buffers.Get()
 		}
 		out := buf[:0]
 		ends = ends[:0]
 		for i, it := range queue {
-			if len(out)+it.pull.size > len(buf) {
+			if len(out)+it.attempt.maxSize > len(buf) {
 				queue = queue[:i]
-				c.signal()
+				c.wakeWriter()
 				break
 			}
 			switch {
-			case it.never && it.pull.stage == NothingWritten: // the node has not heard of it
-				c.over(it.pull, Answer{}, &Error{NothingWritten, true, errGaveUp})
-			case it.never:
-				if !it.pull.over {
-					out = appendNeverMind(out, it.pull.want.ID)
+			case it.isCancel && it.attempt.stage == NothingWritten: // the node has not heard of it
+				c.finish(it.attempt, Response{}, &Error{NothingWritten, true, errCancelled})
+			case it.isCancel:
+				if !it.attempt.finished {
+					out = appendCancel(out, it.attempt.request.ID)
 				}
-				if !it.pull.over && it.pull.sure {
-					out = appendThere(out, it.pull.want.ID)
-					c.ask(it.pull)
+				if !it.attempt.finished && it.attempt.confirm {
+					out = appendProbe(out, it.attempt.request.ID)
+					c.awaitConfirmation(it.attempt)
 				}
-			case it.pull.gaveUp || it.pull.over:
-				queue[i].pull = nil
-			case it.pull.recalled():
-				c.over(it.pull, Answer{}, &Error{NothingWritten, false, ErrRecalled})
-				queue[i].pull = nil
+			case it.attempt.cancelled || it.attempt.finished:
+				queue[i].attempt = nil
+			case it.attempt.withdrawn():
+				c.finish(it.attempt, Response{}, &Error{NothingWritten, false, ErrWithdrawn})
+				queue[i].attempt = nil
 			default:
-				out = appendWant(out, &it.pull.want)
-				it.pull.stage, it.pull.sent = WhollyWritten, time.Now() // the node may act before it is known
+				out = appendRequest(out, &it.attempt.request)
+				it.attempt.stage, it.attempt.sentAt = WhollyWritten, time.Now() // the node may act before it is known
 			}
 			ends = append(ends, len(out))
 		}
 		c.queue = c.queue[len(queue):]
-		c.p.mu.Unlock()
-		out, n, err := c.send(queue, out, ends)
+		c.endpoint.mu.Unlock()
+		out, n, err := c.flush(queue, out, ends)
 		if len(buf) > len(small) {
-			c.p.f.pool.Put(buf)
+			c.endpoint.pool.buffers.Put(buf)
 		}
-		c.p.mu.Lock()
+		c.endpoint.mu.Lock()
 		from := 0
 		for i, it := range queue {
-			switch l := it.pull; {
-			case l == nil || l.over:
-			case it.never && n >= ends[i]:
-				c.old[l.want.ID] = true
-				c.retired = c.retired || len(c.old) >= mostOld
-				if l.sure {
+			switch l := it.attempt; {
+			case l == nil || l.finished:
+			case it.isCancel && n >= ends[i]:
+				c.cancelledIDs[l.request.ID] = true
+				c.retired = c.retired || len(c.cancelledIDs) >= maxCancelledIDs
+				if l.confirm {
 					break
 				}
-				c.over(l, Answer{}, &Error{l.stage, true, errGaveUp})
-			case it.never:
+				c.finish(l, Response{}, &Error{l.stage, true, errCancelled})
+			case it.isCancel:
 			case n <= from && ends[i] > from:
 				l.stage = NothingWritten
 			case n < ends[i]:
@@ -761,10 +763,10 @@
 			from = ends[i]
 		}
 		if err != nil {
-			c.end(err)
+			c.close(err)
 		}
-		c.leave()
-		c.p.mu.Unlock()
+		c.closeIfUnused()
+		c.endpoint.mu.Unlock()
 	}
 }
 
--- a/internal/upstream/back_test.go
+++ b/internal/upstream/back_test.go
@@ -17,8 +17,8 @@
 
 // bed is a fleet with one node, whose connections the test plays itself.
 type bed struct {
-	*Fleet
-	*Peer
+	*Pool
+	*Endpoint
 	t     *testing.T
 	l     net.Listener
 	conns chan node
@@ -36,8 +36,8 @@
 		t.Fatal(err)
 	}
 	p := bufpool.New(16)
-	b := &bed{Fleet: New(p, m, dials), t: t, l: l, conns: make(chan node, 16)}
-	b.Peer = b.Fleet.Peer(l.Addr().String())
+	b := &bed{Pool: New(p, m, dials), t: t, l: l, conns: make(chan node, 16)}
+	b.Endpoint = b.Pool.NewEndpoint(l.Addr().String())
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -51,10 +51,10 @@
 	}()
 	t.Cleanup(func() {
 		l.Close()
-		b.Fleet.Close()
+		b.Pool.Close()
 		eventually(t, "connections or buffers are still out", func() bool {
-			out, _ := p.Out()
-			return out == 0 && b.Conns() == 0
+			out, _ := p.InUse()
+			return out == 0 && b.Connections() == 0
 		})
 	})
 	return b
@@ -98,14 +98,14 @@
 }
 
 type result struct {
-	Answer
+	Response
 	error
 }
 
 // send sends a request whose end comes on the channel.
-func (b *bed) send(id string) (*Pull, chan result) {
+func (b *bed) send(id string) (*Attempt, chan result) {
 	ends := make(chan result, 2)
-	return b.Peer.Send(Want{ID: id, Sort: "clip", Asset: "o"}, func(a Answer, err error) { ends <- result{a, err} }), ends
+	return b.Endpoint.Send(Request{ID: id, ContentType: "clip", Object: "o"}, func(a Response, err error) { ends <- result{a, err} }), ends
 }
 
 // expect checks how a pull ended: with a word and the body's length, or at a stage.
@@ -113,10 +113,10 @@
 	t.Helper()
 	select {
 	case r := <-ends:
-		got := fmt.Sprint(r.Word, " ", r.Body.Len())
+		got := fmt.Sprint(r.Status, " ", r.Body.Len())
 		if e := (*Error)(nil); errors.As(r.error, &e) {
 			got = e.Stage.String()
-			if e.GaveUp {
+			if e.Cancelled {
 				got += ", given up"
 			}
 		}
@@ -197,9 +197,9 @@
 		n.hears(t, "want a3")
 		_, a4 := b.send("a4") // as many as one may carry
 		expect(t, a4, "not connected")
-		other := b.Fleet.Peer(b.l.Addr().String()) // each node has one
+		other := b.Pool.NewEndpoint(b.l.Addr().String()) // each node has one
 		ends := make(chan result, 1)
-		other.Send(Want{ID: "a5", Sort: "clip", Asset: "o"}, func(a Answer, err error) { ends <- result{a, err} })
+		other.Send(Request{ID: "a5", ContentType: "clip", Object: "o"}, func(a Response, err error) { ends <- result{a, err} })
 		n2 := b.accept()
 		n2.hears(t, "want a5")
 		n2.Close()
@@ -213,11 +213,11 @@
 		m := margins
 		m.Connect, m.PreferredStreams, m.MaxStreams = policy.Second/4, 1000, 1000
 		b := newBed(t, m, 1)
-		body := bufpool.New(1).Body(0)
-		body.Write(make([]byte, 48_000))
+		body := bufpool.New(1).NewBody(0)
+		body.Append(make([]byte, 48_000))
 		ends := make(chan result, 1000)
 		for i := range 1000 { // more than the sockets between them hold
-			b.Peer.Send(Want{ID: fmt.Sprint(i), Body: body}, func(a Answer, err error) { ends <- result{a, err} })
+			b.Endpoint.Send(Request{ID: fmt.Sprint(i), Body: body}, func(a Response, err error) { ends <- result{a, err} })
 		}
 		seen := map[Stage]int{}
 		for range 1000 {
@@ -235,8 +235,8 @@
 	pull, ends := b.send("a1")
 	n := b.accept()
 	n.hears(t, "want a1")
-	pull.GiveUp(false)
-	pull.GiveUp(true)
+	pull.Cancel(false)
+	pull.Cancel(true)
 	n.hears(t, "never_mind a1")
 	expect(t, ends, "wholly written, given up")
 	_, again := b.send("a1") // a late answer must not be taken for this one's
@@ -259,11 +259,11 @@
 	n := b.accept()
 	n.hears(t, "want a1")
 	eventually(t, "never silent", func() bool {
-		b.Peer.mu.Lock()
-		defer b.Peer.mu.Unlock()
-		return time.Since(pull.sent) > span(m.Connect)
+		b.Endpoint.mu.Lock()
+		defer b.Endpoint.mu.Unlock()
+		return time.Since(pull.sentAt) > span(m.Connect)
 	})
-	pull.GiveUp(false)
+	pull.Cancel(false)
 	expect(t, ends, "wholly written, given up")
 	_, a2 := b.send("a2")
 	n2 := b.accept()
@@ -286,7 +286,7 @@
 	n := b.accept()
 	n.hears(t, "want a1")
 	n.hears(t, "want a2")
-	pull.GiveUp(true)
+	pull.Cancel(true)
 	expect(t, ends, "wholly written, given up")
 	expect(t, other, "wholly written")
 	if _, err := n.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
@@ -301,7 +301,7 @@
 	n.hears(t, "want b1")
 	io.WriteString(n, "a4 full - 0\r\n\r\n")
 	expect(t, other, "full 0")
-	pull.GiveUp(true) // another was answered over it, another is open
+	pull.Cancel(true) // another was answered over it, another is open
 	n.hears(t, "never_mind a3")
 	n.hears(t, "there a3")
 	if len(ends) != 0 {
@@ -309,14 +309,14 @@
 	}
 	io.WriteString(n, "a3 well - 0\r\n\r\n")
 	expect(t, ends, "wholly written, given up")
-	b.Fleet.margins.CancelConfirm = 1000
+	b.Pool.timeouts.CancelConfirm = 1000
 	pull, ends = b.send("a5")
 	n.hears(t, "want a5")
 	_, other = b.send("a6")
 	n.hears(t, "want a6")
 	io.WriteString(n, "a6 full - 0\r\n\r\n")
 	expect(t, other, "full 0")
-	pull.GiveUp(true) // but this time no word comes
+	pull.Cancel(true) // but this time no word comes
 	expect(t, ends, "wholly written, given up")
 	expect(t, still, "wholly written")
 	n.hears(t, "never_mind a5")
@@ -329,22 +329,22 @@
 // A request that was not written goes over another connection when its own ends; one that was does not.
 func TestConnectionThatIsResetWhenNew(t *testing.T) {
 	b := newBed(t, margins, 8)
-	b.Peer.mu.Lock()
-	c := b.Peer.choose(&Pull{want: Want{ID: "a1"}})
-	b.Peer.mu.Unlock()
+	b.Endpoint.mu.Lock()
+	c := b.Endpoint.pickConn(&Attempt{request: Request{ID: "a1"}})
+	b.Endpoint.mu.Unlock()
 	n := b.accept()
 	eventually(t, "never up", func() bool {
-		b.Peer.mu.Lock()
-		defer b.Peer.mu.Unlock()
-		return c.nc != nil
+		b.Endpoint.mu.Lock()
+		defer b.Endpoint.mu.Unlock()
+		return c.netConn != nil
 	})
-	b.Peer.mu.Lock() // the connection ends before its goroutine can write
+	b.Endpoint.mu.Lock() // the connection ends before its goroutine can write
 	ends := make(chan result, 1)
-	pull := &Pull{want: Want{ID: "a1", Sort: "clip", Asset: "o"}, peer: b.Peer, size: longestHead}
-	pull.done = func(a Answer, err error) { ends <- result{a, err} }
-	b.Peer.put(pull)
-	c.end(io.EOF)
-	b.Peer.mu.Unlock()
+	pull := &Attempt{request: Request{ID: "a1", ContentType: "clip", Object: "o"}, endpoint: b.Endpoint, maxSize: maxRequestHead}
+	pull.done = func(a Response, err error) { ends <- result{a, err} }
+	b.Endpoint.enqueue(pull)
+	c.close(io.EOF)
+	b.Endpoint.mu.Unlock()
 	n.Close()
 	n = b.accept()
 	n.hears(t, "want a1")
@@ -356,12 +356,12 @@
 func TestConnectionThatIsResetWhileDialling(t *testing.T) {
 	b := newBed(t, margins, 8)
 	ends := make(chan result, 1)
-	pull := &Pull{want: Want{ID: "a1", Sort: "clip", Asset: "o"}, peer: b.Peer, size: longestHead}
-	pull.done = func(a Answer, err error) { ends <- result{a, err} }
-	b.Peer.mu.Lock()
-	b.Peer.put(pull)
-	pull.conn.end(&net.OpError{Op: "dial", Err: syscall.ECONNRESET})
-	b.Peer.mu.Unlock()
+	pull := &Attempt{request: Request{ID: "a1", ContentType: "clip", Object: "o"}, endpoint: b.Endpoint, maxSize: maxRequestHead}
+	pull.done = func(a Response, err error) { ends <- result{a, err} }
+	b.Endpoint.mu.Lock()
+	b.Endpoint.enqueue(pull)
+	pull.conn.close(&net.OpError{Op: "dial", Err: syscall.ECONNRESET})
+	b.Endpoint.mu.Unlock()
 	for range 2 { // one of them is the first, which is closed
 		n := b.accept()
 		if line, _ := n.in.ReadString('\n'); strings.HasPrefix(line, "want a1 ") {
@@ -406,7 +406,7 @@
 	n.hears(t, "want a1")
 	io.WriteString(n, "a1 absent - 0\r\n\r\n")
 	expect(t, ends, "absent 0")
-	b.Peer.Send(Want{ID: "a1", Sort: "clip", Asset: "o"}, func(a Answer, err error) { ends <- result{a, err} }, first)
+	b.Endpoint.Send(Request{ID: "a1", ContentType: "clip", Object: "o"}, func(a Response, err error) { ends <- result{a, err} }, first)
 	other := b.accept()
 	other.hears(t, "want a1")
 	io.WriteString(n, "a1 absent - 0\r\n\r\n")
@@ -426,7 +426,7 @@
 			n := b.accept()
 			n.hears(t, "want a1")
 			if name != "idle" {
-				b.Peer.Leave() // what is open is waited for
+				b.Endpoint.CloseWhenIdle() // what is open is waited for
 			}
 			io.WriteString(n, "a1 full - 0\r\n\r\n")
 			expect(t, ends, "full 0")
@@ -442,40 +442,40 @@
 func TestRecalled(t *testing.T) {
 	cases := []struct {
 		name string
-		want func(b *bed) Want
-		shun func(b *bed, source *Peer)
+		want func(b *bed) Request
+		shun func(b *bed, source *Endpoint)
 		back bool
 	}{
-		{"the node", func(b *bed) Want { return Want{} }, func(b *bed, _ *Peer) { b.Shun(true) }, true},
-		{"the source", func(b *bed) Want { return Want{From: "p"} }, func(_ *bed, s *Peer) { s.Shun(true) }, true},
-		{"a source that left", func(b *bed) Want { return Want{From: "p"} }, func(_ *bed, s *Peer) { s.Leave() }, true},
-		{"void", func(b *bed) Want { return Want{Void: func() bool { return true }} }, func(*bed, *Peer) {}, true},
-		{"not void", func(b *bed) Want { return Want{Void: func() bool { return false }} }, func(*bed, *Peer) {}, false},
-		{"shunned and used again", func(b *bed) Want { return Want{} }, func(b *bed, _ *Peer) { b.Shun(true); b.Shun(false) }, false},
-		{"a pause of the director", func(b *bed) Want { return Want{} }, func(b *bed, _ *Peer) {
+		{"the node", func(b *bed) Request { return Request{} }, func(b *bed, _ *Endpoint) { b.SetDraining(true) }, true},
+		{"the source", func(b *bed) Request { return Request{SourceID: "p"} }, func(_ *bed, s *Endpoint) { s.SetDraining(true) }, true},
+		{"a source that left", func(b *bed) Request { return Request{SourceID: "p"} }, func(_ *bed, s *Endpoint) { s.CloseWhenIdle() }, true},
+		{"void", func(b *bed) Request { return Request{Superseded: func() bool { return true }} }, func(*bed, *Endpoint) {}, true},
+		{"not void", func(b *bed) Request { return Request{Superseded: func() bool { return false }} }, func(*bed, *Endpoint) {}, false},
+		{"shunned and used again", func(b *bed) Request { return Request{} }, func(b *bed, _ *Endpoint) { b.SetDraining(true); b.SetDraining(false) }, false},
+		{"a pause of the director", func(b *bed) Request { return Request{} }, func(b *bed, _ *Endpoint) {
 			asked := 0 // by one goroutine
-			b.Heed(func() bool { asked++; return asked > 1 })
+			b.SetWriteCheck(func() bool { asked++; return asked > 1 })
 		}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBed(t, margins, 8)
-			source := b.Fleet.Peer("127.0.0.1:1")
+			source := b.Pool.NewEndpoint("127.0.0.1:1")
 			w := c.want(b)
-			w.ID, w.Sort, w.Asset = "1", "clip", "o"
-			if w.From != "" {
+			w.ID, w.ContentType, w.Object = "1", "clip", "o"
+			if w.SourceID != "" {
 				w.Source = source
 			}
 			c.shun(b, source)
 			ends := make(chan result, 2)
-			b.Peer.Send(w, func(a Answer, err error) { ends <- result{a, err} })
+			b.Endpoint.Send(w, func(a Response, err error) { ends <- result{a, err} })
 			n := b.accept()
 			if c.back {
 				r := <-ends
-				if e := (*Error)(nil); !errors.As(r.error, &e) || !errors.Is(r.error, ErrRecalled) || e.Stage != NothingWritten {
+				if e := (*Error)(nil); !errors.As(r.error, &e) || !errors.Is(r.error, ErrWithdrawn) || e.Stage != NothingWritten {
 					t.Errorf("ended with %v", r.error)
 				}
-				b.Shun(false)
+				b.SetDraining(false)
 				b.send("2")
 				n.hears(t, "want 2")
 				return
--- a/internal/upstream/protocol_test.go
+++ b/internal/upstream/protocol_test.go
@@ -12,25 +12,25 @@
 )
 
 func TestWant(t *testing.T) {
-	body := bufpool.New(1).Body(0)
-	body.Write([]byte("\r\n"))
+	body := bufpool.New(1).NewBody(0)
+	body.Append([]byte("\r\n"))
 	cases := []struct {
 		name string
-		want Want
+		want Request
 		out  string
 	}{
-		{"bare", Want{ID: "a1", Sort: "clip", Asset: "o", Patience: 1500 * time.Millisecond},
+		{"bare", Request{ID: "a1", ContentType: "clip", Object: "o", Timeout: 1500 * time.Millisecond},
 			"want a1 sort=clip,asset=o,slice=0,patience=1500 0\r\n\r\n"},
-		{"a part of a millisecond", Want{ID: "a1", Sort: "clip", Asset: "o", Patience: 1, Oldest: 1},
+		{"a part of a millisecond", Request{ID: "a1", ContentType: "clip", Object: "o", Timeout: 1, MaxAge: 1},
 			"want a1 sort=clip,asset=o,slice=0,patience=1,oldest=1 0\r\n\r\n"},
-		{"all", Want{ID: "a1", Sort: "clip", Asset: "o", Slice: 3, Patience: time.Second, Key: "k", From: "p1", Rank: 2,
-			Oldest: 90 * time.Millisecond, Join: true, Held: true, Renew: true, Seen: "v1", Body: body},
+		{"all", Request{ID: "a1", ContentType: "clip", Object: "o", Part: 3, Timeout: time.Second, IdempotencyKey: "k", SourceID: "p1", CacheRank: 2,
+			MaxAge: 90 * time.Millisecond, Coalesce: true, OnlyIfCached: true, Revalidate: true, ClientTag: "v1", Body: body},
 			"want a1 sort=clip,asset=o,slice=3,patience=1000,op=k,from=p1,rank=2,oldest=90,mode=join+held+renew,seen=v1 2\r\n" +
 				"\r\n\r\n"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := string(appendWant(nil, &c.want)); got != c.out {
+			if got := string(appendRequest(nil, &c.want)); got != c.out {
 				t.Errorf("got %q, want %q", got, c.out)
 			}
 		})
@@ -39,17 +39,17 @@
 
 // hear feeds a reader pieces of a size and writes down what it makes of them.
 func hear(p *bufpool.Pool, data []byte, piece int) (got []string, err error) {
-	r := reader{pool: p, begun: func(id string) bool { return id != "over" }}
-	r.ended = func(id string, a Answer, err error) error {
-		got = append(got, fmt.Sprint(id, " ", a.Word, " ", a.Note, " ", bytes.Join(a.Body.Parts(), nil), " ", err))
+	r := parser{buffers: p, onStart: func(id string) bool { return id != "over" }}
+	r.onResponse = func(id string, a Response, err error) error {
+		got = append(got, fmt.Sprint(id, " ", a.Status, " ", a.CacheStatus, " ", bytes.Join(a.Body.Parts(), nil), " ", err))
 		a.Body.Free()
 		return nil
 	}
-	r.there = func(tag string) { got = append(got, tag+" is there") }
+	r.onProbeAnswer = func(tag string) { got = append(got, tag+" is there") }
 	defer r.close()
 	for len(data) > 0 && err == nil {
 		n := min(piece, len(data))
-		err, data = r.feed(data[:n]), data[n:]
+		err, data = r.parse(data[:n]), data[n:]
 	}
 	return got, err
 }
@@ -71,11 +71,11 @@
 	}
 	full := bufpool.New(1) // the answer has no room, what follows it is read all the same
 	got, err := hear(full, append(big, "\r\nb full - 0\r\n\r\n"...), 4096)
-	if err != nil || len(got) != 2 || !strings.Contains(got[0], errNoRoom.Error()) {
+	if err != nil || len(got) != 2 || !strings.Contains(got[0], errNoBuffer.Error()) {
 		t.Errorf("without room: %.60q, %v", got, err)
 	}
 	for _, p := range []*bufpool.Pool{p, full} {
-		if out, _ := p.Out(); out != 0 {
+		if out, _ := p.InUse(); out != 0 {
 			t.Errorf("%d buffers are still out", out)
 		}
 	}
@@ -88,8 +88,8 @@
 		{"bytes with another word", "a absent - 1\r\nx\r\n"}, {"an empty field", "a data n=,ver=9 0\r\n"},
 		{"a field twice", "a data n=local,n=local 0\r\n"}, {"an unknown note", "a data n=lokal 0\r\n"},
 		{"a time in words", "a data born=now 0\r\n"}, {"a wait below 0", "a data waited=-1 0\r\n"},
-		{"a body that is longer", "a data - 1\r\nxyz\r\n"}, {"a line too long", strings.Repeat("x", longestLine+1)},
-		{"a line too long in the end", strings.Repeat("x", longestLine) + "xx\r\n"},
+		{"a body that is longer", "a data - 1\r\nxyz\r\n"}, {"a line too long", strings.Repeat("x", maxLineLength+1)},
+		{"a line too long in the end", strings.Repeat("x", maxLineLength) + "xx\r\n"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -113,7 +113,7 @@
 		if !reflect.DeepEqual(whole, pieces) || (err == nil) != (wholeErr == nil) {
 			t.Errorf("whole %q, %v; in pieces %q, %v", whole, wholeErr, pieces, err)
 		}
-		if out, _ := p.Out(); out != 0 {
+		if out, _ := p.InUse(); out != 0 {
 			t.Errorf("%d buffers are still out", out)
 		}
 	})
--- a/internal/upstream/rare_test.go
+++ b/internal/upstream/rare_test.go
@@ -30,17 +30,17 @@
 	n.hears(t, "want a1")
 	io.WriteString(n, "a1 absent - 0\r\n\r\n") // a second answer follows
 	expect(t, ends, "absent 0")
-	pull := &Pull{want: Want{ID: "a1", Sort: "clip", Asset: "o"}, peer: b.Peer, size: longestHead, before: []*Pull{first}}
-	pull.done = func(a Answer, err error) { ends <- result{a, err} }
-	b.Peer.mu.Lock() // the next connection is reset while it comes up
-	if !b.Peer.put(pull) || pull.conn == first.conn {
+	pull := &Attempt{request: Request{ID: "a1", ContentType: "clip", Object: "o"}, endpoint: b.Endpoint, maxSize: maxRequestHead, previous: []*Attempt{first}}
+	pull.done = func(a Response, err error) { ends <- result{a, err} }
+	b.Endpoint.mu.Lock() // the next connection is reset while it comes up
+	if !b.Endpoint.enqueue(pull) || pull.conn == first.conn {
 		t.Error("it goes over the connection of the first")
 	}
-	pull.conn.end(&net.OpError{Op: "dial", Err: syscall.ECONNRESET})
-	if pull.over || !pull.moved || pull.conn == first.conn {
-		t.Errorf("over %v, moved %v, to the connection of the first %v", pull.over, pull.moved, pull.conn == first.conn)
+	pull.conn.close(&net.OpError{Op: "dial", Err: syscall.ECONNRESET})
+	if pull.finished || !pull.moved || pull.conn == first.conn {
+		t.Errorf("over %v, moved %v, to the connection of the first %v", pull.finished, pull.moved, pull.conn == first.conn)
 	}
-	b.Peer.mu.Unlock()
+	b.Endpoint.mu.Unlock()
 	io.WriteString(n, "a1 data - 3\r\nold\r\n") // late, and not this pull's
 	for range 2 {                               // one of them is the one that was reset
 		if n := b.accept(); n.begins("want a1 ") {
@@ -64,22 +64,22 @@
 			m := margins
 			m.MaxDecisionAge, m.PreferredStreams, m.MaxStreams, m.Connect = policy.Second/50, 1000, 1000, 3600*policy.Second
 			b := newBed(t, m, 1)
-			body := bufpool.New(4).Body(0)
-			body.Write(make([]byte, 48_000))
+			body := bufpool.New(4).NewBody(0)
+			body.Append(make([]byte, 48_000))
 			var void atomic.Bool
 			var all sync.WaitGroup
 			const large = 300 // more than the sockets between them hold
 			for i := range large {
 				all.Add(2)
-				b.Peer.Send(Want{ID: fmt.Sprint("l", i), Sort: "clip", Asset: "o", Body: body}, func(Answer, error) { all.Done() })
-				b.Peer.Send(Want{ID: fmt.Sprint("s", i), Sort: "clip", Asset: "o", Void: void.Load}, func(Answer, error) { all.Done() })
+				b.Endpoint.Send(Request{ID: fmt.Sprint("l", i), ContentType: "clip", Object: "o", Body: body}, func(Response, error) { all.Done() })
+				b.Endpoint.Send(Request{ID: fmt.Sprint("s", i), ContentType: "clip", Object: "o", Superseded: void.Load}, func(Response, error) { all.Done() })
 			}
 			n := b.accept()
 			stuck := func() (ids []string) { // written as far as is known, and behind a large one that no one takes
-				b.Peer.mu.Lock()
-				defer b.Peer.mu.Unlock()
-				for _, c := range b.Peer.conns {
-					for id, l := range c.open {
+				b.Endpoint.mu.Lock()
+				defer b.Endpoint.mu.Unlock()
+				for _, c := range b.Endpoint.conns {
+					for id, l := range c.attempts {
 						if l.stage == WhollyWritten && strings.HasPrefix(id, "s") {
 							ids = append(ids, id)
 						}
@@ -98,20 +98,20 @@
 				return false
 			})
 			last := fmt.Sprint("s", before-1) // in order: all before it are in the sockets
-			b.Peer.mu.Lock()
-			pull := b.Peer.conns[0].open[last]
-			b.Peer.mu.Unlock()
+			b.Endpoint.mu.Lock()
+			pull := b.Endpoint.conns[0].attempts[last]
+			b.Endpoint.mu.Unlock()
 			if pull == nil {
 				t.Fatalf("%s is not open", last)
 			}
 			if void.Store(true); how != "void" {
 				void.Store(false)
-				pull.GiveUp(false)
+				pull.Cancel(false)
 			}
 			eventually(t, "it is still to be written", func() bool {
-				b.Peer.mu.Lock()
-				defer b.Peer.mu.Unlock()
-				return pull.over && pull.stage == NothingWritten
+				b.Endpoint.mu.Lock()
+				defer b.Endpoint.mu.Unlock()
+				return pull.finished && pull.stage == NothingWritten
 			})
 			void.Store(true)
 			n.SetDeadline(time.Now().Add(10 * time.Second))
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	var peers []*Peer
+	var peers []*Endpoint
 	for range nodes {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -170,29 +170,29 @@
 				go answers(nc)
 			}
 		}()
-		peers = append(peers, f.Peer(l.Addr().String()))
+		peers = append(peers, f.NewEndpoint(l.Addr().String()))
 	}
-	over := func() bool { return f.held.Load() > most+Firsts(most) }
+	over := func() bool { return f.connections.Load() > most+firstConnectionReserve(most) }
 	for round := range 2 {
 		for i, p := range peers {
 			ends := make(chan result, 1)
-			p.Send(Want{ID: fmt.Sprint(round, "-", i), Sort: "clip", Asset: "o"}, func(a Answer, err error) { ends <- result{a, err} })
+			p.Send(Request{ID: fmt.Sprint(round, "-", i), ContentType: "clip", Object: "o"}, func(a Response, err error) { ends <- result{a, err} })
 			if over() {
-				t.Fatalf("%d held", f.held.Load())
+				t.Fatalf("%d held", f.connections.Load())
 			}
 			expect(t, ends, "full 0")
 		}
 	}
-	var held []*Pull // all are in use
+	var held []*Attempt // all are in use
 	for i, p := range peers {
 		refused := make(chan error, 1)
-		l := p.Send(Want{ID: fmt.Sprint("held", i), Sort: "clip", Asset: "o"}, func(_ Answer, err error) { refused <- err })
+		l := p.Send(Request{ID: fmt.Sprint("held", i), ContentType: "clip", Object: "o"}, func(_ Response, err error) { refused <- err })
 		if over() {
-			t.Fatalf("%d held", f.held.Load())
+			t.Fatalf("%d held", f.connections.Load())
 		}
 		select {
 		case err := <-refused:
-			if !errors.Is(err, ErrNoRoom) {
+			if !errors.Is(err, ErrConnectionLimit) {
 				t.Fatal(err)
 			}
 		default:
@@ -203,7 +203,7 @@
 		t.Errorf("%d nodes were reached", len(held))
 	}
 	for _, l := range held {
-		l.GiveUp(false)
+		l.Cancel(false)
 	}
 }
 
@@ -222,18 +222,18 @@
 				n.Conn.(*net.TCPConn).SetLinger(0)
 			}
 			n.Close()
-			eventually(t, "its end has not come", func() bool { _, end := socket.Unread(nc); return end })
+			eventually(t, "its end has not come", func() bool { _, end := socket.PendingInput(nc); return end })
 			ends := make(chan result, 1)
-			pull := &Pull{want: Want{ID: "a1", Sort: "clip", Asset: "o"}, peer: b.Peer, size: longestHead, stage: NothingWritten}
-			pull.done = func(a Answer, err error) { ends <- result{a, err} }
-			c := &conn{p: b.Peer, nc: nc, open: map[string]*Pull{"a1": pull}, old: map[string]bool{}, wake: make(chan struct{}, 1)} // without a reader
-			c.queue = append(c.queue, item{pull: pull})
+			pull := &Attempt{request: Request{ID: "a1", ContentType: "clip", Object: "o"}, endpoint: b.Endpoint, maxSize: maxRequestHead, stage: NothingWritten}
+			pull.done = func(a Response, err error) { ends <- result{a, err} }
+			c := &conn{endpoint: b.Endpoint, netConn: nc, attempts: map[string]*Attempt{"a1": pull}, cancelledIDs: map[string]bool{}, wake: make(chan struct{}, 1)} // without a reader
+			c.queue = append(c.queue, message{attempt: pull})
 			pull.conn = c
-			b.Peer.mu.Lock()
-			b.Peer.conns = append(b.Peer.conns, c)
-			b.Peer.mu.Unlock()
-			c.signal()
-			c.write()
+			b.Endpoint.mu.Lock()
+			b.Endpoint.conns = append(b.Endpoint.conns, c)
+			b.Endpoint.mu.Unlock()
+			c.wakeWriter()
+			c.writeLoop()
 			n = b.accept()
 			n.hears(t, "want a1")
 			io.WriteString(n, "a1 full - 0\r\n\r\n")
@@ -248,7 +248,7 @@
 	_, a1 := b.send("a1")
 	n := b.accept()
 	n.hears(t, "want a1")
-	for range mostStray - 1 {
+	for range maxUnsolicited - 1 {
 		io.WriteString(n, "zz data - 2\r\nxx\r\n")
 	}
 	io.WriteString(n, "a1 full - 0\r\n\r\n")
@@ -272,14 +272,14 @@
 	defer l.Close()
 	f := New(bufpool.New(4), margins, 8)
 	defer f.Close()
-	p := f.Peer(l.Addr().String())
+	p := f.NewEndpoint(l.Addr().String())
 	for i, sure := range []bool{false, true} {
 		ends := make(chan result, 1)
-		p.Send(Want{ID: fmt.Sprint("a", i), Sort: "clip", Asset: "o"}, func(a Answer, err error) { ends <- result{a, err} }).GiveUp(sure)
+		p.Send(Request{ID: fmt.Sprint("a", i), ContentType: "clip", Object: "o"}, func(a Response, err error) { ends <- result{a, err} }).Cancel(sure)
 		expect(t, ends, "not connected, given up")
 	}
 	ends := make(chan result, 1)
-	p.Send(Want{ID: "a2", Sort: "clip", Asset: "o"}, func(a Answer, err error) { ends <- result{a, err} })
+	p.Send(Request{ID: "a2", ContentType: "clip", Object: "o"}, func(a Response, err error) { ends <- result{a, err} })
 	for answered := false; !answered; { // what came before it, and it
 		nc, err := l.Accept()
 		if err != nil {
