--- a/internal/dispatch/rare_test.go
+++ b/internal/dispatch/rare_test.go
@@ -92,7 +92,7 @@
 // waitGone waits until the front has seen that a client left, whatever waits for the shard: its connection has ended.
 func (b *bed) waitGone(left int) {
 	b.t.Helper()
-	for until := time.Now().Add(10 * time.Second); b.server.Conns() > left; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); b.server.ConnCount() > left; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			b.t.Fatal("its leaving was not seen")
 		}
@@ -204,7 +204,7 @@
 func TestFullShard(t *testing.T) {
 	b, m := newBarred(t)
 	c := b.another()
-	for until := time.Now().Add(10 * time.Second); b.server.Conns() < 2 && time.Now().Before(until); {
+	for until := time.Now().Add(10 * time.Second); b.server.ConnCount() < 2 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	b.ask("1", "")
@@ -265,12 +265,12 @@
 func TestBurstOfLeaving(t *testing.T) {
 	const clients = 300
 	b, m := newBarred(t)
-	b.server.Limit(2 * clients)
+	b.server.SetMaxConns(2 * clients)
 	var burst []net.Conn
 	for range clients {
 		burst = append(burst, b.another())
 	}
-	for until := time.Now().Add(10 * time.Second); b.server.Conns() <= clients; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); b.server.ConnCount() <= clients; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("not all are held")
 		}
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -101,7 +101,7 @@
 	shard *Shard
 	conn  *downstream.Conn
 	tag   uint64
-	ask   downstream.Ask
+	ask   downstream.Request
 	pulls []*pull
 	wake  policy.Micros // when to ask the module again; 0 for not
 	due   policy.Micros // its place among the timers; 0 for none
@@ -380,29 +380,29 @@
 	return d
 }
 
-// Ask takes a download from a client. It never waits: the connection's reader must go on, to see that its client leaves.
-func (s *Shard) Ask(c *downstream.Conn, tag uint64, a downstream.Ask) {
+// HandleRequest takes a download from a client. It never waits: the connection's reader must go on, to see that its client leaves.
+func (s *Shard) HandleRequest(c *downstream.Conn, tag uint64, a downstream.Request) {
 	taken := s.calls.TryPut(func() {
-		if !c.Waits(tag) {
+		if !c.IsPending(tag) {
 			a.Body.Free()
 			return
 		}
-		if !s.ids.Claim(a.Txn, s.number) { // a node could not tell the two apart
+		if !s.ids.Claim(a.TransactionID, s.number) { // a node could not tell the two apart
 			a.Body.Free()
-			c.Blame(errors.New("txn: it is that of an open request"))
-			c.Abandon(tag)
+			c.ReportBadRequest(errors.New("txn: it is that of an open request"))
+			c.Fail(tag)
 			return
 		}
 		dl := &download{shard: s, conn: c, tag: tag, ask: a}
 		dl.timer.Value = dl
-		dl.Type, dl.Object, dl.Part, dl.Group, dl.IsRetry = a.Type, a.Object, a.Part, a.Group, a.Again
-		dl.ClientHash, dl.IdempotencyKey, dl.ClientSuspect = a.Client, a.Key, a.Doubted
-		came := a.Came
+		dl.Type, dl.Object, dl.Part, dl.Group, dl.IsRetry = a.Type, a.Object, a.Part, a.Group, a.IsRetry
+		dl.ClientHash, dl.IdempotencyKey, dl.ClientSuspect = a.ClientHash, a.IdempotencyKey, a.ClientSuspect
+		came := a.ArrivedAt
 		if s.own != nil { // its client waits since it was sent, not since it was read
 			came = came.Add(-s.own.StaleBy(came))
 		}
 		dl.ArrivedAt = s.at(came)
-		dl.Deadline = dl.ArrivedAt + policy.Micros(a.Limit/time.Microsecond) - s.margins.AnswerReserve
+		dl.Deadline = dl.ArrivedAt + policy.Micros(a.Timeout/time.Microsecond) - s.margins.AnswerReserve
 		if s.end > 0 {
 			dl.Deadline = min(dl.Deadline, s.end)
 		}
@@ -416,13 +416,13 @@
 	})
 	if !taken {
 		a.Body.Free()
-		c.TurnAway(tag, a)
+		c.RejectUnsent(tag, a)
 	}
 }
 
 // where asks where a download goes, and does what is answered.
 func (s *Shard) where(dl *download) {
-	if !dl.conn.Waits(dl.tag) { // its client has left; the word of it waits behind others
+	if !dl.conn.IsPending(dl.tag) { // its client has left; the word of it waits behind others
 		s.finish(dl)
 		return
 	}
@@ -435,18 +435,18 @@
 		slog.Error("panic", "where", "route", "err", bad, "stack", string(debug.Stack()))
 		if dl != nil {
 			dl.shard.finish(dl)
-			dl.conn.Drop()
+			dl.conn.Close()
 		}
 	}
 }
 
-// Opened says that a client has connected.
-func (s *Shard) Opened(*downstream.Conn) {
+// ConnOpened says that a client has connected.
+func (s *Shard) ConnOpened(*downstream.Conn) {
 	s.WithPolicy(func() { s.module.ClientConnected(s.now()) })
 }
 
-// NeverMind says that a client no longer waits for a download.
-func (s *Shard) NeverMind(c *downstream.Conn, tag uint64) {
+// HandleCancel says that a client no longer waits for a download.
+func (s *Shard) HandleCancel(c *downstream.Conn, tag uint64) {
 	s.calls.PutUnbounded(func() {
 		if dl := s.downloads[c][tag]; dl != nil {
 			s.finish(dl)
@@ -454,8 +454,8 @@
 	})
 }
 
-// Closed says that a client is gone with all it asked for.
-func (s *Shard) Closed(c *downstream.Conn) {
+// ConnClosed says that a client is gone with all it asked for.
+func (s *Shard) ConnClosed(c *downstream.Conn) {
 	s.calls.PutUnbounded(func() {
 		for _, dl := range s.downloads[c] {
 			s.finish(dl)
@@ -487,7 +487,7 @@
 // forget gives a download's id free once it can be met nowhere any more.
 func (s *Shard) forget(dl *download) {
 	if dl.Done && !slices.ContainsFunc(dl.pulls, func(p *pull) bool { return !p.over }) {
-		s.ids.Release(dl.ask.Txn, s.number)
+		s.ids.Release(dl.ask.TransactionID, s.number)
 	}
 }
 
@@ -502,14 +502,14 @@
 		}
 	case policy.Reject, policy.Fail:
 		if a.Unprocessable {
-			dl.conn.Useless()
+			dl.conn.MarkSuspect()
 		}
 		if a.Action == policy.Reject {
 			s.throttled.Add(1)
-			dl.conn.Throttle(dl.tag, span(a.RetryAfter))
+			dl.conn.Reject(dl.tag, span(a.RetryAfter))
 		} else {
 			s.abandoned.Add(1)
-			dl.conn.Abandon(dl.tag)
+			dl.conn.Fail(dl.tag)
 		}
 		s.finish(dl)
 	}
@@ -524,9 +524,9 @@
 
 func (s *Shard) pull(dl *download, a decided) {
 	w := upstream.Request{
-		ID: dl.ask.Txn, ContentType: dl.ask.Sort, Object: dl.Object, Part: dl.Part, Timeout: span(a.Timeout),
-		IdempotencyKey: dl.ask.Key, CacheRank: a.CacheRank, MaxAge: span(a.MaxAge), Coalesce: a.Coalesce, OnlyIfCached: a.OnlyIfCached, Revalidate: a.Revalidate,
-		ClientTag: dl.ask.Held, Body: dl.ask.Body,
+		ID: dl.ask.TransactionID, ContentType: dl.ask.TypeName, Object: dl.Object, Part: dl.Part, Timeout: span(a.Timeout),
+		IdempotencyKey: dl.ask.IdempotencyKey, CacheRank: a.CacheRank, MaxAge: span(a.MaxAge), Coalesce: a.Coalesce, OnlyIfCached: a.OnlyIfCached, Revalidate: a.Revalidate,
+		ClientTag: dl.ask.IfNoneMatch, Body: dl.ask.Body,
 	}
 	if a.Source != a.Endpoint {
 		w.SourceID = a.source
@@ -537,7 +537,7 @@
 	decided, end := s.start.Add(span(a.at-s.offset)), s.start.Add(span(a.NotAfter-s.offset))
 	w.Superseded = func() bool {
 		now := time.Now()
-		return !dl.conn.Waits(dl.tag) || a.NotAfter > 0 && !now.Before(end) ||
+		return !dl.conn.IsPending(dl.tag) || a.NotAfter > 0 && !now.Before(end) ||
 			s.margins.MaxDecisionAge > 0 && s.purges.Load() != a.purges && now.Sub(decided) > span(s.margins.MaxDecisionAge)
 	}
 	s.pulled.Add(1)
@@ -573,12 +573,12 @@
 	defer s.forget(dl)
 	if !dl.Done && how == policy.Succeeded {
 		s.fulfilled.Add(1)
-		dl.conn.Fulfil(dl.tag, answer.Body, answer.Status == upstream.StatusUnchanged)
+		dl.conn.Succeed(dl.tag, answer.Body, answer.Status == upstream.StatusUnchanged)
 		s.finish(dl)
 	} else {
 		answer.Body.Free()
 	}
-	if !dl.Done && !dl.conn.Waits(dl.tag) {
+	if !dl.Done && !dl.conn.IsPending(dl.tag) {
 		s.finish(dl)
 	}
 	out := policy.Outcome{Attempt: number, Result: how, CacheStatus: fillings[answer.CacheStatus], Final: dl.Done}
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -208,7 +208,7 @@
 	site := config.Site{Types: []string{"clip"}, Settings: policy.Settings{ContentTypes: []*policy.ContentType{{Timeout: 60 * policy.Second}}}}
 	b.Router, b.fleet = New(b.script, m, fleet, 1), fleet
 	go b.Router.Run()
-	server := downstream.New([]downstream.Sink{b.Router.Shards()[0]}, site, p, 8, m)
+	server := downstream.New([]downstream.Handler{b.Router.Shards()[0]}, site, p, 8, m)
 	b.server = server
 	go server.Serve(l)
 	b.list(policy.Ready)
@@ -221,7 +221,7 @@
 		b.client.Close()
 		b.node.Close()
 		l.Close()
-		for until := time.Now().Add(10 * time.Second); b.OpenRequests() > 0 || server.Conns() > 0; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(10 * time.Second); b.OpenRequests() > 0 || server.ConnCount() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Fatal("downloads or connections are left")
 			}
--- a/internal/dispatch/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -89,7 +89,7 @@
 		c.node("p0", 0, 1, c.parents[0], policy.Ready), c.node("p1", 0, 1, c.parents[1], policy.Ready),
 	}}})
 	go c.Run()
-	var sinks []downstream.Sink
+	var sinks []downstream.Handler
 	for _, s := range c.Shards() {
 		sinks = append(sinks, s)
 	}
@@ -106,7 +106,7 @@
 		}
 		nc.SetDeadline(time.Now().Add(20 * time.Second))
 		c.clients, c.in = append(c.clients, nc), append(c.in, bufio.NewReader(nc))
-		for server.Conns() <= i {
+		for server.ConnCount() <= i {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -30,17 +30,17 @@
 	discarded = 8 << 10 // bytes read at once of what is not heeded
 )
 
-// Sink takes what clients say, from the connections' goroutines. What an Ask points to is the sink's.
-type Sink interface {
-	Ask(c *Conn, tag uint64, a Ask)
-	NeverMind(c *Conn, tag uint64)
-	Closed(c *Conn)
-	Opened(c *Conn)
+// Handler takes what clients say, from the connections' goroutines. What an Ask points to is the sink's.
+type Handler interface {
+	HandleRequest(c *Conn, tag uint64, a Request)
+	HandleCancel(c *Conn, tag uint64)
+	ConnClosed(c *Conn)
+	ConnOpened(c *Conn)
 }
 
 // Server accepts connections and holds as many as it may.
 type Server struct {
-	sinks     []Sink
+	sinks     []Handler
 	types     map[string]*policy.ContentType
 	pool      *bufpool.Pool
 	margins   policy.Timeouts
@@ -59,7 +59,7 @@
 }
 
 // New makes a server for so many connections, which are spread over the sinks in turn.
-func New(sinks []Sink, site config.Site, p *bufpool.Pool, most int, m policy.Timeouts) *Server {
+func New(sinks []Handler, site config.Site, p *bufpool.Pool, most int, m policy.Timeouts) *Server {
 	s := &Server{
 		sinks: sinks, types: map[string]*policy.ContentType{}, pool: p, margins: m, conns: map[*Conn]struct{}{},
 		left: make(chan struct{}, 1),
@@ -67,12 +67,12 @@
 	for i, name := range site.Types {
 		s.types[name] = site.Settings.ContentTypes[i]
 	}
-	s.Limit(most)
+	s.SetMaxConns(most)
 	return s
 }
 
-// Limit sets how many connections may be held when another is accepted.
-func (s *Server) Limit(most int) { s.most.Store(int64(most)) }
+// SetMaxConns sets how many connections may be held when another is accepted.
+func (s *Server) SetMaxConns(most int) { s.most.Store(int64(most)) }
 
 // Serve accepts until the listener is closed. What finds no place waits, unread, behind one that was accepted.
 func (s *Server) Serve(l net.Listener) error {
@@ -108,7 +108,7 @@
 			c.finish()
 		}
 		s.mu.Unlock()
-		c.sink.Opened(c)
+		c.sink.ConnOpened(c)
 		go c.run()
 	}
 }
@@ -129,7 +129,7 @@
 	defer s.waiting.Store(false)
 	for {
 		most := int(s.most.Load())
-		if s.Conns() < most {
+		if s.ConnCount() < most {
 			return
 		}
 		s.makeRoom(1 + most/roomPart) // a descriptor is free once its connection has left the table
@@ -140,8 +140,8 @@
 	}
 }
 
-// Quiet says whether no connection has come for so long, and none waits for a place.
-func (s *Server) Quiet(settle time.Duration) bool {
+// QuietFor says whether no connection has come for so long, and none waits for a place.
+func (s *Server) QuietFor(settle time.Duration) bool {
 	return !s.waiting.Load() && time.Now().UnixNano()-s.came.Load() >= int64(settle)
 }
 
@@ -154,7 +154,7 @@
 		case <-done:
 			return
 		case now := <-tick.C:
-			if over := s.Conns() - int(s.most.Load()); over > 0 { // the limit was lowered
+			if over := s.ConnCount() - int(s.most.Load()); over > 0 { // the limit was lowered
 				s.makeRoom(over)
 			}
 			s.mu.Lock()
@@ -174,12 +174,12 @@
 	}
 }
 
-// Stop has STATUS answer that the director is leaving.
-func (s *Server) Stop() { s.stopping.Store(true) }
+// SetNotServing has STATUS answer that the director is leaving.
+func (s *Server) SetNotServing() { s.stopping.Store(true) }
 
-// Close accepts no more, and ends all connections once what is open on them has been answered, those too that were accepted
+// Shutdown accepts no more, and ends all connections once what is open on them has been answered, those too that were accepted
 // and have no place yet.
-func (s *Server) Close() {
+func (s *Server) Shutdown() {
 	s.mu.Lock()
 	s.closing = true
 	for _, l := range s.listeners {
@@ -191,15 +191,15 @@
 		c.mu.Unlock()
 	}
 	s.mu.Unlock()
-	for until := time.Now().Add(span(s.margins.WriteFlush)); s.Conns() > 0 || s.accepts.Load() > 0; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(span(s.margins.WriteFlush)); s.ConnCount() > 0 || s.accepts.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			return
 		}
 	}
 }
 
-// Conns is how many connections are held.
-func (s *Server) Conns() int {
+// ConnCount is how many connections are held.
+func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -289,7 +289,7 @@
 // Conn is a client's connection.
 type Conn struct {
 	s    *Server
-	sink Sink
+	sink Handler
 	nc   net.Conn
 	who  uint64        // the client's address, as a hash
 	wake chan struct{} // there is something to write, or the end has come
@@ -316,12 +316,12 @@
 // taken is a request that came.
 type taken struct {
 	tag uint64
-	ask Ask
+	ask Request
 }
 
-// Waits says whether a client still waits for an answer: it has neither cancelled the request nor left. To be asked as an
+// IsPending says whether a client still waits for an answer: it has neither cancelled the request nor left. To be asked as an
 // attempt is written, whatever stands in a queue.
-func (c *Conn) Waits(tag uint64) bool {
+func (c *Conn) IsPending(tag uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[tag]
@@ -332,8 +332,8 @@
 	body *bufpool.Body
 }
 
-// Fulfil passes a body on, or tells the client that its copy holds. The body is the connection's from here on.
-func (c *Conn) Fulfil(tag uint64, body *bufpool.Body, same bool) {
+// Succeed passes a body on, or tells the client that its copy holds. The body is the connection's from here on.
+func (c *Conn) Succeed(tag uint64, body *bufpool.Body, same bool) {
 	fields := ""
 	if same {
 		fields = "still=1"
@@ -344,17 +344,17 @@
 	c.answer(tag, wordFulfilled, fields, body)
 }
 
-// Useless says that what a client asked for is of use to no node. Its next downloads cost less, until one is fulfilled. The
+// MarkSuspect says that what a client asked for is of use to no node. Its next downloads cost less, until one is fulfilled. The
 // connection is listened to all the same: nodes in trouble can agree too, and others' downloads may come over it.
-func (c *Conn) Useless() {
+func (c *Conn) MarkSuspect() {
 	c.s.fault("useless_request", errors.New("of use to no node"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.doubted = true
 }
 
-// Throttle says that a new try is harmless, and when to come back.
-func (c *Conn) Throttle(tag uint64, later time.Duration) {
+// Reject says that a new try is harmless, and when to come back.
+func (c *Conn) Reject(tag uint64, later time.Duration) {
 	fields := ""
 	if later > 0 {
 		c.mu.Lock()
@@ -365,18 +365,18 @@
 	c.answer(tag, wordThrottled, fields, nil)
 }
 
-// TurnAway answers a request that found no room and of which nothing was sent on. A new try is harmless, but where an earlier
+// RejectUnsent answers a request that found no room and of which nothing was sent on. A new try is harmless, but where an earlier
 // one of the same key may have run: how long ago is not known here.
-func (c *Conn) TurnAway(tag uint64, a Ask) {
-	if a.Again && a.Key != "" {
-		c.Abandon(tag)
+func (c *Conn) RejectUnsent(tag uint64, a Request) {
+	if a.IsRetry && a.IdempotencyKey != "" {
+		c.Fail(tag)
 		return
 	}
-	c.Throttle(tag, span(c.s.margins.DefaultRetryAfter))
+	c.Reject(tag, span(c.s.margins.DefaultRetryAfter))
 }
 
-// Abandon promises nothing.
-func (c *Conn) Abandon(tag uint64) { c.answer(tag, wordAbandoned, "", nil) }
+// Fail promises nothing.
+func (c *Conn) Fail(tag uint64) { c.answer(tag, wordAbandoned, "", nil) }
 
 // answer queues an answer and never waits. A client that leaves too much of it unread is left.
 func (c *Conn) answer(tag uint64, word, fields string, body *bufpool.Body) {
@@ -406,15 +406,15 @@
 	c.signal()
 }
 
-// Drop ends the connection at once.
-func (c *Conn) Drop() {
+// Close ends the connection at once.
+func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.end()
 }
 
-// Blame says that a request can't be used. A client that goes on with such is not listened to any more.
-func (c *Conn) Blame(err error) {
+// ReportBadRequest says that a request can't be used. A client that goes on with such is not listened to any more.
+func (c *Conn) ReportBadRequest(err error) {
 	c.s.fault("bad_request", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -471,7 +471,7 @@
 		c.read()
 	}()
 	<-written
-	c.sink.Closed(c)
+	c.sink.ConnClosed(c)
 	c.s.mu.Lock()
 	delete(c.s.conns, c)
 	c.s.mu.Unlock()
@@ -485,7 +485,7 @@
 func (c *Conn) caught() {
 	if bad := recover(); bad != nil {
 		slog.Error("panic", "where", "front", "err", bad, "stack", string(debug.Stack()))
-		c.Drop()
+		c.Close()
 	}
 }
 
@@ -493,7 +493,7 @@
 // on only once all that lies in the socket is read: what a client asked for, took back and left behind may lie there together,
 // for as long as the connection waited to be accepted. One that never stops sending has them handed on after a moment.
 func (c *Conn) read() {
-	defer c.Drop()
+	defer c.Close()
 	p := parser{pool: c.s.pool}
 	defer p.close()
 	defer c.pass(false)
@@ -595,8 +595,8 @@
 func (c *Conn) pass(on bool) {
 	for i, a := range c.came {
 		c.came[i] = taken{}
-		if on && c.Waits(a.tag) {
-			c.sink.Ask(c, a.tag, a.ask)
+		if on && c.IsPending(a.tag) {
+			c.sink.HandleRequest(c, a.tag, a.ask)
 		} else {
 			a.ask.Body.Free()
 		}
@@ -630,7 +630,7 @@
 		c.came[i].ask.Body.Free()
 		c.came = slices.Delete(c.came, i, i+1)
 	} else if was {
-		c.sink.NeverMind(c, tag)
+		c.sink.HandleCancel(c, tag)
 	}
 }
 
@@ -649,7 +649,7 @@
 	c.open[msg.tag] = true
 	late := c.phase == ending && came.After(c.left) // or a client that never rests would keep it from its end
 	c.used, c.since, c.heard = came, time.Time{}, true
-	msg.ask.Doubted, msg.ask.Client = c.doubted, c.who
+	msg.ask.ClientSuspect, msg.ask.ClientHash = c.doubted, c.who
 	c.mu.Unlock()
 	err := error(nil)
 	if msg.verb == "ASK" {
@@ -657,7 +657,7 @@
 	}
 	switch {
 	case twice: // the first use of the tag gets the one answer
-		c.Blame(errors.New("the tag is in use"))
+		c.ReportBadRequest(errors.New("the tag is in use"))
 	case msg.verb == "STATUS":
 		word := wordServing
 		if c.s.stopping.Load() {
@@ -665,21 +665,21 @@
 		}
 		c.answer(msg.tag, word, "", nil)
 	case msg.verb == "":
-		c.Blame(errors.New("an unknown message"))
-		c.Abandon(msg.tag)
+		c.ReportBadRequest(errors.New("an unknown message"))
+		c.Fail(msg.tag)
 	case err != nil:
-		c.Blame(err)
-		c.Abandon(msg.tag)
+		c.ReportBadRequest(err)
+		c.Fail(msg.tag)
 	case many:
-		c.Blame(errors.New("too many requests at once"))
-		c.TurnAway(msg.tag, msg.ask)
+		c.ReportBadRequest(errors.New("too many requests at once"))
+		c.RejectUnsent(msg.tag, msg.ask)
 	case late:
-		c.TurnAway(msg.tag, msg.ask)
+		c.RejectUnsent(msg.tag, msg.ask)
 	default:
-		msg.ask.Came, msg.ask.Body = came, c.s.pool.NewBody(len(msg.ask.bytes))
+		msg.ask.ArrivedAt, msg.ask.Body = came, c.s.pool.NewBody(len(msg.ask.bytes))
 		if !msg.ask.Body.Append(msg.ask.bytes) {
 			msg.ask.Body.Free()
-			c.TurnAway(msg.tag, msg.ask)
+			c.RejectUnsent(msg.tag, msg.ask)
 			return
 		}
 		msg.ask.bytes = nil // the parser's buffer is used again
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -27,14 +27,14 @@
 type asked struct {
 	c   *Conn
 	tag uint64
-	ask Ask
+	ask Request
 }
 
-func (s sink) Ask(c *Conn, tag uint64, a Ask)      { s.asks <- asked{c, tag, a} }
-func (s sink) NeverMind(_ *Conn, tag uint64)       { s.never <- tag }
-func (s sink) Closed(c *Conn)                      { s.closed <- c }
-func (s sink) Opened(*Conn)                        {}
-func (s sink) next(t *testing.T, tag uint64) *Conn { return s.at(t, tag).c }
+func (s sink) HandleRequest(c *Conn, tag uint64, a Request) { s.asks <- asked{c, tag, a} }
+func (s sink) HandleCancel(_ *Conn, tag uint64)             { s.never <- tag }
+func (s sink) ConnClosed(c *Conn)                           { s.closed <- c }
+func (s sink) ConnOpened(*Conn)                             {}
+func (s sink) next(t *testing.T, tag uint64) *Conn          { return s.at(t, tag).c }
 func (s sink) at(t *testing.T, tag uint64) (a asked) {
 	t.Helper()
 	if a = get(t, s.asks); a.tag != tag {
@@ -92,7 +92,7 @@
 	for _, to := range change {
 		to(&m)
 	}
-	b.Server = New([]Sink{b.sink}, site, b.pool, conns, m)
+	b.Server = New([]Handler{b.sink}, site, b.pool, conns, m)
 	go b.Serve(l)
 	t.Cleanup(func() {
 		l.Close()
@@ -101,7 +101,7 @@
 			c.nc.Close()
 		}
 		b.Server.mu.Unlock()
-		eventually(t, "connections are left", func() bool { return b.Conns() == 0 })
+		eventually(t, "connections are left", func() bool { return b.ConnCount() == 0 })
 		if out, _ := b.pool.InUse(); out != 0 {
 			t.Errorf("%d buffers are still out", out)
 		}
@@ -168,14 +168,14 @@
 		do   func()
 		want string
 	}{
-		{func() { conn.Fulfil(6, b.body(3), false) }, "6 200  xxx"}, // in any order
-		{func() { conn.Fulfil(2, nil, true) }, "2 200 still=1 "},
-		{func() { conn.Throttle(3, 250*time.Millisecond) }, "3 503 later=250 "},
-		{func() { conn.Throttle(4, 0) }, "4 503  "},
-		{func() { conn.Abandon(4); conn.Abandon(5) }, "5 500  "}, // a second answer to 4 is not passed on
+		{func() { conn.Succeed(6, b.body(3), false) }, "6 200  xxx"}, // in any order
+		{func() { conn.Succeed(2, nil, true) }, "2 200 still=1 "},
+		{func() { conn.Reject(3, 250*time.Millisecond) }, "3 503 later=250 "},
+		{func() { conn.Reject(4, 0) }, "4 503  "},
+		{func() { conn.Fail(4); conn.Fail(5) }, "5 500  "}, // a second answer to 4 is not passed on
 		{func() { c.Write(frame("SING", "9")) }, "9 500  "},
 		{func() { c.Write(frame("ASK", "10", "segment", "txn=1")) }, "10 500  "},
-		{func() { b.Stop(); c.Write(frame("STATUS", "11")) }, "11 not_serving  "},
+		{func() { b.SetNotServing(); c.Write(frame("STATUS", "11")) }, "11 not_serving  "},
 	} {
 		x.do()
 		if got := c.answer(t); got != x.want {
@@ -199,8 +199,8 @@
 	if tag := get(t, b.never); tag != 2 {
 		t.Errorf("gave up %d", tag)
 	}
-	conn.Abandon(2) // no answer is owed any more
-	conn.Abandon(1)
+	conn.Fail(2) // no answer is owed any more
+	conn.Fail(1)
 	if got := c.answer(t); got != "1 500  " {
 		t.Errorf("got %q", got)
 	}
@@ -211,7 +211,7 @@
 	c, other := b.dial(t), b.dial(t)
 	c.Write(append(ask("1"), "rubbish\r\n"...))
 	conn := b.next(t, 1)
-	conn.Fulfil(1, b.body(100_000), false)
+	conn.Succeed(1, b.body(100_000), false)
 	if got := c.answer(t); !strings.HasPrefix(got, "1 200  xxx") {
 		t.Errorf("got %.20q", got)
 	}
@@ -233,7 +233,7 @@
 	if get(t, b.closed) != conn {
 		t.Error("another connection was reported")
 	}
-	conn.Fulfil(1, b.body(100_000), false) // its buffers go back, as the clean-up checks
+	conn.Succeed(1, b.body(100_000), false) // its buffers go back, as the clean-up checks
 }
 
 // A client that reads nothing is left after a while, or when it holds too much; others are served meanwhile.
@@ -252,13 +252,13 @@
 				c.Write(ask(fmt.Sprint(tag)))
 				select {
 				case a := <-b.asks:
-					a.c.Fulfil(a.tag, b.body(240_000), false)
+					a.c.Succeed(a.tag, b.body(240_000), false)
 				case <-b.closed:
 					closed = true
 				}
 				if tag == 3 { // much is waiting by now
 					other.Write(ask("1"))
-					b.next(t, 1).Fulfil(1, b.body(240_000), false)
+					b.next(t, 1).Succeed(1, b.body(240_000), false)
 					if got := other.answer(t); len(got) != len("1 200  ")+240_000 {
 						t.Errorf("another client got %.20q", got)
 					}
@@ -278,7 +278,7 @@
 	c1.Write(ask("1"))
 	conn := b.next(t, 1)
 	c2.Write(ask("2"))
-	b.next(t, 2).Abandon(2)
+	b.next(t, 2).Fail(2)
 	c2.answer(t)
 	c3 := b.dial(t)
 	c3.Write(ask("3"))
@@ -286,8 +286,8 @@
 		t.Errorf("the idle one was not closed: %v", err)
 	}
 	c2.Close()
-	b.next(t, 3).Abandon(3)
-	conn.Abandon(1)
+	b.next(t, 3).Fail(3)
+	conn.Fail(1)
 	if a, b := c1.answer(t), c3.answer(t); a != "1 500  " || b != "3 500  " {
 		t.Errorf("got %q and %q", a, b)
 	}
@@ -304,7 +304,7 @@
 		}
 	}
 	c.Write(ask("90"))
-	b.next(t, 90).Abandon(90)
+	b.next(t, 90).Fail(90)
 	c.answer(t)
 	c.Write(append(frame("ASK", "91", "song", fields), ask("92")...))
 	if got := c.answer(t); got != "91 500  " {
@@ -342,7 +342,7 @@
 			if all, err := io.ReadAll(c.in); err != nil || strings.Contains(x.first, "1") != (len(all) > 0) {
 				t.Errorf("got %q, %v", all, err)
 			}
-			conn.Abandon(1)
+			conn.Fail(1)
 			if got := busy.answer(t); got != "1 500  " {
 				t.Errorf("the busy one got %q", got)
 			}
@@ -362,11 +362,11 @@
 		}
 		late := b.dial(t)
 		late.Write(ask("7"))
-		b.next(t, 7).Abandon(7)
+		b.next(t, 7).Fail(7)
 		if got := late.answer(t); got != "7 500  " {
 			t.Errorf("the late one got %q", got)
 		}
-		open.Abandon(6)
+		open.Fail(6)
 		if got := good.answer(t); got != "6 500  " {
 			t.Errorf("the one with a request open got %q", got)
 		}
@@ -379,7 +379,7 @@
 	slow := b.dial(t)
 	slow.Write(ask("1"))
 	conn := b.next(t, 1)
-	conn.Fulfil(1, b.body(16<<20), false) // more than the sockets between them hold
+	conn.Succeed(1, b.body(16<<20), false) // more than the sockets between them hold
 	eventually(t, "the answer was not taken up", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
@@ -411,7 +411,7 @@
 	b.Server.mu.Unlock()
 	b.dial(t)
 	b.dial(t)
-	eventually(t, "not all are held", func() bool { return b.Conns() == 3 })
+	eventually(t, "not all are held", func() bool { return b.ConnCount() == 3 })
 	late := b.dial(t)
 	late.Write(frame("STATUS", "1"))
 	if got := late.answer(t); got != "1 serving  " {
@@ -438,7 +438,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New([]Sink{sink{closed: make(chan *Conn, 1)}}, site, bufpool.New(1), 1,
+	s := New([]Handler{sink{closed: make(chan *Conn, 1)}}, site, bufpool.New(1), 1,
 		policy.Timeouts{WriteFlush: policy.Second, PollRetry: policy.Second / 5, RequestRead: policy.Second, DownstreamIdle: policy.Second})
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(&poor{Listener: l}) }()
@@ -459,7 +459,7 @@
 	t.Helper()
 	done = make(chan struct{})
 	go func() {
-		b.Server.Close()
+		b.Server.Shutdown()
 		close(done)
 	}()
 	eventually(t, "the end was not begun", func() bool {
@@ -476,7 +476,7 @@
 	c.Write(ask("1"))
 	conn := b.next(t, 1)
 	done := b.closes(t, conn)
-	conn.Abandon(1)
+	conn.Fail(1)
 	if got := c.answer(t); got != "1 500  " {
 		t.Errorf("got %q", got)
 	}
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -21,15 +21,15 @@
 		name, frame string
 		verb        string
 		tag         uint64
-		ask         Ask
+		ask         Request
 	}{
 		{
 			name:  "a read",
 			frame: "*4\r\n$3\r\nASK\r\n$1\r\n7\r\n$7\r\nsegment\r\n$66\r\n" + plain + "\r\n",
 			verb:  "ASK", tag: 7,
-			ask: Ask{
-				Type: site.Settings.ContentTypes[0], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
-				Limit: 1500 * time.Millisecond,
+			ask: Request{
+				Type: site.Settings.ContentTypes[0], TypeName: "segment", TransactionID: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
+				Timeout: 1500 * time.Millisecond,
 			},
 		},
 		{
@@ -37,9 +37,9 @@
 			frame: "*5\r\n$3\r\nASK\r\n$20\r\n18446744073709551615\r\n$7\r\nsegment\r\n$97\r\n" + plain +
 				",second=1,mine=4be0c1927d55a6f3\r\n$4\r\nbo\r\n\r\n",
 			verb: "ASK", tag: 18446744073709551615,
-			ask: Ask{
-				Type: site.Settings.ContentTypes[0], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
-				Held: "4be0c1927d55a6f3", Again: true, Limit: 1500 * time.Millisecond, bytes: []byte("bo\r\n"),
+			ask: Request{
+				Type: site.Settings.ContentTypes[0], TypeName: "segment", TransactionID: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
+				IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 1500 * time.Millisecond, bytes: []byte("bo\r\n"),
 			},
 		},
 		{
@@ -48,9 +48,9 @@
 				"shard=255,n=0,item=7F3A9C21E0B4D655,limit=2000,txn=0000000000000001,mine=4be0c1927d55a6f3,second=1," +
 				"unique=5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a\r\n$0\r\n\r\n",
 			verb: "ASK", tag: 41,
-			ask: Ask{
-				Type: site.Settings.ContentTypes[1], Sort: "cover", Txn: "0000000000000001", Object: "7F3A9C21E0B4D655", Group: 255,
-				Key: "5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a", Held: "4be0c1927d55a6f3", Again: true, Limit: 2 * time.Second, bytes: []byte{},
+			ask: Request{
+				Type: site.Settings.ContentTypes[1], TypeName: "cover", TransactionID: "0000000000000001", Object: "7F3A9C21E0B4D655", Group: 255,
+				IdempotencyKey: "5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a", IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 2 * time.Second, bytes: []byte{},
 			},
 		},
 		{name: "a cancel", frame: "*2\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n", verb: "NEVERMIND", tag: 7},
@@ -112,31 +112,31 @@
 	}{
 		{"serving", sent("*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{"serving, with a word", sent("*3\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n$0\r\n\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
-		{"a body", asked("2"), func() { conn.Fulfil(2, b.body(3), false) }, "*4\r\n$1\r\n2\r\n$3\r\n200\r\n$0\r\n\r\n$3\r\nxxx\r\n"},
-		{"an empty body", asked("3"), func() { conn.Fulfil(3, nil, false) }, "*4\r\n$1\r\n3\r\n$3\r\n200\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"a body", asked("2"), func() { conn.Succeed(2, b.body(3), false) }, "*4\r\n$1\r\n2\r\n$3\r\n200\r\n$0\r\n\r\n$3\r\nxxx\r\n"},
+		{"an empty body", asked("3"), func() { conn.Succeed(3, nil, false) }, "*4\r\n$1\r\n3\r\n$3\r\n200\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{
-			"a body of several buffers", asked("4"), func() { conn.Fulfil(4, b.body(100_000), false) },
+			"a body of several buffers", asked("4"), func() { conn.Succeed(4, b.body(100_000), false) },
 			"*4\r\n$1\r\n4\r\n$3\r\n200\r\n$0\r\n\r\n$100000\r\n" + strings.Repeat("x", 100_000) + "\r\n",
 		},
-		{"the client's copy holds", asked("55"), func() { conn.Fulfil(55, nil, true) }, "*4\r\n$2\r\n55\r\n$3\r\n200\r\n$7\r\nstill=1\r\n$0\r\n\r\n"},
-		{"come back later", asked("6"), func() { conn.Throttle(6, 1250*time.Millisecond) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$10\r\nlater=1250\r\n$0\r\n\r\n"},
-		{"come back at once", asked("6"), func() { conn.Throttle(6, 0) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"the client's copy holds", asked("55"), func() { conn.Succeed(55, nil, true) }, "*4\r\n$2\r\n55\r\n$3\r\n200\r\n$7\r\nstill=1\r\n$0\r\n\r\n"},
+		{"come back later", asked("6"), func() { conn.Reject(6, 1250*time.Millisecond) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$10\r\nlater=1250\r\n$0\r\n\r\n"},
+		{"come back at once", asked("6"), func() { conn.Reject(6, 0) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{
-			"no room", asked("6"), func() { conn.TurnAway(6, Ask{}) },
+			"no room", asked("6"), func() { conn.RejectUnsent(6, Request{}) },
 			"*4\r\n$1\r\n6\r\n$3\r\n503\r\n$8\r\nlater=70\r\n$0\r\n\r\n",
 		},
 		{
-			"no room for a further try of a key", asked("6"), func() { conn.TurnAway(6, Ask{Again: true, Key: "5c"}) },
+			"no room for a further try of a key", asked("6"), func() { conn.RejectUnsent(6, Request{IsRetry: true, IdempotencyKey: "5c"}) },
 			"*4\r\n$1\r\n6\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n",
 		},
-		{"failed", asked("7"), func() { conn.Abandon(7) }, "*4\r\n$1\r\n7\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"failed", asked("7"), func() { conn.Fail(7) }, "*4\r\n$1\r\n7\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{"a message that is none", sent("*2\r\n$4\r\nPING\r\n$1\r\n9\r\n"), nil, "*4\r\n$1\r\n9\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{
 			"an unknown content type", sent("*4\r\n$3\r\nASK\r\n$1\r\n9\r\n$4\r\nsong\r\n$1\r\nx\r\n"), nil,
 			"*4\r\n$1\r\n9\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n",
 		},
 		{
-			"not serving", func() { b.Stop() }, sent("*2\r\n$6\r\nSTATUS\r\n$2\r\n10\r\n"),
+			"not serving", func() { b.SetNotServing() }, sent("*2\r\n$6\r\nSTATUS\r\n$2\r\n10\r\n"),
 			"*4\r\n$2\r\n10\r\n$11\r\nnot_serving\r\n$0\r\n\r\n$0\r\n\r\n",
 		},
 	}
--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -30,31 +30,31 @@
 	mostGroups  = 256
 )
 
-// Ask is a download that a client asks for.
-type Ask struct {
-	Type      *policy.ContentType
-	Sort      string // its name
-	Txn       string
-	Key       string // of a deduped download
-	Object    string
-	Part      int
-	Group     int
-	Held      string // the tag of the client's copy
-	Again     bool
-	Limit     time.Duration
-	Body      *bufpool.Body
-	Came      time.Time
-	Client    uint64 // its address, as a hash
-	Doubted   bool   // what it asked for of late was of use to no node
-	bytes     []byte // the body, as it lies in the parser's buffer
-	malformed error
+// Request is a download that a client asks for.
+type Request struct {
+	Type           *policy.ContentType
+	TypeName       string // its name
+	TransactionID  string
+	IdempotencyKey string // of a deduped download
+	Object         string
+	Part           int
+	Group          int
+	IfNoneMatch    string // the tag of the client's copy
+	IsRetry        bool
+	Timeout        time.Duration
+	Body           *bufpool.Body
+	ArrivedAt      time.Time
+	ClientHash     uint64 // its address, as a hash
+	ClientSuspect  bool   // what it asked for of late was of use to no node
+	bytes          []byte // the body, as it lies in the parser's buffer
+	malformed      error
 }
 
 // message is one of a client's; verb is empty where it is none of the protocol's.
 type message struct {
 	verb string
 	tag  uint64
-	ask  Ask
+	ask  Request
 }
 
 // parser cuts what a client sends into messages. It is fed bytes and knows no socket.
@@ -184,12 +184,12 @@
 }
 
 // parseAsk reads the words of a download; what one word can tell of itself is checked.
-func parseAsk(args [][]byte) (a Ask) {
+func parseAsk(args [][]byte) (a Request) {
 	if len(args) < 2 || len(args) > 3 {
 		a.malformed = fmt.Errorf("%d words", len(args))
 		return a
 	}
-	a.Sort = string(args[0])
+	a.TypeName = string(args[0])
 	if len(args) == 3 {
 		a.bytes = args[2]
 	}
@@ -199,15 +199,15 @@
 		ok := !seen[name]
 		switch seen[name] = true; name {
 		case "txn":
-			a.Txn, ok = value, ok && hex(value, 16)
+			a.TransactionID, ok = value, ok && hex(value, 16)
 		case "limit":
 			var ms int
 			ms, ok = whole(value, ok, 1, 1<<30)
-			a.Limit = time.Duration(ms) * time.Millisecond
+			a.Timeout = time.Duration(ms) * time.Millisecond
 		case "second":
-			a.Again, ok = true, ok && value == "1"
+			a.IsRetry, ok = true, ok && value == "1"
 		case "unique":
-			a.Key, ok = value, ok && hex(value, 32)
+			a.IdempotencyKey, ok = value, ok && hex(value, 32)
 		case "item":
 			a.Object, ok = value, ok && hex(value, 16)
 		case "n":
@@ -215,7 +215,7 @@
 		case "shard":
 			a.Group, ok = whole(value, ok, 0, mostGroups-1)
 		case "mine":
-			a.Held, ok = value, ok && hex(value, 16)
+			a.IfNoneMatch, ok = value, ok && hex(value, 16)
 		default:
 			ok = false
 		}
@@ -233,18 +233,18 @@
 }
 
 // admit checks a download against the settings and gives it its content type.
-func (a *Ask) admit(types map[string]*policy.ContentType) error {
-	t := types[a.Sort]
+func (a *Request) admit(types map[string]*policy.ContentType) error {
+	t := types[a.TypeName]
 	switch {
 	case a.malformed != nil:
 		return a.malformed
 	case t == nil:
 		return errors.New("an unknown content type")
-	case policy.Micros(a.Limit/time.Microsecond) > t.Timeout:
+	case policy.Micros(a.Timeout/time.Microsecond) > t.Timeout:
 		return errors.New("limit: over the content type's")
 	case a.Part > 0 && t.Unsplit:
 		return errors.New("n: the content type has no parts")
-	case (t.RetrySafety == policy.IdempotentWithKey) != (a.Key != ""):
+	case (t.RetrySafety == policy.IdempotentWithKey) != (a.IdempotencyKey != ""):
 		return errors.New("unique: missing, or not for the content type")
 	}
 	a.Type = t
--- a/internal/downstream/protocol_test.go
+++ b/internal/downstream/protocol_test.go
@@ -94,9 +94,9 @@
 func TestAsk(t *testing.T) {
 	types := map[string]*policy.ContentType{"segment": site.Settings.ContentTypes[0], "cover": site.Settings.ContentTypes[1]}
 	key := strings.Repeat("5c0f6e1a", 4)
-	whole := Ask{
-		Type: types["segment"], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
-		Held: "4be0c1927d55a6f3", Again: true, Limit: 1500 * time.Millisecond, bytes: []byte("b"),
+	whole := Request{
+		Type: types["segment"], TypeName: "segment", TransactionID: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
+		IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 1500 * time.Millisecond, bytes: []byte("b"),
 	}
 	msg, err := parse([][]byte{[]byte("ASK"), []byte("7"), []byte("segment"),
 		[]byte(fields + ",second=1,mine=4be0c1927d55a6f3"), []byte("b")})
@@ -129,7 +129,7 @@
 		})
 	}
 	a := parseAsk([][]byte{[]byte("cover"), []byte(strings.Replace(fields, "n=3", "n=0,unique="+key, 1)), nil})
-	if err := a.admit(types); err != nil || a.Key != key {
+	if err := a.admit(types); err != nil || a.IdempotencyKey != key {
 		t.Errorf("a deduped one: %+v, %v", a, err)
 	}
 }
--- a/internal/downstream/rare_test.go
+++ b/internal/downstream/rare_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	other := b.dial(t)
 	other.Write(ask("9000"))
-	b.next(t, 9000).Abandon(9000)
+	b.next(t, 9000).Fail(9000)
 	if got := other.answer(t); got != "9000 500  " {
 		t.Errorf("another connection got %q", got)
 	}
@@ -64,7 +64,7 @@
 			c.Write(x.sent)
 			eventually(t, "it does not wait", b.waiting.Load)
 			x.ends(c)
-			conn.Abandon(1)
+			conn.Fail(1)
 			first.answer(t)
 			first.Close()
 			get(t, b.closed)
@@ -80,8 +80,8 @@
 		c.Write(bytes.Join([][]byte{ask("1"), ask("2"), frame("NEVERMIND", "1"), ask("3"), frame("NEVERMIND", "3"), ask("3")}, nil))
 		conn := b.next(t, 2)
 		b.next(t, 3)
-		conn.Abandon(2)
-		conn.Abandon(3)
+		conn.Fail(2)
+		conn.Fail(3)
 		for _, want := range []string{"2 500  ", "3 500  "} {
 			if got := c.answer(t); got != want {
 				t.Errorf("got %q, want %q", got, want)
@@ -127,11 +127,11 @@
 					t.Errorf("took back %d", tag)
 				}
 			}
-			if !conn.Waits(2) {
+			if !conn.IsPending(2) {
 				t.Error("it does not wait")
 			}
 			c.Close()
-			if get(t, b.closed) != conn || conn.Waits(2) {
+			if get(t, b.closed) != conn || conn.IsPending(2) {
 				t.Error("its leaving was not seen")
 			}
 			if len(b.asks) > 0 {
@@ -166,12 +166,12 @@
 	c.Write(ask("1"))
 	first := get(t, b.asks)
 	c.Write(ask("2"))
-	eventually(t, "2 is not open", func() bool { return first.c.Waits(2) }) // the reader stands still with it
-	c.Write(ask("3"))                                                       // and this lies in the socket
+	eventually(t, "2 is not open", func() bool { return first.c.IsPending(2) }) // the reader stands still with it
+	c.Write(ask("3"))                                                           // and this lies in the socket
 	l.Close()
 	done := b.closes(t, first.c)
-	first.c.Abandon(1)
-	first.c.Abandon(2) // all that is known of is answered
+	first.c.Fail(1)
+	first.c.Fail(2) // all that is known of is answered
 	for _, want := range []string{"1 500  ", "2 500  "} {
 		if got := c.answer(t); got != want {
 			t.Errorf("got %q, want %q", got, want)
@@ -186,7 +186,7 @@
 	if third := get(t, b.asks); third.tag != 3 {
 		t.Errorf("took %d", third.tag)
 	}
-	first.c.Abandon(3)
+	first.c.Fail(3)
 	if got := c.answer(t); got != "3 500  " {
 		t.Errorf("got %q", got)
 	}
@@ -213,7 +213,7 @@
 	eventually(t, "it does not wait", b.waiting.Load)
 	l.Close()
 	done := b.closes(t, conn)
-	conn.Abandon(1)
+	conn.Fail(1)
 	first.answer(t)
 	first.Close()
 	a := get(t, b.asks)
@@ -222,7 +222,7 @@
 		t.Error("ended with a request open")
 	default:
 	}
-	a.c.Abandon(a.tag)
+	a.c.Fail(a.tag)
 	if got := c.answer(t); got != "2 500  " {
 		t.Errorf("got %q", got)
 	}
@@ -245,12 +245,12 @@
 			select {
 			case a := <-b.asks:
 				if last.c != nil {
-					last.c.Abandon(last.tag)
+					last.c.Fail(last.tag)
 				}
 				last = a
 			case <-time.After(span(b.margins.Connect)): // where no next one comes
 				if last.c != nil {
-					last.c.Abandon(last.tag)
+					last.c.Fail(last.tag)
 				}
 			case <-stop:
 				return
@@ -261,7 +261,7 @@
 	c.answer(t)
 	done := make(chan struct{})
 	go func() {
-		b.Server.Close()
+		b.Server.Shutdown()
 		close(done)
 	}()
 	ended := false
@@ -287,10 +287,10 @@
 	c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
 	c.Write(ask("1"))
 	conn := b.next(t, 1)
-	conn.Fulfil(1, b.body(1<<20), false) // more than the client's side holds
+	conn.Succeed(1, b.body(1<<20), false) // more than the client's side holds
 	done := make(chan struct{})
 	go func() {
-		b.Server.Close()
+		b.Server.Shutdown()
 		close(done)
 	}()
 	over := time.Time{}
@@ -316,7 +316,7 @@
 	c := b.dial(t)
 	c.Write(ask("1"))
 	conn := b.next(t, 1)
-	conn.Throttle(1, 2*time.Hour)
+	conn.Reject(1, 2*time.Hour)
 	c.answer(t)
 	eventually(t, "it is not answered", func() bool {
 		conn.mu.Lock()
@@ -343,10 +343,10 @@
 	for range 7 {
 		b.dial(t)
 	}
-	eventually(t, "not all are held", func() bool { return b.Conns() == 8 })
-	b.Limit(3)
-	eventually(t, "more are held", func() bool { return b.Conns() == 3 })
-	conn.Abandon(1)
+	eventually(t, "not all are held", func() bool { return b.ConnCount() == 8 })
+	b.SetMaxConns(3)
+	eventually(t, "more are held", func() bool { return b.ConnCount() == 3 })
+	conn.Fail(1)
 	if got := busy.answer(t); got != "1 500  " {
 		t.Errorf("the busy one got %q", got)
 	}
@@ -359,14 +359,14 @@
 	c.Write(append(ask("1"), ask("2")...))
 	conn := b.next(t, 1)
 	b.next(t, 2)
-	conn.Fulfil(1, b.body(16<<20), false) // more than the sockets between them hold
+	conn.Succeed(1, b.body(16<<20), false) // more than the sockets between them hold
 	eventually(t, "the answer was not taken up", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
 		return len(conn.queue) == 0 && conn.queued > 0
 	})
 	c.Close()
-	if get(t, b.closed) != conn || conn.Waits(2) {
+	if get(t, b.closed) != conn || conn.IsPending(2) {
 		t.Error("its leaving was not seen")
 	}
 }
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -233,7 +233,7 @@
 			limitRuntime(c.Limits, o)
 			buffers.SetLimit(c.Limits.Buffers(bufpool.BufferSize))
 			fleet.SetLimit(c.Limits.Dials())
-			server.Limit(c.Limits.Clients())
+			server.SetMaxConns(c.Limits.Clients())
 			d.use(options(o, c.Limits, g))
 			g.avoid(append([]string{}, o.Avoid...))
 			keeper.took(c, o)
@@ -243,7 +243,7 @@
 	}
 	stopped := time.Now()
 	slog.Info("stopping", "open", d.open())
-	server.Stop()
+	server.SetNotServing()
 	keeper.stop()
 	// What waits in the listener's queue was taken: it is let in, and has a moment to ask. Clients that go on coming keep the
 	// listener open no longer than they are allowed to come, once more.
@@ -252,13 +252,13 @@
 		settle = margins.CancelConfirm
 	}
 	for last := linger.Add(span(margins.DrainAccept)); time.Now().Before(last); time.Sleep(span(margins.DrainAccept) / 100) {
-		if time.Now().After(linger) && server.Quiet(span(settle)) {
+		if time.Now().After(linger) && server.QuietFor(span(settle)) {
 			break
 		}
 	}
 	l.Close()
 	d.close(stopped.Add(span(margins.DrainDeadline))) // then all is answered, also what goes on coming for a moment, and the clients are told to leave
-	server.Close()
+	server.Shutdown()
 	g.stop()
 	leave()
 	fleet.Close()
@@ -279,7 +279,7 @@
 type decider struct {
 	routers []*dispatch.Router
 	modules []*routing.Router
-	sinks   []downstream.Sink
+	sinks   []downstream.Handler
 }
 
 func newDecider(s policy.Settings, o routing.Options, m policy.Timeouts, fleet *upstream.Pool, shards int, divided bool) *decider {
@@ -382,7 +382,7 @@
 	k.mu.Lock()
 	r := status.Report{
 		Name: k.c.Name, PID: os.Getpid(), Started: k.started, Stopping: k.stopping, Settings: k.o.Sum, Platform: k.c.Sum,
-		Reloads: k.reloads, Refused: k.why, Cores: k.o.Shards(k.c.Limits), Avoided: k.o.Avoid, Clients: s.Conns(),
+		Reloads: k.reloads, Refused: k.why, Cores: k.o.Shards(k.c.Limits), Avoided: k.o.Avoid, Clients: s.ConnCount(),
 		MostClient: k.c.Limits.Clients(), Nodes: fleet.Connections(), Open: d.open(), Counts: map[string]int64{},
 	}
 	k.mu.Unlock()
