--- a/internal/bufpool/pool_test.go
+++ b/internal/bufpool/body_test.go
@@ -7,9 +7,9 @@
 
 func TestBody(t *testing.T) {
 	cases := []struct {
-		name             string
-		piece, pieces    int
-		most, fit, parts int
+		name                 string
+		pieceSize, pieces    int
+		limit, fitted, parts int
 	}{
 		{"empty", 0, 1, 2, 1, 0},
 		{"one buffer to the brim", BufferSize, 1, 2, 1, 1},
@@ -18,30 +18,30 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := New(c.most)
-			b, fit := p.NewBody(0), 0
+			pool := New(c.limit)
+			body, fitted := pool.NewBody(0), 0
 			var want []byte
 			for i := range c.pieces {
-				piece := bytes.Repeat([]byte{byte(i + 1)}, c.piece)
+				piece := bytes.Repeat([]byte{byte(i + 1)}, c.pieceSize)
 				want = append(want, piece...)
-				if b.Append(piece) {
-					fit++
+				if body.Append(piece) {
+					fitted++
 				}
 			}
-			if fit != c.fit || len(b.Parts()) != c.parts {
-				t.Errorf("%d pieces fit into %d parts, want %d into %d", fit, len(b.Parts()), c.fit, c.parts)
+			if fitted != c.fitted || len(body.Parts()) != c.parts {
+				t.Errorf("%d pieces fit into %d parts, want %d into %d", fitted, len(body.Parts()), c.fitted, c.parts)
 			}
-			if got := bytes.Join(b.Parts(), nil); fit == c.pieces && (!bytes.Equal(got, want) || b.Len() != len(want)) {
+			if got := bytes.Join(body.Parts(), nil); fitted == c.pieces && (!bytes.Equal(got, want) || body.Len() != len(want)) {
 				t.Error("the bytes differ")
 			}
-			buf := p.Get()
-			if len(buf) != BufferSize {
+			buffer := pool.Get()
+			if len(buffer) != BufferSize {
 				t.Error("a connection got no buffer")
 			}
-			p.Put(buf)
-			b.Free()
-			if out, _ := p.InUse(); out != 0 || b.Len() != 0 {
-				t.Errorf("%d buffers are still out", out)
+			pool.Put(buffer)
+			body.Free()
+			if inUse, _ := pool.InUse(); inUse != 0 || body.Len() != 0 {
+				t.Errorf("%d buffers are still in use", inUse)
 			}
 		})
 	}
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,37 +1,45 @@
-// Package socket looks at what the system holds of a connection, without reading or waiting.
+// Package socket inspects the kernel's buffers of a connection, without reading from it and without blocking.
 package socket
 
 import (
+	"errors"
 	"net"
 	"syscall"
 
 	"golang.org/x/sys/unix"
 )
 
-// PendingInput says whether bytes have come that were not read yet, or the other side's end.
-func PendingInput(nc net.Conn) (bytes, end bool) {
-	withDescriptor(nc, func(fd int) {
-		var one [1]byte
-		n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		bytes = err == nil && n > 0
-		end = err == nil && n == 0 || err == syscall.ECONNRESET
+// PendingInput reports whether the kernel holds received bytes that were not read yet (data), and whether the connection was closed
+// or reset by the other side with none of them left (closed). Both are false for a connection without a file descriptor.
+func PendingInput(conn net.Conn) (data, closed bool) {
+	withDescriptor(conn, func(descriptor int) {
+		var buffer [1]byte
+		n, _, err := syscall.Recvfrom(descriptor, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		data = err == nil && n > 0
+		closed = err == nil && n == 0 || errors.Is(err, syscall.ECONNRESET)
 	})
-	return bytes, end
+	return data, closed
 }
 
-// HasUnsentOutput says whether the system still holds bytes that the other side has not taken.
-func HasUnsentOutput(nc net.Conn) (some bool) {
-	withDescriptor(nc, func(fd int) {
-		n, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ)
-		some = err == nil && n > 0
+// HasUnsentOutput reports whether the kernel still holds written bytes that the other side has not acknowledged. It is false for a
+// connection without a file descriptor.
+func HasUnsentOutput(conn net.Conn) (unsent bool) {
+	withDescriptor(conn, func(descriptor int) {
+		n, err := unix.IoctlGetInt(descriptor, unix.SIOCOUTQ)
+		unsent = err == nil && n > 0
 	})
-	return some
+	return unsent
 }
 
-func withDescriptor(nc net.Conn, do func(fd int)) {
-	if raw, ok := nc.(syscall.Conn); ok {
-		if in, err := raw.SyscallConn(); err == nil {
-			in.Control(func(fd uintptr) { do(int(fd)) })
-		}
+// withDescriptor calls inspect with the file descriptor of a connection, unless it has none or is closed.
+func withDescriptor(conn net.Conn, inspect func(descriptor int)) {
+	system, ok := conn.(syscall.Conn)
+	if !ok {
+		return
 	}
+	raw, err := system.SyscallConn()
+	if err != nil {
+		return
+	}
+	_ = raw.Control(func(descriptor uintptr) { inspect(int(descriptor)) }) // it fails on a closed connection only: nothing to inspect
 }
