--- a/overload/guard.go
+++ b/overload/guard.go
@@ -99,19 +99,19 @@
 // Due says whether it came at the time of its place: it counts as a first try.
 func (a *Ask) Due() bool { return a.due }
 
-// Report is how things go, for the operators.
+// Report is how things go, for the operators. The state socket tells it as JSON, under the names in the tags.
 type Report struct {
-	State     State
-	Asks      int     // of the last windows,
-	Repeats   int     // of them marked as such,
-	Early     int     // and before their time
-	Connects  int     // new connections of the last windows
-	Demand    float64 // work asked for in them, over what could be done
-	Warm      float64 // part of full capacity
-	Promised  float64 // work promised ahead, over what can be done in the reach
-	Kept      float64 // part of the promises that clients come for
-	Part      float64 // of what can be done that is promised, as learned
-	Remembers int     // places remembered
+	State     State   `json:"State"`
+	Asks      int     `json:"Asks"`      // of the last windows,
+	Repeats   int     `json:"Repeats"`   // of them marked as such,
+	Early     int     `json:"Early"`     // and before their time
+	Connects  int     `json:"Connects"`  // new connections of the last windows
+	Demand    float64 `json:"Demand"`    // work asked for in them, over what could be done
+	Warm      float64 `json:"Warm"`      // part of full capacity
+	Promised  float64 `json:"Promised"`  // work promised ahead, over what can be done in the reach
+	Kept      float64 `json:"Kept"`      // part of the promises that clients come for
+	Part      float64 `json:"Part"`      // of what can be done that is promised, as learned
+	Remembers int     `json:"Remembers"` // places remembered
 }
 
 // tally is what happened in one window.
