--- a/cmd/tallyctl/change.go
+++ b/cmd/tallyctl/change.go
@@ -329,6 +329,14 @@
 	}
 }
 
+// auditLine is what `history --audit --json` prints for each record.
+type auditLine struct {
+	Agent string    `json:"Agent"`
+	Who   string    `json:"Who"`
+	What  string    `json:"What"`
+	At    time.Time `json:"At"`
+}
+
 type historyCommand struct {
 	Audit bool `help:"Who had which agent do what, from the agents' records, whose chain of hashes is checked."`
 }
@@ -342,10 +350,7 @@
 	defer f.Close()
 	if h.Audit {
 		return f.Audit(ctx, func(agent string, r *fleetpb.AuditRecord) {
-			c.print(struct {
-				Agent, Who, What string
-				At               time.Time
-			}{agent, r.Who, r.What, time.UnixMilli(r.UnixMs).UTC()}, func() {
+			c.print(auditLine{agent, r.Who, r.What, time.UnixMilli(r.UnixMs).UTC()}, func() {
 				fmt.Printf("%s  %-12s %-12s %s\n", time.UnixMilli(r.UnixMs).UTC().Format(time.DateTime), agent, r.Who, r.What)
 			})
 		})
--- /dev/null
+++ b/internal/ctl/golden_test.go
@@ -0,0 +1,82 @@
+package ctl
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"tallyproxy/gossip"
+	"tallyproxy/internal/status"
+	"tallyproxy/membership"
+	"tallyproxy/relays"
+	"tallyproxy/routing"
+)
+
+// Operators' scripts read what `tallyctl show --json`, `status --json` and `history --json` print: it must not change.
+func TestGoldenJSON(t *testing.T) {
+	change := ChangeView{
+		ID: "c1", By: "op/1", Note: "why", Undoes: "c0", Outcome: "go", Open: true, Directors: map[string]string{"n0": "failed"},
+		Whys: map[string]string{"n0": "bad"},
+	}
+	cases := []struct {
+		name  string
+		value any
+		want  string
+	}{
+		{"view", View{
+			Agents: []AgentView{{Name: "a0", Depot: "east", Answers: true, Why: "slow", Members: map[string]string{"a1": "up"}}},
+			Directors: []Director{{
+				Name: "n0", Agent: "a0", Depot: "east", Up: true, Why: "slow", Script: "log()", Drifted: true, Known: true, Settings: "sum",
+				Report: status.Report{Name: "n0", PID: 7, Counts: map[string]int64{"fulfilled": 1}},
+			}},
+			Changes: []ChangeView{change}, Holder: "op/2", Held: 11, Left: 12,
+		}, `{"agents":[{"name":"a0","depot":"east","answers":true,"why":"slow","members":{"a1":"up"}}],"directors":[{"name":"n0","agent":"a0","depot":"east","up":true,"why":"slow","script":"log()","drifted":true,"known":true,"report":{"name":"n0","pid":7,"started":"0001-01-01T00:00:00Z","stopping":false,"settings":"","platform":"","reloads":0,"refused":"","cores":0,"told":0,"in_force":0,"avoided":null,"clients":0,"most_clients":0,"node_connections":0,"open":0,"counts":{"fulfilled":1},"keys_held":0,"keys_full":0,"storm":{"State":0,"Asks":0,"Repeats":0,"Early":0,"Connects":0,"Demand":0,"Warm":0,"Promised":0,"Kept":0,"Part":0,"Remembers":0},"beliefs":null},"settings":"sum"}],"changes":[{"id":"c1","by":"op/1","note":"why","undoes":"c0","outcome":"go","open":true,"directors":{"n0":"failed"},"whys":{"n0":"bad"}}],"holder":"op/2","held":11,"left":12}`},
+		{"empty view", View{}, `{"agents":null,"directors":null,"changes":null}`},
+		{"change", change, `{"id":"c1","by":"op/1","note":"why","undoes":"c0","outcome":"go","open":true,"directors":{"n0":"failed"},"whys":{"n0":"bad"}}`},
+		{"empty change", ChangeView{}, `{"id":"","by":"","note":"","outcome":"","open":false,"directors":null}`},
+		{"agent", AgentView{}, `{"name":"","depot":"","answers":false}`},
+		{"director whose report has every part", Director{Report: status.Report{
+			Beliefs: []routing.View{{}}, Peers: &membership.Report{Peers: []membership.Row{{}}}, Follow: &relays.Report{}, Word: &gossip.Report{},
+		}}, `{"name":"","agent":"","depot":"","up":false,"script":"","drifted":false,"known":false,"report":{"name":"","pid":0,"started":"0001-01-01T00:00:00Z","stopping":false,"settings":"","platform":"","reloads":0,"refused":"","cores":0,"told":0,"in_force":0,"avoided":null,"clients":0,"most_clients":0,"node_connections":0,"open":0,"counts":null,"keys_held":0,"keys_full":0,"storm":{"State":0,"Asks":0,"Repeats":0,"Early":0,"Connects":0,"Demand":0,"Warm":0,"Promised":0,"Kept":0,"Part":0,"Remembers":0},"beliefs":[{"id":"","kind":"","state":"","warm":0,"out":0,"limit":0,"skipped":0,"trial":false,"heard":0}],"peers":{"name":"","born":0,"standing":"","sum":"","since":0,"sharing":0,"zone_part":0,"fleet_part":0,"peers":[{"name":"","born":0,"state":"","since":0,"alike":false}]},"follow":{"calls":false,"chosen":false,"sources":null,"age_us":0,"sum":""},"word":{"own_age_us":0,"newest_age_us":0,"avoided":null,"heard":0}},"settings":""}`},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			text, err := json.Marshal(c.value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(text) != c.want {
+				t.Errorf("got  %s\nwant %s", text, c.want)
+			}
+			back := reflect.New(reflect.TypeOf(c.value))
+			if err := json.Unmarshal([]byte(c.want), back.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(back.Elem().Interface(), c.value) {
+				t.Errorf("read back as %+v, want %+v", back.Elem().Interface(), c.value)
+			}
+		})
+	}
+}
+
+// The line that drain adds to a script is found again by the next version's drain.
+func TestGoldenAvoidLine(t *testing.T) {
+	const one, two = "avoid(boxes = [\"box-1\"]) # by tallyctl\n", "avoid(boxes = [\"box-1\", \"box-2\"]) # by tallyctl\n"
+	for _, c := range []struct {
+		name, script, box string
+		avoid             bool
+		want              string
+	}{
+		{"first", "", "box-1", true, one},
+		{"second", one, "box-2", true, two},
+		{"second let in", two, "box-2", false, one},
+		{"last let in", one, "box-1", false, ""},
+		{"below other lines", "# x", "box-1", true, "# x\n" + one},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got, err := Avoiding(c.script, c.box, c.avoid); err != nil || got != c.want {
+				t.Errorf("got  %q, %v, want %q", got, err, c.want)
+			}
+		})
+	}
+}
