--- a/internal/server/heart.go
+++ b/internal/server/heart.go
@@ -17,11 +17,11 @@
 	every time.Duration
 }
 
-func newHeart(s policy.Settings, m policy.Margins, hurry func(), settled func(stall.How)) *heart {
-	h := &heart{start: time.Now(), every: span(m.Beat)}
+func newHeart(s policy.Settings, m policy.Timeouts, hurry func(), settled func(stall.How)) *heart {
+	h := &heart{start: time.Now(), every: span(m.Heartbeat)}
 	// A call may take the channel's time, and be given up only after that of its connection; then comes a pause.
-	cycle := m.Block + 2*m.Connect + backoff.Derive(s, m).Most + m.Gap
-	h.Watch = stall.New(stall.Times{Gap: m.Gap, Cycle: cycle, Bound: m.Doubt}, h.Read(), func(gap policy.Micros) {
+	cycle := m.LongPoll + 2*m.Connect + backoff.Derive(s, m).Most + m.StallThreshold
+	h.Watch = stall.New(stall.Times{Gap: m.StallThreshold, Cycle: cycle, Bound: m.SuspectTimeout}, h.Read(), func(gap policy.Micros) {
 		slog.Warn("time_jumped", "by", span(gap))
 		hurry()
 	}, func(how stall.How, took policy.Micros) {
@@ -38,8 +38,8 @@
 	return stall.Reading{Mono: policy.Micros(t.Sub(h.start) / time.Microsecond), Wall: policy.Micros(t.UnixMicro())}
 }
 
-// Late is how long before it was read something may have come.
-func (h *heart) Late(read time.Time) time.Duration { return span(h.Watch.Late(h.at(read))) }
+// StaleBy is how long before it was read something may have come.
+func (h *heart) StaleBy(read time.Time) time.Duration { return span(h.Watch.Late(h.at(read))) }
 
 // heard is a heart that has what others say reckoned with too, by the calls that the channel answers.
 type heard struct {
@@ -54,8 +54,8 @@
 	}
 }
 
-// Sound says whether what is known may be acted on now.
-func (h *heart) Sound() bool { return h.Watch.Sound(h.Read()) }
+// Trusted says whether what is known may be acted on now.
+func (h *heart) Trusted() bool { return h.Watch.Sound(h.Read()) }
 
 // run beats until the end.
 func (h *heart) run(ctx context.Context) {
