--- a/internal/ctl/golden_test.go
+++ b/internal/ctl/golden_test.go
@@ -36,7 +36,7 @@
 		{"empty change", ChangeView{}, `{"id":"","by":"","note":"","outcome":"","open":false,"directors":null}`},
 		{"agent", AgentView{}, `{"name":"","depot":"","answers":false}`},
 		{"director whose report has every part", Director{Report: status.Report{
-			Beliefs: []routing.View{{}}, Peers: &membership.Report{Peers: []membership.Row{{}}}, Follow: &relays.Report{}, Word: &gossip.Report{},
+			Beliefs: []routing.EndpointView{{}}, Peers: &membership.Report{Peers: []membership.PeerReport{{}}}, Follow: &relays.Report{}, Word: &gossip.Report{},
 		}}, `{"name":"","agent":"","depot":"","up":false,"script":"","drifted":false,"known":false,"report":{"name":"","pid":0,"started":"0001-01-01T00:00:00Z","stopping":false,"settings":"","platform":"","reloads":0,"refused":"","cores":0,"told":0,"in_force":0,"avoided":null,"clients":0,"most_clients":0,"node_connections":0,"open":0,"counts":null,"keys_held":0,"keys_full":0,"storm":{"State":0,"Asks":0,"Repeats":0,"Early":0,"Connects":0,"Demand":0,"Warm":0,"Promised":0,"Kept":0,"Part":0,"Remembers":0},"beliefs":[{"id":"","kind":"","state":"","warm":0,"out":0,"limit":0,"skipped":0,"trial":false,"heard":0}],"peers":{"name":"","born":0,"standing":"","sum":"","since":0,"sharing":0,"zone_part":0,"fleet_part":0,"peers":[{"name":"","born":0,"state":"","since":0,"alike":false}]},"follow":{"calls":false,"chosen":false,"sources":null,"age_us":0,"sum":""},"word":{"own_age_us":0,"newest_age_us":0,"avoided":null,"heard":0}},"settings":""}`},
 	}
 	for _, c := range cases {
