--- a/backoff/golden_test.go
+++ b/backoff/golden_test.go
@@ -32,7 +32,7 @@
 	var got []d.Micros
 	pause, poll := c.First()
 	got = append(got, pause, poll)
-	for _, e := range []Ending{News, Nothing, Refused, HalfWay, Hung, Busy, Rubbish, GivenUp, News, HalfWay, News, Busy, Busy, Hung, Nothing} {
+	for _, e := range []PollResult{Changed, Unchanged, ConnectFailed, Truncated, TimedOut, Unavailable, Malformed, Canceled, Changed, Truncated, Changed, Unavailable, Unavailable, TimedOut, Unchanged} {
 		pause, poll = c.Next(e, 150*ms, 700*ms)
 		got = append(got, pause, poll)
 	}
@@ -41,7 +41,7 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("pauses and waits %v, want %v", got, want)
 	}
-	if few := times.Few(); few != (Times{Poll: 300000, First: 450000, Spread: 41666, Most: 2000000, Base: 1500000, Least: 400000}) {
+	if few := times.ForDelegates(); few != (Intervals{LongPoll: 300000, InitialSpread: 450000, ChangeSpread: 41666, MaxPause: 2000000, FirstErrorMax: 1500000, MinRetry: 400000}) {
 		t.Errorf("few: %+v", few)
 	}
 }
@@ -49,7 +49,7 @@
 // The texts are values of log lines.
 func TestGoldenEndings(t *testing.T) {
 	var got []string
-	for e := News; e <= GivenUp; e++ {
+	for e := Changed; e <= Canceled; e++ {
 		got = append(got, e.String())
 	}
 	if want := []string{"news", "nothing", "refused", "half", "hung", "busy", "rubbish", "given up"}; !slices.Equal(got, want) {
--- a/backoff/manners_test.go
+++ b/backoff/manners_test.go
@@ -12,10 +12,10 @@
 
 const ms = d.Second / 1000
 
-var times = Derive(d.Settings{PurgePropagation: 500 * ms, PurgeRetention: 6 * d.Second, ConnectTimeout: 400 * ms}, d.Timeouts{LongPoll: 1200 * ms})
+var times = DeriveIntervals(d.Settings{PurgePropagation: 500 * ms, PurgeRetention: 6 * d.Second, ConnectTimeout: 400 * ms}, d.Timeouts{LongPoll: 1200 * ms})
 
 // fleet is the pauses that so many directors take, each after the same ends, and what is said of the last one.
-func fleet(n int, late, back d.Micros, ends ...Ending) (pauses []d.Micros) {
+func fleet(n int, late, back d.Micros, ends ...PollResult) (pauses []d.Micros) {
 	for i := range n {
 		c := New(times, Seed(1, fmt.Sprint("n", i)))
 		pause, _ := c.First()
@@ -42,7 +42,7 @@
 	second := 1000 * ms
 	cases := []struct {
 		name       string
-		ends       []Ending
+		ends       []PollResult
 		late, back d.Micros
 		peak       float64  // at the most, over the fleet in 100 ms
 		least      d.Micros // pauses
@@ -50,18 +50,18 @@
 		mean       d.Micros // at the least
 	}{
 		{"the start", nil, 0, 0, 0.29, 0, 450 * ms, 200 * ms},
-		{"news", []Ending{News}, 0, 0, 0.4, 0, 334 * ms, 140 * ms},
-		{"no news", []Ending{Nothing}, 0, 0, 1, 0, 0, 0},
-		{"the first error", []Ending{Refused}, 0, 0, 0.14, 0, 1500 * ms, 650 * ms},
-		{"errors that go on", []Ending{Refused, Busy, Refused}, 0, 0, 0.12, 400 * ms, 2 * second, 1150 * ms},
-		{"broken within an answer", []Ending{HalfWay}, 0, 0, 0.2, 0, 750 * ms, 300 * ms},
-		{"broken again", []Ending{HalfWay, HalfWay}, 0, 0, 0.12, 400 * ms, 2 * second, 1150 * ms},
-		{"hung, heard late", []Ending{Hung}, 800 * ms, 0, 0.2, 0, 1200 * ms, 500 * ms},
-		{"hung again", []Ending{Hung, Hung}, 800 * ms, 0, 0.2, 400 * ms, 1200 * ms, 700 * ms},
-		{"told to come in one second", []Ending{Busy}, 0, second, 0.16, second, 2 * second, 1400 * ms},
-		{"told to come in five", []Ending{Busy}, 0, 5 * second, 0.16, second, 2 * second, 1400 * ms},
-		{"told to come in 300 ms", []Ending{Busy}, 0, 300 * ms, 0.45, 300 * ms, 600 * ms, 400 * ms},
-		{"news after errors", []Ending{Refused, Refused, News}, 0, 0, 0.4, 0, 334 * ms, 140 * ms},
+		{"news", []PollResult{Changed}, 0, 0, 0.4, 0, 334 * ms, 140 * ms},
+		{"no news", []PollResult{Unchanged}, 0, 0, 1, 0, 0, 0},
+		{"the first error", []PollResult{ConnectFailed}, 0, 0, 0.14, 0, 1500 * ms, 650 * ms},
+		{"errors that go on", []PollResult{ConnectFailed, Unavailable, ConnectFailed}, 0, 0, 0.12, 400 * ms, 2 * second, 1150 * ms},
+		{"broken within an answer", []PollResult{Truncated}, 0, 0, 0.2, 0, 750 * ms, 300 * ms},
+		{"broken again", []PollResult{Truncated, Truncated}, 0, 0, 0.12, 400 * ms, 2 * second, 1150 * ms},
+		{"hung, heard late", []PollResult{TimedOut}, 800 * ms, 0, 0.2, 0, 1200 * ms, 500 * ms},
+		{"hung again", []PollResult{TimedOut, TimedOut}, 800 * ms, 0, 0.2, 400 * ms, 1200 * ms, 700 * ms},
+		{"told to come in one second", []PollResult{Unavailable}, 0, second, 0.16, second, 2 * second, 1400 * ms},
+		{"told to come in five", []PollResult{Unavailable}, 0, 5 * second, 0.16, second, 2 * second, 1400 * ms},
+		{"told to come in 300 ms", []PollResult{Unavailable}, 0, 300 * ms, 0.45, 300 * ms, 600 * ms, 400 * ms},
+		{"news after errors", []PollResult{ConnectFailed, ConnectFailed, Changed}, 0, 0, 0.4, 0, 334 * ms, 140 * ms},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -81,11 +81,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := New(times, rapid.Uint64().Draw(t, "seed"))
 		for range rapid.IntRange(1, 30).Draw(t, "calls") {
-			e := Ending(rapid.IntRange(0, int(GivenUp)).Draw(t, "ending"))
+			e := PollResult(rapid.IntRange(0, int(Canceled)).Draw(t, "ending"))
 			late, back := d.Micros(rapid.Int64Range(-1e6, 1e7).Draw(t, "late")), d.Micros(rapid.Int64Range(0, 1e8).Draw(t, "back"))
 			pause, poll := c.Next(e, late, back)
-			bound := max(times.Least, times.Most-max(0, late))
-			if pause < 0 || pause > bound || poll < times.Poll/2 || poll > times.Poll {
+			bound := max(times.MinRetry, times.MaxPause-max(0, late))
+			if pause < 0 || pause > bound || poll < times.LongPoll/2 || poll > times.LongPoll {
 				t.Fatalf("%v: a pause of %d, with %d at the most; a wait of %d", e, pause, bound, poll)
 			}
 		}
@@ -101,9 +101,9 @@
 		{0, 2000 * ms, 360 * ms, 266_666},
 		{0, 200 * ms, 180 * ms, 133_333},
 	} {
-		got := Derive(d.Settings{PurgePropagation: c.purge, DrainPropagation: c.drain, PurgeRetention: 6 * d.Second, ConnectTimeout: 400 * ms}, d.Timeouts{LongPoll: 1200 * ms})
-		if got.First != c.first || got.Spread != c.spread {
-			t.Errorf("purges within %d, drains within %d: first %d, spread %d", c.purge, c.drain, got.First, got.Spread)
+		got := DeriveIntervals(d.Settings{PurgePropagation: c.purge, DrainPropagation: c.drain, PurgeRetention: 6 * d.Second, ConnectTimeout: 400 * ms}, d.Timeouts{LongPoll: 1200 * ms})
+		if got.InitialSpread != c.first || got.ChangeSpread != c.spread {
+			t.Errorf("purges within %d, drains within %d: first %d, spread %d", c.purge, c.drain, got.InitialSpread, got.ChangeSpread)
 		}
 	}
 }
--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -67,7 +67,7 @@
 func follows(talk []Director) (lines []string) {
 	var who []string
 	for _, d := range talk {
-		if f := d.Report.Follow; f != nil && f.Calls {
+		if f := d.Report.Follow; f != nil && f.Polls {
 			who = append(who, d.Name)
 		}
 	}
@@ -75,9 +75,9 @@
 		lines = append(lines, "the command channel is asked by "+strings.Join(who, ", "))
 	}
 	for _, d := range talk {
-		if f := d.Report.Follow; f != nil && time.Duration(f.Age)*time.Microsecond > old {
+		if f := d.Report.Follow; f != nil && time.Duration(f.AgeMicros)*time.Microsecond > old {
 			lines = append(lines, fmt.Sprintf("%s: its list of nodes is known to have held %v ago; it hears %s", d.Name,
-				(time.Duration(f.Age)*time.Microsecond).Round(time.Second), cmp.Or(strings.Join(f.Sources, ", "), "nobody who knows more")))
+				(time.Duration(f.AgeMicros)*time.Microsecond).Round(time.Second), cmp.Or(strings.Join(f.Sources, ", "), "nobody who knows more")))
 		}
 	}
 	return lines
--- a/internal/ctl/views_test.go
+++ b/internal/ctl/views_test.go
@@ -33,7 +33,7 @@
 			[]string{"one view: n0", "n0: another director goes by this name, at 127.0.0.9:1"}},
 	}
 	follower, hearer := director("n0", "a", "most"), director("n1", "a", "most")
-	follower.Report.Follow, hearer.Report.Follow = &relays.Report{Calls: true}, &relays.Report{Age: 7_000_000, Sources: []string{"n0"}}
+	follower.Report.Follow, hearer.Report.Follow = &relays.Report{Polls: true}, &relays.Report{AgeMicros: 7_000_000, Sources: []string{"n0"}}
 	cases = append(cases, struct {
 		name      string
 		directors []Director
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -24,21 +24,21 @@
 
 const largest = 8 << 20 // bytes of one answer
 
-// Node is an entry of the list, with its address.
-type Node struct {
+// Endpoint is an entry of the list, with its address.
+type Endpoint struct {
 	policy.Endpoint
-	Addr string
+	Address string
 }
 
 // Event is one of the channel's: a list, whole or of changes, or a purge of an object or a group.
 type Event struct {
-	Cursor   int64
-	Listed   bool
-	Complete bool
-	Nodes    []Node
-	Object   string
-	Group    int
-	At       policy.Micros
+	Cursor       int64
+	HasEndpoints bool
+	Snapshot     bool
+	Endpoints    []Endpoint
+	Object       string
+	Group        int
+	PurgedAt     policy.Micros
 }
 
 type answer struct {
@@ -70,11 +70,11 @@
 	"up": policy.Ready, "draining": policy.Draining, "removed": policy.Removed,
 }
 
-// Feed holds where it stands in the channel.
-type Feed struct {
+// Client holds where it stands in the channel.
+type Client struct {
 	site   config.Site
 	cursor int64
-	own    Own
+	own    StallMonitor
 	seed   uint64
 	may    func() bool // whether to ask now; nil for always
 	wake   chan struct{}
@@ -86,46 +86,46 @@
 	leave context.CancelFunc // ends the call under way
 }
 
-// Own is how a director looks after its own time: it hears of the calls, and says whether one is needed now.
-type Own interface {
-	Read() stall.Reading
-	Turn(stall.Reading)
-	Answered(began, now stall.Reading, ok bool)
-	Doubted() bool
+// StallMonitor is how a director looks after its own time: it hears of the calls, and says whether one is needed now.
+type StallMonitor interface {
+	Now() stall.Reading
+	Polled(stall.Reading)
+	PollDone(began, now stall.Reading, ok bool)
+	Suspect() bool
 }
 
 // New makes a feed that has read nothing yet.
-func New(site config.Site) *Feed {
-	return &Feed{site: site, leave: func() {}, wake: make(chan struct{}, 1)}
+func New(site config.Site) *Client {
+	return &Client{site: site, leave: func() {}, wake: make(chan struct{}, 1)}
 }
 
-// Watch has calls told to one that looks after the director's own time; before Follow.
-func (f *Feed) Watch(own Own) { f.own = own }
+// SetStallMonitor has calls told to one that looks after the director's own time; before Follow.
+func (f *Client) SetStallMonitor(own StallMonitor) { f.own = own }
 
-// Seed says where this director's chance begins, so that a fleet does not call in step; before Follow.
-func (f *Feed) Seed(seed uint64) { f.seed = seed }
+// SetSeed says where this director's chance begins, so that a fleet does not call in step; before Follow.
+func (f *Client) SetSeed(seed uint64) { f.seed = seed }
 
-// Hold has the channel asked only while it is said that it may be: others ask it too, and tell. Before Follow.
-func (f *Feed) Hold(may func() bool) { f.may = may }
+// SetShouldPoll has the channel asked only while it is said that it may be: others ask it too, and tell. Before Follow.
+func (f *Client) SetShouldPoll(may func() bool) { f.may = may }
 
 // Wake has it seen at once whether the channel may be asked.
-func (f *Feed) Wake() {
+func (f *Client) Wake() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Hurry gives up the call under way: what it brings may be old, and the next one is wanted now.
-func (f *Feed) Hurry() {
+// PollNow gives up the call under way: what it brings may be old, and the next one is wanted now.
+func (f *Client) PollNow() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leave()
 	f.Wake()
 }
 
-// Ask has the channel asked at once, for what it has to tell by now: others know more.
-func (f *Feed) Ask() {
+// Refresh has the channel asked at once, for what it has to tell by now: others know more.
+func (f *Client) Refresh() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.quick = true
@@ -133,15 +133,15 @@
 	f.Wake()
 }
 
-// Fails says whether the channel did not answer the last call.
-func (f *Feed) Fails() bool {
+// Failing says whether the channel did not answer the last call.
+func (f *Client) Failing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fails
 }
 
-// Move says at which address to ask from now on; the numbers go on.
-func (f *Feed) Move(addr string) {
+// SetAddress says at which address to ask from now on; the numbers go on.
+func (f *Client) SetAddress(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.addr != addr {
@@ -150,18 +150,18 @@
 	}
 }
 
-// Known reads the configuration's events.
-func (f *Feed) Known(raw []byte) ([]Event, error) {
-	events, err := f.Read(raw)
+// DecodeKnown reads the configuration's events.
+func (f *Client) DecodeKnown(raw []byte) ([]Event, error) {
+	events, err := f.Decode(raw)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	return events, nil
 }
 
-// Read takes an answer, or the events known at the start, and gives those that are new. An answer that can't be
+// Decode takes an answer, or the events known at the start, and gives those that are new. An answer that can't be
 // read changes nothing.
-func (f *Feed) Read(raw []byte) ([]Event, error) {
+func (f *Client) Decode(raw []byte) ([]Event, error) {
 	var a answer
 	if err := json.Unmarshal(raw, &a); err != nil {
 		return nil, err
@@ -178,9 +178,9 @@
 		e := Event{Cursor: cmd.Cursor, Group: -1}
 		switch {
 		case cmd.Nodes != nil:
-			e.Listed, e.Complete = true, cmd.Nodes.Snapshot || cmd.Cursor == 1
+			e.HasEndpoints, e.Snapshot = true, cmd.Nodes.Snapshot || cmd.Cursor == 1
 			for _, row := range cmd.Nodes.Endpoints {
-				n := Node{Addr: row.Address}
+				n := Endpoint{Address: row.Address}
 				n.ID, n.Cell, n.Weight, n.Started = row.Name, row.Group, 1, policy.Micros(row.Since*1000)
 				if row.Weight != nil {
 					n.Weight = *row.Weight
@@ -194,10 +194,10 @@
 					return nil, fmt.Errorf("cmds[%d].nodes: zone %q or type %q is not in the settings", i, row.Zone, row.Type)
 				}
 				n.State = state
-				e.Nodes = append(e.Nodes, n)
+				e.Endpoints = append(e.Endpoints, n)
 			}
 		case cmd.Drop != nil:
-			e.Object, e.At = cmd.Drop.ID, policy.Micros(cmd.Drop.When*1000)
+			e.Object, e.PurgedAt = cmd.Drop.ID, policy.Micros(cmd.Drop.When*1000)
 			if cmd.Drop.Family != nil {
 				e.Group = *cmd.Drop.Family
 			}
@@ -233,17 +233,17 @@
 	}
 }
 
-// Follow asks the channel for what comes next until the context ends, each time at the address that Move named last.
+// Run asks the channel for what comes next until the context ends, each time at the address that Move named last.
 // Each answer's events are handed on together and in order. When it asks is for manners to say, but in doubt, when it is at once.
-func (f *Feed) Follow(ctx context.Context, m policy.Timeouts, apply func([]Event)) {
+func (f *Client) Run(ctx context.Context, m policy.Timeouts, apply func([]Event)) {
 	client := &http.Client{
 		Timeout:   span(m.LongPoll) + 2*span(m.Connect),
 		Transport: &http.Transport{MaxConnsPerHost: 2, DisableCompression: true, DialContext: dialIPv4(span(m.Connect))},
 	}
 	defer client.CloseIdleConnections()
-	times := backoff.Derive(f.site.Settings, m)
+	times := backoff.DeriveIntervals(f.site.Settings, m)
 	if f.may != nil {
-		times = times.Few()
+		times = times.ForDelegates()
 	}
 	failed, caller, asked := false, backoff.New(times, f.seed), ""
 	pause, poll := caller.First()
@@ -251,7 +251,7 @@
 	for ctx.Err() == nil {
 		if f.may != nil && !f.may() {
 			if f.own != nil {
-				f.own.Turn(f.own.Read())
+				f.own.Polled(f.own.Now())
 			}
 			select { // it is woken; it looks now and then all the same
 			case <-f.wake:
@@ -276,9 +276,9 @@
 		}
 		var began stall.Reading
 		if f.own != nil {
-			began = f.own.Read()
-			f.own.Turn(began)
-			if f.own.Doubted() { // after leave is set: a doubt that comes later gives this call up
+			began = f.own.Now()
+			f.own.Polled(began)
+			if f.own.Suspect() { // after leave is set: a doubt that comes later gives this call up
 				wait, bound = 0, span(m.Connect)
 			}
 		}
@@ -290,23 +290,23 @@
 			apply(events)
 		}
 		if f.own != nil && (err == nil || call.Err() == nil) {
-			f.own.Answered(began, f.own.Read(), err == nil)
+			f.own.PollDone(began, f.own.Now(), err == nil)
 		}
-		end, back := backoff.Nothing, time.Duration(0)
+		end, back := backoff.Unchanged, time.Duration(0)
 		switch {
 		case err == nil && len(events) > 0:
-			end = backoff.News
+			end = backoff.Changed
 		case call.Err() != nil:
-			end = backoff.GivenUp
+			end = backoff.Canceled
 		case err != nil:
 			end, back = ending(err)
 		}
 		if err == nil && failed {
 			slog.Info("feed_back", "cursor", f.cursor)
-		} else if err != nil && !failed && end != backoff.GivenUp {
+		} else if err != nil && !failed && end != backoff.Canceled {
 			slog.Warn("feed_failed", "cursor", f.cursor, "how", end.String(), "err", err)
 		}
-		failed = err != nil && (failed || end != backoff.GivenUp)
+		failed = err != nil && (failed || end != backoff.Canceled)
 		f.mu.Lock()
 		f.fails = failed
 		f.mu.Unlock()
@@ -320,7 +320,7 @@
 }
 
 // rest waits; it ends early with the context, which another address or a doubt ends too.
-func (f *Feed) rest(ctx context.Context, pause policy.Micros) {
+func (f *Client) rest(ctx context.Context, pause policy.Micros) {
 	if pause <= 0 {
 		return
 	}
@@ -352,22 +352,22 @@
 var errHalf = errors.New("half an answer")
 
 // ending says how a call failed, and after how long the service has said to come back.
-func ending(err error) (backoff.Ending, time.Duration) {
+func ending(err error) (backoff.PollResult, time.Duration) {
 	var u unwell
 	var timed net.Error
 	switch {
 	case errors.As(err, &u) && (u.status >= 500 || u.status == http.StatusTooManyRequests):
-		return backoff.Busy, u.back
+		return backoff.Unavailable, u.back
 	case errors.As(err, &u):
-		return backoff.Rubbish, 0
+		return backoff.Malformed, 0
 	case errors.Is(err, context.DeadlineExceeded), errors.As(err, &timed) && timed.Timeout():
-		return backoff.Hung, 0
+		return backoff.TimedOut, 0
 	case errors.Is(err, errHalf):
-		return backoff.HalfWay, 0
+		return backoff.Truncated, 0
 	case errors.Is(err, errCall):
-		return backoff.Refused, 0
+		return backoff.ConnectFailed, 0
 	}
-	return backoff.Rubbish, 0
+	return backoff.Malformed, 0
 }
 
 var errCall = errors.New("no answer")
@@ -384,7 +384,7 @@
 }
 
 // ask makes one call; a panic over what it brings is an error as any other.
-func (f *Feed) ask(ctx context.Context, client *http.Client, url string) (events []Event, err error) {
+func (f *Client) ask(ctx context.Context, client *http.Client, url string) (events []Event, err error) {
 	defer func() {
 		if bad := recover(); bad != nil {
 			events, err = nil, fmt.Errorf("panic: %v", bad)
@@ -406,7 +406,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, unwell{resp.StatusCode, retryAfter(resp.Header.Get("Retry-After"))}
 	}
-	events, err = f.Read(raw)
+	events, err = f.Decode(raw)
 	if cut := (*json.SyntaxError)(nil); errors.As(err, &cut) && cut.Offset >= int64(len(raw)) {
 		err = fmt.Errorf("%w: %w", errHalf, err)
 	}
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -31,24 +31,24 @@
 
 func TestRead(t *testing.T) {
 	f := New(site)
-	events, err := f.Read([]byte(`{"cursor":3,"cmds":[` + list + "," + gone + "," + object + `]}`))
+	events, err := f.Decode([]byte(`{"cursor":3,"cmds":[` + list + "," + gone + "," + object + `]}`))
 	if err != nil || len(events) != 3 {
 		t.Fatalf("%+v, %v", events, err)
 	}
-	want := Event{Cursor: 1, Listed: true, Complete: true, Group: -1, Nodes: []Node{
+	want := Event{Cursor: 1, HasEndpoints: true, Snapshot: true, Group: -1, Endpoints: []Endpoint{
 		{policy.Endpoint{ID: "s1", Zone: 1, Cell: 2, Weight: 4}, "10.1.0.9:1"},
 		{policy.Endpoint{ID: "p1", Kind: 1, State: policy.Draining, Weight: 1, Started: 1764576000123000}, "10.1.0.9:2"},
 	}}
 	if !reflect.DeepEqual(events[0], want) {
 		t.Errorf("got %+v, want %+v", events[0], want)
 	}
-	if e := events[1]; e.Complete || e.Nodes[0].State != policy.Removed {
+	if e := events[1]; e.Snapshot || e.Endpoints[0].State != policy.Removed {
 		t.Errorf("a change read as %+v", e)
 	}
-	if e := events[2]; e.Listed || e.Object != "7f3a9c21e0b4d655" || e.Group != -1 || e.At != 1764576000123000 {
+	if e := events[2]; e.HasEndpoints || e.Object != "7f3a9c21e0b4d655" || e.Group != -1 || e.PurgedAt != 1764576000123000 {
 		t.Errorf("a purge read as %+v", e)
 	}
-	events, err = f.Read([]byte(`{"cursor":9,"cmds":[` + object + "," + group + `]}`)) // one of them was had before
+	events, err = f.Decode([]byte(`{"cursor":9,"cmds":[` + object + "," + group + `]}`)) // one of them was had before
 	if err != nil || len(events) != 1 || events[0].Group != 0 || events[0].Object != "" || f.cursor != 4 {
 		t.Errorf("%+v, %v, cursor %d", events, err, f.cursor)
 	}
@@ -67,7 +67,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := New(site)
-			if events, err := f.Read([]byte(c.in)); err == nil || events != nil || f.cursor != 0 {
+			if events, err := f.Decode([]byte(c.in)); err == nil || events != nil || f.cursor != 0 {
 				t.Errorf("%+v, %v, cursor %d", events, err, f.cursor)
 			}
 		})
@@ -102,10 +102,10 @@
 	defer stop()
 	events, ended := make(chan Event, 9), make(chan struct{})
 	f := New(site)
-	f.Move(strings.TrimPrefix(server.URL, "http://"))
+	f.SetAddress(strings.TrimPrefix(server.URL, "http://"))
 	m := policy.Timeouts{LongPoll: 1200_000, Connect: policy.Second, PollRetry: 1000}
 	go func() {
-		f.Follow(ctx, m, func(batch []Event) {
+		f.Run(ctx, m, func(batch []Event) {
 			for _, e := range batch {
 				events <- e
 			}
@@ -154,8 +154,8 @@
 	events := make(chan []Event, 1)
 	m := policy.Timeouts{LongPoll: policy.Second / 20, Connect: policy.Second / 20, PollRetry: 1000}
 	f := New(site)
-	f.Move(strings.TrimPrefix(server.URL, "http://"))
-	go f.Follow(ctx, m, func(batch []Event) {
+	f.SetAddress(strings.TrimPrefix(server.URL, "http://"))
+	go f.Run(ctx, m, func(batch []Event) {
 		events <- batch
 		stop()
 	})
@@ -188,10 +188,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	f, ended := New(site), make(chan struct{})
-	f.Move(strings.TrimPrefix(older.URL, "http://"))
+	f.SetAddress(strings.TrimPrefix(older.URL, "http://"))
 	var cursors []int64
 	go func() {
-		f.Follow(ctx, policy.Timeouts{LongPoll: 60 * policy.Second, Connect: policy.Second}, func(batch []Event) {
+		f.Run(ctx, policy.Timeouts{LongPoll: 60 * policy.Second, Connect: policy.Second}, func(batch []Event) {
 			for _, e := range batch {
 				cursors = append(cursors, e.Cursor)
 			}
@@ -211,7 +211,7 @@
 			t.Fatalf("not asked: %s", want)
 		}
 		if i == 1 {
-			f.Move(strings.TrimPrefix(newer.URL, "http://"))
+			f.SetAddress(strings.TrimPrefix(newer.URL, "http://"))
 		}
 	}
 	<-ended
@@ -226,7 +226,7 @@
 	f.Add([]byte(`{"cursor":1,"cmds":[{"cursor":1}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		feed := New(site)
-		events, err := feed.Read(raw)
+		events, err := feed.Decode(raw)
 		if err != nil && (events != nil || feed.cursor != 0) {
 			t.Errorf("half applied: %+v, cursor %d, %v", events, feed.cursor, err)
 		}
@@ -243,28 +243,28 @@
 	cases := []struct {
 		name  string
 		serve http.HandlerFunc // nil: nobody listens
-		want  backoff.Ending
+		want  backoff.PollResult
 		back  time.Duration
 	}{
-		{"nobody listens", nil, backoff.Refused, 0},
-		{"closed before an answer", func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }, backoff.Refused, 0},
-		{"short", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, backoff.Busy, 0},
+		{"nobody listens", nil, backoff.ConnectFailed, 0},
+		{"closed before an answer", func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }, backoff.ConnectFailed, 0},
+		{"short", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, backoff.Unavailable, 0},
 		{"short, with a time", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "5")
 			w.WriteHeader(http.StatusTooManyRequests)
-		}, backoff.Busy, 5 * time.Second},
+		}, backoff.Unavailable, 5 * time.Second},
 		{"short, with a time that is none", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "-5")
 			w.WriteHeader(http.StatusServiceUnavailable)
-		}, backoff.Busy, 0},
-		{"not found", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }, backoff.Rubbish, 0},
+		}, backoff.Unavailable, 0},
+		{"not found", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }, backoff.Malformed, 0},
 		{"broken off", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "999")
 			fmt.Fprint(w, `{"cursor":2,`)
-		}, backoff.HalfWay, 0},
-		{"half, and said to be whole", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"cursor":2,"cmds":[`) }, backoff.HalfWay, 0},
-		{"rubbish", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"cursor":"x"}`) }, backoff.Rubbish, 0},
-		{"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, backoff.Hung, 0},
+		}, backoff.Truncated, 0},
+		{"half, and said to be whole", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"cursor":2,"cmds":[`) }, backoff.Truncated, 0},
+		{"rubbish", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"cursor":"x"}`) }, backoff.Malformed, 0},
+		{"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, backoff.TimedOut, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -292,12 +292,12 @@
 	ended   chan [2]policy.Micros // of calls: begun, and whether it answered
 }
 
-func (o *own) Read() stall.Reading { o.now++; return stall.Reading{Mono: o.now, Wall: o.now} }
-func (o *own) Turn(stall.Reading)  {}
-func (o *own) Doubted() bool       { return o.doubted }
-func (o *own) Answered(began, _ stall.Reading, ok bool) {
+func (o *own) Now() stall.Reading   { o.now++; return stall.Reading{Monotonic: o.now, Wall: o.now} }
+func (o *own) Polled(stall.Reading) {}
+func (o *own) Suspect() bool        { return o.doubted }
+func (o *own) PollDone(began, _ stall.Reading, ok bool) {
 	o.doubted = o.doubted && !ok
-	o.ended <- [2]policy.Micros{began.Mono, map[bool]policy.Micros{true: 1}[ok]}
+	o.ended <- [2]policy.Micros{began.Monotonic, map[bool]policy.Micros{true: 1}[ok]}
 }
 
 // In doubt the call under way is given up, and the next one is answered at once; its events are in force before it is said to
@@ -316,14 +316,14 @@
 	}))
 	defer server.Close()
 	f, o := New(site), &own{ended: make(chan [2]policy.Micros, 99)}
-	f.Watch(o)
-	f.Move(strings.TrimPrefix(server.URL, "http://"))
+	f.SetStallMonitor(o)
+	f.SetAddress(strings.TrimPrefix(server.URL, "http://"))
 	ctx, leave := context.WithCancel(t.Context())
 	got := make(chan bool, 99)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.Follow(ctx, policy.Timeouts{LongPoll: 9 * policy.Second, Connect: policy.Second / 10, PollRetry: 1}, func([]Event) {
+		f.Run(ctx, policy.Timeouts{LongPoll: 9 * policy.Second, Connect: policy.Second / 10, PollRetry: 1}, func([]Event) {
 			got <- len(o.ended) == 1
 		})
 	}()
@@ -332,7 +332,7 @@
 		t.Errorf("a call that waits %s ms", block)
 	}
 	o.doubted = true
-	f.Hurry()
+	f.PollNow()
 	if block := <-calls; block != "0" {
 		t.Errorf("in doubt, a call that waits %s ms", block)
 	}
@@ -379,12 +379,12 @@
 	defer l.Close()
 	m := policy.Timeouts{Connect: policy.Second / 20, PollRetry: policy.Second / 100, LongPoll: policy.Second / 20}
 	f := New(site)
-	f.Move(l.Addr().String())
+	f.SetAddress(l.Addr().String())
 	events := make(chan []Event, 16)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go f.Follow(ctx, m, func(e []Event) { events <- e })
-	for until := time.Now().Add(10 * time.Second); !f.Fails(); time.Sleep(time.Millisecond) {
+	go f.Run(ctx, m, func(e []Event) { events <- e })
+	for until := time.Now().Add(10 * time.Second); !f.Failing(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("no call failed")
 		}
@@ -422,10 +422,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := New(site)
-			if _, err := f.Read([]byte(`{"cursor":4,"cmds":[` + list + "," + gone + "," + object + "," + group + `]}`)); err != nil {
+			if _, err := f.Decode([]byte(`{"cursor":4,"cmds":[` + list + "," + gone + "," + object + "," + group + `]}`)); err != nil {
 				t.Fatal(err)
 			}
-			events, err := f.Read([]byte(c.text))
+			events, err := f.Decode([]byte(c.text))
 			if err != nil || len(events) != c.want || f.cursor != c.cursor {
 				t.Errorf("%d events, cursor %d, %v", len(events), f.cursor, err)
 			}
@@ -450,13 +450,13 @@
 	defer newer.Close()
 	defer newer.CloseClientConnections()
 	f := New(site)
-	f.Move(older.Listener.Addr().String())
+	f.SetAddress(older.Listener.Addr().String())
 	had := make(chan struct{}, 16)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	m := policy.Timeouts{Connect: 10 * policy.Second, PollRetry: policy.Second / 100, LongPoll: 3600 * policy.Second}
-	go f.Follow(ctx, m, func([]Event) {
-		f.Move(newer.Listener.Addr().String()) // as the answer is taken: its connection rests from here on
+	go f.Run(ctx, m, func([]Event) {
+		f.SetAddress(newer.Listener.Addr().String()) // as the answer is taken: its connection rests from here on
 		had <- struct{}{}
 	})
 	<-had
--- a/internal/dispatch/rare_test.go
+++ b/internal/dispatch/rare_test.go
@@ -307,7 +307,7 @@
 		return false
 	}
 }
-func (d doubt) Clear() <-chan struct{}        { return d.clear }
+func (d doubt) Resolved() <-chan struct{}     { return d.clear }
 func (doubt) StaleBy(time.Time) time.Duration { return 0 }
 
 // A client leaves, or takes back, while the shard rests in doubt: nothing of it is asked about afterwards.
--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -37,9 +37,9 @@
 	mu      sync.Mutex    // one shard at a time asks the module; a download's decisions take less than a microsecond
 	module  policy.Policy
 	own     StallMonitor
-	peers   map[string]*peer          // by node; emptied by the list
-	listed  map[string]discovery.Node // as the list has it; emptied by it
-	avoided map[string]bool           // taken for draining, whatever the list says; the operator's
+	peers   map[string]*peer              // by node; emptied by the list
+	listed  map[string]discovery.Endpoint // as the list has it; emptied by it
+	avoided map[string]bool               // taken for draining, whatever the list says; the operator's
 
 	fulfilled, throttled, abandoned, pulled, recalled atomic.Int64
 }
@@ -61,7 +61,7 @@
 // StallMonitor says whether this director may act on what it knows; where not, Clear is closed once it may.
 type StallMonitor interface {
 	Trusted() bool
-	Clear() <-chan struct{}
+	Resolved() <-chan struct{}
 	StaleBy(read time.Time) time.Duration // how long before it was read something may have come
 }
 
@@ -74,7 +74,7 @@
 func (s *Shard) rest() bool {
 	for s.own != nil && !s.own.Trusted() {
 		select {
-		case <-s.own.Clear():
+		case <-s.own.Resolved():
 		case <-s.done:
 			return false
 		}
@@ -118,7 +118,7 @@
 func New(module policy.Policy, m policy.Timeouts, fleet *upstream.Pool, shards int) *Router {
 	r := &Router{
 		module: module, margins: m, fleet: fleet, start: time.Now(), peers: map[string]*peer{}, ids: shard.NewOwners(),
-		epochs: shard.NewEpochs(shards), listed: map[string]discovery.Node{},
+		epochs: shard.NewEpochs(shards), listed: map[string]discovery.Endpoint{},
 	}
 	r.offset = policy.Micros(r.start.UnixMicro())
 	for i := range shards {
@@ -253,14 +253,14 @@
 
 func (r *Router) apply(e discovery.Event) {
 	defer r.epochs.Publish()
-	if !e.Listed {
-		if e.At > 0 {
-			r.void(e.Object, e.Group, e.At)
+	if !e.HasEndpoints {
+		if e.PurgedAt > 0 {
+			r.void(e.Object, e.Group, e.PurgedAt)
 		}
 		return
 	}
-	rows, named := make([]policy.Endpoint, len(e.Nodes)), map[string]bool{}
-	for i, n := range e.Nodes {
+	rows, named := make([]policy.Endpoint, len(e.Endpoints)), map[string]bool{}
+	for i, n := range e.Endpoints {
 		if r.listed[n.ID] = n; n.State == policy.Removed {
 			delete(r.listed, n.ID)
 		}
@@ -269,15 +269,15 @@
 		}
 		rows[i], named[n.ID] = n.Endpoint, true
 		p := r.peers[n.ID]
-		if p != nil && (n.State == policy.Removed || p.addr != n.Addr || p.started != n.Started) {
+		if p != nil && (n.State == policy.Removed || p.addr != n.Address || p.started != n.Started) {
 			p.leave()
 			delete(r.peers, n.ID)
 			p = nil
 		}
 		if p == nil && n.State != policy.Removed {
-			p = &peer{make([]*upstream.Endpoint, len(r.shards)), n.Addr, n.Started}
+			p = &peer{make([]*upstream.Endpoint, len(r.shards)), n.Address, n.Started}
 			for i := range p.of {
-				p.of[i] = r.fleet.NewEndpoint(n.Addr)
+				p.of[i] = r.fleet.NewEndpoint(n.Address)
 			}
 			r.peers[n.ID] = p
 		}
@@ -288,13 +288,13 @@
 		}
 	}
 	for id, p := range r.peers {
-		if e.Complete && !named[id] {
+		if e.Snapshot && !named[id] {
 			p.leave()
 			delete(r.peers, id)
 			delete(r.listed, id)
 		}
 	}
-	r.module.UpdateEndpoints(r.now(), rows, e.Complete)
+	r.module.UpdateEndpoints(r.now(), rows, e.Snapshot)
 }
 
 // void has copies be void from now on that are older than a time.
@@ -311,7 +311,7 @@
 
 // Address is where a node of the list listens; empty where there is none.
 func (r *Router) Address(id string) (addr string) {
-	r.WithPolicy(func() { addr = r.listed[id].Addr })
+	r.WithPolicy(func() { addr = r.listed[id].Address })
 	return addr
 }
 
@@ -323,13 +323,13 @@
 		for _, id := range ids {
 			r.avoided[id] = true
 		}
-		e := discovery.Event{Listed: true}
+		e := discovery.Event{HasEndpoints: true}
 		for _, id := range slices.Sorted(maps.Keys(r.listed)) {
 			if before[id] != r.avoided[id] {
-				e.Nodes = append(e.Nodes, r.listed[id])
+				e.Endpoints = append(e.Endpoints, r.listed[id])
 			}
 		}
-		if len(e.Nodes) > 0 {
+		if len(e.Endpoints) > 0 {
 			r.apply(e)
 		}
 	})
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -242,8 +242,8 @@
 
 // list tells of the one node.
 func (b *bed) list(state policy.EndpointState) {
-	b.Apply([]discovery.Event{{Listed: true, Complete: true, Nodes: []discovery.Node{
-		{Endpoint: policy.Endpoint{ID: "e1", State: state}, Addr: b.node.Addr().String()},
+	b.Apply([]discovery.Event{{HasEndpoints: true, Snapshot: true, Endpoints: []discovery.Endpoint{
+		{Endpoint: policy.Endpoint{ID: "e1", State: state}, Address: b.node.Addr().String()},
 	}}})
 	b.hears("listed 1 true")
 }
@@ -374,15 +374,15 @@
 
 func TestEvents(t *testing.T) {
 	b := newBed(t, 0, pulls, pulls)
-	b.Apply([]discovery.Event{{Object: "o", Group: -1, At: 5}, {}, {Group: 3, At: 6}})
+	b.Apply([]discovery.Event{{Object: "o", Group: -1, PurgedAt: 5}, {}, {Group: 3, PurgedAt: 6}})
 	b.hears("purged o -1 5")
 	b.hears("purged  3 6")
 	b.ask("1", "")
 	b.hears("where b000000000000001")
 	b.nodeHears("want a000000000000001 ")
 	// The same name and address with another start is a new process: what follows goes over a new connection.
-	b.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
-		{Endpoint: policy.Endpoint{ID: "e1", Started: 7}, Addr: b.node.Addr().String()},
+	b.Apply([]discovery.Event{{HasEndpoints: true, Endpoints: []discovery.Endpoint{
+		{Endpoint: policy.Endpoint{ID: "e1", Started: 7}, Address: b.node.Addr().String()},
 	}}})
 	b.hears("listed 1 false")
 	old := b.nc
@@ -400,7 +400,7 @@
 // A fault in a decision costs the connection that it was about, no more.
 func TestPanicEndsOneConnection(t *testing.T) {
 	b := newBed(t, 0, pulls)
-	b.Apply([]discovery.Event{{Object: "bad", At: 1}})
+	b.Apply([]discovery.Event{{Object: "bad", PurgedAt: 1}})
 	other, err := net.Dial("tcp", b.client.RemoteAddr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatch/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -84,7 +84,7 @@
 	for range 2 {
 		c.boxes, c.parents = append(c.boxes, newBox(t)), append(c.parents, newBox(t))
 	}
-	c.Apply([]discovery.Event{{Listed: true, Complete: true, Nodes: []discovery.Node{
+	c.Apply([]discovery.Event{{HasEndpoints: true, Snapshot: true, Endpoints: []discovery.Endpoint{
 		c.node("e0", 1, 0, c.boxes[0], policy.Ready), c.node("e1", 1, 0, c.boxes[1], policy.Ready),
 		c.node("p0", 0, 1, c.parents[0], policy.Ready), c.node("p1", 0, 1, c.parents[1], policy.Ready),
 	}}})
@@ -121,8 +121,8 @@
 	return c
 }
 
-func (c *cores) node(id string, zone, kind int, b *box, s policy.EndpointState) discovery.Node {
-	return discovery.Node{Endpoint: policy.Endpoint{ID: id, Zone: zone, Kind: kind, State: s}, Addr: b.Addr().String()}
+func (c *cores) node(id string, zone, kind int, b *box, s policy.EndpointState) discovery.Endpoint {
+	return discovery.Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: zone, Kind: kind, State: s}, Address: b.Addr().String()}
 }
 
 func (c *cores) ask(client int) {
@@ -167,7 +167,7 @@
 	for range 10 {
 		c.ask(1) // they wait for the busy core
 	}
-	c.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
+	c.Apply([]discovery.Event{{HasEndpoints: true, Endpoints: []discovery.Endpoint{
 		c.node("e0", 1, 0, c.boxes[0], policy.Draining), c.node("p0", 0, 1, c.parents[0], policy.Draining),
 	}}})
 	asked, fills := c.boxes[0].asked.Load(), c.boxes[0].fills.Load()+c.boxes[1].fills.Load()
@@ -217,7 +217,7 @@
 				return
 			default:
 			}
-			c.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
+			c.Apply([]discovery.Event{{HasEndpoints: true, Endpoints: []discovery.Endpoint{
 				c.node("e0", 1, 0, c.boxes[0], []policy.EndpointState{policy.Draining, policy.Ready}[n%2]),
 			}}})
 			for told, inForce := c.Epochs(); inForce < told; told, inForce = c.Epochs() { // the next as soon as all cores have taken it
@@ -245,7 +245,7 @@
 	go func() {
 		defer close(done)
 		for n := 0; n < 2000 || asked.Load() < 10; n++ { // the lists alone may be told before ten downloads are through
-			c.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
+			c.Apply([]discovery.Event{{HasEndpoints: true, Endpoints: []discovery.Endpoint{
 				c.node("e0", 1, 0, c.boxes[0], policy.Ready), c.node("p0", 0, 1, c.parents[0], policy.Ready),
 				c.node("e1", 1, 0, c.boxes[1], policy.Ready), c.node("p1", 0, 1, c.parents[1], policy.Ready),
 			}}})
--- a/internal/experiment/startsim.go
+++ b/internal/experiment/startsim.go
@@ -34,10 +34,10 @@
 	told    d.Micros // when the last event came
 	waiting map[int]func()
 	calls   []fakes.Call
-	rows    []relays.Row // of the version at hand
+	rows    []relays.Endpoint // of the version at hand
 	of      int
 	alone   bool
-	times   backoff.Times
+	times   backoff.Intervals
 	poll    d.Micros
 	retry   d.Micros
 }
@@ -45,8 +45,8 @@
 type simDirector struct {
 	name    string
 	zone    int
-	book    *relays.Book
-	caller  *backoff.Caller
+	book    *relays.Relay
+	caller  *backoff.Poller
 	cursor  int      // events that the own channel has told
 	list    int      // version of the list in force
 	met     bool     // it sees the others,
@@ -89,9 +89,9 @@
 		news: 1, lists: 1, alone: alone}
 	settings := d.Settings{ConnectTimeout: 400_000, PurgePropagation: 500_000, PurgeRetention: 6 * d.Second}
 	margins := d.Timeouts{LongPoll: settings.PurgeRetention / 5, PollRetry: settings.ConnectTimeout / 4}
-	s.times, s.retry = backoff.Derive(settings, margins), margins.PollRetry
+	s.times, s.retry = backoff.DeriveIntervals(settings, margins), margins.PollRetry
 	if !alone {
-		s.times = s.times.Few()
+		s.times = s.times.ForDelegates()
 	}
 	zones := max(1, (n+location-1)/location)
 	s.zones, s.met = make([][]string, zones), make([]int, zones)
@@ -115,13 +115,13 @@
 func (s *startSim) delay() d.Micros { return 100 + d.Micros(s.r.Int64N(2000)) }
 
 func (s *startSim) start(i int, dir *simDirector, settings d.Settings) {
-	f := relays.Derive(dir.name, 3, 8, 4, settings)
+	f := relays.DeriveSettings(dir.name, 3, 8, 4, settings)
 	dir.caller = backoff.New(s.times, backoff.Seed(1, dir.name))
 	dir.pause, dir.wait = dir.caller.First()
 	dir.pause += s.now
 	if dir.book = relays.New(s.now, f); !s.alone {
 		s.after(d.Micros(s.r.Int64N(int64(400*d.Second/1000))), func() { dir.met = true; s.met[dir.zone]++ }) // lists of who is there come
-		s.tick(dir, f.Every/4)
+		s.tick(dir, f.QueryInterval/4)
 	}
 	s.call(i, dir)
 }
@@ -139,7 +139,7 @@
 func (s *startSim) tick(dir *simDirector, every d.Micros) {
 	if dir.met && dir.saw != s.met[dir.zone] && s.now >= dir.look { // the fleet comes up
 		dir.saw, dir.look = s.met[dir.zone], s.now+d.Second/5
-		dir.book.There(s.others(dir))
+		dir.book.SetMembers(s.others(dir))
 	}
 	for _, to := range dir.book.Tick(s.now) {
 		s.ask(dir, s.dirs[s.byName[to]])
@@ -153,12 +153,12 @@
 		if to.book == nil {
 			return
 		}
-		a, version, known := to.book.Asked(s.now, relays.Ask{Number: number}), to.list, to.known
+		a, version, known := to.book.HandleQuery(s.now, relays.Query{SentAt: number}), to.list, to.known
 		s.after(s.delay(), func() {
 			s.hear(from, known) // purges that it lacks come along
-			if want := from.book.Answered(s.now, to.name, a); want != "" {
+			if want := from.book.HandleResponse(s.now, to.name, a); want != "" {
 				s.after(s.delay()+s.delay(), func() {
-					if _, ok := from.book.Take(s.version(version)); ok {
+					if _, ok := from.book.AcceptList(s.version(version)); ok {
 						s.take(from, version)
 					}
 				})
@@ -168,9 +168,9 @@
 }
 
 // version is a list of the channel's.
-func (s *startSim) version(n int) []relays.Row {
+func (s *startSim) version(n int) []relays.Endpoint {
 	if s.of != n {
-		s.of, s.rows = n, []relays.Row{{ID: fmt.Sprint("list-", n)}}
+		s.of, s.rows = n, []relays.Endpoint{{ID: fmt.Sprint("list-", n)}}
 	}
 	return s.rows
 }
@@ -203,14 +203,14 @@
 		s.after(dir.pause-s.now, func() { s.call(i, dir) })
 		return
 	}
-	if !s.alone && !dir.book.Calls(s.now) {
+	if !s.alone && !dir.book.ShouldPoll(s.now) {
 		s.after(40*d.Second/1000, func() { s.call(i, dir) })
 		return
 	}
 	began := s.now
 	s.calls = append(s.calls, fakes.Call{At: span(s.now)})
 	number := len(s.calls) - 1
-	end := func(how backoff.Ending) {
+	end := func(how backoff.PollResult) {
 		pause, wait := dir.caller.Next(how, 0, 0)
 		dir.pause, dir.wait = s.now+pause, wait
 		s.call(i, dir)
@@ -219,7 +219,7 @@
 		takes, can := s.work(s.news - dir.cursor)
 		if !can {
 			s.calls[number].Turned = true
-			s.after(s.delay(), func() { end(backoff.Busy) })
+			s.after(s.delay(), func() { end(backoff.Unavailable) })
 			return
 		}
 		news, version := s.news, s.lists
@@ -228,11 +228,11 @@
 			fresh := news > dir.cursor
 			dir.cursor = news
 			s.take(dir, version)
-			dir.book.Own(s.now, relays.Sum(s.version(version)), began, fresh)
+			dir.book.PollSucceeded(s.now, relays.Sum(s.version(version)), began, fresh)
 			if s.hear(dir, news); fresh {
-				end(backoff.News)
+				end(backoff.Changed)
 			} else {
-				end(backoff.Nothing)
+				end(backoff.Unchanged)
 			}
 		})
 	}
@@ -240,7 +240,7 @@
 		switch {
 		case !s.serving:
 			s.calls[number].Turned = true
-			s.after(s.delay(), func() { end(backoff.Busy) })
+			s.after(s.delay(), func() { end(backoff.Unavailable) })
 		case s.news > dir.cursor:
 			answer()
 		default:
--- a/internal/faulttest/rig.go
+++ b/internal/faulttest/rig.go
@@ -494,7 +494,7 @@
 // chosen are those that follow the channel by their place, as they see it.
 func (r *Rig) chosen(ctx context.Context) (who []int) {
 	for i, p := range r.Processes() {
-		if report, err := status.Read(ctx, p.Socket); err == nil && report.Follow != nil && report.Follow.Chosen {
+		if report, err := status.Read(ctx, p.Socket); err == nil && report.Follow != nil && report.Follow.Delegate {
 			who = append(who, i)
 		}
 	}
@@ -610,20 +610,20 @@
 		}
 	}
 	var talk atomic.Pointer[gossipnet.Driver]
-	rows := []relays.Row{}
+	rows := []relays.Endpoint{}
 	for i := range r.Boxes {
-		rows = append(rows, relays.Row{ID: fmt.Sprint("box-", i), Addr: "127.0.0.1:9", Zone: 1, Weight: 1})
+		rows = append(rows, relays.Endpoint{ID: fmt.Sprint("box-", i), Address: "127.0.0.1:9", Zone: 1, Weight: 1})
 	}
 	hear := func(from string, m relays.Message) {
 		switch t := talk.Load(); {
 		case t == nil:
-		case m.Ask != nil:
-			t.SendRelay(from, relays.Message{Answer: &relays.Answer{Number: m.Ask.Number, Sum: relays.Sum(rows)}})
-			t.SendRelay(from, relays.Message{Answer: &relays.Answer{Number: -5, Age: -7, Sum: "\x00"}})
+		case m.Query != nil:
+			t.SendRelay(from, relays.Message{Response: &relays.Response{SentAt: m.Query.SentAt, ListSum: relays.Sum(rows)}})
+			t.SendRelay(from, relays.Message{Response: &relays.Response{SentAt: -5, Age: -7, ListSum: "\x00"}})
 			t.SendRelay(from, relays.Message{List: rows})
-			t.SendRelay(from, relays.Message{Want: "?"})
+			t.SendRelay(from, relays.Message{WantList: "?"})
 			t.SendUpdates(from, []gossip.Update{{Node: "box-0", Age: -1}, {Node: "\x00", Object: "x", PurgedAt: 1}, {Group: -9, PurgedAt: 1}, {}})
-		case m.Want != "":
+		case m.WantList != "":
 			t.SendRelay(from, relays.Message{List: rows})
 		}
 	}
--- a/internal/gossipnet/golden_test.go
+++ b/internal/gossipnet/golden_test.go
@@ -42,12 +42,12 @@
 		`{"f":"n0","h":{"Node":"box-1","What":"gone","Age":6}}`)
 	checkJSON(t, message{From: "n0", Updates: words},
 		`{"f":"n0","w":[{"o":"o","g":1,"t":2,"a":3},{"n":"box-1","s":4,"x":true,"a":5}]}`)
-	checkJSON(t, message{From: "n0", Relay: &relays.Message{Ask: &relays.Ask{Number: 1, Words: 2}}},
+	checkJSON(t, message{From: "n0", Relay: &relays.Message{Query: &relays.Query{SentAt: 1, PurgeDigest: 2}}},
 		`{"f":"n0","o":{"q":{"n":1,"w":2}}}`)
-	checkJSON(t, message{From: "n0", Relay: &relays.Message{Answer: &relays.Answer{Number: 1, Age: 2, Sum: "ab"}, Want: "cd"}},
+	checkJSON(t, message{From: "n0", Relay: &relays.Message{Response: &relays.Response{SentAt: 1, Age: 2, ListSum: "ab"}, WantList: "cd"}},
 		`{"f":"n0","o":{"a":{"n":1,"a":2,"s":"ab"},"w":"cd"}}`)
-	checkJSON(t, message{From: "n0", Relay: &relays.Message{List: []relays.Row{
-		{ID: "box-1", Addr: "127.0.0.1:1", Zone: 2, Kind: 1, Cell: 3, Weight: 1.5, Started: 4, State: policy.Draining}}}},
+	checkJSON(t, message{From: "n0", Relay: &relays.Message{List: []relays.Endpoint{
+		{ID: "box-1", Address: "127.0.0.1:1", Zone: 2, Kind: 1, Cell: 3, Weight: 1.5, Started: 4, State: policy.Draining}}}},
 		`{"f":"n0","o":{"l":[{"i":"box-1","a":"127.0.0.1:1","z":2,"k":1,"c":3,"w":1.5,"s":4,"x":1}]}}`)
 	checkJSON(t, message{From: "n0", SnapshotRequest: 7}, `{"f":"n0","q":7}`)
 	checkJSON(t, message{From: "n0", SnapshotReply: &snapshotReply{7, Snapshot{"n1", 8, words, []membership.Hint{{Node: "box-2", Condition: membership.Overloaded}}}}},
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -37,7 +37,7 @@
 	avoided []string      // by the operator's file
 	words   chan heardWord
 	own     *heart
-	channel *discovery.Feed
+	channel *discovery.Client
 	kept    policy.Micros
 	doubts  atomic.Bool // what is known binds carefully
 	lost    bool        // nobody whom this director reaches has heard the channel for long
@@ -65,20 +65,20 @@
 
 // keep begins a book of what the channel tells, for a director that is to talk with others.
 // What it knows is from files, which may be old: until its channel or another director has spoken it sends and serves nothing.
-func (g *gossipDriver) keep(c config.Config, followers int, own *heart, channel *discovery.Feed, known []discovery.Event) {
+func (g *gossipDriver) keep(c config.Config, followers int, own *heart, channel *discovery.Client, known []discovery.Event) {
 	s := c.Site.Settings
 	w := gossip.Derive(s)
 	g.own, g.channel, g.kept = own, channel, w.Retention
 	g.book = gossip.New(g.clock(), w)
-	own.Begin(own.Read())
+	own.StartSuspect(own.Now())
 	g.took(known, g.clock()-2*g.kept) // what others hear of the channel is newer than a file
-	g.ears = newHearing(g, relays.Derive(c.Name, followers, len(c.Site.Zones), len(c.Site.Kinds), s))
+	g.ears = newHearing(g, relays.DeriveSettings(c.Name, followers, len(c.Site.Zones), len(c.Site.Kinds), s))
 	g.ears.fold(known)
-	channel.Hold(g.ears.may)
+	channel.SetShouldPoll(g.ears.may)
 }
 
 // clock is the director's own time.
-func (g *gossipDriver) clock() policy.Micros { return g.own.Read().Mono }
+func (g *gossipDriver) clock() policy.Micros { return g.own.Now().Monotonic }
 
 // told puts in force what the own channel tells, and has others hear what is news.
 func (g *gossipDriver) told(events []discovery.Event) {
@@ -97,7 +97,7 @@
 // lists is how many of some events are of the list of nodes.
 func lists(events []discovery.Event) (n int) {
 	for _, e := range events {
-		if e.Listed {
+		if e.HasEndpoints {
 			n++
 		}
 	}
@@ -109,15 +109,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, e := range events {
-		if i := (gossip.Update{Object: e.Object, Group: e.Group, PurgedAt: e.At}); !e.Listed && e.At > 0 && g.book.RecordPurge(now, i) {
+		if i := (gossip.Update{Object: e.Object, Group: e.Group, PurgedAt: e.PurgedAt}); !e.HasEndpoints && e.PurgedAt > 0 && g.book.RecordPurge(now, i) {
 			tell = append(tell, i)
 		}
 		var rows []gossip.NodeState
-		for _, n := range e.Nodes {
+		for _, n := range e.Endpoints {
 			rows = append(rows, gossip.NodeState{Node: n.ID, Started: n.Started, State: n.State})
 		}
-		if e.Listed {
-			tell = append(tell, g.book.RecordNodes(now, rows, e.Complete)...)
+		if e.HasEndpoints {
+			tell = append(tell, g.book.RecordNodes(now, rows, e.Snapshot)...)
 		}
 	}
 	return tell
@@ -153,7 +153,7 @@
 			bind, on := g.book.Received(g.clock(), w.from, w.Update)
 			g.mu.Unlock()
 			if bind && w.PurgedAt > 0 {
-				g.d.apply([]discovery.Event{{Object: w.Object, Group: w.Group, At: w.PurgedAt}})
+				g.d.apply([]discovery.Event{{Object: w.Object, Group: w.Group, PurgedAt: w.PurgedAt}})
 			} else if bind {
 				g.avoid(nil)
 			}
@@ -189,8 +189,8 @@
 // settled hears how a doubt of what is known ended. Where nobody has told what is in force, what is known binds carefully from then
 // on, until the channel has answered or another has told: no copy is asked for that is older than now, and a node is cold until it
 // shows that it holds what it is asked for. Guards against what was told while this director was not there to hear it.
-func (g *gossipDriver) settled(how stall.How) {
-	if g.book != nil && how == stall.Bound {
+func (g *gossipDriver) settled(how stall.Resolution) {
+	if g.book != nil && how == stall.ByTimeout {
 		g.doubt(true)
 	}
 }
@@ -198,8 +198,8 @@
 // vouched hears that another has told what is in force, and that it is in force here. After a jump of this one's time that is nothing:
 // it may have lain there meanwhile.
 func (g *gossipDriver) vouched() {
-	if g.own.Jumps() == 0 {
-		g.own.Told(g.own.Read())
+	if g.own.Stalls() == 0 {
+		g.own.Confirmed(g.own.Now())
 		g.doubt(false)
 	}
 }
@@ -252,13 +252,13 @@
 
 // hear asks the own channel where others know more, and says once when nobody knows any more.
 func (g *gossipDriver) hear() {
-	fails, others := g.channel.Fails(), g.talk.Load().NewestChannelAge()
+	fails, others := g.channel.Failing(), g.talk.Load().NewestChannelAge()
 	g.mu.Lock()
 	now := g.clock()
 	ask, r := g.book.ShouldPoll(now, fails), g.book.Report(now, others)
 	g.mu.Unlock()
 	if ask && g.ears.may() {
-		g.channel.Ask()
+		g.channel.Refresh()
 	}
 	if lost := r.NewestAge > int64(g.kept); lost != g.lost {
 		if g.lost = lost; lost {
@@ -319,7 +319,7 @@
 	for _, i := range m.Updates {
 		all = g.hears(heardWord{from, i, false}) && all
 	}
-	if g.own.Doubted() { // it has just started
+	if g.own.Suspect() { // it has just started
 		g.warm(from, m.UnhealthyNodes)
 	}
 	return all
@@ -327,7 +327,7 @@
 
 // doubting says whether another is wanted who tells what is in force. After a jump of this one's time that would be nothing.
 func (g *gossipDriver) doubting() bool {
-	return g.own.Jumps() == 0 && (g.own.Doubted() || g.doubts.Load())
+	return g.own.Stalls() == 0 && (g.own.Suspect() || g.doubts.Load())
 }
 
 // toldAll takes what another told when it was asked, at a time, what is in force. It settles a doubt, once all of it has been taken.
--- a/internal/server/hearing.go
+++ b/internal/server/hearing.go
@@ -20,11 +20,11 @@
 
 	force sync.Mutex // held while a list is put in force: none may come after a newer one
 	mu    sync.Mutex // of what follows
-	book  *relays.Book
-	own   map[string]relays.Row // the list as the own channel has told it,
-	sum   string                // and its sum
-	list  map[string]relays.Row // as it is in force
-	news  bool                  // the own channel has told of nodes, in the call that is about to be booked
+	book  *relays.Relay
+	own   map[string]relays.Endpoint // the list as the own channel has told it,
+	sum   string                     // and its sum
+	list  map[string]relays.Endpoint // as it is in force
+	news  bool                       // the own channel has told of nodes, in the call that is about to be booked
 	calls bool
 	ticks int
 	began policy.Micros // this process
@@ -42,18 +42,18 @@
 const sayings = 256 // that wait to be taken; more are dropped, and said again
 
 func newHearing(g *gossipDriver, s relays.Settings) *hearing {
-	return &hearing{g: g, every: span(s.Every) / 2, says: make(chan said, sayings), book: relays.New(g.clock(), s), began: g.clock(),
-		own: map[string]relays.Row{}, sum: relays.Sum(nil), list: map[string]relays.Row{}}
+	return &hearing{g: g, every: span(s.QueryInterval) / 2, says: make(chan said, sayings), book: relays.New(g.clock(), s), began: g.clock(),
+		own: map[string]relays.Endpoint{}, sum: relays.Sum(nil), list: map[string]relays.Endpoint{}}
 }
 
 // may says whether to ask the channel now. One that wakes from a pause asks whoever else does.
 func (h *hearing) may() bool {
-	if h.g.own.Doubted() && h.g.own.Jumps() > 0 {
+	if h.g.own.Suspect() && h.g.own.Stalls() > 0 {
 		return true
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	calls := h.book.Calls(h.g.clock())
+	calls := h.book.ShouldPoll(h.g.clock())
 	if calls != h.calls {
 		slog.Info("follows", "channel", calls)
 	}
@@ -68,20 +68,20 @@
 	defer h.mu.Unlock()
 	listed := false
 	for _, e := range events {
-		if !e.Listed {
+		if !e.HasEndpoints {
 			out = append(out, e)
 			continue
 		}
 		listed = true
-		rows := make([]relays.Row, len(e.Nodes))
-		for i, n := range e.Nodes {
-			rows[i] = relays.Row{ID: n.ID, Addr: n.Addr, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, Weight: n.Weight, Started: n.Started,
+		rows := make([]relays.Endpoint, len(e.Endpoints))
+		for i, n := range e.Endpoints {
+			rows[i] = relays.Endpoint{ID: n.ID, Address: n.Address, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, Weight: n.Weight, Started: n.Started,
 				State: n.State}
 		}
-		relays.Fold(h.own, rows, e.Complete)
+		relays.Merge(h.own, rows, e.Snapshot)
 	}
 	if h.news = h.news || listed; listed {
-		rows := relays.Rows(h.own)
+		rows := relays.SortedEndpoints(h.own)
 		h.sum = relays.Sum(rows)
 		out = append(out, h.change(rows)...)
 	}
@@ -89,14 +89,14 @@
 }
 
 // change books a list that is to be in force, and gives the event that makes it so; none where it is. The caller holds the lock.
-func (h *hearing) change(rows []relays.Row) []discovery.Event {
+func (h *hearing) change(rows []relays.Endpoint) []discovery.Event {
 	diff := relays.Diff(h.list, rows)
-	if relays.Fold(h.list, rows, true); len(diff) == 0 {
+	if relays.Merge(h.list, rows, true); len(diff) == 0 {
 		return nil
 	}
-	e := discovery.Event{Listed: true, Group: policy.AllGroups}
+	e := discovery.Event{HasEndpoints: true, Group: policy.AllGroups}
 	for _, r := range diff {
-		e.Nodes = append(e.Nodes, discovery.Node{Addr: r.Addr, Endpoint: policy.Endpoint{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell,
+		e.Endpoints = append(e.Endpoints, discovery.Endpoint{Address: r.Address, Endpoint: policy.Endpoint{ID: r.ID, Zone: r.Zone, Kind: r.Kind, Cell: r.Cell,
 			Weight: r.Weight, Started: r.Started, State: r.State}})
 	}
 	return []discovery.Event{e}
@@ -106,7 +106,7 @@
 func (h *hearing) answered(began policy.Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.book.Own(h.g.clock(), h.sum, began, h.news)
+	h.book.PollSucceeded(h.g.clock(), h.sum, began, h.news)
 	h.news = false
 }
 
@@ -152,9 +152,9 @@
 	now := h.g.clock()
 	h.mu.Lock()
 	if h.ticks++; h.ticks%looks == 1 {
-		h.book.There(talk.ZonePeers())
+		h.book.SetMembers(talk.ZonePeers())
 	}
-	ask, wakes := h.book.Tick(now), h.book.Calls(now) && !h.calls
+	ask, wakes := h.book.Tick(now), h.book.ShouldPoll(now) && !h.calls
 	h.mu.Unlock()
 	if wakes {
 		h.g.channel.Wake()
@@ -166,7 +166,7 @@
 	_, words := h.g.book.RecentPurges(now)
 	h.g.mu.Unlock()
 	for _, to := range ask {
-		talk.SendRelay(to, relays.Message{Ask: &relays.Ask{Number: now, Words: words}})
+		talk.SendRelay(to, relays.Message{Query: &relays.Query{SentAt: now, PurgeDigest: words}})
 	}
 }
 
@@ -185,28 +185,28 @@
 func (h *hearing) take(talk *gossipnet.Driver, s said) {
 	now := h.g.clock()
 	switch {
-	case s.Ask != nil:
+	case s.Query != nil:
 		h.mu.Lock()
-		a := h.book.Asked(now, *s.Ask)
+		a := h.book.HandleQuery(now, *s.Query)
 		h.mu.Unlock()
-		talk.SendRelay(s.from, relays.Message{Answer: &a})
-		talk.SendUpdates(s.from, h.lacks(s.Ask.Words))
-	case s.Answer != nil:
+		talk.SendRelay(s.from, relays.Message{Response: &a})
+		talk.SendUpdates(s.from, h.lacks(s.Query.PurgeDigest))
+	case s.Response != nil:
 		h.mu.Lock()
-		want := h.book.Answered(now, s.from, *s.Answer)
-		until, _ := h.book.Until()
+		want := h.book.HandleResponse(now, s.from, *s.Response)
+		until, _ := h.book.InForce()
 		h.mu.Unlock()
 		if want != "" {
-			talk.SendRelay(s.from, relays.Message{Want: want})
+			talk.SendRelay(s.from, relays.Message{WantList: want})
 			return
 		}
 		if until > h.began { // else no list is known to have held since this process began
 			h.g.hold(until)
 		}
-	case s.Want != "":
+	case s.WantList != "":
 		h.mu.Lock()
-		rows, sum := relays.Rows(h.list), ""
-		if _, sum = h.book.Until(); sum != s.Want {
+		rows, sum := relays.SortedEndpoints(h.list), ""
+		if _, sum = h.book.InForce(); sum != s.WantList {
 			rows = nil // it has changed since; another will be wanted
 		}
 		h.mu.Unlock()
@@ -217,7 +217,7 @@
 		h.force.Lock()
 		defer h.force.Unlock()
 		h.mu.Lock()
-		until, ok := h.book.Take(s.List)
+		until, ok := h.book.AcceptList(s.List)
 		var events []discovery.Event
 		if ok {
 			events = h.change(s.List)
--- a/internal/server/heart.go
+++ b/internal/server/heart.go
@@ -12,34 +12,34 @@
 
 // heart drives a director's watch over its own time: it gives it the clock, and beats.
 type heart struct {
-	*stall.Watch
+	*stall.Detector
 	start time.Time
 	every time.Duration
 }
 
-func newHeart(s policy.Settings, m policy.Timeouts, hurry func(), settled func(stall.How)) *heart {
+func newHeart(s policy.Settings, m policy.Timeouts, hurry func(), settled func(stall.Resolution)) *heart {
 	h := &heart{start: time.Now(), every: span(m.Heartbeat)}
 	// A call may take the channel's time, and be given up only after that of its connection; then comes a pause.
-	cycle := m.LongPoll + 2*m.Connect + backoff.Derive(s, m).Most + m.StallThreshold
-	h.Watch = stall.New(stall.Times{Gap: m.StallThreshold, Cycle: cycle, Bound: m.SuspectTimeout}, h.Read(), func(gap policy.Micros) {
+	cycle := m.LongPoll + 2*m.Connect + backoff.DeriveIntervals(s, m).MaxPause + m.StallThreshold
+	h.Detector = stall.New(stall.Thresholds{Stall: m.StallThreshold, PollCycle: cycle, SuspectTimeout: m.SuspectTimeout}, h.Now(), func(gap policy.Micros) {
 		slog.Warn("time_jumped", "by", span(gap))
 		hurry()
-	}, func(how stall.How, took policy.Micros) {
+	}, func(how stall.Resolution, took policy.Micros) {
 		slog.Info("time_settled", "how", how.String(), "after", span(took))
 		settled(how)
 	})
 	return h
 }
 
-// Read reads both clocks at once.
-func (h *heart) Read() stall.Reading { return h.at(time.Now()) }
+// Now reads both clocks at once.
+func (h *heart) Now() stall.Reading { return h.at(time.Now()) }
 
 func (h *heart) at(t time.Time) stall.Reading {
-	return stall.Reading{Mono: policy.Micros(t.Sub(h.start) / time.Microsecond), Wall: policy.Micros(t.UnixMicro())}
+	return stall.Reading{Monotonic: policy.Micros(t.Sub(h.start) / time.Microsecond), Wall: policy.Micros(t.UnixMicro())}
 }
 
 // StaleBy is how long before it was read something may have come.
-func (h *heart) StaleBy(read time.Time) time.Duration { return span(h.Watch.Late(h.at(read))) }
+func (h *heart) StaleBy(read time.Time) time.Duration { return span(h.Detector.StaleBy(h.at(read))) }
 
 // heard is a heart that has what others say reckoned with too, by the calls that the channel answers.
 type heard struct {
@@ -47,15 +47,15 @@
 	g *gossipDriver
 }
 
-// Answered takes how a call of the channel ended.
-func (h heard) Answered(began, now stall.Reading, ok bool) {
-	if h.heart.Answered(began, now, ok); ok {
-		h.g.answered(began.Mono)
+// PollDone takes how a call of the channel ended.
+func (h heard) PollDone(began, now stall.Reading, ok bool) {
+	if h.heart.PollDone(began, now, ok); ok {
+		h.g.answered(began.Monotonic)
 	}
 }
 
 // Trusted says whether what is known may be acted on now.
-func (h *heart) Trusted() bool { return h.Watch.Sound(h.Read()) }
+func (h *heart) Trusted() bool { return h.Detector.Trusted(h.Now()) }
 
 // run beats until the end.
 func (h *heart) run(ctx context.Context) {
@@ -64,7 +64,7 @@
 	for {
 		select {
 		case <-tick.C:
-			h.Beat(h.Read())
+			h.Heartbeat(h.Now())
 		case <-ctx.Done():
 			return
 		}
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -134,7 +134,7 @@
 	}
 	o, err := config.LoadOperator(f.Settings)
 	if err == nil {
-		_, err = discovery.New(c.Site).Known(c.Known)
+		_, err = discovery.New(c.Site).DecodeKnown(c.Known)
 	}
 	if err == nil {
 		err = o.Permit(c.Site)
@@ -166,14 +166,14 @@
 		slog.Warn("fewer_cores", "asked", o.Cores, "allowed", shards)
 	}
 	channel := discovery.New(c.Site)
-	channel.Seed(backoff.Seed(c.Site.Seed, c.Name))
+	channel.SetSeed(backoff.Seed(c.Site.Seed, c.Name))
 	g := &gossipDriver{}
-	own := newHeart(c.Site.Settings, margins, channel.Hurry, g.settled)
+	own := newHeart(c.Site.Settings, margins, channel.PollNow, g.settled)
 	fleet.SetWriteCheck(own.Trusted)
-	channel.Watch(heard{own, g})
+	channel.SetStallMonitor(heard{own, g})
 	d := newDecider(ownSettings(c), options(o, c.Limits, g), margins, fleet, shards, f.Divided)
 	d.watch(own)
-	known, err := channel.Known(c.Known)
+	known, err := channel.DecodeKnown(c.Known)
 	if err != nil {
 		return err
 	}
@@ -206,8 +206,8 @@
 		}
 		defer socket.Close()
 	}
-	channel.Move(c.Channel)
-	go channel.Follow(ctx, margins, g.told)
+	channel.SetAddress(c.Channel)
+	go channel.Run(ctx, margins, g.told)
 	giveBack()
 	slog.Info("started", "name", c.Name, "listen", c.Listen, "events", len(known), "settings", f.Settings, "cores", shards)
 
@@ -237,7 +237,7 @@
 			d.use(options(o, c.Limits, g))
 			g.avoid(append([]string{}, o.Avoid...))
 			keeper.took(c, o)
-			channel.Move(c.Channel)
+			channel.SetAddress(c.Channel)
 			slog.Info("reloaded", "channel", c.Channel)
 		}
 	}
--- a/relays/golden_test.go
+++ b/relays/golden_test.go
@@ -10,8 +10,8 @@
 )
 
 // goldenRows are two rows of a list: one with every field set, one with none but the name.
-var goldenRows = []Row{
-	{ID: "box-1", Addr: "10.1.0.9:1", Zone: 1, Kind: 2, Cell: 3, Weight: 4.5, Started: 1764576000123000, State: d.Draining},
+var goldenRows = []Endpoint{
+	{ID: "box-1", Address: "10.1.0.9:1", Zone: 1, Kind: 2, Cell: 3, Weight: 4.5, Started: 1764576000123000, State: d.Draining},
 	{ID: "box-2"},
 }
 
@@ -25,15 +25,15 @@
 	}{
 		{"rows", goldenRows, `[{"i":"box-1","a":"10.1.0.9:1","z":1,"k":2,"c":3,"w":4.5,"s":1764576000123000,"x":1},` +
 			`{"i":"box-2","a":"","z":0,"k":0,"w":0}]`},
-		{"no rows", []Row(nil), `null`},
-		{"question", Message{Ask: &Ask{Number: 123456789, Words: 18446744073709551615}}, `{"q":{"n":123456789,"w":18446744073709551615}}`},
-		{"empty question", Message{Ask: &Ask{}}, `{"q":{"n":0,"w":0}}`},
-		{"answer", Message{Answer: &Answer{Number: 123456789, Age: -1, Sum: "5f"}}, `{"a":{"n":123456789,"a":-1,"s":"5f"}}`},
-		{"empty answer", Message{Answer: &Answer{}}, `{"a":{"n":0,"a":0,"s":""}}`},
-		{"wanted list", Message{Want: "5f"}, `{"w":"5f"}`},
+		{"no rows", []Endpoint(nil), `null`},
+		{"question", Message{Query: &Query{SentAt: 123456789, PurgeDigest: 18446744073709551615}}, `{"q":{"n":123456789,"w":18446744073709551615}}`},
+		{"empty question", Message{Query: &Query{}}, `{"q":{"n":0,"w":0}}`},
+		{"answer", Message{Response: &Response{SentAt: 123456789, Age: -1, ListSum: "5f"}}, `{"a":{"n":123456789,"a":-1,"s":"5f"}}`},
+		{"empty answer", Message{Response: &Response{}}, `{"a":{"n":0,"a":0,"s":""}}`},
+		{"wanted list", Message{WantList: "5f"}, `{"w":"5f"}`},
 		{"list", Message{List: goldenRows[1:]}, `{"l":[{"i":"box-2","a":"","z":0,"k":0,"w":0}]}`},
 		{"empty message", Message{}, `{}`},
-		{"report", Report{Calls: true, Chosen: true, Sources: []string{"n0", "n1"}, Age: 7_000_000, Sum: "5f"},
+		{"report", Report{Polls: true, Delegate: true, Sources: []string{"n0", "n1"}, AgeMicros: 7_000_000, ListSum: "5f"},
 			`{"calls":true,"chosen":true,"sources":["n0","n1"],"age_us":7000000,"sum":"5f"}`},
 		{"empty report", Report{Sources: []string{}}, `{"calls":false,"chosen":false,"sources":[],"age_us":0,"sum":""}`},
 	}
@@ -61,11 +61,11 @@
 func TestGoldenSum(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		rows []Row
+		rows []Endpoint
 		want string
 	}{
 		{"none", nil, "74234e98afe7498fb5daf1f3"},
-		{"empty", []Row{}, "4f53cda18c2baa0c0354bb5f"},
+		{"empty", []Endpoint{}, "4f53cda18c2baa0c0354bb5f"},
 		{"two", goldenRows, "e9157e6a0a7982f7acf3ce3c"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 // version.
 func TestGoldenOrder(t *testing.T) {
 	b := New(0, settings("n3"))
-	b.There([]string{"n0", "n1", "n2", "n4", "n5", "n6", "n7"})
+	b.SetMembers([]string{"n0", "n1", "n2", "n4", "n5", "n6", "n7"})
 	if want := []string{"n0", "n5", "n7", "n3", "n4", "n6", "n2", "n1"}; !slices.Equal(b.order, want) {
 		t.Errorf("order %q, want %q", b.order, want)
 	}
--- a/relays/relays.go
+++ b/relays/relays.go
@@ -16,10 +16,10 @@
 	d "tallyproxy/policy"
 )
 
-// Row is a node as the channel lists it.
-type Row struct {
+// Endpoint is a node as the channel lists it.
+type Endpoint struct {
 	ID      string          `json:"i"`
-	Addr    string          `json:"a"`
+	Address string          `json:"a"`
 	Zone    int             `json:"z"`
 	Kind    int             `json:"k"`
 	Cell    int             `json:"c,omitempty"`
@@ -28,8 +28,8 @@
 	State   d.EndpointState `json:"x,omitempty"`
 }
 
-// Fold takes rows of the channel into a list; a complete one names all there are.
-func Fold(list map[string]Row, rows []Row, complete bool) {
+// Merge takes rows of the channel into a list; a complete one names all there are.
+func Merge(list map[string]Endpoint, rows []Endpoint, complete bool) {
 	if complete {
 		clear(list)
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// Rows are those of a list, by id.
-func Rows(list map[string]Row) (rows []Row) {
+// SortedEndpoints are those of a list, by id.
+func SortedEndpoints(list map[string]Endpoint) (rows []Endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(list)) {
 		rows = append(rows, list[id])
 	}
@@ -49,14 +49,14 @@
 }
 
 // Diff is what makes another list of one: rows that are new or changed, and those that are gone.
-func Diff(list map[string]Row, to []Row) (rows []Row) {
+func Diff(list map[string]Endpoint, to []Endpoint) (rows []Endpoint) {
 	there := make(map[string]bool, len(to))
 	for _, r := range to {
 		if there[r.ID] = true; list[r.ID] != r {
 			rows = append(rows, r)
 		}
 	}
-	for _, r := range Rows(list) {
+	for _, r := range SortedEndpoints(list) {
 		if !there[r.ID] {
 			r.State = d.Removed
 			rows = append(rows, r)
@@ -66,44 +66,44 @@
 }
 
 // Sum tells lists apart: the same for the same rows, whoever tells them.
-func Sum(rows []Row) string {
+func Sum(rows []Endpoint) string {
 	raw, _ := json.Marshal(rows)
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:12])
 }
 
-// Ask is a question to a source, which Answer answers. Number is the asker's own clock: what is told counts from then.
-type Ask struct {
-	Number d.Micros `json:"n"`
-	Words  uint64   `json:"w"` // sum of the purges of late that the asker knows
+// Query is a question to a source, which Answer answers. Number is the asker's own clock: what is told counts from then.
+type Query struct {
+	SentAt      d.Micros `json:"n"`
+	PurgeDigest uint64   `json:"w"` // sum of the purges of late that the asker knows
 }
 
-// Answer is a source's. Age is how long ago its list is known to have been the channel's, negative where it never was.
-type Answer struct {
-	Number d.Micros `json:"n"`
-	Age    d.Micros `json:"a"`
-	Sum    string   `json:"s"` // of the list
+// Response is a source's. Age is how long ago its list is known to have been the channel's, negative where it never was.
+type Response struct {
+	SentAt  d.Micros `json:"n"`
+	Age     d.Micros `json:"a"`
+	ListSum string   `json:"s"` // of the list
 }
 
 // Message is what one director says to another of it; one of the four is there.
 type Message struct {
-	Ask    *Ask    `json:"q,omitempty"`
-	Answer *Answer `json:"a,omitempty"`
-	Want   string  `json:"w,omitempty"` // the list of this sum, please
-	List   []Row   `json:"l,omitempty"` // here it is
+	Query    *Query     `json:"q,omitempty"`
+	Response *Response  `json:"a,omitempty"`
+	WantList string     `json:"w,omitempty"` // the list of this sum, please
+	List     []Endpoint `json:"l,omitempty"` // here it is
 }
 
 // Settings are a director's own, and times as ratios to the platform's settings.
 type Settings struct {
-	Name      string
-	Followers int      // of a location, that ask the channel; 0: every director does
-	Zones     int      // that the settings name,
-	Kinds     int      // and kinds of machines
-	Every     d.Micros // how often the others ask their sources, in a location of Crowd or fewer
-	Crowd     int
-	Stale     d.Micros // one that has not heard the channel for so long is behind
-	Wait      d.Micros // one that has started looks for others for so long, before it asks the channel itself
-	Demand    d.Micros // one that is asked follows for so long
+	Name          string
+	Delegates     int      // of a location, that ask the channel; 0: every director does
+	ZoneCount     int      // that the settings name,
+	KindCount     int      // and kinds of machines
+	QueryInterval d.Micros // how often the others ask their sources, in a location of Crowd or fewer
+	CrowdSize     int
+	StaleAfter    d.Micros // one that has not heard the channel for so long is behind
+	StartupWait   d.Micros // one that has started looks for others for so long, before it asks the channel itself
+	DemandWindow  d.Micros // one that is asked follows for so long
 }
 
 const (
@@ -115,15 +115,15 @@
 	rest     = 16   // questions for which one that was gone is not asked
 )
 
-// Derive gives the settings that follow from the platform's. What a purge is heeded within has room for two questions without an
+// DeriveSettings gives the settings that follow from the platform's. What a purge is heeded within has room for two questions without an
 // answer, two more to others, and a call.
-func Derive(name string, followers, zones, kinds int, s d.Settings) Settings {
+func DeriveSettings(name string, followers, zones, kinds int, s d.Settings) Settings {
 	grace := cmp.Or(s.PurgePropagation, s.ConnectTimeout)
-	return Settings{Name: name, Followers: followers, Zones: zones, Kinds: kinds, Every: grace / 4, Crowd: 128, Stale: 2 * grace, Wait: s.ConnectTimeout, Demand: grace}
+	return Settings{Name: name, Delegates: followers, ZoneCount: zones, KindCount: kinds, QueryInterval: grace / 4, CrowdSize: 128, StaleAfter: 2 * grace, StartupWait: s.ConnectTimeout, DemandWindow: grace}
 }
 
-// Book is one director's. Calls must not overlap.
-type Book struct {
+// Relay is one director's. Calls must not overlap.
+type Relay struct {
 	s      Settings
 	born   d.Micros
 	order  []string // of the location's that are there, this one among them, as they come to follow
@@ -158,12 +158,12 @@
 }
 
 // New makes a book that knows of nobody.
-func New(now d.Micros, s Settings) *Book {
-	return &Book{s: s, born: now, deaf: now, lonely: now, by: now - s.Demand, own: now - 2*s.Stale, order: []string{s.Name}, asked: map[string]*source{}}
+func New(now d.Micros, s Settings) *Relay {
+	return &Relay{s: s, born: now, deaf: now, lonely: now, by: now - s.DemandWindow, own: now - 2*s.StaleAfter, order: []string{s.Name}, asked: map[string]*source{}}
 }
 
-// There says who of the location is there, besides this one.
-func (b *Book) There(names []string) {
+// SetMembers says who of the location is there, besides this one.
+func (b *Relay) SetMembers(names []string) {
 	if slices.Equal(names, b.names) {
 		return
 	}
@@ -178,46 +178,48 @@
 	maps.DeleteFunc(b.asked, func(name string, _ *source) bool { return !slices.Contains(all, name) })
 }
 
-// Chosen says whether this one follows by its place.
-func (b *Book) Chosen() bool { return b.s.Followers == 0 || b.mine < b.s.Followers }
+// isDelegate says whether this one follows by its place.
+func (b *Relay) isDelegate() bool { return b.s.Delegates == 0 || b.mine < b.s.Delegates }
 
-// Calls says whether this director asks the channel itself now: it is one of those that follow, another has asked it of late, it hears
+// ShouldPoll says whether this director asks the channel itself now: it is one of those that follow, another has asked it of late, it hears
 // from nobody, or all whom it hears are behind and it is its turn.
-func (b *Book) Calls(now d.Micros) bool {
-	if b.s.Followers == 0 {
+func (b *Relay) ShouldPoll(now d.Micros) bool {
+	if b.s.Delegates == 0 {
 		return true
 	}
-	if len(b.order) == 1 && now-b.born < b.s.Wait {
+	if len(b.order) == 1 && now-b.born < b.s.StartupWait {
 		return false // it looks for others first
 	}
 	looked := now // a director that is late itself has not looked whom it hears
 	if b.ticked > 0 {
-		looked = min(now, b.ticked+b.s.Every/2)
+		looked = min(now, b.ticked+b.s.QueryInterval/2)
 	}
-	return b.Chosen() || now-b.by < b.s.Demand || looked-max(b.deaf, b.born+b.s.Wait) >= b.every() || b.turn(looked)
+	return b.isDelegate() || now-b.by < b.s.DemandWindow || looked-max(b.deaf, b.born+b.s.StartupWait) >= b.every() || b.turn(looked)
 }
 
 // turn says whether it is this one's turn to see for itself while all whom it hears are behind: as many at a time as follow, by their
 // places, and who has found the channel there goes on.
-func (b *Book) turn(now d.Micros) bool {
-	behind := now - b.lonely - b.s.Stale
+func (b *Relay) turn(now d.Micros) bool {
+	behind := now - b.lonely - b.s.StaleAfter
 	if behind < 0 {
 		return false
 	}
-	if now-b.own < b.s.Stale {
+	if now-b.own < b.s.StaleAfter {
 		return true
 	}
-	turns := d.Micros((len(b.order) + b.s.Followers - 1) / b.s.Followers)
-	return behind/b.s.Stale%turns == d.Micros(b.mine/b.s.Followers)-1
+	turns := d.Micros((len(b.order) + b.s.Delegates - 1) / b.s.Delegates)
+	return behind/b.s.StaleAfter%turns == d.Micros(b.mine/b.s.Delegates)-1
 }
 
 // every is how often sources are asked: less often where many ask the same.
-func (b *Book) every() d.Micros { return b.s.Every * d.Micros(max(1, len(b.order)/b.s.Crowd)) }
+func (b *Relay) every() d.Micros {
+	return b.s.QueryInterval * d.Micros(max(1, len(b.order)/b.s.CrowdSize))
+}
 
 // candidates are those that may be asked, as this one prefers them: the followers, each director beginning elsewhere, then the next.
-func (b *Book) candidates() (all []string) {
-	all = slices.DeleteFunc(slices.Clone(b.order[:min(len(b.order), deputies*b.s.Followers+1)]), func(n string) bool { return n == b.s.Name })
-	first := min(len(all), b.s.Followers)
+func (b *Relay) candidates() (all []string) {
+	all = slices.DeleteFunc(slices.Clone(b.order[:min(len(b.order), deputies*b.s.Delegates+1)]), func(n string) bool { return n == b.s.Name })
+	first := min(len(all), b.s.Delegates)
 	me := backoff.Seed(0, b.s.Name)
 	slices.SortFunc(all[:first], func(x, y string) int { return cmp.Compare(backoff.Seed(me, x), backoff.Seed(me, y)) })
 	return all
@@ -226,17 +228,17 @@
 // Tick says whom to ask now; the question's number is the time. One that does not answer once has another asked beside it. It is to be
 // called every half of Every: where it was not, this director was late itself, and what it was told may lie unread. That time is not held
 // against others. Guards against a fleet that has no processors for a moment, and then calls the channel as one.
-func (b *Book) Tick(now d.Micros) (ask []string) {
+func (b *Relay) Tick(now d.Micros) (ask []string) {
 	gap := now - b.ticked
 	first := b.ticked == 0
-	if b.ticked = now; !first && gap > b.s.Every {
-		late := gap - b.s.Every/2
+	if b.ticked = now; !first && gap > b.s.QueryInterval {
+		late := gap - b.s.QueryInterval/2
 		b.deaf, b.lonely = min(now, b.deaf+late), min(now, b.lonely+late)
 		for _, s := range b.asked {
 			s.late += late
 		}
 	}
-	if b.Chosen() {
+	if b.isDelegate() {
 		b.deaf, b.lonely = now, now
 		return nil
 	}
@@ -253,7 +255,7 @@
 		if s.sent > 0 && now-s.sent-s.late >= b.every() {
 			s.sent = 0
 			if s.missed++; s.missed >= silent {
-				s.missed, s.until, s.told, s.lists = 0, now+rest*b.s.Every, 0, nil
+				s.missed, s.until, s.told, s.lists = 0, now+rest*b.s.QueryInterval, 0, nil
 			}
 		}
 		if now < s.until {
@@ -276,35 +278,37 @@
 	return ask
 }
 
-func (b *Book) behind(now d.Micros, s *source) bool { return s.told == 0 || now-s.told > b.s.Stale }
+func (b *Relay) behind(now d.Micros, s *source) bool {
+	return s.told == 0 || now-s.told > b.s.StaleAfter
+}
 
-// Asked takes another's question, and gives the answer for it. Who is asked follows for a while, where it is among the next to.
-func (b *Book) Asked(now d.Micros, a Ask) Answer {
-	if b.mine < deputies*b.s.Followers {
+// HandleQuery takes another's question, and gives the answer for it. Who is asked follows for a while, where it is among the next to.
+func (b *Relay) HandleQuery(now d.Micros, a Query) Response {
+	if b.mine < deputies*b.s.Delegates {
 		b.by = now
 	}
 	if b.list == "" {
-		return Answer{Number: a.Number, Age: -1}
+		return Response{SentAt: a.SentAt, Age: -1}
 	}
-	return Answer{a.Number, max(0, now-b.began), b.list}
+	return Response{a.SentAt, max(0, now-b.began), b.list}
 }
 
-// Answered takes a source's answer. Want is the sum of a list that two sources have told and that is not in force here: it is to be
+// HandleResponse takes a source's answer. Want is the sum of a list that two sources have told and that is not in force here: it is to be
 // had from this one, and to be taken by Take.
-func (b *Book) Answered(now d.Micros, from string, a Answer) (want string) {
+func (b *Relay) HandleResponse(now d.Micros, from string, a Response) (want string) {
 	s := b.asked[from]
-	if s == nil || s.sent == 0 || a.Number != s.sent || a.Number > now || a.Age < -1 {
+	if s == nil || s.sent == 0 || a.SentAt != s.sent || a.SentAt > now || a.Age < -1 {
 		return "" // late, or never asked for: it may say what was so long ago
 	}
 	s.sent, s.missed, s.until, s.heard = 0, 0, 0, now
-	if a.Age < 0 || a.Sum == "" {
+	if a.Age < 0 || a.ListSum == "" {
 		return ""
 	}
-	at := a.Number - a.Age // it said so after it was asked, so the call began no earlier
+	at := a.SentAt - a.Age // it said so after it was asked, so the call began no earlier
 	s.told = max(s.told, at)
-	if last := len(s.lists) - 1; last >= 0 && s.lists[last].sum == a.Sum {
+	if last := len(s.lists) - 1; last >= 0 && s.lists[last].sum == a.ListSum {
 		s.lists[last].at = max(s.lists[last].at, at)
-	} else if s.lists = append(s.lists, told{a.Sum, at}); len(s.lists) > recent {
+	} else if s.lists = append(s.lists, told{a.ListSum, at}); len(s.lists) > recent {
 		s.lists = s.lists[1:]
 	}
 	sum, until := b.agreed()
@@ -319,7 +323,7 @@
 }
 
 // agreed is the list that two sources have told, and until when both have; the newest such.
-func (b *Book) agreed() (sum string, until d.Micros) {
+func (b *Relay) agreed() (sum string, until d.Micros) {
 	for _, s := range b.asked {
 		for _, o := range b.asked {
 			if s == o {
@@ -337,9 +341,9 @@
 	return sum, until
 }
 
-// Take takes a list that was wanted, if it still is: it is what two sources have told. From then on it is in force, and is known to
+// AcceptList takes a list that was wanted, if it still is: it is what two sources have told. From then on it is in force, and is known to
 // hold until the time given.
-func (b *Book) Take(rows []Row) (until d.Micros, ok bool) {
+func (b *Relay) AcceptList(rows []Endpoint) (until d.Micros, ok bool) {
 	sum, until := b.agreed()
 	if sum == "" || until <= b.began || sum != Sum(rows) || !b.sound(rows) {
 		return 0, false
@@ -349,35 +353,35 @@
 }
 
 // sound says whether a list can be used here: one of another fleet has zones and kinds that the settings don't name.
-func (b *Book) sound(rows []Row) bool {
-	return len(rows) <= longest && !slices.ContainsFunc(rows, func(r Row) bool {
-		return r.ID == "" || len(r.ID)+len(r.Addr) > 512 || r.Zone < 0 || r.Zone >= b.s.Zones || r.Kind < 0 || r.Kind >= b.s.Kinds ||
+func (b *Relay) sound(rows []Endpoint) bool {
+	return len(rows) <= longest && !slices.ContainsFunc(rows, func(r Endpoint) bool {
+		return r.ID == "" || len(r.ID)+len(r.Address) > 512 || r.Zone < 0 || r.Zone >= b.s.ZoneCount || r.Kind < 0 || r.Kind >= b.s.KindCount ||
 			r.State != d.Ready && r.State != d.Draining || !(r.Weight >= 0)
 	})
 }
 
-// Own takes the sum of the list that the own channel has told, by a call that began at a time; news are always heeded.
-func (b *Book) Own(now d.Micros, sum string, began d.Micros, news bool) {
+// PollSucceeded takes the sum of the list that the own channel has told, by a call that began at a time; news are always heeded.
+func (b *Relay) PollSucceeded(now d.Micros, sum string, began d.Micros, news bool) {
 	if b.own = now; news || began >= b.began {
 		b.list, b.began = sum, began
 	}
 }
 
-// Until is until when what is in force is known to hold, by the own clock, and the list's sum.
-func (b *Book) Until() (at d.Micros, sum string) { return b.began, b.list }
+// InForce is until when what is in force is known to hold, by the own clock, and the list's sum.
+func (b *Relay) InForce() (at d.Micros, sum string) { return b.began, b.list }
 
 // Report is what is told of it.
 type Report struct {
-	Calls   bool     `json:"calls"`   // it asks the channel itself
-	Chosen  bool     `json:"chosen"`  // by its place
-	Sources []string `json:"sources"` // that have answered lately and are not behind
-	Age     int64    `json:"age_us"`  // how long ago the list that is in force is known to have been the channel's
-	Sum     string   `json:"sum"`     // of that list
+	Polls     bool     `json:"calls"`   // it asks the channel itself
+	Delegate  bool     `json:"chosen"`  // by its place
+	Sources   []string `json:"sources"` // that have answered lately and are not behind
+	AgeMicros int64    `json:"age_us"`  // how long ago the list that is in force is known to have been the channel's
+	ListSum   string   `json:"sum"`     // of that list
 }
 
 // Report tells of it.
-func (b *Book) Report(now d.Micros) Report {
-	r := Report{Calls: b.Calls(now), Chosen: b.Chosen(), Sources: []string{}, Age: int64(now - b.began), Sum: b.list}
+func (b *Relay) Report(now d.Micros) Report {
+	r := Report{Polls: b.ShouldPoll(now), Delegate: b.isDelegate(), Sources: []string{}, AgeMicros: int64(now - b.began), ListSum: b.list}
 	for _, name := range slices.Sorted(maps.Keys(b.asked)) {
 		if s := b.asked[name]; s.heard > 0 && now-s.heard < silent*b.every() && !b.behind(now, s) {
 			r.Sources = append(r.Sources, name)
--- a/relays/relays_test.go
+++ b/relays/relays_test.go
@@ -13,7 +13,7 @@
 const ms = d.Second / 1000
 
 func settings(name string) Settings {
-	return Derive(name, 3, 2, 3, d.Settings{PurgePropagation: 500 * ms, ConnectTimeout: 400 * ms})
+	return DeriveSettings(name, 3, 2, 3, d.Settings{PurgePropagation: 500 * ms, ConnectTimeout: 400 * ms})
 }
 
 func names(n int) (all []string) {
@@ -26,7 +26,7 @@
 // fleet has books ask each other in simulated time, the channel being one number that grows.
 type fleet struct {
 	now    d.Micros
-	books  map[string]*Book
+	books  map[string]*Relay
 	down   map[string]bool // don't answer, nor call
 	cut    map[string]bool // can't reach the channel
 	called map[string]d.Micros
@@ -34,7 +34,7 @@
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{now: d.Second, books: map[string]*Book{}, down: map[string]bool{}, cut: map[string]bool{}, called: map[string]d.Micros{}}
+	f := &fleet{now: d.Second, books: map[string]*Relay{}, down: map[string]bool{}, cut: map[string]bool{}, called: map[string]d.Micros{}}
 	for _, name := range names(n) {
 		f.books[name] = New(f.now, settings(name))
 	}
@@ -44,7 +44,7 @@
 
 func (f *fleet) there() {
 	for name, b := range f.books {
-		b.There(slices.DeleteFunc(names(len(f.books)), func(o string) bool { return o == name }))
+		b.SetMembers(slices.DeleteFunc(names(len(f.books)), func(o string) bool { return o == name }))
 	}
 }
 
@@ -57,13 +57,13 @@
 			b := f.books[name]
 			for _, to := range b.Tick(f.now) {
 				if !f.down[to] && to != name {
-					b.Answered(f.now, to, f.books[to].Asked(f.now, Ask{Number: f.now}))
+					b.HandleResponse(f.now, to, f.books[to].HandleQuery(f.now, Query{SentAt: f.now}))
 				}
 			}
-			if b.Calls(f.now) && f.now-f.called[name] >= 300*ms {
+			if b.ShouldPoll(f.now) && f.now-f.called[name] >= 300*ms {
 				f.called[name] = f.now
 				if f.calls++; !f.cut[name] {
-					b.Own(f.now, "list", f.now, false)
+					b.PollSucceeded(f.now, "list", f.now, false)
 				}
 			}
 		}
@@ -73,7 +73,7 @@
 // callers are those who ask the channel.
 func (f *fleet) callers() (n int) {
 	for name, b := range f.books {
-		n += bit(!f.down[name] && b.Calls(f.now))
+		n += bit(!f.down[name] && b.ShouldPoll(f.now))
 	}
 	return n
 }
@@ -134,19 +134,19 @@
 	for name := range f.books {
 		f.down[name] = name != last
 	}
-	if f.run(2 * f.books[last].every()); f.books[last].Calls(f.now) {
+	if f.run(2 * f.books[last].every()); f.books[last].ShouldPoll(f.now) {
 		t.Error("at once")
 	}
-	if f.run(400*ms - 2*f.books[last].every() + f.books[last].every()); !f.books[last].Calls(f.now) {
+	if f.run(400*ms - 2*f.books[last].every() + f.books[last].every()); !f.books[last].ShouldPoll(f.now) {
 		t.Error("not before the grace is over")
 	}
 	b := New(d.Second, settings("x"))
-	if b.Calls(d.Second+399*ms) || !b.Calls(d.Second+400*ms) {
+	if b.ShouldPoll(d.Second+399*ms) || !b.ShouldPoll(d.Second+400*ms) {
 		t.Error("one that has started and met nobody")
 	}
 	s := settings("x")
-	s.Followers = 0
-	if b := New(0, s); !b.Calls(0) || b.Tick(0) != nil {
+	s.Delegates = 0
+	if b := New(0, s); !b.ShouldPoll(0) || b.Tick(0) != nil {
 		t.Error("each follows for itself")
 	}
 }
@@ -155,11 +155,11 @@
 // the time that the book says, or later, and that time never goes back.
 func TestNothingGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := func(version int) []Row { return []Row{{ID: fmt.Sprint("box-", version)}} }
+		list := func(version int) []Endpoint { return []Endpoint{{ID: fmt.Sprint("box-", version)}} }
 		b := New(1, settings("me"))
 		others := []string{"a", "b", "c", "liar"}
-		b.There(others)
-		if b.Chosen() { // the name decides; it is to be one that hears
+		b.SetMembers(others)
+		if b.isDelegate() { // the name decides; it is to be one that hears
 			t.Fatal("the test's names")
 		}
 		now, since := d.Second, []d.Micros{0} // when each version came into force
@@ -170,7 +170,7 @@
 		said := map[string]source{}
 		type letter struct {
 			from string
-			Answer
+			Response
 		}
 		var post []letter
 		asked := map[string]d.Micros{}
@@ -191,9 +191,9 @@
 				name := rapid.SampledFrom(others).Draw(t, "answers")
 				s, ok := said[name]
 				if number := asked[name]; number > 0 && ok {
-					a := Answer{Number: number, Age: now - s.began, Sum: Sum(list(s.version))}
+					a := Response{SentAt: number, Age: now - s.began, ListSum: Sum(list(s.version))}
 					if name == "liar" {
-						a.Age, a.Sum = 0, Sum(list(rapid.IntRange(0, len(since)).Draw(t, "lie")))
+						a.Age, a.ListSum = 0, Sum(list(rapid.IntRange(0, len(since)).Draw(t, "lie")))
 					}
 					post = append(post, letter{name, a})
 				}
@@ -206,15 +206,15 @@
 				if rapid.Bool().Draw(t, "once") {
 					post = slices.Delete(post, i, i+1)
 				}
-				if want := b.Answered(now, l.from, l.Answer); want != "" {
+				if want := b.HandleResponse(now, l.from, l.Response); want != "" {
 					for version := range since {
 						if Sum(list(version)) == want {
-							b.Take(list(version))
+							b.AcceptList(list(version))
 						}
 					}
 				}
 			}
-			at, sum := b.Until()
+			at, sum := b.InForce()
 			if at < until {
 				t.Fatalf("known until %d, before until %d", at, until)
 			}
@@ -233,36 +233,36 @@
 }
 
 func TestLists(t *testing.T) {
-	list := map[string]Row{}
-	Fold(list, []Row{{ID: "a", Started: 1}, {ID: "b"}}, true)
-	Fold(list, []Row{{ID: "a", Started: 2, State: d.Draining}, {ID: "b", State: d.Removed}, {ID: "c"}}, false)
-	if rows := Rows(list); len(rows) != 2 || rows[0].Started != 2 || rows[0].State != d.Draining || rows[1].ID != "c" {
+	list := map[string]Endpoint{}
+	Merge(list, []Endpoint{{ID: "a", Started: 1}, {ID: "b"}}, true)
+	Merge(list, []Endpoint{{ID: "a", Started: 2, State: d.Draining}, {ID: "b", State: d.Removed}, {ID: "c"}}, false)
+	if rows := SortedEndpoints(list); len(rows) != 2 || rows[0].Started != 2 || rows[0].State != d.Draining || rows[1].ID != "c" {
 		t.Errorf("%+v", rows)
 	}
-	if Sum(Rows(list)) == Sum([]Row{{ID: "a", Started: 2}, {ID: "c"}}) {
+	if Sum(SortedEndpoints(list)) == Sum([]Endpoint{{ID: "a", Started: 2}, {ID: "c"}}) {
 		t.Error("two lists have one sum")
 	}
-	other := map[string]Row{"a": {ID: "a", Started: 1}, "b": {ID: "b"}}
-	diff := Diff(other, Rows(list))
+	other := map[string]Endpoint{"a": {ID: "a", Started: 1}, "b": {ID: "b"}}
+	diff := Diff(other, SortedEndpoints(list))
 	if len(diff) != 3 || diff[2].ID != "b" || diff[2].State != d.Removed {
 		t.Errorf("%+v", diff)
 	}
-	if Fold(other, diff, false); Sum(Rows(other)) != Sum(Rows(list)) || Diff(other, Rows(list)) != nil {
+	if Merge(other, diff, false); Sum(SortedEndpoints(other)) != Sum(SortedEndpoints(list)) || Diff(other, SortedEndpoints(list)) != nil {
 		t.Errorf("%+v", other)
 	}
 	b := New(0, settings("x"))
 	for _, c := range []struct {
-		row  Row
+		row  Endpoint
 		good bool
 	}{
-		{Row{ID: "a", Zone: 1, Kind: 2}, true}, {Row{ID: "a", Zone: 2}, false}, {Row{ID: "a", Kind: 3}, false}, {Row{ID: "a", Zone: -1}, false},
-		{Row{}, false}, {Row{ID: "a", State: d.Removed}, false}, {Row{ID: "a", Weight: -1}, false}, {Row{ID: "a", State: 7}, false},
+		{Endpoint{ID: "a", Zone: 1, Kind: 2}, true}, {Endpoint{ID: "a", Zone: 2}, false}, {Endpoint{ID: "a", Kind: 3}, false}, {Endpoint{ID: "a", Zone: -1}, false},
+		{Endpoint{}, false}, {Endpoint{ID: "a", State: d.Removed}, false}, {Endpoint{ID: "a", Weight: -1}, false}, {Endpoint{ID: "a", State: 7}, false},
 	} {
-		if b.sound([]Row{c.row}) != c.good {
+		if b.sound([]Endpoint{c.row}) != c.good {
 			t.Errorf("%+v", c.row)
 		}
 	}
-	if b.sound(make([]Row, longest+1)) {
+	if b.sound(make([]Endpoint, longest+1)) {
 		t.Error("a list that is too long")
 	}
 }
@@ -280,21 +280,21 @@
 			f.run(3 * d.Second)
 			b := f.books[f.books["n0"].order[39]]
 			asked := b.Tick(f.now + 130*ms)
-			if len(asked) != sources || b.Calls(f.now) {
-				t.Fatalf("asks %v, calls %v", asked, b.Calls(f.now))
+			if len(asked) != sources || b.ShouldPoll(f.now) {
+				t.Fatalf("asks %v, calls %v", asked, b.ShouldPoll(f.now))
 			}
 			last := f.now + 130*ms
 			for now := last + c.looks; now <= last+600*ms; now += c.looks {
-				if b.Calls(now) && !c.calls {
+				if b.ShouldPoll(now) && !c.calls {
 					t.Error("it calls before it has looked")
 				}
 				b.Tick(now)
 			}
-			if b.Calls(last+600*ms) != c.calls {
+			if b.ShouldPoll(last+600*ms) != c.calls {
 				t.Errorf("calls: %v", !c.calls)
 			}
 			for _, to := range asked { // what lay unread
-				if b.Answered(last+600*ms, to, Answer{Number: last, Age: 0, Sum: "list"}); !c.calls && b.asked[to].heard != last+600*ms {
+				if b.HandleResponse(last+600*ms, to, Response{SentAt: last, Age: 0, ListSum: "list"}); !c.calls && b.asked[to].heard != last+600*ms {
 					t.Errorf("the answer of %s is not taken", to)
 				}
 			}
--- a/stall/pulse_test.go
+++ b/stall/pulse_test.go
@@ -10,7 +10,7 @@
 
 const ms = d.Second / 1000
 
-var times = Times{Gap: 250 * ms, Cycle: 2 * d.Second, Bound: 800 * ms}
+var times = Thresholds{Stall: 250 * ms, PollCycle: 2 * d.Second, SuspectTimeout: 800 * ms}
 
 func both(t d.Micros) Reading { return Reading{t, 1_000_000*d.Second + t} }
 
@@ -55,18 +55,18 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var settled string
-			w := New(times, both(0), func(d.Micros) {}, func(how How, _ d.Micros) { settled = how.String() })
+			w := New(times, both(0), func(d.Micros) {}, func(how Resolution, _ d.Micros) { settled = how.String() })
 			for i, s := range c.steps {
 				settled = ""
 				switch s.what {
 				case "beat":
-					w.Beat(both(s.at))
+					w.Heartbeat(both(s.at))
 				case "use":
-					if got := w.Sound(both(s.at)); got != s.sound {
+					if got := w.Trusted(both(s.at)); got != s.sound {
 						t.Fatalf("step %d: sound %v, want %v", i, got, s.sound)
 					}
 				default:
-					w.Answered(both(s.began), both(s.at), s.what == "ok")
+					w.PollDone(both(s.began), both(s.at), s.what == "ok")
 				}
 				if settled != s.settled {
 					t.Fatalf("step %d: settled %q, want %q", i, settled, s.settled)
@@ -78,32 +78,32 @@
 
 // A machine that slept: its monotonic clock stood still. And a driver that does not turn, while beats go on.
 func TestOtherJumps(t *testing.T) {
-	w := New(times, both(0), func(d.Micros) {}, func(How, d.Micros) {})
-	if w.Sound(Reading{Mono: ms, Wall: both(4000 * ms).Wall}) || w.Jumps() != 1 {
+	w := New(times, both(0), func(d.Micros) {}, func(Resolution, d.Micros) {})
+	if w.Trusted(Reading{Monotonic: ms, Wall: both(4000 * ms).Wall}) || w.Stalls() != 1 {
 		t.Error("a sleep of the machine was not noticed")
 	}
-	w = New(times, both(0), func(d.Micros) {}, func(How, d.Micros) {})
+	w = New(times, both(0), func(d.Micros) {}, func(Resolution, d.Micros) {})
 	for at := d.Micros(0); at <= 2*d.Second; at += 100 * ms {
-		if w.Beat(both(at)); !w.Sound(both(at)) {
+		if w.Heartbeat(both(at)); !w.Trusted(both(at)) {
 			t.Fatalf("in doubt at %d", at)
 		}
 	}
-	if w.Beat(both(2100 * ms)); w.Sound(both(2101 * ms)) {
+	if w.Heartbeat(both(2100 * ms)); w.Trusted(both(2101 * ms)) {
 		t.Error("a driver that does not turn was not noticed")
 	}
 }
 
 // What is read around a jump may be as old as it was long; what was read before it, and a while later, is not.
 func TestLate(t *testing.T) {
-	w := New(times, both(0), func(d.Micros) {}, func(How, d.Micros) {})
-	w.Beat(both(100 * ms))
-	w.Turn(both(100 * ms))
-	w.Sound(both(4100 * ms))
-	w.Answered(both(4110*ms), both(4120*ms), true)
+	w := New(times, both(0), func(d.Micros) {}, func(Resolution, d.Micros) {})
+	w.Heartbeat(both(100 * ms))
+	w.Polled(both(100 * ms))
+	w.Trusted(both(4100 * ms))
+	w.PollDone(both(4110*ms), both(4120*ms), true)
 	for _, c := range []struct{ read, want d.Micros }{
 		{90 * ms, 0}, {4090 * ms, 4000 * ms}, {4100 * ms, 4000 * ms}, {4125 * ms, 4000 * ms}, {4300 * ms, 0},
 	} {
-		if got := w.Late(both(c.read)); got != c.want {
+		if got := w.StaleBy(both(c.read)); got != c.want {
 			t.Errorf("read at %d: may have come %d before, want %d", c.read, got, c.want)
 		}
 	}
@@ -115,7 +115,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now, calls, pauses := d.Micros(0), d.Micros(-1), 0
 		paused, asked := d.Micros(-1), true // the end of the last pause, and whether it was followed by a call that answered
-		w := New(times, both(0), func(d.Micros) {}, func(How, d.Micros) {})
+		w := New(times, both(0), func(d.Micros) {}, func(Resolution, d.Micros) {})
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
@@ -124,23 +124,23 @@
 				pauses++
 			case 1:
 				now += 50 * ms
-				w.Beat(both(now))
+				w.Heartbeat(both(now))
 			case 2:
 				calls = now
-				w.Turn(both(now))
+				w.Polled(both(now))
 			case 3:
 				if calls >= 0 {
-					w.Answered(both(calls), both(now), true)
+					w.PollDone(both(calls), both(now), true)
 					asked = asked || calls >= paused
 					calls = -1
 				}
 			case 4:
-				sound := w.Sound(both(now))
-				if sound && !asked && now-paused <= times.Bound {
+				sound := w.Trusted(both(now))
+				if sound && !asked && now-paused <= times.SuspectTimeout {
 					t.Fatalf("sound at %d, paused until %d and not asked since", now, paused)
 				}
 			}
-			if pauses == 0 && now < times.Cycle && w.Doubted() {
+			if pauses == 0 && now < times.PollCycle && w.Suspect() {
 				t.Fatal("in doubt without a pause")
 			}
 		}
