--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -84,8 +84,8 @@
 // Marks is the settings of keys, with as many marks as memory allows where the file says none.
 func (o Operator) Marks(l Limits) dedup.Settings {
 	k := o.Keys
-	if k.Most < 0 {
-		k.Most = int(l.Memory() / markPart / markBytes)
+	if k.MaxRecords < 0 {
+		k.MaxRecords = int(l.Memory() / markPart / markBytes)
 	}
 	return k
 }
@@ -116,7 +116,7 @@
 
 // DefaultOperator is what holds without a file: fixed advice, and marks of deduped downloads.
 func DefaultOperator() Operator {
-	return Operator{Storm: overload.Defaults(), Keys: dedup.Settings{Most: -1, Remember: 20}}
+	return Operator{Storm: overload.DefaultSettings(), Keys: dedup.Settings{MaxRecords: -1, RetainWindows: 20}}
 }
 
 // LoadOperator reads the file; with no path it gives the defaults. Errors name file, line and key.
@@ -175,21 +175,21 @@
 		}},
 		"storm": {keys: []key{
 			choice("mode", &o.Storm.Mode, map[string]overload.Mode{
-				"guard": overload.Guards, "fixed": overload.Fixed, "silent": overload.Silent,
+				"guard": overload.ModeReserve, "fixed": overload.ModeFixed, "silent": overload.ModeSilent,
 			}),
-			ratio("reach", &o.Storm.Reach, 0.1, 1),
+			ratio("reach", &o.Storm.Horizon, 0.1, 1),
 			count("windows", &o.Storm.Windows, 2, 1000),
-			ratio("rise", &o.Storm.Rise, 0.1, 100),
-			ratio("surge", &o.Storm.Surge, 1, 1000),
-			ratio("repeats", &o.Storm.Repeats, 0, 1),
-			ratio("cold", &o.Storm.Cold, 0, 1),
-			ratio("promise", &o.Storm.Use, 0.05, 1),
-			count("clients", &o.Storm.Memory, 64, 1<<20),
+			ratio("rise", &o.Storm.DemandThreshold, 0.1, 100),
+			ratio("surge", &o.Storm.ConnectionSurge, 1, 1000),
+			ratio("repeats", &o.Storm.RetryShare, 0, 1),
+			ratio("cold", &o.Storm.ColdThreshold, 0, 1),
+			ratio("promise", &o.Storm.ReservableShare, 0.05, 1),
+			count("clients", &o.Storm.MaxReservations, 64, 1<<20),
 		}},
 		"keys": {keys: []key{
-			count("marks", &o.Keys.Most, 0, 1<<20),
-			ratio("remember", &o.Keys.Remember, 1, 1000),
-			choice("strangers", &o.Keys.Abandon, map[string]bool{"send": false, "abandon": true}),
+			count("marks", &o.Keys.MaxRecords, 0, 1<<20),
+			ratio("remember", &o.Keys.RetainWindows, 1, 1000),
+			choice("strangers", &o.Keys.FailUnknownRetries, map[string]bool{"send": false, "abandon": true}),
 		}},
 		"door":    {keys: []key{timed("settle", &o.Settle, time.Millisecond, 10*time.Second)}},
 		"machine": {keys: []key{count("cores", &o.Cores, 1, 256)}},
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -22,7 +22,7 @@
 func TestOperator(t *testing.T) {
 	plain := func(o Operator) Operator { o.Sum = ""; return o }
 	o, err := LoadOperator("")
-	if err != nil || !reflect.DeepEqual(plain(o), DefaultOperator()) || o.Storm.Mode != overload.Fixed || o.Marks(Limits{MemoryMB: 32}).Most != 4915 {
+	if err != nil || !reflect.DeepEqual(plain(o), DefaultOperator()) || o.Storm.Mode != overload.ModeFixed || o.Marks(Limits{MemoryMB: 32}).MaxRecords != 4915 {
 		t.Errorf("without a file: %+v, %v", o, err)
 	}
 	o, err = operator(t, `
@@ -34,15 +34,15 @@
 avoid(boxes = ["box-" + str(i) for i in range(2)])
 state(socket = "/run/n0.sock")
 `)
-	if err != nil || o.Storm.Mode != overload.Guards || o.Storm.Windows != 20 || o.Storm.Rise != 1.5 || o.Storm.Surge != 4 ||
-		o.Keys.Remember != 5 || !o.Keys.Abandon || o.Keys.Most != 100 || o.Settle != 250_000 || o.Log != slog.LevelWarn ||
+	if err != nil || o.Storm.Mode != overload.ModeReserve || o.Storm.Windows != 20 || o.Storm.DemandThreshold != 1.5 || o.Storm.ConnectionSurge != 4 ||
+		o.Keys.RetainWindows != 5 || !o.Keys.FailUnknownRetries || o.Keys.MaxRecords != 100 || o.Settle != 250_000 || o.Log != slog.LevelWarn ||
 		!reflect.DeepEqual(o.Avoid, []string{"box-0", "box-1"}) || o.State != "/run/n0.sock" || len(o.Sum) != 64 {
 		t.Errorf("read as %+v, %v", o, err)
 	}
-	if o, err = LoadOperator("../../deploy/director.star"); err != nil || o.Storm.Mode != overload.Guards {
+	if o, err = LoadOperator("../../deploy/director.star"); err != nil || o.Storm.Mode != overload.ModeReserve {
 		t.Errorf("the file that is delivered: %+v, %v", o, err)
 	}
-	if o.Storm.Mode = overload.Fixed; !reflect.DeepEqual(plain(o), DefaultOperator()) {
+	if o.Storm.Mode = overload.ModeFixed; !reflect.DeepEqual(plain(o), DefaultOperator()) {
 		t.Errorf("the file that is delivered says other figures than the defaults: %+v", o)
 	}
 }
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -145,8 +145,8 @@
 // options are what the operator's file says to the decisions.
 func options(o config.Operator, l config.Limits, g *gossipDriver) routing.Options {
 	return routing.Options{Overload: o.Storm, Dedup: o.Marks(l), QuotaShare: g.held, OnOverloadReport: func(_ policy.Micros, r overload.Report) {
-		slog.Info("storm", "state", r.State, "demand", r.Demand, "warm", r.Warm, "asks", r.Asks, "repeats", r.Repeats,
-			"early", r.Early, "connects", r.Connects, "promised", r.Promised, "kept", r.Kept)
+		slog.Info("storm", "state", r.State, "demand", r.Demand, "warm", r.WarmShare, "asks", r.Requests, "repeats", r.Retries,
+			"early", r.EarlyRetries, "connects", r.NewConnections, "promised", r.ReservedShare, "kept", r.KeptShare)
 	}}
 }
 
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -370,7 +370,7 @@
 		t.Error("started with a faulty script")
 	}
 	write("storm(mode = \"guard\")\nmachine(cores = 4)")
-	if c, o, err := load(f, os.Getenv); err != nil || o.Storm.Mode != overload.Guards || o.Shards(c.Limits) != 1 {
+	if c, o, err := load(f, os.Getenv); err != nil || o.Storm.Mode != overload.ModeReserve || o.Shards(c.Limits) != 1 {
 		t.Errorf("%+v, %v", o, err)
 	}
 }
--- a/overload/golden_test.go
+++ b/overload/golden_test.go
@@ -17,7 +17,7 @@
 func TestGoldenReport(t *testing.T) {
 	const want = `{"State":2,"Asks":1,"Repeats":2,"Early":3,"Connects":4,"Demand":5.5,"Warm":0.25,"Promised":6.5,"Kept":0.5,"Part":7.5,"Remembers":8}`
 	report := Report{
-		State: Held, Asks: 1, Repeats: 2, Early: 3, Connects: 4, Demand: 5.5, Warm: 0.25, Promised: 6.5, Kept: 0.5, Part: 7.5, Remembers: 8,
+		State: Held, Requests: 1, Retries: 2, EarlyRetries: 3, NewConnections: 4, Demand: 5.5, WarmShare: 0.25, ReservedShare: 6.5, KeptShare: 0.5, CapacityFactor: 7.5, Reservations: 8,
 	}
 	if got, err := json.Marshal(report); err != nil || string(got) != want {
 		t.Errorf("%s, %v", got, err)
@@ -43,7 +43,7 @@
 // TestGoldenHashes checks the hashes and the random numbers that decisions depend on.
 func TestGoldenHashes(t *testing.T) {
 	r := newMultiply(7)
-	got := fmt.Sprintf("%#x %#x %v %v %v", mix(0x9e3779b97f4a7c15), id(&Ask{Who: 5, Object: 9}), r.unit(), r.unit(), r.unit())
+	got := fmt.Sprintf("%#x %#x %v %v %v", mix(0x9e3779b97f4a7c15), id(&Admission{ClientHash: 5, ObjectHash: 9}), r.unit(), r.unit(), r.unit())
 	if want := "0xe220a8397b1dcdaf 0x87f32aed3fc9fe71 0.7566713308915496 0.8468314164783806 0.9232975307386369"; got != want {
 		t.Errorf("%q", got)
 	}
@@ -60,27 +60,27 @@
 		trace := fnv.New64a()
 		f := &caches{full: 12, from: 0.2, began: 10 * d.Second, warm: 8 * d.Second}
 		g := guard(f, func(now d.Micros, r Report) {
-			fmt.Fprintln(trace, now, r.State, r.Asks, r.Demand, r.Promised, r.Kept, r.Part)
+			fmt.Fprintln(trace, now, r.State, r.Requests, r.Demand, r.ReservedShare, r.KeptShare, r.CapacityFactor)
 		})
 		now := 10 * d.Second
 		for range 8000 {
 			now += d.Micros(r.IntN(int(8 * ms)))
 			if r.IntN(4) == 0 {
-				g.Connected(now)
+				g.ClientConnected(now)
 			}
 			a := ask(r.IntN(300), r.IntN(3) == 0)
 			a.Work *= 2 * r.Float64()
-			a.Cost = 3 * r.Float64()
-			in := g.Asked(now, a)
-			fmt.Fprintln(trace, now, in, a.Due())
+			a.RelativeCost = 3 * r.Float64()
+			in := g.Admit(now, a)
+			fmt.Fprintln(trace, now, in, a.OnTime())
 			if in && r.IntN(3) > 0 {
-				g.Served(now, a, r.IntN(5) == 0)
+				g.Completed(now, a, r.IntN(5) == 0)
 				continue
 			}
-			fmt.Fprintln(trace, g.Place(now, a, 250*ms))
+			fmt.Fprintln(trace, g.RetryAfter(now, a, 250*ms))
 		}
 		report := g.Report(now)
-		fmt.Fprintln(trace, report.Warm, report.Remembers, report.Early)
+		fmt.Fprintln(trace, report.WarmShare, report.Reservations, report.EarlyRetries)
 		if got := trace.Sum64(); got != c.want {
 			t.Errorf("{%d, %#x},", c.seed, got)
 		}
--- a/overload/guard.go
+++ b/overload/guard.go
@@ -17,27 +17,27 @@
 type Mode int
 
 const (
-	Fixed  Mode = iota // the ordinary time, whatever goes on
-	Silent             // no time
-	Guards             // places, while there is a storm
+	ModeFixed   Mode = iota // the ordinary time, whatever goes on
+	ModeSilent              // no time
+	ModeReserve             // places, while there is a storm
 )
 
 // Settings are the operator's. Spans are parts of the longest advice that clients heed.
 type Settings struct {
-	Mode    Mode
-	Reach   float64 // how far ahead places are given
-	Windows int     // that the reach is cut into
-	Rise    float64 // work asked for over what can be done, from which a storm may rise
-	Surge   float64 // new connections over the usual that are a sign of one
-	Repeats float64 // share of marked repeats that is
-	Cold    float64 // part of their full capacity under which the caches are
-	Use     float64 // part of what can be done that is promised
-	Memory  int     // places remembered
+	Mode            Mode
+	Horizon         float64 // how far ahead places are given
+	Windows         int     // that the reach is cut into
+	DemandThreshold float64 // work asked for over what can be done, from which a storm may rise
+	ConnectionSurge float64 // new connections over the usual that are a sign of one
+	RetryShare      float64 // share of marked repeats that is
+	ColdThreshold   float64 // part of their full capacity under which the caches are
+	ReservableShare float64 // part of what can be done that is promised
+	MaxReservations int     // places remembered
 }
 
-// Defaults are those of an operator's file that says nothing.
-func Defaults() Settings {
-	return Settings{Reach: 1, Windows: 10, Rise: 1.25, Surge: 4, Repeats: 0.5, Cold: 0.6, Use: 0.9, Memory: 4096}
+// DefaultSettings are those of an operator's file that says nothing.
+func DefaultSettings() Settings {
+	return Settings{Horizon: 1, Windows: 10, DemandThreshold: 1.25, ConnectionSurge: 4, RetryShare: 0.5, ColdThreshold: 0.6, ReservableShare: 0.9, MaxReservations: 4096}
 }
 
 // CapacityEstimate is what the guard asks of the limits.
@@ -84,34 +84,34 @@
 	singlePart = 0.4   // of the demand, from which one object is most of it
 )
 
-// Ask is one download as the guard sees it. It lives as long as the download.
-type Ask struct {
-	Who    uint64  // the client, as a hash; 0 where not known
-	Object uint64  // content type, object and part, as a hash
-	Work   float64 // sending time at full pace, µs
-	Cost   float64 // what it costs for its benefit, over what most do
-	Again  bool    // marked as a repeat
+// Admission is one download as the guard sees it. It lives as long as the download.
+type Admission struct {
+	ClientHash   uint64  // the client, as a hash; 0 where not known
+	ObjectHash   uint64  // content type, object and part, as a hash
+	Work         float64 // sending time at full pace, µs
+	RelativeCost float64 // what it costs for its benefit, over what most do
+	IsRetry      bool    // marked as a repeat
 
 	early, came, due, let bool     // before its time; at its time; and it had a place; let in where room was reckoned with
 	at                    d.Micros // its place
 }
 
-// Due says whether it came at the time of its place: it counts as a first try.
-func (a *Ask) Due() bool { return a.due }
+// OnTime says whether it came at the time of its place: it counts as a first try.
+func (a *Admission) OnTime() bool { return a.due }
 
 // Report is how things go, for the operators. The state socket tells it as JSON, under the names in the tags.
 type Report struct {
-	State     State   `json:"State"`
-	Asks      int     `json:"Asks"`      // of the last windows,
-	Repeats   int     `json:"Repeats"`   // of them marked as such,
-	Early     int     `json:"Early"`     // and before their time
-	Connects  int     `json:"Connects"`  // new connections of the last windows
-	Demand    float64 `json:"Demand"`    // work asked for in them, over what could be done
-	Warm      float64 `json:"Warm"`      // part of full capacity
-	Promised  float64 `json:"Promised"`  // work promised ahead, over what can be done in the reach
-	Kept      float64 `json:"Kept"`      // part of the promises that clients come for
-	Part      float64 `json:"Part"`      // of what can be done that is promised, as learned
-	Remembers int     `json:"Remembers"` // places remembered
+	State          State   `json:"State"`
+	Requests       int     `json:"Asks"`      // of the last windows,
+	Retries        int     `json:"Repeats"`   // of them marked as such,
+	EarlyRetries   int     `json:"Early"`     // and before their time
+	NewConnections int     `json:"Connects"`  // new connections of the last windows
+	Demand         float64 `json:"Demand"`    // work asked for in them, over what could be done
+	WarmShare      float64 `json:"Warm"`      // part of full capacity
+	ReservedShare  float64 `json:"Promised"`  // work promised ahead, over what can be done in the reach
+	KeptShare      float64 `json:"Kept"`      // part of the promises that clients come for
+	CapacityFactor float64 `json:"Part"`      // of what can be done that is promised, as learned
+	Reservations   int     `json:"Remembers"` // places remembered
 }
 
 // tally is what happened in one window.
@@ -122,8 +122,8 @@
 	asks, again, early, conns    int
 }
 
-// Guard is one instance.
-type Guard struct {
+// Controller is one instance.
+type Controller struct {
 	s     Settings
 	f     CapacityEstimate
 	span  d.Micros // of a window
@@ -149,50 +149,50 @@
 
 // New makes a guard for clients that heed advice up to a time; with none, or in another mode, it never sees a storm. Told,
 // where given, hears of every change of state.
-func New(s Settings, most d.Micros, seed uint64, f CapacityEstimate, told func(d.Micros, Report)) *Guard {
-	g := &Guard{s: s, f: f, rng: newMultiply(seed), part: 1, kept: 1, told: told}
-	g.reach = d.Micros(s.Reach * float64(most))
-	if s.Mode != Guards || g.reach <= 0 || s.Windows <= 0 || g.reach < d.Micros(s.Windows) {
-		g.s.Mode = min(s.Mode, Silent)
+func New(s Settings, most d.Micros, seed uint64, f CapacityEstimate, told func(d.Micros, Report)) *Controller {
+	g := &Controller{s: s, f: f, rng: newMultiply(seed), part: 1, kept: 1, told: told}
+	g.reach = d.Micros(s.Horizon * float64(most))
+	if s.Mode != ModeReserve || g.reach <= 0 || s.Windows <= 0 || g.reach < d.Micros(s.Windows) {
+		g.s.Mode = min(s.Mode, ModeSilent)
 		return g
 	}
 	g.span = g.reach / d.Micros(s.Windows)
 	g.ahead = make([]float64, s.Windows+2)
-	g.places, g.early = newPlaces(s.Memory), newSketch(s.Memory/4)
+	g.places, g.early = newPlaces(s.MaxReservations), newSketch(s.MaxReservations/4)
 	return g
 }
 
 // promised is the work that is promised for a window, of those ahead.
-func (g *Guard) promised(window int64) *float64 { return &g.ahead[window%int64(len(g.ahead))] }
+func (g *Controller) promised(window int64) *float64 { return &g.ahead[window%int64(len(g.ahead))] }
 
-func (g *Guard) present() *tally { return &g.past[g.at%back] }
+func (g *Controller) present() *tally { return &g.past[g.at%back] }
 
-// Connected hears of a client's new connection.
-func (g *Guard) Connected(now d.Micros) {
-	if g.s.Mode != Guards {
+// ClientConnected hears of a client's new connection.
+func (g *Controller) ClientConnected(now d.Micros) {
+	if g.s.Mode != ModeReserve {
 		return
 	}
 	g.turn(now)
 	g.present().conns++
 }
 
-// Asked hears a download, and says whether it may be placed. Where it may not, what there is room for now is promised to
+// Admit hears a download, and says whether it may be placed. Where it may not, what there is room for now is promised to
 // others, or it came before its own time.
-func (g *Guard) Asked(now d.Micros, a *Ask) bool {
-	if g.s.Mode != Guards {
+func (g *Controller) Admit(now d.Micros, a *Admission) bool {
+	if g.s.Mode != ModeReserve {
 		return true
 	}
 	g.turn(now)
 	t := g.present()
 	t.asks++
-	if a.Again {
+	if a.IsRetry {
 		t.again++
 		if p := g.places.find(id(a)); p != nil {
 			switch {
 			case now < p.at-g.span/4 && g.state != Calm:
 				a.early, a.at = true, p.at
 				t.early++
-				g.early.add(a.Who)
+				g.early.add(a.ClientHash)
 				return false
 			case now <= p.at+2*g.span:
 				a.came, a.due = true, p.work > 0
@@ -205,14 +205,14 @@
 			*p = place{}
 		}
 	}
-	if t.asked += a.Work; !a.Again {
+	if t.asked += a.Work; !a.IsRetry {
 		t.first += a.Work
 	}
-	g.top.add(a.Object, a.Work)
+	g.top.add(a.ObjectHash, a.Work)
 	if g.state == Calm && g.over(now) {
 		g.enter(now, Rising)
 	}
-	if a.Again && !a.due && g.state >= Held {
+	if a.IsRetry && !a.due && g.state >= Held {
 		left := *g.promised(g.at) * max(leastKept, g.kept)
 		rest := 1 - float64(now%g.span)/float64(g.span)
 		if t.let+left+g.first*rest+a.Work > g.capacity(now) {
@@ -220,15 +220,15 @@
 		}
 	}
 	t.let += a.Work
-	if a.let = a.Again && g.state >= Held; a.let {
+	if a.let = a.IsRetry && g.state >= Held; a.let {
 		t.sure += a.Work
 	}
 	return true
 }
 
-// Served hears that a download was fulfilled, late or not.
-func (g *Guard) Served(now d.Micros, a *Ask, late bool) {
-	if g.s.Mode != Guards {
+// Completed hears that a download was fulfilled, late or not.
+func (g *Controller) Completed(now d.Micros, a *Admission, late bool) {
+	if g.s.Mode != ModeReserve {
 		return
 	}
 	g.turn(now)
@@ -238,12 +238,12 @@
 	}
 }
 
-// Place is the time after which a download that is turned away may come back; ordinary is what it is told in calm.
-func (g *Guard) Place(now d.Micros, a *Ask, ordinary d.Micros) d.Micros {
-	if g.s.Mode == Silent {
+// RetryAfter is the time after which a download that is turned away may come back; ordinary is what it is told in calm.
+func (g *Controller) RetryAfter(now d.Micros, a *Admission, ordinary d.Micros) d.Micros {
+	if g.s.Mode == ModeSilent {
 		return 0
 	}
-	if g.s.Mode == Fixed {
+	if g.s.Mode == ModeFixed {
 		return ordinary
 	}
 	g.turn(now)
@@ -261,14 +261,14 @@
 }
 
 // promise finds a place and remembers it.
-func (g *Guard) promise(now d.Micros, a *Ask) d.Micros {
-	share := min(1, max(0.5, 1/max(a.Cost, 1e-9)))
+func (g *Controller) promise(now d.Micros, a *Admission) d.Micros {
+	share := min(1, max(0.5, 1/max(a.RelativeCost, 1e-9)))
 	switch {
 	case a.came:
 		share *= heeded
-	case a.Again && g.early.count(a.Who) >= often:
+	case a.IsRetry && g.early.count(a.ClientHash) >= often:
 		share *= ignored
-	case a.Again:
+	case a.IsRetry:
 		share *= repeated
 	}
 	last := int64((now + g.reach) / g.span)
@@ -292,16 +292,16 @@
 }
 
 // capacity is how much work is reckoned with for the window of a time.
-func (g *Guard) capacity(at d.Micros) float64 { return g.able(at) * float64(g.span) * g.part }
+func (g *Controller) capacity(at d.Micros) float64 { return g.able(at) * float64(g.span) * g.part }
 
 // room is how much may be promised of it: what first tries are likely to leave, and more where many don't come for what
 // they were promised.
-func (g *Guard) room(at d.Micros) float64 {
+func (g *Controller) room(at d.Micros) float64 {
 	all := g.capacity(at)
-	return max(all*leastRoom, all-g.first) * g.s.Use / max(leastKept, g.kept)
+	return max(all*leastRoom, all-g.first) * g.s.ReservableShare / max(leastKept, g.kept)
 }
 
-func (g *Guard) able(at d.Micros) float64 {
+func (g *Controller) able(at d.Micros) float64 {
 	if able := g.f.Capacity(at); able > 0 {
 		return able
 	}
@@ -310,39 +310,39 @@
 
 // over says whether demand passes what can be done, with a sign of a storm. One object that is most of the demand is left
 // out of it: its home has its limit, and the others have none of it.
-func (g *Guard) over(now d.Micros) bool {
+func (g *Controller) over(now d.Micros) bool {
 	r := g.figures(now)
 	switch {
-	case r.Demand <= g.s.Rise:
+	case r.Demand <= g.s.DemandThreshold:
 		return false
-	case r.Asks >= fewest && float64(r.Repeats) > g.s.Repeats*float64(r.Asks):
+	case r.Requests >= fewest && float64(r.Retries) > g.s.RetryShare*float64(r.Requests):
 		return true
-	case float64(r.Connects) > g.s.Surge*(back*g.usual+2):
+	case float64(r.NewConnections) > g.s.ConnectionSurge*(back*g.usual+2):
 		return true
 	}
-	return r.Warm < g.s.Cold
+	return r.WarmShare < g.s.ColdThreshold
 }
 
 // Report tells how things go at a time.
-func (g *Guard) Report(now d.Micros) Report {
+func (g *Controller) Report(now d.Micros) Report {
 	r := g.figures(now)
-	if g.s.Mode == Guards {
-		r.Remembers = g.places.len(now)
+	if g.s.Mode == ModeReserve {
+		r.Reservations = g.places.len(now)
 	}
 	return r
 }
 
-func (g *Guard) figures(now d.Micros) Report {
-	r := Report{State: g.state, Kept: g.kept, Part: g.part, Warm: 1}
-	if g.s.Mode != Guards {
+func (g *Controller) figures(now d.Micros) Report {
+	r := Report{State: g.state, KeptShare: g.kept, CapacityFactor: g.part, WarmShare: 1}
+	if g.s.Mode != ModeReserve {
 		return r
 	}
 	asked := 0.0
 	for _, t := range g.past {
-		r.Asks += t.asks
-		r.Repeats += t.again
-		r.Early += t.early
-		r.Connects += t.conns
+		r.Requests += t.asks
+		r.Retries += t.again
+		r.EarlyRetries += t.early
+		r.NewConnections += t.conns
 		asked += t.asked
 	}
 	if share := g.top.share(); share > singlePart {
@@ -350,22 +350,22 @@
 	}
 	able := g.able(now)
 	if full := g.f.WarmCapacity(); full > 0 {
-		r.Warm = min(1, able/full)
+		r.WarmShare = min(1, able/full)
 	}
 	if able > 0 {
 		r.Demand = asked / (able * back * float64(g.span))
 		for _, held := range g.ahead {
-			r.Promised += held
+			r.ReservedShare += held
 		}
-		r.Promised /= able * float64(g.reach)
+		r.ReservedShare /= able * float64(g.reach)
 	}
 	return r
 }
 
 // State says how things go.
-func (g *Guard) State() State { return g.state }
+func (g *Controller) State() State { return g.state }
 
-func (g *Guard) enter(now d.Micros, s State) {
+func (g *Controller) enter(now d.Micros, s State) {
 	if g.state == s {
 		return
 	}
@@ -376,7 +376,7 @@
 }
 
 // turn closes the windows that have passed.
-func (g *Guard) turn(now d.Micros) {
+func (g *Controller) turn(now d.Micros) {
 	to := int64(now / g.span)
 	if g.at == 0 || to-g.at > int64(len(g.ahead))+back { // the first call, or nothing was heard for long
 		g.past, g.at = [back]tally{}, max(g.at, to)
@@ -401,7 +401,7 @@
 }
 
 // closed learns from a window that has passed.
-func (g *Guard) closed(now d.Micros) {
+func (g *Controller) closed(now d.Micros) {
 	t := g.present()
 	g.best = max(g.best*(1-1.0/usualOver), t.done)
 	if t.first > g.first {
@@ -443,7 +443,7 @@
 }
 
 // id tells apart who asks for what.
-func id(a *Ask) uint64 { return mix(mix(a.Who)^a.Object) | 1 }
+func id(a *Admission) uint64 { return mix(mix(a.ClientHash)^a.ObjectHash) | 1 }
 
 // mix is the finisher of splitmix64.
 func mix(x uint64) uint64 {
--- a/overload/guard_test.go
+++ b/overload/guard_test.go
@@ -28,9 +28,9 @@
 	return c.full * (c.from + (1-c.from)*float64(max(0, at-c.began))/float64(c.warm))
 }
 
-func guard(f CapacityEstimate, told func(d.Micros, Report)) *Guard {
-	s := Defaults()
-	s.Mode = Guards
+func guard(f CapacityEstimate, told func(d.Micros, Report)) *Controller {
+	s := DefaultSettings()
+	s.Mode = ModeReserve
 	return New(s, d.Second, 7, f, told)
 }
 
@@ -42,21 +42,21 @@
 		most d.Micros
 		want d.Micros
 	}{
-		{"fixed", Fixed, d.Second, 250 * ms}, {"silent", Silent, d.Second, 0}, {"guard in calm", Guards, d.Second, 250 * ms},
-		{"guard where clients heed nothing", Guards, 0, 0},
+		{"fixed", ModeFixed, d.Second, 250 * ms}, {"silent", ModeSilent, d.Second, 0}, {"guard in calm", ModeReserve, d.Second, 250 * ms},
+		{"guard where clients heed nothing", ModeReserve, 0, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := Defaults()
+			s := DefaultSettings()
 			s.Mode = c.mode
 			g := New(s, c.most, 1, f, nil)
 			for i := range 100 {
-				a := &Ask{Object: uint64(i), Work: 1000 * float64(ms), Cost: 1, Again: true}
-				if c.mode != Guards && !g.Asked(d.Second, a) {
+				a := &Admission{ObjectHash: uint64(i), Work: 1000 * float64(ms), RelativeCost: 1, IsRetry: true}
+				if c.mode != ModeReserve && !g.Admit(d.Second, a) {
 					t.Fatal("turned away")
 				}
 			}
-			if got := g.Place(d.Second, &Ask{Work: 1, Cost: 1}, min(250*ms, c.most)); got != c.want {
+			if got := g.RetryAfter(d.Second, &Admission{Work: 1, RelativeCost: 1}, min(250*ms, c.most)); got != c.want {
 				t.Errorf("told %d, want %d", got, c.want)
 			}
 		})
@@ -66,7 +66,7 @@
 // crowd plays clients against a guard and a plain limit, in simulated time: what is let in is served where the caches have
 // room in the present slice of time, else turned away.
 type crowd struct {
-	g      *Guard
+	g      *Controller
 	f      *caches
 	now    d.Micros
 	spent  float64 // of the slice
@@ -75,17 +75,17 @@
 	told   map[int]d.Micros
 }
 
-func (c *crowd) try(who int, a *Ask) (served bool, later d.Micros) {
+func (c *crowd) try(who int, a *Admission) (served bool, later d.Micros) {
 	if at := c.now / (10 * ms); at != c.slice {
 		c.slice, c.spent = at, 0
 	}
-	if c.g.Asked(c.now, a) && c.spent+a.Work <= c.f.Capacity(c.now)*float64(10*ms) {
+	if c.g.Admit(c.now, a) && c.spent+a.Work <= c.f.Capacity(c.now)*float64(10*ms) {
 		c.spent += a.Work
-		c.g.Served(c.now, a, false)
+		c.g.Completed(c.now, a, false)
 		c.served[who] = c.now
 		return true, 0
 	}
-	later = c.g.Place(c.now, a, 250*ms)
+	later = c.g.RetryAfter(c.now, a, 250*ms)
 	c.told[who] = c.now + later
 	return false, later
 }
@@ -95,8 +95,8 @@
 	return &crowd{g: guard(f, told), f: f, now: 100 * d.Second, served: map[int]d.Micros{}, told: map[int]d.Micros{}}
 }
 
-func ask(who int, again bool) *Ask {
-	return &Ask{Who: uint64(who)*7919 + 1, Object: uint64(who) * 104729, Work: float64(50 * ms), Cost: 1, Again: again}
+func ask(who int, again bool) *Admission {
+	return &Admission{ClientHash: uint64(who)*7919 + 1, ObjectHash: uint64(who) * 104729, Work: float64(50 * ms), RelativeCost: 1, IsRetry: again}
 }
 
 // Clients that heed come back to room: of those that had a place, nearly all are served at it, and no window gets more than
@@ -111,7 +111,7 @@
 	var queue []come
 	for i := range 400 {
 		c.now = 100*d.Second + d.Micros(i)*250
-		c.g.Connected(c.now)
+		c.g.ClientConnected(c.now)
 		if ok, later := c.try(i, ask(i, false)); !ok {
 			queue = append(queue, come{c.now + later, i})
 		}
@@ -123,7 +123,7 @@
 		c.now = max(c.now, next.at) + ms
 		a := ask(next.who, true)
 		ok, later := c.try(next.who, a)
-		if a.Due() {
+		if a.OnTime() {
 			due++
 			if ok {
 				met++
@@ -151,7 +151,7 @@
 	}
 	for at := range 40 {
 		c.now += d.Micros(at) * 20 * ms
-		c.g.Connected(c.now)
+		c.g.ClientConnected(c.now)
 	}
 	if len(states) < 4 || states[0] != Rising || states[1] != Held || states[len(states)-1] != Calm {
 		t.Errorf("went through %v", states)
@@ -174,18 +174,18 @@
 		if ok, later := c.try(150, a); ok || c.now+later != told && i < 10 {
 			t.Fatalf("early, try %d: served %v, told %d, had %d", i, ok, c.now+later, told)
 		}
-		if a.Due() {
+		if a.OnTime() {
 			t.Fatal("early is not due")
 		}
 	}
-	if n := c.g.early.count(ask(150, true).Who); n < often {
+	if n := c.g.early.count(ask(150, true).ClientHash); n < often {
 		t.Errorf("seen early %d times", n)
 	}
-	if n := c.g.early.count(ask(151, true).Who); n >= often {
+	if n := c.g.early.count(ask(151, true).ClientHash); n >= often {
 		t.Errorf("one that never came early counts %d", n)
 	}
 	// early time and again: a place in a window less full than others may have
-	if at := c.g.Report(c.now); at.Early == 0 {
+	if at := c.g.Report(c.now); at.EarlyRetries == 0 {
 		t.Error("the report tells of none that were early")
 	}
 }
@@ -199,7 +199,7 @@
 			for i := 0; c.now < 160*d.Second; i++ {
 				rate := 20 + 300*float64(c.now-100*d.Second)/float64(60*d.Second) // up to 0.8 of what can be done
 				c.now += d.Micros(r.ExpFloat64() * float64(d.Second) / rate)
-				c.g.Connected(c.now)
+				c.g.ClientConnected(c.now)
 				c.try(i, ask(i, r.IntN(10) == 0))
 			}
 		}},
@@ -208,7 +208,7 @@
 				c.now += d.Micros(r.ExpFloat64() * float64(d.Second) / 800)
 				a := ask(i, i%3 > 0)
 				if r.IntN(10) > 0 {
-					a.Object = 42
+					a.ObjectHash = 42
 				}
 				c.try(i, a)
 			}
@@ -217,7 +217,7 @@
 			for i := range 20000 {
 				c.now += d.Second / 700
 				if i%20 == 0 {
-					c.g.Connected(c.now)
+					c.g.ClientConnected(c.now)
 				}
 				c.try(i, ask(i, false))
 			}
@@ -240,7 +240,7 @@
 			c.f.began = 0
 			for range 300 { // what is usual
 				c.now += 10 * ms
-				c.g.Connected(c.now)
+				c.g.ClientConnected(c.now)
 			}
 			x.play(c, rand.New(rand.NewPCG(1, 2)))
 			if rose > 0 {
@@ -256,14 +256,14 @@
 	burst := func(from int) {
 		for i := range 500 {
 			c.now += ms / 4
-			c.g.Connected(c.now)
+			c.g.ClientConnected(c.now)
 			c.try(from+i, ask(from+i, false))
 		}
 	}
 	burst(0)
 	for c.g.State() != Draining && c.now < 200*d.Second {
 		c.now += 10 * ms
-		c.g.Connected(c.now)
+		c.g.ClientConnected(c.now)
 	}
 	c.f.began = c.now // the power goes again
 	burst(1000)
@@ -271,7 +271,7 @@
 		t.Errorf("after the second: %v, through %v", c.g.State(), states)
 	}
 	c.now += 60 * d.Second
-	if c.g.Connected(c.now); c.g.State() != Calm {
+	if c.g.ClientConnected(c.now); c.g.State() != Calm {
 		t.Errorf("after a long silence: %v", c.g.State())
 	}
 }
@@ -311,28 +311,28 @@
 		now := d.Second
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += d.Micros(rapid.SampledFrom([]int{0, 1, 100, 20_000, 150_000, 3_000_000, 90_000_000}).Draw(t, "step"))
-			x := Ask{
-				Who: uint64(rapid.IntRange(0, 5).Draw(t, "who")), Object: uint64(rapid.IntRange(0, 3).Draw(t, "object")),
-				Work: float64(rapid.IntRange(0, 2_000_000).Draw(t, "work")), Cost: rapid.Float64Range(0.1, 10).Draw(t, "cost"),
-				Again: rapid.Bool().Draw(t, "again"),
+			x := Admission{
+				ClientHash: uint64(rapid.IntRange(0, 5).Draw(t, "who")), ObjectHash: uint64(rapid.IntRange(0, 3).Draw(t, "object")),
+				Work: float64(rapid.IntRange(0, 2_000_000).Draw(t, "work")), RelativeCost: rapid.Float64Range(0.1, 10).Draw(t, "cost"),
+				IsRetry: rapid.Bool().Draw(t, "again"),
 			}
 			y := x
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				a.Connected(now)
-				b.Connected(now)
+				a.ClientConnected(now)
+				b.ClientConnected(now)
 			default:
-				in := a.Asked(now, &x)
-				if in != b.Asked(now, &y) {
+				in := a.Admit(now, &x)
+				if in != b.Admit(now, &y) {
 					t.Fatal("two that saw the same differ")
 				}
 				if in && rapid.Bool().Draw(t, "served") {
-					a.Served(now, &x, false)
-					b.Served(now, &y, false)
+					a.Completed(now, &x, false)
+					b.Completed(now, &y, false)
 					continue
 				}
-				p := a.Place(now, &x, 250*ms)
-				if q := b.Place(now, &y, 250*ms); p != q {
+				p := a.RetryAfter(now, &x, 250*ms)
+				if q := b.RetryAfter(now, &y, 250*ms); p != q {
 					t.Fatalf("two that saw the same tell %d and %d", p, q)
 				}
 				if p <= 0 || p > d.Second+200*ms {
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -144,9 +144,9 @@
 		s.FillLinkKBPerSecond = 0
 	}
 	b := newBed(s, 4, 2)
-	o := Options{Overload: overload.Defaults(), Dedup: dedup.Settings{Most: 60, Remember: 3, Abandon: seed%2 == 1}}
+	o := Options{Overload: overload.DefaultSettings(), Dedup: dedup.Settings{MaxRecords: 60, RetainWindows: 3, FailUnknownRetries: seed%2 == 1}}
 	if seed > 2 {
-		o.Overload.Mode = overload.Guards
+		o.Overload.Mode = overload.ModeReserve
 	}
 	b.SetOptions(o)
 	type flight struct {
--- a/routing/logic.go
+++ b/routing/logic.go
@@ -137,7 +137,7 @@
 	tries, recalled int      // pulls that were more than a question for what is held; that were never written
 	asked           int      // edges that lack it
 	stage           int      // while fills are jammed: askEdge, fillHeld, fillAll
-	ask             overload.Ask
+	ask             overload.Admission
 }
 
 // Router is one instance.
@@ -159,7 +159,7 @@
 	grow    float64               // what these two gain by a fill that took no time
 	gated   d.Micros              // when a fill was last late, or held back by the gate; 0 while it is open
 	trouble float64               // share of pulls turned away or late
-	storm   *overload.Guard
+	storm   *overload.Controller
 	keys    *dedup.Table
 	held    func(now d.Micros, all bool) float64
 }
@@ -202,7 +202,7 @@
 // SetOptions takes the operator's options anew. A storm under way is noticed anew; marks of keys stay.
 func (l *Router) SetOptions(o Options) {
 	l.storm = overload.New(o.Overload, l.s.MaxRetryAfter, l.s.Seed, l, o.OnOverloadReport)
-	l.keys.Use(o.Dedup)
+	l.keys.SetSettings(o.Dedup)
 	if l.held = o.QuotaShare; o.QuotaShare == nil {
 		l.held = func(d.Micros, bool) float64 { return 1 }
 	}
@@ -288,16 +288,16 @@
 		if row := l.works[dl.Type]; dl.SizeKB > 0 && l.s.TransferKBPerSecond > 0 {
 			row.learn(l.work(dl))
 		}
-		nt.ask = overload.Ask{
-			Who: dl.ClientHash, Object: nt.hash, Work: l.work(dl), Cost: 1 / l.room(dl), Again: dl.IsRetry,
+		nt.ask = overload.Admission{
+			ClientHash: dl.ClientHash, ObjectHash: nt.hash, Work: l.work(dl), RelativeCost: 1 / l.room(dl), IsRetry: dl.IsRetry,
 		}
-		stranger := dl.IsRetry && dl.IdempotencyKey != "" && l.keys.Stranger(dl.Type.Timeout, dl.Type.DedupWindow)
-		if m := l.keys.Find(now, dl.IdempotencyKey, dl.Type.DedupWindow); m != nil {
-			nt.ran = &pull{edge: &node{Endpoint: d.Endpoint{Zone: m.Zone, Cell: m.Cell}}, sent: m.Since, over: true}
+		stranger := dl.IsRetry && dl.IdempotencyKey != "" && l.keys.RejectsUnknownKey(dl.Type.Timeout, dl.Type.DedupWindow)
+		if m := l.keys.Lookup(now, dl.IdempotencyKey, dl.Type.DedupWindow); m != nil {
+			nt.ran = &pull{edge: &node{Endpoint: d.Endpoint{Zone: m.Zone, Cell: m.Cell}}, sent: m.FirstAttemptAt, over: true}
 		} else if stranger {
 			return d.Decision{Action: d.Fail}
 		}
-		if !l.storm.Asked(now, &nt.ask) {
+		if !l.storm.Admit(now, &nt.ask) {
 			return l.giveUp(now, dl, nt)
 		}
 	}
@@ -342,10 +342,10 @@
 		nt.recalled++
 	}
 	if !ran && dl.IdempotencyKey != "" {
-		l.keys.NotRun(dl.IdempotencyKey, p.sent)
+		l.keys.AttemptNotRun(dl.IdempotencyKey, p.sent)
 	}
 	if out.Result == d.Succeeded {
-		l.storm.Served(now, &nt.ask, now > dl.ArrivedAt+p.target)
+		l.storm.Completed(now, &nt.ask, now > dl.ArrivedAt+p.target)
 	}
 	if dl.Done || out.Final {
 		return d.Decision{}
@@ -371,7 +371,7 @@
 
 // place chooses edge and source and words the pull.
 func (l *Router) place(now d.Micros, dl *d.Request, nt *notes) d.Decision {
-	if dl.Deadline <= now || !l.keys.Room(dl.IdempotencyKey) {
+	if dl.Deadline <= now || !l.keys.HasRoom(dl.IdempotencyKey) {
 		return l.giveUp(now, dl, nt)
 	}
 	p := &pull{sent: now, target: l.target(dl), work: l.work(dl)}
@@ -448,7 +448,7 @@
 		p.source = p.edge
 	}
 	l.send(now, nt, p, load)
-	l.keys.Sent(now, dl.IdempotencyKey, dl.Type.DedupWindow, p.edge.Zone, p.edge.Cell)
+	l.keys.RecordAttempt(now, dl.IdempotencyKey, dl.Type.DedupWindow, p.edge.Zone, p.edge.Cell)
 	ans.Endpoint, ans.Source = &p.edge.Endpoint, &p.source.Endpoint
 	return ans
 }
@@ -457,7 +457,7 @@
 func (l *Router) hold(now d.Micros, dl *d.Request, nt *notes, p *pull, allowed func(*node) bool) d.Decision {
 	soon := len(l.edges.ready) == 0 || slices.ContainsFunc(l.edges.ready, allowed)
 	late := now-dl.ArrivedAt+d.Micros(p.work/holdPart) >= p.target || now+l.poll(dl) >= dl.Deadline
-	if soon && (!dl.IsRetry || nt.ask.Due()) && !late {
+	if soon && (!dl.IsRetry || nt.ask.OnTime()) && !late {
 		return d.Decision{Action: d.Queue}
 	}
 	return l.giveUp(now, dl, nt)
@@ -749,7 +749,7 @@
 // giveUp ends a download at once: with a throttling reply where a new try is harmless, else abandoned. When
 // to come back is asked of the guard against storms; a key's window must not pass until then.
 func (l *Router) giveUp(now d.Micros, dl *d.Request, nt *notes) d.Decision {
-	back := l.storm.Place(now, &nt.ask, min(l.s.MaxRetryAfter, dl.Type.LatencyObjective))
+	back := l.storm.RetryAfter(now, &nt.ask, min(l.s.MaxRetryAfter, dl.Type.LatencyObjective))
 	if t := dl.Type; nt.ran != nil && (t.RetrySafety == d.NotIdempotent || t.RetrySafety == d.IdempotentWithKey &&
 		(t.DedupScope != d.DedupScopeAll || dl.IdempotencyKey != "" && now+back >= nt.ran.sent+t.DedupWindow)) {
 		return d.Decision{Action: d.Fail}
@@ -758,7 +758,7 @@
 }
 
 // ClientConnected says that a client has connected.
-func (l *Router) ClientConnected(now d.Micros) { l.storm.Connected(now) }
+func (l *Router) ClientConnected(now d.Micros) { l.storm.ClientConnected(now) }
 
 // OverloadReport tells how storms go.
 func (l *Router) OverloadReport(now d.Micros) overload.Report { return l.storm.Report(now) }
--- a/routing/storm_test.go
+++ b/routing/storm_test.go
@@ -34,7 +34,7 @@
 			s := settings()
 			s.ContentTypes[0].RetrySafety, s.ContentTypes[0].DedupScope = d.IdempotentWithKey, c.scope
 			b := newBed(s, 2, 1)
-			b.SetOptions(Options{Dedup: dedup.Settings{Most: 10, Remember: 20}})
+			b.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20}})
 			first := b.download("o")
 			first.IdempotencyKey = "k"
 			if ans := b.Route(b.now, first); ans.Action != d.Send {
@@ -63,7 +63,7 @@
 		s := settings()
 		s.ContentTypes[0].RetrySafety = d.IdempotentWithKey
 		b := newBed(s, 1, 1)
-		b.SetOptions(Options{Dedup: dedup.Settings{Most: 10, Remember: 20}})
+		b.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20}})
 		first := b.download("o")
 		first.IdempotencyKey = "k"
 		b.Route(b.now, first)
@@ -87,7 +87,7 @@
 		s := settings()
 		s.ContentTypes[0].RetrySafety = d.IdempotentWithKey
 		b := newBed(s, 2, 1)
-		b.SetOptions(Options{Dedup: dedup.Settings{Most: 1, Remember: 20}})
+		b.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 1, RetainWindows: 20}})
 		for i, want := range []d.Action{d.Send, d.Reject} {
 			dl := b.download("o")
 			dl.IdempotencyKey, dl.IsRetry = fmt.Sprint(i), true
@@ -101,7 +101,7 @@
 			s := settings()
 			s.ContentTypes[0].RetrySafety = d.IdempotentWithKey // its expiry is longer than its window
 			b := newBed(s, 2, 1)
-			b.SetOptions(Options{Dedup: dedup.Settings{Most: 10, Remember: 20, Abandon: abandon}})
+			b.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20, FailUnknownRetries: abandon}})
 			dl := b.download("o")
 			dl.IdempotencyKey, dl.IsRetry = "k", true
 			if ans := b.Route(b.now, dl); (ans.Action == d.Fail) != abandon {
@@ -117,8 +117,8 @@
 	b := newBed(settings(), 2, 1)
 	rows := []d.Endpoint{{ID: "e0", Zone: 1, Started: b.now}, {ID: "e1", Zone: 1, Started: b.now}}
 	b.list(rows...)
-	o := overload.Defaults()
-	o.Mode = overload.Guards
+	o := overload.DefaultSettings()
+	o.Mode = overload.ModeReserve
 	b.SetOptions(Options{Overload: o})
 	ask := func(i int, again bool) (*d.Request, d.Decision) {
 		dl := b.download(fmt.Sprint("o", i))
--- a/routing/view.go
+++ b/routing/view.go
@@ -42,4 +42,4 @@
 }
 
 // DedupCounts is how many marks of deduped downloads are held, and how many downloads found no room so far.
-func (l *Router) DedupCounts() (held, full int) { return l.keys.Len() }
+func (l *Router) DedupCounts() (held, full int) { return l.keys.Counts() }
