--- a/cmd/tallyctl/change.go
+++ b/cmd/tallyctl/change.go
@@ -30,14 +30,14 @@
 	Director []string `placeholder:"NAME,..." help:"Only these directors."`
 }
 
-func (w which) has(p rollout.Place) bool {
+func (w which) has(p rollout.Candidate) bool {
 	return (len(w.Depot) == 0 || slices.Contains(w.Depot, p.Depot)) && (len(w.Director) == 0 || slices.Contains(w.Director, p.Instance))
 }
 
 func sum(script string) string { return config.Sum([]byte(script)) }
 
 // plan makes a change of scripts from a file.
-func (w which) plan(v *ctl.View, script, by, note string, limit int) (*rollout.Change, error) {
+func (w which) plan(v *ctl.Snapshot, script, by, note string, limit int) (*rollout.Change, error) {
 	raw, err := os.ReadFile(script)
 	if err != nil {
 		return nil, err
@@ -45,17 +45,17 @@
 	if _, err := config.ReadOperator(script, raw); err != nil {
 		return nil, err
 	}
-	return w.edit(v, by, note, limit, func(rollout.Place) (string, error) { return string(raw), nil })
+	return w.edit(v, by, note, limit, func(rollout.Candidate) (string, error) { return string(raw), nil })
 }
 
 // edit makes a change by editing what is in force.
-func (w which) edit(v *ctl.View, by, note string, limit int, edit func(rollout.Place) (string, error)) (*rollout.Change, error) {
-	places, err := v.Places()
+func (w which) edit(v *ctl.Snapshot, by, note string, limit int, edit func(rollout.Candidate) (string, error)) (*rollout.Change, error) {
+	places, err := v.Candidates()
 	if err != nil {
 		return nil, fmt.Errorf("%w: nothing is changed while one can't be reached", err)
 	}
 	var failed error
-	change := rollout.Plan(ctl.NewID(), by, note, places, limit, sum, func(p rollout.Place) string {
+	change := rollout.Plan(ctl.NewChangeID(), by, note, places, limit, sum, func(p rollout.Candidate) string {
 		if !w.has(p) {
 			return p.Script
 		}
@@ -80,15 +80,15 @@
 		return err
 	}
 	defer f.Close()
-	v := f.Look(ctx)
-	change, err := d.plan(&v, d.Script, f.Me, "", 0)
+	v := f.Snapshot(ctx)
+	change, err := d.plan(&v, d.Script, f.HolderID, "", 0)
 	if err != nil {
 		return err
 	}
 	return c.print(change, func() {
-		places, _ := v.Places()
+		places, _ := v.Candidates()
 		for _, t := range change.Targets {
-			i := slices.IndexFunc(places, func(p rollout.Place) bool { return p.Instance == t.Instance })
+			i := slices.IndexFunc(places, func(p rollout.Candidate) bool { return p.Instance == t.Instance })
 			fmt.Printf("%s\n", t.Instance)
 			old, now := strings.Split(places[i].Script, "\n"), strings.Split(t.Script, "\n")
 			for _, line := range old {
@@ -121,8 +121,8 @@
 		return err
 	}
 	defer f.Close()
-	v := f.Look(ctx)
-	change, err := p.plan(&v, p.Script, f.Me, "", p.Limit)
+	v := f.Snapshot(ctx)
+	change, err := p.plan(&v, p.Script, f.HolderID, "", p.Limit)
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 		for _, t := range change.Targets {
 			fmt.Printf("wave %d  %-16s %s\n", t.Wave, t.Instance, t.Agent)
 		}
-		fmt.Printf("%d directors in %d waves\n", len(change.Targets), change.Waves())
+		fmt.Printf("%d directors in %d waves\n", len(change.Targets), change.WaveCount())
 	})
 }
 
@@ -141,16 +141,16 @@
 }
 
 // run takes a change through and tells what came of it.
-func (g going) run(ctx context.Context, c *command, f *ctl.Fleet, change *rollout.Change, v ctl.View) error {
+func (g going) run(ctx context.Context, c *command, f *ctl.Fleet, change *rollout.Change, v ctl.Snapshot) error {
 	if change != nil && len(change.Targets) == 0 {
 		return c.print(rollout.Result{}, func() { fmt.Println("nothing to change") })
 	}
-	base, _ := v.Health(ctl.View{})
+	base, _ := v.FailureRate(ctl.Snapshot{})
 	last := v
 	worse := func() string {
 		time.Sleep(time.Second) // for something to be seen
-		now := f.Look(ctx)
-		bad, answers := now.Health(last)
+		now := f.Snapshot(ctx)
+		bad, answers := now.FailureRate(last)
 		last = now
 		if answers >= 20 && bad > base+g.Worse {
 			return fmt.Sprintf("%.0f%% of the answers are no success, after %.0f%%", 100*bad, 100*base)
@@ -158,9 +158,9 @@
 		return ""
 	}
 	step := func(s rollout.Step, wave int) {
-		if !c.JSON && s != rollout.Ended {
-			if s == rollout.Waving && change != nil && change.Waves() > 1 {
-				fmt.Printf("%v, wave %d of %d\n", s, wave, change.Waves())
+		if !c.JSON && s != rollout.StepDone {
+			if s == rollout.StepApply && change != nil && change.WaveCount() > 1 {
+				fmt.Printf("%v, wave %d of %d\n", s, wave, change.WaveCount())
 			} else {
 				fmt.Println(s)
 			}
@@ -174,9 +174,9 @@
 		return err
 	}
 	switch {
-	case r.Refused != "":
-		return exit{exitRefused, errors.New(r.Refused)}
-	case !r.Whole():
+	case r.RefusalReason != "":
+		return exit{exitRefused, errors.New(r.RefusalReason)}
+	case !r.AllOrNone():
 		return exit{exitPartly, fmt.Errorf("%s: not every director is where the others are", r.ID)}
 	}
 	return nil
@@ -185,16 +185,16 @@
 // tell says what came of each director.
 func tell(r rollout.Result) {
 	if r.Holder != "" {
-		fmt.Printf("held by %s for %.0f s, for %.0f s more\n", r.Holder, float64(r.Held)/1e6, float64(r.Left)/1e6)
+		fmt.Printf("held by %s for %.0f s, for %.0f s more\n", r.Holder, float64(r.HeldFor)/1e6, float64(r.LeaseLeft)/1e6)
 	}
-	for _, e := range r.Ends {
-		fmt.Printf("%-16s %-16s %s\n", e.Instance, e.State, e.Why)
+	for _, e := range r.Targets {
+		fmt.Printf("%-16s %-16s %s\n", e.Instance, e.State, e.Reason)
 	}
-	if r.Stopped != "" {
-		fmt.Println("stopped:", r.Stopped)
+	if r.StopReason != "" {
+		fmt.Println("stopped:", r.StopReason)
 	}
 	if r.ID != "" {
-		fmt.Printf("%s: %v, %d messages\n", r.ID, r.Outcome, r.Sent)
+		fmt.Printf("%s: %v, %d messages\n", r.ID, r.Outcome, r.MessagesSent)
 	}
 }
 
@@ -212,8 +212,8 @@
 		return err
 	}
 	defer f.Close()
-	v := f.Look(ctx)
-	change, err := a.plan(&v, a.Script, f.Me, a.Note, a.Limit)
+	v := f.Snapshot(ctx)
+	change, err := a.plan(&v, a.Script, f.HolderID, a.Note, a.Limit)
 	if err != nil {
 		return err
 	}
@@ -234,14 +234,14 @@
 		return err
 	}
 	defer f.Close()
-	v := f.Look(ctx)
+	v := f.Snapshot(ctx)
 	note := "drain " + d.Box
 	if d.Back {
 		note = "let " + d.Box + " in again"
-	} else if err := v.Listed(d.Box); err != nil {
+	} else if err := v.CheckCacheNode(d.Box); err != nil {
 		return err
 	}
-	change, err := d.edit(&v, f.Me, note, d.Limit, func(p rollout.Place) (string, error) { return ctl.Avoiding(p.Script, d.Box, !d.Back) })
+	change, err := d.edit(&v, f.HolderID, note, d.Limit, func(p rollout.Candidate) (string, error) { return ctl.EditAvoidedNodes(p.Script, d.Box, !d.Back) })
 	if err != nil {
 		return err
 	}
@@ -260,12 +260,12 @@
 		return err
 	}
 	defer f.Close()
-	v := f.Look(ctx)
+	v := f.Snapshot(ctx)
 	of, before := v.Change(u.ID)
 	if of == nil {
 		return fmt.Errorf("%s: no agent that answers knows it", u.ID)
 	}
-	return u.run(ctx, c, f, rollout.Undo(ctl.NewID(), f.Me, of, before, sum), v)
+	return u.run(ctx, c, f, rollout.Undo(ctl.NewChangeID(), f.HolderID, of, before, sum), v)
 }
 
 type resumeCommand struct {
@@ -280,7 +280,7 @@
 		return err
 	}
 	defer f.Close()
-	if err := r.run(ctx, c, f, nil, f.Look(ctx)); err != nil || r.ID == "" {
+	if err := r.run(ctx, c, f, nil, f.Snapshot(ctx)); err != nil || r.ID == "" {
 		return err
 	}
 	return (&statusCommand{ID: r.ID}).Run(ctx, c)
@@ -297,8 +297,8 @@
 		return err
 	}
 	defer f.Close()
-	v := f.Look(ctx)
-	i := slices.IndexFunc(v.Changes, func(x ctl.ChangeView) bool { return x.ID == s.ID })
+	v := f.Snapshot(ctx)
+	i := slices.IndexFunc(v.Changes, func(x ctl.ChangeStatus) bool { return x.ID == s.ID })
 	if i < 0 {
 		return fmt.Errorf("%s: no agent that answers knows it", s.ID)
 	}
@@ -306,16 +306,16 @@
 	if err := c.print(x, func() { printChange(x) }); err != nil {
 		return err
 	}
-	if x.Open {
+	if x.InProgress {
 		return exit{exitPartly, fmt.Errorf("%s is open; `resume` brings it to its end", s.ID)}
 	}
 	return nil
 }
 
-func printChange(x ctl.ChangeView) {
-	fmt.Printf("%s  %s  by %s  %s\n", x.ID, x.Outcome, x.By, x.Note)
+func printChange(x ctl.ChangeStatus) {
+	fmt.Printf("%s  %s  by %s  %s\n", x.ID, x.Outcome, x.Author, x.Note)
 	for _, name := range slices.Sorted(keys(x.Directors)) {
-		fmt.Printf("  %-16s %-12s %s\n", name, x.Directors[name], x.Whys[name])
+		fmt.Printf("  %-16s %-12s %s\n", name, x.Directors[name], x.Reasons[name])
 	}
 }
 
@@ -355,14 +355,14 @@
 			})
 		})
 	}
-	v := f.Look(ctx)
+	v := f.Snapshot(ctx)
 	return c.print(v.Changes, func() {
 		for _, x := range v.Changes {
 			open := ""
-			if x.Open {
+			if x.InProgress {
 				open = "  (open)"
 			}
-			fmt.Printf("%s  %-5s by %s  %s%s\n", x.ID, x.Outcome, x.By, x.Note, open)
+			fmt.Printf("%s  %-5s by %s  %s%s\n", x.ID, x.Outcome, x.Author, x.Note, open)
 		}
 	})
 }
@@ -376,24 +376,24 @@
 		return err
 	}
 	defer f.Close()
-	v := f.Look(ctx)
+	v := f.Snapshot(ctx)
 	if err := c.print(v, func() { fmt.Print(table(v)) }); err != nil {
 		return err
 	}
 	for _, a := range v.Agents {
-		if !a.Answers {
-			return exit{exitPartly, fmt.Errorf("%s: %s", a.Name, a.Why)}
+		if !a.Reachable {
+			return exit{exitPartly, fmt.Errorf("%s: %s", a.Name, a.Reason)}
 		}
 	}
 	return nil
 }
 
 // table is a fleet for people.
-func table(v ctl.View) string {
+func table(v ctl.Snapshot) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-12s %-16s %-12s %-5s %-9s %7s %9s %9s  %s\n", "DEPOT", "DIRECTOR", "AGENT", "UP", "STORM", "OPEN", "FULFILLED", "THROTTLED", "")
 	for _, d := range v.Directors {
-		up, storm, note := "no", "-", d.Why
+		up, storm, note := "no", "-", d.Reason
 		if d.Up {
 			up, storm = "yes", d.Report.Storm.State.String()
 		}
@@ -406,19 +406,19 @@
 		fmt.Fprintf(&b, "%-12s %-16s %-12s %-5s %-9s %7d %9d %9d  %s\n", d.Depot, d.Name, d.Agent, up, storm, d.Report.Open,
 			d.Report.Counts["fulfilled"], d.Report.Counts["throttled"], note)
 	}
-	for _, line := range v.Views() {
+	for _, line := range v.MembershipLines() {
 		fmt.Fprintln(&b, line)
 	}
 	for _, a := range v.Agents {
-		if !a.Answers {
-			fmt.Fprintf(&b, "agent %s does not answer: %s\n", a.Name, a.Why)
+		if !a.Reachable {
+			fmt.Fprintf(&b, "agent %s does not answer: %s\n", a.Name, a.Reason)
 		}
 	}
 	if v.Holder != "" {
-		fmt.Fprintf(&b, "%s holds the right to change for %v, for %v more\n", v.Holder, v.Held.Round(time.Second), v.Left.Round(time.Second))
+		fmt.Fprintf(&b, "%s holds the right to change for %v, for %v more\n", v.Holder, v.HeldFor.Round(time.Second), v.LeaseLeft.Round(time.Second))
 	}
 	for _, x := range v.Changes {
-		if x.Open {
+		if x.InProgress {
 			fmt.Fprintf(&b, "%s is open: %s\n", x.ID, x.Note)
 		}
 	}
--- a/cmd/tallyctl/golden_test.go
+++ b/cmd/tallyctl/golden_test.go
@@ -43,13 +43,13 @@
 		want  string
 	}{
 		{"audit line", auditLine{"a0", "op", "take c1", time.UnixMilli(1_700_000_000_123).UTC()}, `{"Agent":"a0","Who":"op","What":"take c1","At":"2023-11-14T22:13:20.123Z"}`},
-		{"plan", &rollout.Change{ID: "c1", By: "op/1", Note: "why", Undoes: "c0", Targets: []rollout.Target{
+		{"plan", &rollout.Change{ID: "c1", Author: "op/1", Note: "why", Reverts: "c0", Targets: []rollout.Target{
 			{Instance: "n0", Agent: "a0", Base: "sum", Script: "log() # <&>", Wave: 2},
 		}}, `{"id":"c1","by":"op/1","note":"why","undoes":"c0","targets":[{"instance":"n0","agent":"a0","base":"sum","script":"log() # \u003c\u0026\u003e","wave":2}]}`},
 		{"nothing to change", rollout.Result{}, `{"id":"","outcome":0,"ends":null,"sent":0}`},
 		{"result", rollout.Result{
-			ID: "c1", Outcome: rollout.Drop, Refused: "no", Holder: "op/2", Held: 11, Left: 12, Stopped: "worse", Resume: true, Sent: 9,
-			Ends: []rollout.End{{Instance: "n0", Agent: "a0", State: "changed", Why: "bad"}},
+			ID: "c1", Outcome: rollout.Abort, RefusalReason: "no", Holder: "op/2", HeldFor: 11, LeaseLeft: 12, StopReason: "worse", NeedsResume: true, MessagesSent: 9,
+			Targets: []rollout.TargetResult{{Instance: "n0", Agent: "a0", State: "changed", Reason: "bad"}},
 		}, `{"id":"c1","outcome":2,"refused":"no","holder":"op/2","held":11,"left":12,"stopped":"worse","resume":true,"ends":[{"instance":"n0","agent":"a0","state":"changed","why":"bad"}],"sent":9}`},
 	}
 	for _, c := range cases {
--- a/cmd/tallyctl/watch.go
+++ b/cmd/tallyctl/watch.go
@@ -32,17 +32,17 @@
 	ctx   context.Context
 	f     *ctl.Fleet
 	every time.Duration
-	view  ctl.View
+	view  ctl.Snapshot
 	at    time.Time
 	boxes bool // instead of directors
 }
 
 type looked struct {
-	view ctl.View
+	view ctl.Snapshot
 	at   time.Time
 }
 
-func (w watching) look() tea.Msg { return looked{w.f.Look(w.ctx), time.Now()} }
+func (w watching) look() tea.Msg { return looked{w.f.Snapshot(w.ctx), time.Now()} }
 
 // Init looks for the first time.
 func (w watching) Init() tea.Cmd { return w.look }
@@ -92,7 +92,7 @@
 }
 
 // boxes shows each box as the directors of its depot believe it to be.
-func boxes(v ctl.View) string {
+func boxes(v ctl.Snapshot) string {
 	type row struct{ depot, id string }
 	seen := map[row][]string{}
 	for _, d := range v.Directors {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -40,7 +40,7 @@
 	store     *Store
 	directors map[string]*Director
 	start     time.Time
-	peers     *Peers
+	peers     *Clients
 	ctx       context.Context
 	work      sync.WaitGroup
 
@@ -48,7 +48,7 @@
 
 	mu      sync.Mutex
 	a       *rollout.Agent
-	settler *rollout.Settler
+	settler *rollout.Recovery
 	talk    atomic.Pointer[gossipnet.Driver] // none where the inventory has no key for it
 }
 
@@ -68,7 +68,7 @@
 		return nil, fmt.Errorf("the certificate is that of %q, not of %q", id.Name(), name)
 	}
 	a := &Agent{
-		inv: inv, me: *me, id: id, store: store, directors: map[string]*Director{}, start: time.Now(), peers: NewPeers(inv, id),
+		inv: inv, me: *me, id: id, store: store, directors: map[string]*Director{}, start: time.Now(), peers: NewClients(inv, id),
 		calls: make(chan struct{}, callsAtOnce),
 	}
 	for _, e := range inv.Of(name) {
@@ -83,28 +83,28 @@
 	if err != nil {
 		return err
 	}
-	if s.InForce == nil {
-		s.InForce = map[string]string{}
+	if s.ActiveScripts == nil {
+		s.ActiveScripts = map[string]string{}
 	}
-	for name := range s.InForce { // of directors that the inventory no longer has
+	for name := range s.ActiveScripts { // of directors that the inventory no longer has
 		if a.directors[name] == nil {
-			delete(s.InForce, name)
+			delete(s.ActiveScripts, name)
 		}
 	}
 	for name, d := range a.directors {
-		if _, known := s.InForce[name]; known {
+		if _, known := s.ActiveScripts[name]; known {
 			continue
 		}
 		raw, err := os.ReadFile(d.Settings)
 		if err != nil {
 			return fmt.Errorf("director %s: %w", name, err)
 		}
-		s.InForce[name], ok = string(raw), false
+		s.ActiveScripts[name], ok = string(raw), false
 	}
 	a.a = rollout.NewAgent(a.now(), a.me.Name, s, a.inv.Lease, check, sum)
-	times := rollout.DefaultTimes()
+	times := rollout.DefaultTimeouts()
 	times.Lease = a.inv.Lease
-	a.settler = rollout.NewSettler(a.now(), a.a, a.inv.AgentNames(), times)
+	a.settler = rollout.NewRecovery(a.now(), a.a, a.inv.AgentNames(), times)
 	if !ok {
 		return a.store.Save(a.a.State)
 	}
@@ -126,11 +126,11 @@
 	if err != nil {
 		return err
 	}
-	return a.ServeOn(ctx, l)
+	return a.ServeListener(ctx, l)
 }
 
-// ServeOn does so on a listener that is there.
-func (a *Agent) ServeOn(ctx context.Context, l net.Listener) error {
+// ServeListener does so on a listener that is there.
+func (a *Agent) ServeListener(ctx context.Context, l net.Listener) error {
 	ctx, leave := context.WithCancel(ctx)
 	defer leave()
 	a.ctx = ctx
@@ -150,7 +150,7 @@
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(l) }()
 	a.mu.Lock()
-	unfinished := a.a.Unfinished()
+	unfinished := a.a.UnfinishedCommands()
 	err := a.save()
 	a.mu.Unlock()
 	if err == nil {
@@ -178,7 +178,7 @@
 		case err := <-served:
 			return err
 		case <-tick.C:
-			a.settle(func() ([]rollout.Send, []rollout.Command) { return a.settler.Tick(a.now()) })
+			a.settle(func() ([]rollout.Envelope, []rollout.Command) { return a.settler.Tick(a.now()) })
 		}
 	}
 }
@@ -212,7 +212,7 @@
 
 // keepUp starts a director again that ended by itself, with the script that it was given last.
 func (a *Agent) keepUp(ctx context.Context, dir *Director) {
-	var k rollout.Keeper
+	var k rollout.RestartPolicy
 	tick := time.NewTicker(lookAgain)
 	defer tick.Stop()
 	for {
@@ -223,12 +223,12 @@
 		}
 		_, err := dir.Report(ctx)
 		running, stopped := dir.process()
-		if !k.Look(a.now(), err == nil || running, stopped) || ctx.Err() != nil {
+		if !k.ShouldStart(a.now(), err == nil || running, stopped) || ctx.Err() != nil {
 			continue
 		}
 		err = dir.Start(ctx)
-		slog.Warn(logevent.DirectorRestarted, "agent", a.me.Name, "director", dir.Name, "exits", k.Ends(), "err", err)
-		if nerr := a.store.Note(time.Now(), a.me.Name, "started again "+dir.Name); nerr != nil {
+		slog.Warn(logevent.DirectorRestarted, "agent", a.me.Name, "director", dir.Name, "exits", k.Exits(), "err", err)
+		if nerr := a.store.AppendAudit(time.Now(), a.me.Name, "started again "+dir.Name); nerr != nil {
 			slog.Error(logevent.AuditWriteFailed, "agent", a.me.Name, "err", nerr)
 		}
 	}
@@ -237,7 +237,7 @@
 // save stores what was changed. Where that fails, as on a full disk, the agent goes back to what is stored: what it can't
 // remember it has not said. The caller holds the lock.
 func (a *Agent) save() error {
-	if !a.a.Changed() {
+	if !a.a.TakeDirty() {
 		return nil
 	}
 	err := a.store.Save(a.a.State)
@@ -258,17 +258,17 @@
 			why := "it is not in the inventory any more"
 			if dir != nil {
 				why = ""
-				if err := dir.Put(a.ctx, c.Script, c.Before); err != nil {
+				if err := dir.Apply(a.ctx, c.Script, c.PreviousScript); err != nil {
 					why = err.Error()
 				}
 			}
 			if a.ctx.Err() != nil {
 				return // the agent stops; it takes the command up again when it is back
 			}
-			slog.Info(logevent.ChangeApplied, "agent", a.me.Name, "director", c.Instance, "change", c.ID, "failed", why)
+			slog.Info(logevent.ChangeApplied, "agent", a.me.Name, "director", c.Instance, "change", c.ChangeID, "failed", why)
 			for a.ctx.Err() == nil {
 				a.mu.Lock()
-				a.a.Done(c, why)
+				a.a.CommandDone(c, why)
 				err := a.save()
 				a.mu.Unlock()
 				if err == nil {
@@ -306,8 +306,8 @@
 		return nil, status.Error(codes.Unauthenticated, err.Error())
 	}
 	needs := []authority.Role{authority.See, authority.Change, authority.Keys, authority.Agent}
-	if say, ok := req.(*fleetpb.SayRequest); ok && rollout.Verb(say.GetVerb()) != rollout.Ask {
-		if needs = []authority.Role{authority.Change, authority.Agent}; rollout.Verb(say.GetVerb()) == rollout.Prepare {
+	if say, ok := req.(*fleetpb.SayRequest); ok && rollout.MessageType(say.GetVerb()) != rollout.Query {
+		if needs = []authority.Role{authority.Change, authority.Agent}; rollout.MessageType(say.GetVerb()) == rollout.Prepare {
 			needs = needs[:1] // agents end what is open; they begin nothing
 		}
 		if b := say.GetBallot().GetHolder(); b != "" && !strings.HasPrefix(b, name+"/") {
@@ -334,21 +334,21 @@
 		return nil, status.Errorf(codes.ResourceExhausted, "%s can't store it: %v", a.me.Name, err)
 	}
 	a.carry(do)
-	if m.Verb == rollout.Prepare || m.Verb == rollout.Accept || m.Verb == rollout.Promise || len(do) > 0 {
+	if m.Type == rollout.Prepare || m.Type == rollout.Accept || m.Type == rollout.Promise || len(do) > 0 {
 		who, _, _ := a.caller(ctx)
-		id := m.ID
+		id := m.ChangeID
 		if m.Change != nil {
 			id = m.Change.ID
 		}
-		what := fmt.Sprintf("%s %s %s ok=%v %s", verbs[m.Verb], id, m.Outcome, r.OK, r.Why)
-		if err := a.store.Note(time.Now(), who, strings.TrimSpace(what)); err != nil {
+		what := fmt.Sprintf("%s %s %s ok=%v %s", verbs[m.Type], id, m.Outcome, r.OK, r.Reason)
+		if err := a.store.AppendAudit(time.Now(), who, strings.TrimSpace(what)); err != nil {
 			slog.Error(logevent.AuditWriteFailed, "agent", a.me.Name, "err", err)
 		}
 	}
 	return fleetpb.FromReply(r), nil
 }
 
-var verbs = map[rollout.Verb]string{
+var verbs = map[rollout.MessageType]string{
 	rollout.Promise: "take", rollout.Prepare: "prepare", rollout.Accept: "decide", rollout.Learn: "put in force",
 }
 
@@ -356,11 +356,11 @@
 func (a *Agent) Status(ctx context.Context, _ *fleetpb.StatusRequest) (*fleetpb.StatusReply, error) {
 	out := &fleetpb.StatusReply{Name: a.me.Name, Members: map[string]string{}}
 	a.mu.Lock()
-	r, _ := a.a.Handle(a.now(), rollout.Message{Verb: rollout.Ask})
+	r, _ := a.a.Handle(a.now(), rollout.Message{Type: rollout.Query})
 	for _, e := range a.a.State.Entries {
 		out.Entries = append(out.Entries, fleetpb.FromEntries([]rollout.Entry{*e})...)
 	}
-	scripts := maps.Clone(a.a.State.InForce)
+	scripts := maps.Clone(a.a.State.ActiveScripts)
 	a.mu.Unlock()
 	if r := a.talk.Load().Report(); r != nil {
 		for _, o := range a.inv.Agents {
@@ -372,7 +372,7 @@
 			out.Members[p.Name] = p.State
 		}
 	}
-	out.Promised, out.HeldUs, out.LeftUs = fleetpb.FromBallot(r.Ballot), int64(r.Held), int64(r.Left)
+	out.Promised, out.HeldUs, out.LeftUs = fleetpb.FromBallot(r.Promised), int64(r.HeldFor), int64(r.LeaseLeft)
 	for _, name := range slices.Sorted(maps.Keys(a.directors)) {
 		s := &fleetpb.DirectorStatus{Name: name, Script: scripts[name]}
 		if report, err := a.directors[name].Report(ctx); err != nil {
@@ -399,13 +399,13 @@
 	}
 	out := &fleetpb.AuditReply{}
 	for _, r := range all {
-		out.Records = append(out.Records, &fleetpb.AuditRecord{Number: r.Number, UnixMs: r.UnixMS, Who: r.Who, What: r.What, Hash: r.Hash})
+		out.Records = append(out.Records, &fleetpb.AuditRecord{Number: r.Number, UnixMs: r.UnixMS, Who: r.Actor, What: r.Action, Hash: r.Hash})
 	}
 	return out, nil
 }
 
 // settle has the settler do something. What it says leaves once what it rests on is stored.
-func (a *Agent) settle(act func() ([]rollout.Send, []rollout.Command)) {
+func (a *Agent) settle(act func() ([]rollout.Envelope, []rollout.Command)) {
 	a.mu.Lock()
 	sends, do := act()
 	err := a.save()
@@ -414,7 +414,7 @@
 		return
 	}
 	for _, c := range do {
-		if err := a.store.Note(time.Now(), a.me.Name, "settled, put in force "+c.ID+" "+c.Instance); err != nil {
+		if err := a.store.AppendAudit(time.Now(), a.me.Name, "settled, put in force "+c.ChangeID+" "+c.Instance); err != nil {
 			slog.Error(logevent.AuditWriteFailed, "agent", a.me.Name, "err", err)
 		}
 	}
@@ -429,8 +429,8 @@
 			defer func() { <-a.calls }()
 			ctx, leave := context.WithTimeout(a.ctx, callTimeout)
 			defer leave()
-			if r, err := a.peers.Say(ctx, s.To, s.Message); err == nil {
-				a.settle(func() ([]rollout.Send, []rollout.Command) { return a.settler.Got(a.now(), s.To, r) })
+			if r, err := a.peers.Send(ctx, s.To, s.Message); err == nil {
+				a.settle(func() ([]rollout.Envelope, []rollout.Command) { return a.settler.HandleReply(a.now(), s.To, r) })
 			}
 		})
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -60,11 +60,11 @@
 	}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- a.ServeOn(ctx, l) }()
-	callers := NewPeers(inv, op)
+	go func() { ended <- a.ServeListener(ctx, l) }()
+	callers := NewClients(inv, op)
 	defer callers.Close()
 	say := func(n int64) error {
-		_, err := callers.Say(t.Context(), "a0", rollout.Message{Verb: rollout.Promise, Ballot: rollout.Ballot{N: n, Holder: "op/1"}, Lease: 1})
+		_, err := callers.Send(t.Context(), "a0", rollout.Message{Type: rollout.Promise, Ballot: rollout.Ballot{Number: n, Holder: "op/1"}, Lease: 1})
 		return err
 	}
 	if err := say(1); err != nil {
@@ -92,7 +92,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("did not end")
 	}
-	if s, _, err := store.Load(); err != nil || s.Promised.N != 2 {
+	if s, _, err := store.Load(); err != nil || s.Promised.Number != 2 {
 		t.Errorf("promised %+v, %v", s.Promised, err)
 	}
 }
--- a/internal/agent/director.go
+++ b/internal/agent/director.go
@@ -194,8 +194,8 @@
 	return errors.New(why)
 }
 
-// Put has it run a script, read back from it. One that would not have it, and still runs, gets the script of before back.
-func (d *Director) Put(ctx context.Context, script, before string) error {
+// Apply has it run a script, read back from it. One that would not have it, and still runs, gets the script of before back.
+func (d *Director) Apply(ctx context.Context, script, before string) error {
 	if err := write(d.Settings, script); err != nil {
 		return err // the old file is there, and in force
 	}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -17,22 +17,22 @@
 
 func goldenState() rollout.State {
 	return rollout.State{
-		Promised: rollout.Ballot{N: 7, Holder: "op/1"},
+		Promised: rollout.Ballot{Number: 7, Holder: "op/1"},
 		Entries: []*rollout.Entry{{
-			Change: &rollout.Change{ID: "c1", By: "op/1", Note: "why", Undoes: "c0", Targets: []rollout.Target{
+			Change: &rollout.Change{ID: "c1", Author: "op/1", Note: "why", Reverts: "c0", Targets: []rollout.Target{
 				{Instance: "n0", Agent: "a0", Base: "sum", Script: "log()", Wave: 2},
 			}},
-			Vote: &rollout.Vote{Ballot: rollout.Ballot{N: 7, Holder: "op/1"}, Outcome: rollout.Drop}, Outcome: rollout.Go, Waves: 2, Final: true,
-			Local: map[string]*rollout.Local{"n0": {Phase: rollout.Failed, Why: "bad", Before: "old()"}},
+			Vote: &rollout.Vote{Ballot: rollout.Ballot{Number: 7, Holder: "op/1"}, Outcome: rollout.Abort}, Outcome: rollout.Commit, AllowedWaves: 2, Final: true,
+			TargetStates: map[string]*rollout.TargetState{"n0": {Phase: rollout.PhaseFailed, Reason: "bad", PreviousScript: "old()"}},
 		}},
-		InForce: map[string]string{"n0": "log()"},
-		Past:    []rollout.Past{{ID: "c0", Outcome: rollout.Drop, Waves: 3, Final: true}},
+		ActiveScripts: map[string]string{"n0": "log()"},
+		Completed:     []rollout.CompletedChange{{ID: "c0", Outcome: rollout.Abort, AllowedWaves: 3, Final: true}},
 	}
 }
 
 // goldenRecords are those of testdata/agent.db, which was written by a version before this text.
-func goldenRecords() []Record {
-	return []Record{
+func goldenRecords() []AuditRecord {
+	return []AuditRecord{
 		{1, 1_700_000_000_000, "op", "take c1 open ok=true", "", "277cf9085fd28a102b98e1e44b3798f69b7eda7dc7ca1896f63d55f11627c665"},
 		{2, 1_700_000_000_001, "op", "decide c1 go ok=true", "277cf9085fd28a102b98e1e44b3798f69b7eda7dc7ca1896f63d55f11627c665", "3dad54c961bf9036f4fdbedd50c5a73c6dabcdfa0251c2cd368d5ac47d4c1375"},
 		{3, 1_700_000_000_002, "a0", "settled, put in force c1 n0", "3dad54c961bf9036f4fdbedd50c5a73c6dabcdfa0251c2cd368d5ac47d4c1375", "dae87a5225963e815ff2e323f52c61a5eab3ec095da21e01b57edf70d578bcba"},
@@ -93,11 +93,11 @@
 		}
 	}()
 	checkGoldenStore(t, s)
-	if err := s.Note(time.UnixMilli(1_700_000_000_003), "op", "prepare c2 open ok=true"); err != nil {
+	if err := s.AppendAudit(time.UnixMilli(1_700_000_000_003), "op", "prepare c2 open ok=true"); err != nil {
 		t.Fatal(err)
 	}
 	all, err := s.Audit()
-	if err != nil || len(all) != 4 || all[3].Before != goldenRecords()[2].Hash || all[3].Hash != "6818f5e552b8bf6905babd5042dee084f0f894a695c57a3655cddcd71b5b14a7" {
+	if err != nil || len(all) != 4 || all[3].PreviousHash != goldenRecords()[2].Hash || all[3].Hash != "6818f5e552b8bf6905babd5042dee084f0f894a695c57a3655cddcd71b5b14a7" {
 		t.Errorf("after one more: %+v, %v", all, err)
 	}
 }
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	for _, r := range goldenRecords() {
-		if err := s.Note(time.UnixMilli(r.UnixMS), r.Who, r.What); err != nil {
+		if err := s.AppendAudit(time.UnixMilli(r.UnixMS), r.Actor, r.Action); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -133,7 +133,7 @@
 	if string(text) != want {
 		t.Errorf("got  %s\nwant %s", text, want)
 	}
-	var back Record
+	var back AuditRecord
 	if err := json.Unmarshal([]byte(want), &back); err != nil || back != goldenRecords()[1] {
 		t.Errorf("read back as %+v, %v", back, err)
 	}
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -16,21 +16,21 @@
 	"tallyproxy/rollout"
 )
 
-// Peers calls agents by their names in the inventory, over one connection each.
-type Peers struct {
+// Clients calls agents by their names in the inventory, over one connection each.
+type Clients struct {
 	inv   *config.Inventory
 	id    *authority.Identity
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn // one for each agent of the inventory at the most
 }
 
-// NewPeers makes one; nothing is called yet.
-func NewPeers(inv *config.Inventory, id *authority.Identity) *Peers {
-	return &Peers{inv: inv, id: id, conns: map[string]*grpc.ClientConn{}}
+// NewClients makes one; nothing is called yet.
+func NewClients(inv *config.Inventory, id *authority.Identity) *Clients {
+	return &Clients{inv: inv, id: id, conns: map[string]*grpc.ClientConn{}}
 }
 
 // Client is the one for an agent.
-func (p *Peers) Client(name string) (fleetpb.AgentClient, error) {
+func (p *Clients) Client(name string) (fleetpb.AgentClient, error) {
 	entry := p.inv.Agent(name)
 	if entry == nil {
 		return nil, fmt.Errorf("there is no agent %q", name)
@@ -54,8 +54,8 @@
 	return fleetpb.NewAgentClient(conn), nil
 }
 
-// Say says a message to an agent.
-func (p *Peers) Say(ctx context.Context, to string, m rollout.Message) (rollout.Reply, error) {
+// Send says a message to an agent.
+func (p *Clients) Send(ctx context.Context, to string, m rollout.Message) (rollout.Reply, error) {
 	c, err := p.Client(to)
 	if err != nil {
 		return rollout.Reply{}, err
@@ -68,7 +68,7 @@
 }
 
 // Close ends all connections.
-func (p *Peers) Close() {
+func (p *Clients) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, c := range p.conns {
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -22,8 +22,8 @@
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ErrDamaged is of a store whose record is not what was written.
-var ErrDamaged = errors.New("the record is damaged")
+// ErrCorrupt is of a store whose record is not what was written.
+var ErrCorrupt = errors.New("the record is damaged")
 
 // Store keeps an agent's state in one file. A state that Save has returned for is there after a crash, whole.
 type Store struct{ db *bbolt.DB }
@@ -33,7 +33,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // the file is mapped: what was cut off it faults
 	defer func() {
 		if bad := recover(); bad != nil { // a file that was cut off can fault the library
-			s, err = nil, fmt.Errorf("%s: %w: %v", path, ErrDamaged, bad)
+			s, err = nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, bad)
 		}
 	}()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType})
@@ -41,7 +41,7 @@
 		return nil, fmt.Errorf("%s: another agent has it open", path)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w: %v", path, ErrDamaged, err)
+		return nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, err)
 	}
 	return &Store{db}, nil
 }
@@ -54,7 +54,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if bad := recover(); bad != nil {
-			err = fmt.Errorf("%w: %v", ErrDamaged, bad)
+			err = fmt.Errorf("%w: %v", ErrCorrupt, bad)
 		}
 	}()
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -67,10 +67,10 @@
 			return nil
 		}
 		if len(raw) < 4 || binary.BigEndian.Uint32(raw) != crc32.Checksum(raw[4:], castagnoli) {
-			return ErrDamaged
+			return ErrCorrupt
 		}
 		if err := json.Unmarshal(raw[4:], &state); err != nil {
-			return fmt.Errorf("%w: %v", ErrDamaged, err)
+			return fmt.Errorf("%w: %v", ErrCorrupt, err)
 		}
 		ok = true
 		return nil
--- a/internal/agent/store_test.go
+++ b/internal/agent/store_test.go
@@ -24,9 +24,9 @@
 	if _, ok, err := s.Load(); ok || err != nil {
 		t.Errorf("a new one has something: %v", err)
 	}
-	want := rollout.State{Promised: rollout.Ballot{N: 3, Holder: "op"}, InForce: map[string]string{"n0": "log()"}}
+	want := rollout.State{Promised: rollout.Ballot{Number: 3, Holder: "op"}, ActiveScripts: map[string]string{"n0": "log()"}}
 	for i := range 50 {
-		want.Promised.N = int64(i)
+		want.Promised.Number = int64(i)
 		if err := s.Save(want); err != nil {
 			t.Fatal(err)
 		}
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, ok, err := s.Load(); !ok || err != nil || got.Promised.N != 49 || got.InForce["n0"] != "log()" {
+	if got, ok, err := s.Load(); !ok || err != nil || got.Promised.Number != 49 || got.ActiveScripts["n0"] != "log()" {
 		t.Errorf("%+v, %v, %v", got, ok, err)
 	}
 	s.db.Update(func(tx *bbolt.Tx) error { // a record that is not what was written
@@ -51,7 +51,7 @@
 		raw[len(raw)-3] ^= 1
 		return b.Put(stateKey, raw)
 	})
-	if _, _, err := s.Load(); !errors.Is(err, ErrDamaged) {
+	if _, _, err := s.Load(); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("a changed record: %v", err)
 	}
 	s.Close()
@@ -65,9 +65,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state := rollout.State{InForce: map[string]string{}}
+	state := rollout.State{ActiveScripts: map[string]string{}}
 	for i := range 200 {
-		state.InForce[fmt.Sprint("n", i)] = fmt.Sprintf("# %0200d", i)
+		state.ActiveScripts[fmt.Sprint("n", i)] = fmt.Sprintf("# %0200d", i)
 	}
 	if err := s.Save(state); err != nil {
 		t.Fatal(err)
@@ -84,14 +84,14 @@
 		}
 		s, err := OpenStore(half)
 		if err != nil {
-			if !errors.Is(err, ErrDamaged) {
+			if !errors.Is(err, ErrCorrupt) {
 				t.Errorf("cut at %d: %v", cut, err)
 			}
 			continue
 		}
 		got, ok, err := s.Load()
-		if err == nil && ok && len(got.InForce) != 200 || err != nil && !errors.Is(err, ErrDamaged) {
-			t.Errorf("cut at %d: %d entries, %v", cut, len(got.InForce), err)
+		if err == nil && ok && len(got.ActiveScripts) != 200 || err != nil && !errors.Is(err, ErrCorrupt) {
+			t.Errorf("cut at %d: %d entries, %v", cut, len(got.ActiveScripts), err)
 		}
 		s.Close()
 	}
@@ -104,12 +104,12 @@
 	}
 	defer s.Close()
 	for i := range 20 {
-		if err := s.Note(time.UnixMilli(int64(i)), "op", fmt.Sprint("did ", i)); err != nil {
+		if err := s.AppendAudit(time.UnixMilli(int64(i)), "op", fmt.Sprint("did ", i)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	all, err := s.Audit()
-	if err != nil || len(all) != 20 || all[19].What != "did 19" || all[19].Before != all[18].Hash {
+	if err != nil || len(all) != 20 || all[19].Action != "did 19" || all[19].PreviousHash != all[18].Hash {
 		t.Fatalf("%+v, %v", all, err)
 	}
 	change := func(do func(b *bbolt.Bucket, key []byte)) {
@@ -119,9 +119,9 @@
 		})
 	}
 	change(func(b *bbolt.Bucket, key []byte) {
-		var r Record
+		var r AuditRecord
 		json.Unmarshal(b.Get(key), &r)
-		r.Who = "nobody"
+		r.Actor = "nobody"
 		text, _ := json.Marshal(r)
 		b.Put(key, text)
 	})
--- a/internal/ctl/boxes.go
+++ b/internal/ctl/boxes.go
@@ -12,9 +12,9 @@
 
 const nearest = 3 // names that are offered for one that nobody knows
 
-// Listed says nothing where some director's list has a cache of a name, or no director tells of any; else an error with the names
+// CheckCacheNode says nothing where some director's list has a cache of a name, or no director tells of any; else an error with the names
 // that are nearest. Guards against a cache left in because its name was mistyped.
-func (v *View) Listed(box string) error {
+func (v *Snapshot) CheckCacheNode(box string) error {
 	known := map[string]bool{}
 	for _, d := range v.Directors {
 		for _, b := range d.Report.Beliefs {
--- a/internal/ctl/boxes_test.go
+++ b/internal/ctl/boxes_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestListed(t *testing.T) {
-	tells := func(names ...string) (d Director) {
+	tells := func(names ...string) (d DirectorStatus) {
 		for _, name := range names {
 			d.Report.Beliefs = append(d.Report.Beliefs, routing.EndpointView{ID: name})
 		}
@@ -17,15 +17,15 @@
 	}
 	for _, c := range []struct {
 		name, box string
-		of        []Director
+		of        []DirectorStatus
 		want      string
 	}{
-		{"in one list", "box-2", []Director{tells("box-1"), tells("box-1", "box-2")}, ""},
-		{"nobody tells", "box-2", []Director{{}, {Report: status.Report{}}}, ""},
-		{"mistyped", "bx-12", []Director{tells("parent-0", "box-1", "box-2", "box-12", "box-7")}, "bx-12: no director's list has it; nearest are box-12, box-1, box-2"},
-		{"one known", "x", []Director{tells("box-1")}, "nearest are box-1"},
+		{"in one list", "box-2", []DirectorStatus{tells("box-1"), tells("box-1", "box-2")}, ""},
+		{"nobody tells", "box-2", []DirectorStatus{{}, {Report: status.Report{}}}, ""},
+		{"mistyped", "bx-12", []DirectorStatus{tells("parent-0", "box-1", "box-2", "box-12", "box-7")}, "bx-12: no director's list has it; nearest are box-12, box-1, box-2"},
+		{"one known", "x", []DirectorStatus{tells("box-1")}, "nearest are box-1"},
 	} {
-		err := (&View{Directors: c.of}).Listed(c.box)
+		err := (&Snapshot{Directors: c.of}).CheckCacheNode(c.box)
 		if (err == nil) != (c.want == "") || err != nil && !strings.HasSuffix(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.name, err)
 		}
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -26,18 +26,18 @@
 // Fleet is one as an operator reaches it.
 type Fleet struct {
 	Inventory *config.Inventory
-	Me        string // this tool: the operator's name and a number of its own
-	peers     *agent.Peers
+	HolderID  string // this tool: the operator's name and a number of its own
+	peers     *agent.Clients
 	start     time.Time
-	times     rollout.Times
+	times     rollout.Timeouts
 }
 
 // Open reaches the fleet of an inventory as the owner of a certificate.
 func Open(inv *config.Inventory, id *authority.Identity) *Fleet {
-	t := rollout.DefaultTimes()
+	t := rollout.DefaultTimeouts()
 	t.Lease = inv.Lease
 	return &Fleet{
-		Inventory: inv, Me: id.Name() + "/" + random(4), peers: agent.NewPeers(inv, id), start: time.Now(), times: t,
+		Inventory: inv, HolderID: id.Name() + "/" + random(4), peers: agent.NewClients(inv, id), start: time.Now(), times: t,
 	}
 }
 
@@ -50,31 +50,31 @@
 	return hex.EncodeToString(b)
 }
 
-// NewID is one that no other change has.
-func NewID() string { return time.Now().UTC().Format("20060102-150405-") + random(3) }
+// NewChangeID is one that no other change has.
+func NewChangeID() string { return time.Now().UTC().Format("20060102-150405-") + random(3) }
 
-// Director is how one is.
-type Director struct {
-	Name     string        `json:"name"`
-	Agent    string        `json:"agent"`
-	Depot    string        `json:"depot"`
-	Up       bool          `json:"up"`
-	Why      string        `json:"why,omitempty"`
-	Script   string        `json:"script"` // that its agent takes to be in force
-	Drifted  bool          `json:"drifted"`
-	Known    bool          `json:"known"` // its agent answers
-	Report   status.Report `json:"report"`
-	Settings string        `json:"settings"` // sum of what it runs
+// DirectorStatus is how one is.
+type DirectorStatus struct {
+	Name           string        `json:"name"`
+	Agent          string        `json:"agent"`
+	Depot          string        `json:"depot"`
+	Up             bool          `json:"up"`
+	Reason         string        `json:"why,omitempty"`
+	Script         string        `json:"script"` // that its agent takes to be in force
+	Drifted        bool          `json:"drifted"`
+	AgentReachable bool          `json:"known"` // its agent answers
+	Report         status.Report `json:"report"`
+	Settings       string        `json:"settings"` // sum of what it runs
 }
 
-// View is how a fleet is.
-type View struct {
-	Agents    []AgentView   `json:"agents"`
-	Directors []Director    `json:"directors"`
-	Changes   []ChangeView  `json:"changes"`
-	Holder    string        `json:"holder,omitempty"` // who holds the right to change,
-	Held      time.Duration `json:"held,omitempty"`   // since how long,
-	Left      time.Duration `json:"left,omitempty"`   // and for how long yet
+// Snapshot is how a fleet is.
+type Snapshot struct {
+	Agents    []AgentStatus    `json:"agents"`
+	Directors []DirectorStatus `json:"directors"`
+	Changes   []ChangeStatus   `json:"changes"`
+	Holder    string           `json:"holder,omitempty"` // who holds the right to change,
+	HeldFor   time.Duration    `json:"held,omitempty"`   // since how long,
+	LeaseLeft time.Duration    `json:"left,omitempty"`   // and for how long yet
 	entries   []entryOf
 }
 
@@ -83,29 +83,29 @@
 	rollout.Entry
 }
 
-// AgentView is how one agent is.
-type AgentView struct {
-	Name    string            `json:"name"`
-	Depot   string            `json:"depot"`
-	Answers bool              `json:"answers"`
-	Why     string            `json:"why,omitempty"`
-	Members map[string]string `json:"members,omitempty"`
+// AgentStatus is how one agent is.
+type AgentStatus struct {
+	Name      string            `json:"name"`
+	Depot     string            `json:"depot"`
+	Reachable bool              `json:"answers"`
+	Reason    string            `json:"why,omitempty"`
+	Members   map[string]string `json:"members,omitempty"`
 }
 
-// ChangeView is what the agents together know of a change.
-type ChangeView struct {
-	ID        string            `json:"id"`
-	By        string            `json:"by"`
-	Note      string            `json:"note"`
-	Undoes    string            `json:"undoes,omitempty"`
-	Outcome   string            `json:"outcome"`
-	Open      bool              `json:"open"`
-	Directors map[string]string `json:"directors"` // phase by director; "not known" where its agent does not answer
-	Whys      map[string]string `json:"whys,omitempty"`
+// ChangeStatus is what the agents together know of a change.
+type ChangeStatus struct {
+	ID         string            `json:"id"`
+	Author     string            `json:"by"`
+	Note       string            `json:"note"`
+	Reverts    string            `json:"undoes,omitempty"`
+	Outcome    string            `json:"outcome"`
+	InProgress bool              `json:"open"`
+	Directors  map[string]string `json:"directors"` // phase by director; "not known" where its agent does not answer
+	Reasons    map[string]string `json:"whys,omitempty"`
 }
 
-// Look asks all agents.
-func (f *Fleet) Look(ctx context.Context) View {
+// Snapshot asks all agents.
+func (f *Fleet) Snapshot(ctx context.Context) Snapshot {
 	type answer struct {
 		r   *fleetpb.StatusReply
 		err error
@@ -124,13 +124,13 @@
 		})
 	}
 	all.Wait()
-	var v View
+	var v Snapshot
 	known := map[string]*fleetpb.DirectorStatus{}
 	var promised rollout.Ballot
 	for i, a := range f.Inventory.Agents {
-		av := AgentView{Name: a.Name, Depot: a.Depot, Answers: answers[i].err == nil}
+		av := AgentStatus{Name: a.Name, Depot: a.Depot, Reachable: answers[i].err == nil}
 		if err := answers[i].err; err != nil {
-			av.Why = err.Error()
+			av.Reason = err.Error()
 			v.Agents = append(v.Agents, av)
 			continue
 		}
@@ -145,13 +145,13 @@
 		}
 		if b := fleetpb.ToBallot(r.GetPromised()); promised.Less(b) && r.GetLeftUs() > 0 {
 			promised = b
-			v.Holder, v.Held, v.Left = b.Holder, micros(r.GetHeldUs()), micros(r.GetLeftUs())
+			v.Holder, v.HeldFor, v.LeaseLeft = b.Holder, micros(r.GetHeldUs()), micros(r.GetLeftUs())
 		}
 	}
 	for _, e := range f.Inventory.Directors {
-		x := Director{Name: e.Name, Agent: e.Agent, Depot: f.Inventory.Agent(e.Agent).Depot, Why: "its agent does not answer"}
+		x := DirectorStatus{Name: e.Name, Agent: e.Agent, Depot: f.Inventory.Agent(e.Agent).Depot, Reason: "its agent does not answer"}
 		if ds := known[e.Name]; ds != nil {
-			x.Known, x.Up, x.Why, x.Script, x.Settings = true, ds.GetUp(), ds.GetWhy(), ds.GetScript(), ds.GetSettings()
+			x.AgentReachable, x.Up, x.Reason, x.Script, x.Settings = true, ds.GetUp(), ds.GetWhy(), ds.GetScript(), ds.GetSettings()
 			if x.Up {
 				json.Unmarshal(ds.GetReport(), &x.Report)
 				x.Drifted = x.Settings != config.Sum([]byte(x.Script))
@@ -166,16 +166,16 @@
 func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // changes puts together what the agents know.
-func (v *View) changes() {
+func (v *Snapshot) changes() {
 	at := map[string]int{}
 	for _, e := range v.entries {
 		i, seen := at[e.Change.ID]
 		if !seen {
 			i = len(v.Changes)
 			at[e.Change.ID] = i
-			c := ChangeView{
-				ID: e.Change.ID, By: e.Change.By, Note: e.Change.Note, Undoes: e.Change.Undoes, Outcome: "open",
-				Directors: map[string]string{}, Whys: map[string]string{},
+			c := ChangeStatus{
+				ID: e.Change.ID, Author: e.Change.Author, Note: e.Change.Note, Reverts: e.Change.Reverts, Outcome: "open",
+				Directors: map[string]string{}, Reasons: map[string]string{},
 			}
 			for _, t := range e.Change.Targets {
 				c.Directors[t.Instance] = "not known"
@@ -183,50 +183,50 @@
 			v.Changes = append(v.Changes, c)
 		}
 		c := &v.Changes[i]
-		if e.Outcome != rollout.Open {
+		if e.Outcome != rollout.Undecided {
 			c.Outcome = e.Outcome.String()
 		}
-		c.Open = c.Open || !e.Settled()
-		for name, l := range e.Local {
+		c.InProgress = c.InProgress || !e.IsComplete()
+		for name, l := range e.TargetStates {
 			c.Directors[name] = l.Phase.String()
-			if l.Why != "" {
-				c.Whys[name] = l.Why
+			if l.Reason != "" {
+				c.Reasons[name] = l.Reason
 			}
 		}
 	}
-	slices.SortStableFunc(v.Changes, func(a, b ChangeView) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortStableFunc(v.Changes, func(a, b ChangeStatus) int { return strings.Compare(a.ID, b.ID) })
 }
 
 // Change is one, as an agent that knows it tells it, with what was in force before at each director that is known.
-func (v *View) Change(id string) (c *rollout.Change, before map[string]string) {
+func (v *Snapshot) Change(id string) (c *rollout.Change, before map[string]string) {
 	before = map[string]string{}
 	for _, e := range v.entries {
 		if e.Change.ID != id {
 			continue
 		}
 		c = e.Change
-		for name, l := range e.Local {
-			if l.Phase == rollout.InForce {
-				before[name] = l.Before
+		for name, l := range e.TargetStates {
+			if l.Phase == rollout.PhaseApplied {
+				before[name] = l.PreviousScript
 			}
 		}
 	}
 	return c, before
 }
 
-// Places are the directors for planning. An error names one whose agent does not answer.
-func (v *View) Places() (places []rollout.Place, err error) {
+// Candidates are the directors for planning. An error names one whose agent does not answer.
+func (v *Snapshot) Candidates() (places []rollout.Candidate, err error) {
 	for _, x := range v.Directors {
-		if !x.Known {
-			return nil, fmt.Errorf("%s: %s", x.Name, x.Why)
+		if !x.AgentReachable {
+			return nil, fmt.Errorf("%s: %s", x.Name, x.Reason)
 		}
-		places = append(places, rollout.Place{Instance: x.Name, Agent: x.Agent, Depot: x.Depot, Script: x.Script})
+		places = append(places, rollout.Candidate{Instance: x.Name, Agent: x.Agent, Depot: x.Depot, Script: x.Script})
 	}
 	return places, nil
 }
 
-// Health is the share of the directors' answers that were no success, over those since another look.
-func (v *View) Health(since View) (bad float64, answers int64) {
+// FailureRate is the share of the directors' answers that were no success, over those since another look.
+func (v *Snapshot) FailureRate(since Snapshot) (bad float64, answers int64) {
 	before := map[string]status.Report{}
 	for _, x := range since.Directors {
 		before[x.Name] = x.Report
@@ -256,13 +256,13 @@
 func (f *Fleet) Run(ctx context.Context, change *rollout.Change, worse func() string, step func(rollout.Step, int)) (rollout.Result, error) {
 	for tries := 0; ; tries++ {
 		r, err := f.run(ctx, change, worse, step)
-		if err != nil || !rollout.Settles(r.Holder) && !r.Resume || tries == settlingTries {
+		if err != nil || !rollout.IsRecoveryHolder(r.Holder) && !r.NeedsResume || tries == settlingTries {
 			return r, err
 		}
 		select { // an agent settles what a tool left: that is no other operator, and soon over
 		case <-ctx.Done():
 			return r, nil
-		case <-time.After(micros(int64(f.times.Resend)) + micros(int64(r.Left))):
+		case <-time.After(micros(int64(f.times.Resend)) + micros(int64(r.LeaseLeft))):
 		}
 	}
 }
@@ -301,7 +301,7 @@
 		return rollout.Result{}, err
 	}
 	names := f.Inventory.AgentNames()
-	c := rollout.NewCoordinator(f.Me, n, names, change, f.times, judge(worse))
+	c := rollout.NewCoordinator(f.HolderID, n, names, change, f.times, judge(worse))
 	type came struct {
 		from string
 		r    rollout.Reply
@@ -311,7 +311,7 @@
 	replies := make(chan came, 4*len(names)+16)
 	var calls sync.WaitGroup
 	places := make(chan struct{}, 4*len(names)+16) // calls under way
-	say := func(sends []rollout.Send) {
+	say := func(sends []rollout.Envelope) {
 		for _, s := range sends {
 			select {
 			case places <- struct{}{}:
@@ -322,7 +322,7 @@
 				defer func() { <-places }()
 				call, leave := context.WithTimeout(work, sayTimeout)
 				defer leave()
-				if r, err := f.peers.Say(call, s.To, s.Message); err == nil {
+				if r, err := f.peers.Send(call, s.To, s.Message); err == nil {
 					select {
 					case replies <- came{s.To, r}:
 					case <-call.Done():
@@ -335,19 +335,19 @@
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	say(c.Start(now()))
-	for last, wave := rollout.Step(-1), 0; c.Step() != rollout.Ended; {
+	for last, wave := rollout.Step(-1), 0; c.Step() != rollout.StepDone; {
 		if step != nil && (c.Step() != last || c.Wave() != wave) {
 			last, wave = c.Step(), c.Wave()
 			step(last, wave)
 		}
 		select {
 		case x := <-replies:
-			say(c.Got(now(), x.from, x.r))
+			say(c.HandleReply(now(), x.from, x.r))
 		case <-tick.C:
 			say(c.Tick(now()))
 		case <-ctx.Done():
 			at := c.Step()
-			say(c.Leave())
+			say(c.Release())
 			heard(&calls)
 			return c.Result(), fmt.Errorf("left at %v: %w; the agents settle what was begun, `resume` goes on with further waves", at, ctx.Err())
 		}
@@ -376,7 +376,7 @@
 		all.Go(func() {
 			ctx, leave := context.WithTimeout(ctx, 2*time.Second)
 			defer leave()
-			r, err := f.peers.Say(ctx, a.Name, rollout.Message{Verb: rollout.Ask})
+			r, err := f.peers.Send(ctx, a.Name, rollout.Message{Type: rollout.Query})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -384,7 +384,7 @@
 				return
 			}
 			heard++
-			highest = max(highest, r.Ballot.N)
+			highest = max(highest, r.Promised.Number)
 		})
 	}
 	all.Wait()
@@ -418,9 +418,9 @@
 
 var avoidLine = regexp.MustCompile(`(?m)^avoid\(boxes = \[([^\]]*)\]\) # by tallyctl\n?`)
 
-// Avoiding gives a script with some boxes kept out, or let in again, by one line of its own; a script whose owner says avoid
+// EditAvoidedNodes gives a script with some boxes kept out, or let in again, by one line of its own; a script whose owner says avoid
 // by himself is left to him, with an error.
-func Avoiding(script, box string, avoid bool) (string, error) {
+func EditAvoidedNodes(script, box string, avoid bool) (string, error) {
 	var boxes []string
 	if m := avoidLine.FindStringSubmatch(script); m != nil {
 		for quoted := range strings.SplitSeq(m[1], ", ") {
--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -11,11 +11,11 @@
 
 const mostLines = 24 // about who sees whom
 
-// Views tells who sees whom among the directors that talk with each other, and where their views differ; nothing where none
+// MembershipLines tells who sees whom among the directors that talk with each other, and where their views differ; nothing where none
 // does.
-func (v *View) Views() (lines []string) {
+func (v *Snapshot) MembershipLines() (lines []string) {
 	groups, parts := map[string][]string{}, map[string]string{}
-	var talk []Director
+	var talk []DirectorStatus
 	for _, d := range v.Directors {
 		if p := d.Report.Peers; d.Up && p != nil {
 			talk = append(talk, d)
@@ -64,7 +64,7 @@
 const old = 5 * time.Second
 
 // follows tells who asks the command channel for the others, and whose list is old.
-func follows(talk []Director) (lines []string) {
+func follows(talk []DirectorStatus) (lines []string) {
 	var who []string
 	for _, d := range talk {
 		if f := d.Report.Follow; f != nil && f.Polls {
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -166,7 +166,7 @@
 	}
 	defer op.Close()
 	for end := time.Now().Add(60 * time.Second); ; time.Sleep(100 * time.Millisecond) {
-		v, up := op.Look(ctx), 0
+		v, up := op.Snapshot(ctx), 0
 		for _, d := range v.Directors {
 			if d.Up {
 				up++
--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -54,21 +54,21 @@
 }
 
 // adding makes a change that adds a line to every director's script.
-func adding(t *testing.T, v ctl.View, line string, limit int) *rollout.Change {
+func adding(t *testing.T, v ctl.Snapshot, line string, limit int) *rollout.Change {
 	t.Helper()
-	places, err := v.Places()
+	places, err := v.Candidates()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rollout.Plan(ctl.NewID(), "op", line, places, limit, func(s string) string { return config.Sum([]byte(s)) },
-		func(p rollout.Place) string { return p.Script + line + "\n" })
+	return rollout.Plan(ctl.NewChangeID(), "op", line, places, limit, func(s string) string { return config.Sum([]byte(s)) },
+		func(p rollout.Candidate) string { return p.Script + line + "\n" })
 }
 
 // settled waits until every director tells by itself that it runs a line, or none does, and gives how many do.
 func settled(t *testing.T, op *ctl.Fleet, line string) (with int) {
 	t.Helper()
 	for end := time.Now().Add(40 * time.Second); ; time.Sleep(100 * time.Millisecond) {
-		v, whole := op.Look(t.Context()), true
+		v, whole := op.Snapshot(t.Context()), true
 		with = 0
 		for _, d := range v.Directors {
 			whole = whole && d.Up && !d.Drifted
@@ -89,25 +89,25 @@
 func TestTwentyWithOneKilled(t *testing.T) {
 	beside(t)
 	f, op := newFleet(t, 10, 2)
-	change := adding(t, op.Look(t.Context()), `log(level = "warn")`, 5)
+	change := adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 5)
 	killed := false
 	r, err := op.Run(t.Context(), change, nil, func(s rollout.Step, wave int) {
-		if s == rollout.Waving && wave == 2 && !killed {
+		if s == rollout.StepApply && wave == 2 && !killed {
 			killed = true
 			f.Director("n070").Signal(syscall.SIGKILL)
 		}
 	})
-	if err != nil || !r.Whole() || r.Outcome != rollout.Go || !killed || len(r.Ends) != 20 {
+	if err != nil || !r.AllOrNone() || r.Outcome != rollout.Commit || !killed || len(r.Targets) != 20 {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if n := settled(t, op, "warn"); n != 20 {
 		t.Errorf("%d have it", n)
 	}
 	// taken back, as a change of its own
-	v := op.Look(t.Context())
+	v := op.Snapshot(t.Context())
 	of, before := v.Change(change.ID)
-	undo := rollout.Undo(ctl.NewID(), "op", of, before, func(s string) string { return config.Sum([]byte(s)) })
-	if r, err := op.Run(t.Context(), undo, nil, nil); err != nil || !r.Whole() {
+	undo := rollout.Undo(ctl.NewChangeID(), "op", of, before, func(s string) string { return config.Sum([]byte(s)) })
+	if r, err := op.Run(t.Context(), undo, nil, nil); err != nil || !r.AllOrNone() {
 		t.Fatalf("undo: %+v, %v", r, err)
 	}
 	if n := settled(t, op, "warn"); n != 0 {
@@ -125,26 +125,26 @@
 		name string
 		at   rollout.Step
 		want int
-	}{{"before it has prepared", rollout.Preparing, 0}, {"after it was decided", rollout.Waving, 5}}
+	}{{"before it has prepared", rollout.StepPrepare, 0}, {"after it was decided", rollout.StepApply, 5}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			beside(t)
 			f, op := newFleet(t, 5, 1)
-			change := adding(t, op.Look(t.Context()), `log(level = "warn")`, 0)
-			if c.at == rollout.Preparing {
+			change := adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0)
+			if c.at == rollout.StepPrepare {
 				f.Stop("a02")
 			}
 			ctx, leave := context.WithTimeout(t.Context(), 40*time.Second)
 			defer leave()
 			r, err := op.Run(ctx, change, nil, func(s rollout.Step, _ int) {
-				if s == c.at && s == rollout.Waving {
+				if s == c.at && s == rollout.StepApply {
 					f.Stop("a02")
 				}
 			})
 			if err != nil {
 				t.Fatalf("%+v, %v", r, err)
 			}
-			for _, e := range r.Ends { // the tool says of each where it is, or will be
+			for _, e := range r.Targets { // the tool says of each where it is, or will be
 				if want := map[int]string{0: "untouched", 5: "changed"}[c.want]; e.State != want && (e.Agent != "a02" || e.State != "will be "+want) {
 					t.Errorf("%+v", e)
 				}
@@ -169,16 +169,16 @@
 		outcome   string
 		changed   int
 	}{
-		{"killed once all have prepared", rollout.Deciding, false, 0, "drop", 0},
-		{"killed once it was decided and nobody was told", rollout.Waving, false, 0, "go", 5},
-		{"killed before the first of five waves", rollout.Waving, false, 1, "go", 1},
-		{"interrupted while it is put in force", rollout.Waving, true, 0, "go", 5},
+		{"killed once all have prepared", rollout.StepDecide, false, 0, "drop", 0},
+		{"killed once it was decided and nobody was told", rollout.StepApply, false, 0, "go", 5},
+		{"killed before the first of five waves", rollout.StepApply, false, 1, "go", 1},
+		{"interrupted while it is put in force", rollout.StepApply, true, 0, "go", 5},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			beside(t)
 			f, op := newFleet(t, 5, 1)
-			change := adding(t, op.Look(t.Context()), `log(level = "warn")`, c.limit)
+			change := adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, c.limit)
 			begun := time.Now()
 			if c.interrupt {
 				ctx, leave := context.WithCancel(t.Context())
@@ -194,8 +194,8 @@
 				killed(t, f, change, c.at)
 			}
 			for end := time.Now().Add(40 * time.Second); ; time.Sleep(100 * time.Millisecond) {
-				v := op.Look(t.Context())
-				i := slices.IndexFunc(v.Changes, func(x ctl.ChangeView) bool { return x.ID == change.ID })
+				v := op.Snapshot(t.Context())
+				i := slices.IndexFunc(v.Changes, func(x ctl.ChangeStatus) bool { return x.ID == change.ID })
 				going, changed := 0, 0
 				for _, phase := range v.Changes[i].Directors {
 					switch phase {
@@ -205,7 +205,7 @@
 						going++
 					}
 				}
-				if x := v.Changes[i]; x.Outcome == c.outcome && x.Open == (c.limit > 0) && going == 0 && changed == c.changed {
+				if x := v.Changes[i]; x.Outcome == c.outcome && x.InProgress == (c.limit > 0) && going == 0 && changed == c.changed {
 					t.Log("settled after", time.Since(begun))
 					break
 				} else if time.Now().After(end) {
@@ -231,20 +231,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	peers := agent.NewPeers(f.Inventory, id)
+	peers := agent.NewClients(f.Inventory, id)
 	defer peers.Close()
-	c, begun := rollout.NewCoordinator("op/killed", 100, f.Inventory.AgentNames(), change, rollout.DefaultTimes(), nil), time.Now()
+	c, begun := rollout.NewCoordinator("op/killed", 100, f.Inventory.AgentNames(), change, rollout.DefaultTimeouts(), nil), time.Now()
 	now := func() d.Micros { return d.Micros(time.Since(begun) / time.Microsecond) }
 	for sends := c.Start(now()); c.Step() < at; sends = append(sends, c.Tick(now())...) {
 		if len(sends) == 0 {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		r, err := peers.Say(t.Context(), sends[0].To, sends[0].Message)
+		r, err := peers.Send(t.Context(), sends[0].To, sends[0].Message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sends = append(sends[1:], c.Got(now(), sends[0].To, r)...)
+		sends = append(sends[1:], c.HandleReply(now(), sends[0].To, r)...)
 	}
 }
 
@@ -259,16 +259,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			beside(t)
 			f, op := newFleet(t, 1, 1)
-			if r, err := op.Run(t.Context(), adding(t, op.Look(t.Context()), `log(level = "warn")`, 0), nil, nil); err != nil || !r.Whole() {
+			if r, err := op.Run(t.Context(), adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0), nil, nil); err != nil || !r.AllOrNone() {
 				t.Fatalf("%+v, %v", r, err)
 			}
-			before := op.Look(t.Context()).Directors[0].Report.PID
+			before := op.Snapshot(t.Context()).Directors[0].Report.PID
 			if err := f.Director("n000").Signal(c.signal); err != nil {
 				t.Fatal(err)
 			}
 			down := false
 			back := func() bool {
-				x := op.Look(t.Context()).Directors[0]
+				x := op.Snapshot(t.Context()).Directors[0]
 				down = down || !x.Up
 				return x.Up && x.Report.PID != before && !x.Drifted && strings.Contains(x.Script, "warn")
 			}
@@ -299,7 +299,7 @@
 		return
 	}
 	_, op := newFleet(t, 3, 1)
-	view := op.Look(t.Context())
+	view := op.Snapshot(t.Context())
 	signal.Ignore(syscall.SIGXFSZ) // a write past the limit is an error then, as on a full disk
 	defer signal.Reset(syscall.SIGXFSZ)
 	var limit syscall.Rlimit
@@ -314,14 +314,14 @@
 	if rerr := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limit); rerr != nil {
 		t.Fatal(rerr)
 	}
-	if err != nil || r.Refused == "" || r.Outcome == rollout.Go {
+	if err != nil || r.RefusalReason == "" || r.Outcome == rollout.Commit {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if n := settled(t, op, "warn"); n != 0 {
 		t.Fatalf("%d have it", n)
 	}
-	r, err = op.Run(t.Context(), adding(t, op.Look(t.Context()), `log(level = "warn")`, 0), nil, nil)
-	if err != nil || !r.Whole() || r.Outcome != rollout.Go {
+	r, err = op.Run(t.Context(), adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0), nil, nil)
+	if err != nil || !r.AllOrNone() || r.Outcome != rollout.Commit {
 		t.Fatalf("with room again: %+v, %v", r, err)
 	}
 	if n := settled(t, op, "warn"); n != 3 {
@@ -333,7 +333,7 @@
 func TestToolReturns(t *testing.T) {
 	beside(t)
 	f, op := newFleet(t, 3, 1)
-	change := adding(t, op.Look(t.Context()), `log(level = "warn")`, 0)
+	change := adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0)
 	for _, name := range []string{"a01", "a02"} {
 		f.Stop(name)
 		l, err := net.Listen("tcp", f.Inventory.Agent(name).Address) // a machine that hangs: the kernel takes the connection
@@ -344,7 +344,7 @@
 	}
 	begun := time.Now()
 	r, err := op.Run(t.Context(), change, nil, nil)
-	if took := time.Since(begun); err != nil || r.Refused != "no majority of the agents answers" || !r.Whole() || took > 30*time.Second {
+	if took := time.Since(begun); err != nil || r.RefusalReason != "no majority of the agents answers" || !r.AllOrNone() || took > 30*time.Second {
 		t.Errorf("after %v: %+v, %v", took, r, err)
 	}
 }
@@ -358,7 +358,7 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	v := op.Look(t.Context())
+	v := op.Snapshot(t.Context())
 	results := make([]rollout.Result, 2)
 	var all sync.WaitGroup
 	for i, o := range []*ctl.Fleet{op, other} {
@@ -368,9 +368,9 @@
 	all.Wait()
 	went := 0
 	for _, r := range results {
-		if r.Outcome == rollout.Go && r.Whole() {
+		if r.Outcome == rollout.Commit && r.AllOrNone() {
 			went++
-		} else if r.Refused == "" {
+		} else if r.RefusalReason == "" {
 			t.Errorf("neither whole nor refused: %+v", r)
 		}
 	}
@@ -384,26 +384,26 @@
 	beside(t)
 	f, op := newFleet(t, 3, 1)
 	t.Run("a faulty script: nobody has it", func(t *testing.T) {
-		r, err := op.Run(t.Context(), adding(t, op.Look(t.Context()), "storm(rise = 0)", 0), nil, nil)
-		if err != nil || r.Outcome != rollout.Drop || !strings.Contains(r.Refused, "storm.rise") || !r.Whole() {
+		r, err := op.Run(t.Context(), adding(t, op.Snapshot(t.Context()), "storm(rise = 0)", 0), nil, nil)
+		if err != nil || r.Outcome != rollout.Abort || !strings.Contains(r.RefusalReason, "storm.rise") || !r.AllOrNone() {
 			t.Errorf("%+v, %v", r, err)
 		}
 	})
 	t.Run("what the agent had checked and the director would not have", func(t *testing.T) {
-		r, err := op.Run(t.Context(), adding(t, op.Look(t.Context()), "machine(cores = 4)", 0), nil, nil)
+		r, err := op.Run(t.Context(), adding(t, op.Snapshot(t.Context()), "machine(cores = 4)", 0), nil, nil)
 		// cores are one by the platform's limit: the script is fine and the director takes it
-		if err != nil || r.Outcome != rollout.Go || !r.Whole() {
+		if err != nil || r.Outcome != rollout.Commit || !r.AllOrNone() {
 			t.Errorf("%+v, %v", r, err)
 		}
-		v := op.Look(t.Context())
-		places, _ := v.Places()
-		change := rollout.Plan(ctl.NewID(), "op", "x", places, 1, func(s string) string { return config.Sum([]byte(s)) },
-			func(p rollout.Place) string { return strings.Replace(p.Script, ".sock", ".elsewhere", 1) })
+		v := op.Snapshot(t.Context())
+		places, _ := v.Candidates()
+		change := rollout.Plan(ctl.NewChangeID(), "op", "x", places, 1, func(s string) string { return config.Sum([]byte(s)) },
+			func(p rollout.Candidate) string { return strings.Replace(p.Script, ".sock", ".elsewhere", 1) })
 		r, err = op.Run(t.Context(), change, nil, nil)
-		if err != nil || r.Stopped == "" || !strings.Contains(r.Stopped, "needs a restart") {
+		if err != nil || r.StopReason == "" || !strings.Contains(r.StopReason, "needs a restart") {
 			t.Errorf("%+v, %v", r, err)
 		}
-		for _, e := range r.Ends {
+		for _, e := range r.Targets {
 			if e.State != "untouched" {
 				t.Errorf("%+v", e)
 			}
@@ -421,12 +421,12 @@
 			t.Fatal(err)
 		}
 		defer looker.Close()
-		v := looker.Look(t.Context())
+		v := looker.Snapshot(t.Context())
 		if len(v.Directors) != 3 || !v.Directors[0].Up {
 			t.Errorf("can't look: %+v", v)
 		}
 		r, err := looker.Run(t.Context(), adding(t, v, `log(level = "warn")`, 0), nil, nil)
-		if err != nil || r.Refused == "" || r.Outcome != rollout.Open {
+		if err != nil || r.RefusalReason == "" || r.Outcome != rollout.Undecided {
 			t.Errorf("%+v, %v", r, err)
 		}
 	})
@@ -439,7 +439,7 @@
 			t.Fatal(err)
 		}
 		defer left.Close()
-		if v := left.Look(t.Context()); !v.Agents[0].Answers {
+		if v := left.Snapshot(t.Context()); !v.Agents[0].Reachable {
 			t.Fatalf("%+v", v.Agents)
 		}
 		cert, err := authority.ReadCertificate(filepath.Join(f.Dir, "left.pem"))
@@ -449,8 +449,8 @@
 		if err := authority.Revoke(f.Keys, []*x509Certificate{cert}, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		for _, a := range left.Look(t.Context()).Agents { // at once, also on the connection that is there
-			if a.Answers || !strings.Contains(a.Why, "revoked") {
+		for _, a := range left.Snapshot(t.Context()).Agents { // at once, also on the connection that is there
+			if a.Reachable || !strings.Contains(a.Reason, "revoked") {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -462,8 +462,8 @@
 			t.Fatal(err)
 		}
 		defer late.Close()
-		for _, a := range late.Look(t.Context()).Agents {
-			if a.Answers {
+		for _, a := range late.Snapshot(t.Context()).Agents {
+			if a.Reachable {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -475,8 +475,8 @@
 func TestDrainOverAll(t *testing.T) {
 	beside(t)
 	f, op := newFleet(t, 3, 1)
-	v := op.Look(t.Context())
-	places, err := v.Places()
+	v := op.Snapshot(t.Context())
+	places, err := v.Candidates()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -496,16 +496,16 @@
 			t.Fatal("the box has no share")
 		}
 	}
-	change := rollout.Plan(ctl.NewID(), "op", "drain", places, 1, func(s string) string { return config.Sum([]byte(s)) },
-		func(p rollout.Place) string {
-			script, err := ctl.Avoiding(p.Script, "box-0", true)
+	change := rollout.Plan(ctl.NewChangeID(), "op", "drain", places, 1, func(s string) string { return config.Sum([]byte(s)) },
+		func(p rollout.Candidate) string {
+			script, err := ctl.EditAvoidedNodes(p.Script, "box-0", true)
 			if err != nil {
 				t.Error(err)
 			}
 			return script
 		})
 	r, err := op.Run(t.Context(), change, nil, nil)
-	if err != nil || !r.Whole() || r.Outcome != rollout.Go {
+	if err != nil || !r.AllOrNone() || r.Outcome != rollout.Commit {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	time.Sleep(time.Second)
@@ -529,9 +529,9 @@
 	f, op := newFleet(t, 3, 1)
 	sees := func(want map[string]string) func() bool {
 		return func() bool {
-			for _, a := range op.Look(t.Context()).Agents {
+			for _, a := range op.Snapshot(t.Context()).Agents {
 				for name, state := range want {
-					if a.Answers && a.Name != name && a.Members[name] != state {
+					if a.Reachable && a.Name != name && a.Members[name] != state {
 						return false
 					}
 				}
@@ -542,7 +542,7 @@
 	until := func(what string, holds func() bool) {
 		for end := time.Now().Add(30 * time.Second); !holds(); time.Sleep(50 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: %+v", what, op.Look(t.Context()).Agents)
+				t.Fatalf("%s: %+v", what, op.Snapshot(t.Context()).Agents)
 			}
 		}
 	}
--- a/internal/experiment/fleetsim.go
+++ b/internal/experiment/fleetsim.go
@@ -76,7 +76,7 @@
 
 type simAgent struct {
 	*rollout.Agent
-	settler *rollout.Settler
+	settler *rollout.Recovery
 	stored  rollout.State
 	runs    string
 	life    int // counts its starts
@@ -150,17 +150,17 @@
 
 func (f *fleetSim) boot(name string) {
 	a := f.agents[name]
-	a.Agent = rollout.NewAgent(f.now, name, a.stored.Clone(), rollout.DefaultTimes().Lease, func(string, string) error { return nil }, simSum)
-	a.settler = rollout.NewSettler(f.now, a.Agent, f.names, rollout.DefaultTimes())
+	a.Agent = rollout.NewAgent(f.now, name, a.stored.Clone(), rollout.DefaultTimeouts().Lease, func(string, string) error { return nil }, simSum)
+	a.settler = rollout.NewRecovery(f.now, a.Agent, f.names, rollout.DefaultTimeouts())
 	a.up = true
 	a.life++
-	f.carry(a, a.Unfinished())
+	f.carry(a, a.UnfinishedCommands())
 	f.keep(a)
 	f.tickAgent(a, a.life)
 }
 
 func (f *fleetSim) keep(a *simAgent) {
-	if a.Changed() {
+	if a.TakeDirty() {
 		a.stored = a.State.Clone()
 	}
 }
@@ -169,14 +169,14 @@
 func (f *fleetSim) tickAgent(a *simAgent, life int) {
 	f.after(2*simTick, func() {
 		if a.up && a.life == life {
-			f.agentSays(a, life, func() ([]rollout.Send, []rollout.Command) { return a.settler.Tick(f.now) })
+			f.agentSays(a, life, func() ([]rollout.Envelope, []rollout.Command) { return a.settler.Tick(f.now) })
 			f.tickAgent(a, life)
 		}
 	})
 }
 
 // agentSays has an agent do something; what it says is sent to the others once it is stored.
-func (f *fleetSim) agentSays(a *simAgent, life int, act func() ([]rollout.Send, []rollout.Command)) {
+func (f *fleetSim) agentSays(a *simAgent, life int, act func() ([]rollout.Envelope, []rollout.Command)) {
 	sends, do := act()
 	f.keep(a)
 	f.carry(a, do)
@@ -190,7 +190,7 @@
 			r := f.handle(a.Name, other, s.Message)
 			f.wire(func() {
 				if a.up && a.life == life && other.cut == a.cut {
-					f.agentSays(a, life, func() ([]rollout.Send, []rollout.Command) { return a.settler.Got(f.now, other.Name, r) })
+					f.agentSays(a, life, func() ([]rollout.Envelope, []rollout.Command) { return a.settler.HandleReply(f.now, other.Name, r) })
 				}
 			})
 		})
@@ -202,7 +202,7 @@
 	f.keep(a)
 	f.carry(a, do)
 	if f.trace != nil {
-		f.trace("%8.3f s  %s to %s: %v %v waves %d -> %v %s", float64(f.now)/1e6, from, a.Name, m.Verb, m.Outcome, m.Waves, r.OK, r.Why)
+		f.trace("%8.3f s  %s to %s: %v %v waves %d -> %v %s", float64(f.now)/1e6, from, a.Name, m.Type, m.Outcome, m.AllowedWaves, r.OK, r.Reason)
 	}
 	return r
 }
@@ -213,7 +213,7 @@
 		f.after(d.Micros(20_000+f.r.IntN(180_000)), func() {
 			if a.up && a.life == life {
 				a.runs = c.Script
-				a.Done(c, "")
+				a.CommandDone(c, "")
 				f.keep(a)
 			}
 		})
@@ -224,14 +224,14 @@
 func (f *fleetSim) tool(change *rollout.Change, dies d.Micros) *rollout.Coordinator {
 	n := int64(1) // higher than any that the agents know
 	for _, name := range f.names {
-		n = max(n, f.agents[name].State.Promised.N+1)
+		n = max(n, f.agents[name].State.Promised.Number+1)
 	}
-	c := rollout.NewCoordinator(fmt.Sprint("op/", n), n, f.names, change, rollout.DefaultTimes(), nil)
+	c := rollout.NewCoordinator(fmt.Sprint("op/", n), n, f.names, change, rollout.DefaultTimeouts(), nil)
 	f.c = c
 	begun := f.now
-	alive := func() bool { return (dies == 0 || f.now < begun+dies) && c.Step() != rollout.Ended }
-	var say func([]rollout.Send)
-	say = func(sends []rollout.Send) {
+	alive := func() bool { return (dies == 0 || f.now < begun+dies) && c.Step() != rollout.StepDone }
+	var say func([]rollout.Envelope)
+	say = func(sends []rollout.Envelope) {
 		for _, s := range sends {
 			f.sent++
 			f.wire(func() {
@@ -242,7 +242,7 @@
 				r := f.handle(fmt.Sprint("tool ", n), a, s.Message)
 				f.wire(func() {
 					if alive() && f.toolCut == a.cut {
-						say(c.Got(f.now, s.To, r))
+						say(c.HandleReply(f.now, s.To, r))
 					}
 				})
 			})
@@ -309,17 +309,17 @@
 	if s.Only >= 0 {
 		f.trace = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	}
-	var places []rollout.Place
+	var places []rollout.Candidate
 	for i := range n {
 		name := fmt.Sprintf("a%04d", i)
-		f.agents[name] = &simAgent{runs: "old", stored: rollout.State{InForce: map[string]string{simInstance + name: "old"}}}
+		f.agents[name] = &simAgent{runs: "old", stored: rollout.State{ActiveScripts: map[string]string{simInstance + name: "old"}}}
 		f.names = append(f.names, name)
-		places = append(places, rollout.Place{Instance: simInstance + name, Agent: name, Depot: fmt.Sprint(i / 10), Script: "old"})
+		places = append(places, rollout.Candidate{Instance: simInstance + name, Agent: name, Depot: fmt.Sprint(i / 10), Script: "old"})
 	}
 	for _, name := range f.names {
 		f.boot(name)
 	}
-	change := rollout.Plan("c1", "op", "", places, s.Limit, simSum, func(rollout.Place) string { return "new" })
+	change := rollout.Plan("c1", "op", "", places, s.Limit, simSum, func(rollout.Candidate) string { return "new" })
 	begun, last := f.now, f.faults()
 	dies := d.Micros(0)
 	if f.r.Float64() < s.ToolDies {
@@ -339,12 +339,12 @@
 
 	c := f.tool(change, dies)
 	r := c.Result()
-	e.lived = c.Step() == rollout.Ended
+	e.lived = c.Step() == rollout.StepDone
 	if !e.lived {
 		last = max(last, f.now)
 	}
 	// another operator's tool goes on a moment later, and comes back for as long as the right to change is held
-	again := !e.lived || r.Resume
+	again := !e.lived || r.NeedsResume
 	for again && f.now < simEnd && f.events < f.budget {
 		f.run(f.now+d.Second, never)
 		if e.lived { // it goes on with its own
@@ -353,10 +353,10 @@
 			c = f.tool(nil, 0)
 		}
 		r = c.Result()
-		again = c.Step() != rollout.Ended || r.Refused != "" || r.Resume
+		again = c.Step() != rollout.StepDone || r.RefusalReason != "" || r.NeedsResume
 	}
 	e.word = f.now - begun
-	e.ended = c.Step() == rollout.Ended
+	e.ended = c.Step() == rollout.StepDone
 	// what a director runs, what its agent says, and what was decided must agree; it may take until all are back
 	for end := f.now + 120*d.Second; ; {
 		e.state = f.state()
@@ -378,7 +378,7 @@
 
 // told says whether a tool's word was true of how directors were in the end.
 func told(r rollout.Result, state string) bool {
-	for _, end := range r.Ends {
+	for _, end := range r.Targets {
 		switch {
 		case end.State == "changed" && state == "untouched", end.State == "untouched" && state == "changed",
 			end.State == "will be changed" && state == "untouched":
@@ -395,24 +395,24 @@
 		if !a.up {
 			return false
 		}
-		if e := a.Entry("c1"); e != nil && e.Outcome == rollout.Open {
+		if e := a.Entry("c1"); e != nil && e.Outcome == rollout.Undecided {
 			return false
 		}
 	}
-	return f.c.Step() == rollout.Ended || f.agents[f.names[0]].Entry("c1") != nil
+	return f.c.Step() == rollout.StepDone || f.agents[f.names[0]].Entry("c1") != nil
 }
 
 // waits says who waits on whom.
 func (f *fleetSim) waits() string {
-	out := []string{fmt.Sprintf("after %.1f s and %d events: tool %v", float64(f.now)/1e6, f.events, f.c.Waits())}
+	out := []string{fmt.Sprintf("after %.1f s and %d events: tool %v", float64(f.now)/1e6, f.events, f.c.DebugString())}
 	for _, name := range f.names {
 		a := f.agents[name]
 		e := a.Entry("c1")
 		switch {
 		case !a.up:
 			out = append(out, name+" is down")
-		case e != nil && !e.Settled():
-			out = append(out, fmt.Sprintf("%s, director at %q", a.settler.Waits(f.now), a.runs))
+		case e != nil && !e.IsComplete():
+			out = append(out, fmt.Sprintf("%s, director at %q", a.settler.DebugString(f.now), a.runs))
 		}
 		if len(out) > shownStuck/2 {
 			return strings.Join(append(out, "..."), "; ")
@@ -424,21 +424,21 @@
 // state is "changed", "untouched", "partly" where the waves were stopped, or, while directors differ otherwise or an agent says
 // something else than its director, "neither".
 func (f *fleetSim) state() string {
-	counts, final, chosen := map[string]int{}, true, rollout.Open
+	counts, final, chosen := map[string]int{}, true, rollout.Undecided
 	for _, name := range f.names {
 		a := f.agents[name]
 		says := "old"
 		if e := a.Entry("c1"); e != nil {
-			if chosen == rollout.Open {
+			if chosen == rollout.Undecided {
 				chosen = e.Outcome
-			} else if e.Outcome != rollout.Open && e.Outcome != chosen {
+			} else if e.Outcome != rollout.Undecided && e.Outcome != chosen {
 				return "neither"
 			}
 			final = final && e.Final
-			for _, l := range e.Local {
-				if l.Phase == rollout.InForce {
+			for _, l := range e.TargetStates {
+				if l.Phase == rollout.PhaseApplied {
 					says = "new"
-				} else if !l.Over() {
+				} else if !l.IsTerminal() {
 					return "neither"
 				}
 			}
--- a/internal/fleetpb/convert.go
+++ b/internal/fleetpb/convert.go
@@ -9,14 +9,16 @@
 	"tallyproxy/rollout"
 )
 
-func fromBallot(b rollout.Ballot) *Ballot { return &Ballot{N: b.N, Holder: b.Holder} }
-func toBallot(b *Ballot) rollout.Ballot   { return rollout.Ballot{N: b.GetN(), Holder: b.GetHolder()} }
+func fromBallot(b rollout.Ballot) *Ballot { return &Ballot{N: b.Number, Holder: b.Holder} }
+func toBallot(b *Ballot) rollout.Ballot {
+	return rollout.Ballot{Number: b.GetN(), Holder: b.GetHolder()}
+}
 
 func fromChange(c *rollout.Change) *Change {
 	if c == nil {
 		return nil
 	}
-	out := &Change{Id: c.ID, By: c.By, Note: c.Note, Undoes: c.Undoes}
+	out := &Change{Id: c.ID, By: c.Author, Note: c.Note, Undoes: c.Reverts}
 	for _, t := range c.Targets {
 		out.Targets = append(out.Targets, &Target{
 			Instance: t.Instance, Agent: t.Agent, Base: t.Base, Script: t.Script, Wave: int32(t.Wave),
@@ -29,7 +31,7 @@
 	if c == nil {
 		return nil
 	}
-	out := &rollout.Change{ID: c.Id, By: c.By, Note: c.Note, Undoes: c.Undoes}
+	out := &rollout.Change{ID: c.Id, Author: c.By, Note: c.Note, Reverts: c.Undoes}
 	for _, t := range c.Targets {
 		out.Targets = append(out.Targets, rollout.Target{
 			Instance: t.Instance, Agent: t.Agent, Base: t.Base, Script: t.Script, Wave: int(t.Wave),
@@ -41,12 +43,12 @@
 // FromEntries words what an agent knows of changes.
 func FromEntries(entries []rollout.Entry) (out []*Entry) {
 	for _, e := range entries {
-		x := &Entry{Change: fromChange(e.Change), Outcome: int32(e.Outcome), Waves: int32(e.Waves), Final: e.Final, Local: map[string]*Local{}}
+		x := &Entry{Change: fromChange(e.Change), Outcome: int32(e.Outcome), Waves: int32(e.AllowedWaves), Final: e.Final, Local: map[string]*Local{}}
 		if e.Vote != nil {
 			x.Vote = &Vote{Ballot: fromBallot(e.Vote.Ballot), Outcome: int32(e.Vote.Outcome)}
 		}
-		for name, l := range e.Local {
-			x.Local[name] = &Local{Phase: int32(l.Phase), Why: l.Why, Before: l.Before}
+		for name, l := range e.TargetStates {
+			x.Local[name] = &Local{Phase: int32(l.Phase), Why: l.Reason, Before: l.PreviousScript}
 		}
 		out = append(out, x)
 	}
@@ -60,14 +62,14 @@
 			continue
 		}
 		x := rollout.Entry{
-			Change: toChange(e.Change), Outcome: rollout.Outcome(e.Outcome), Waves: int(e.Waves), Final: e.Final, Local: map[string]*rollout.Local{},
+			Change: toChange(e.Change), Outcome: rollout.Outcome(e.Outcome), AllowedWaves: int(e.Waves), Final: e.Final, TargetStates: map[string]*rollout.TargetState{},
 		}
 		if e.Vote != nil && outcome(e.Vote.Outcome) {
 			x.Vote = &rollout.Vote{Ballot: toBallot(e.Vote.Ballot), Outcome: rollout.Outcome(e.Vote.Outcome)}
 		}
 		for name, l := range e.Local {
-			if l.GetPhase() >= 0 && l.GetPhase() <= int32(rollout.Untouched) {
-				x.Local[name] = &rollout.Local{Phase: rollout.Phase(l.Phase), Why: l.Why, Before: l.Before}
+			if l.GetPhase() >= 0 && l.GetPhase() <= int32(rollout.PhaseUnchanged) {
+				x.TargetStates[name] = &rollout.TargetState{Phase: rollout.Phase(l.Phase), Reason: l.Why, PreviousScript: l.Before}
 			}
 		}
 		out = append(out, x)
@@ -75,40 +77,40 @@
 	return out
 }
 
-func outcome(n int32) bool { return n >= int32(rollout.Open) && n <= int32(rollout.Drop) }
+func outcome(n int32) bool { return n >= int32(rollout.Undecided) && n <= int32(rollout.Abort) }
 
 // FromMessage words a message.
 func FromMessage(m rollout.Message) *SayRequest {
 	return &SayRequest{
-		Verb: int32(m.Verb), Seq: int64(m.Seq), Ballot: fromBallot(m.Ballot), LeaseUs: int64(m.Lease), Change: fromChange(m.Change),
-		Id: m.ID, Outcome: int32(m.Outcome), Waves: int32(m.Waves), Final: m.Final,
+		Verb: int32(m.Type), Seq: int64(m.Seq), Ballot: fromBallot(m.Ballot), LeaseUs: int64(m.Lease), Change: fromChange(m.Change),
+		Id: m.ChangeID, Outcome: int32(m.Outcome), Waves: int32(m.AllowedWaves), Final: m.Final,
 	}
 }
 
 // ToMessage reads one; false where it means nothing.
 func ToMessage(r *SayRequest) (m rollout.Message, ok bool) {
 	m = rollout.Message{
-		Verb: rollout.Verb(r.GetVerb()), Seq: int(r.GetSeq()), Ballot: toBallot(r.GetBallot()), Lease: d.Micros(r.GetLeaseUs()),
-		Change: toChange(r.GetChange()), ID: r.GetId(), Outcome: rollout.Outcome(r.GetOutcome()), Waves: int(r.GetWaves()), Final: r.GetFinal(),
+		Type: rollout.MessageType(r.GetVerb()), Seq: int(r.GetSeq()), Ballot: toBallot(r.GetBallot()), Lease: d.Micros(r.GetLeaseUs()),
+		Change: toChange(r.GetChange()), ChangeID: r.GetId(), Outcome: rollout.Outcome(r.GetOutcome()), AllowedWaves: int(r.GetWaves()), Final: r.GetFinal(),
 	}
-	needs := m.Verb == rollout.Prepare || m.Verb == rollout.Accept
-	return m, m.Verb >= rollout.Promise && m.Verb <= rollout.Ask && outcome(r.GetOutcome()) && m.Lease >= 0 &&
+	needs := m.Type == rollout.Prepare || m.Type == rollout.Accept
+	return m, m.Type >= rollout.Promise && m.Type <= rollout.Query && outcome(r.GetOutcome()) && m.Lease >= 0 &&
 		(!needs || m.Change != nil && m.Change.ID != "")
 }
 
 // FromReply words a reply.
 func FromReply(r rollout.Reply) *SayReply {
 	return &SayReply{
-		Verb: int32(r.Verb), Seq: int64(r.Seq), Ok: r.OK, Why: r.Why, Ballot: fromBallot(r.Ballot), HeldUs: int64(r.Held),
-		LeftUs: int64(r.Left), Entries: FromEntries(r.Entries),
+		Verb: int32(r.Type), Seq: int64(r.Seq), Ok: r.OK, Why: r.Reason, Ballot: fromBallot(r.Promised), HeldUs: int64(r.HeldFor),
+		LeftUs: int64(r.LeaseLeft), Entries: FromEntries(r.Entries),
 	}
 }
 
 // ToReply reads one.
 func ToReply(r *SayReply) rollout.Reply {
 	return rollout.Reply{
-		Verb: rollout.Verb(r.GetVerb()), Seq: int(r.GetSeq()), OK: r.GetOk(), Why: r.GetWhy(), Ballot: toBallot(r.GetBallot()),
-		Held: d.Micros(r.GetHeldUs()), Left: d.Micros(r.GetLeftUs()), Entries: ToEntries(r.GetEntries()),
+		Type: rollout.MessageType(r.GetVerb()), Seq: int(r.GetSeq()), OK: r.GetOk(), Reason: r.GetWhy(), Promised: toBallot(r.GetBallot()),
+		HeldFor: d.Micros(r.GetHeldUs()), LeaseLeft: d.Micros(r.GetLeftUs()), Entries: ToEntries(r.GetEntries()),
 	}
 }
 
--- a/internal/fleetpb/golden_test.go
+++ b/internal/fleetpb/golden_test.go
@@ -12,26 +12,26 @@
 )
 
 func goldenChange() *rollout.Change {
-	return &rollout.Change{ID: "c1", By: "op/1", Note: "why", Undoes: "c0", Targets: []rollout.Target{
+	return &rollout.Change{ID: "c1", Author: "op/1", Note: "why", Reverts: "c0", Targets: []rollout.Target{
 		{Instance: "n0", Agent: "a0", Base: "sum", Script: "log()", Wave: 2},
 	}}
 }
 
 func goldenEntries() []rollout.Entry {
 	return []rollout.Entry{{
-		Change: goldenChange(), Vote: &rollout.Vote{Ballot: rollout.Ballot{N: 7, Holder: "op/1"}, Outcome: rollout.Drop}, Outcome: rollout.Go,
-		Waves: 2, Final: true, Local: map[string]*rollout.Local{"n0": {Phase: rollout.Failed, Why: "bad", Before: "old()"}},
+		Change: goldenChange(), Vote: &rollout.Vote{Ballot: rollout.Ballot{Number: 7, Holder: "op/1"}, Outcome: rollout.Abort}, Outcome: rollout.Commit,
+		AllowedWaves: 2, Final: true, TargetStates: map[string]*rollout.TargetState{"n0": {Phase: rollout.PhaseFailed, Reason: "bad", PreviousScript: "old()"}},
 	}}
 }
 
 // Agents and tools of different versions talk to each other during a roll-out: the encoded bytes must not change.
 func TestGoldenBytes(t *testing.T) {
 	message := rollout.Message{
-		Verb: rollout.Accept, Seq: 4, Ballot: rollout.Ballot{N: 7, Holder: "op/1"}, Lease: 3 * d.Second, Change: goldenChange(), ID: "c1",
-		Outcome: rollout.Drop, Waves: 2, Final: true,
+		Type: rollout.Accept, Seq: 4, Ballot: rollout.Ballot{Number: 7, Holder: "op/1"}, Lease: 3 * d.Second, Change: goldenChange(), ChangeID: "c1",
+		Outcome: rollout.Abort, AllowedWaves: 2, Final: true,
 	}
 	reply := rollout.Reply{
-		Verb: rollout.Ask, Seq: 4, OK: true, Why: "held by op/2", Ballot: rollout.Ballot{N: 8, Holder: "op/2"}, Held: 11, Left: 12,
+		Type: rollout.Query, Seq: 4, OK: true, Reason: "held by op/2", Promised: rollout.Ballot{Number: 8, Holder: "op/2"}, HeldFor: 11, LeaseLeft: 12,
 		Entries: goldenEntries(),
 	}
 	cases := []struct {
@@ -52,10 +52,10 @@
 			func(m proto.Message) any { return ToReply(m.(*SayReply)) }},
 		{"entries", goldenEntries(), &StatusReply{Entries: FromEntries(goldenEntries())}, "1a570a2b0a02633112046f702f311a03776879220263302a160a026e30120261301a0373756d22056c6f6728292802120c0a08080712046f702f31100218012002280132140a026e30120e080412036261641a056f6c642829", &StatusReply{},
 			func(m proto.Message) any { return ToEntries(m.(*StatusReply).GetEntries()) }},
-		{"ballot", rollout.Ballot{N: 8, Holder: "op/2"}, FromBallot(rollout.Ballot{N: 8, Holder: "op/2"}), "080812046f702f32", &Ballot{},
+		{"ballot", rollout.Ballot{Number: 8, Holder: "op/2"}, FromBallot(rollout.Ballot{Number: 8, Holder: "op/2"}), "080812046f702f32", &Ballot{},
 			func(m proto.Message) any { return ToBallot(m.(*Ballot)) }},
 		{"status", nil, &StatusReply{
-			Name: "a0", Promised: FromBallot(rollout.Ballot{N: 8, Holder: "op/2"}), HeldUs: 11, LeftUs: 12, Members: map[string]string{"a1": "up"},
+			Name: "a0", Promised: FromBallot(rollout.Ballot{Number: 8, Holder: "op/2"}), HeldUs: 11, LeftUs: 12, Members: map[string]string{"a1": "up"},
 			Directors: []*DirectorStatus{{Name: "n0", Up: true, Why: "bad", Script: "log()", Settings: "sum", Report: []byte("{}")}},
 		}, "0a026130121b0a026e3010011a0362616422056c6f6728292a0373756d32027b7d2208080812046f702f32280b300c3a080a02613112027570", nil, nil},
 		{"audit", nil, &AuditReply{Records: []*AuditRecord{{Number: 3, UnixMs: 4, Who: "op", What: "take", Hash: "ff"}}}, "0a12080310041a026f70220474616b652a026666", nil, nil},
--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -10,27 +10,27 @@
 
 // State is what an agent must not forget: it is stored before any reply that rests on it leaves.
 type State struct {
-	Promised Ballot            `json:"promised"`
-	Entries  []*Entry          `json:"entries"`        // in the order they came
-	InForce  map[string]string `json:"in_force"`       // by director: the script
-	Past     []Past            `json:"past,omitempty"` // settled changes whose entries made room, the latest last
+	Promised      Ballot            `json:"promised"`
+	Entries       []*Entry          `json:"entries"`        // in the order they came
+	ActiveScripts map[string]string `json:"in_force"`       // by director: the script
+	Completed     []CompletedChange `json:"past,omitempty"` // settled changes whose entries made room, the latest last
 }
 
-// Past is what stays of a settled change: an agent that was away for long must still not be told otherwise.
-type Past struct {
-	ID      string  `json:"id"`
-	Outcome Outcome `json:"outcome"`
-	Waves   int     `json:"waves"`
-	Final   bool    `json:"final"`
+// CompletedChange is what stays of a settled change: an agent that was away for long must still not be told otherwise.
+type CompletedChange struct {
+	ID           string  `json:"id"`
+	Outcome      Outcome `json:"outcome"`
+	AllowedWaves int     `json:"waves"`
+	Final        bool    `json:"final"`
 }
 
-func (p Past) entry() Entry {
-	return Entry{Change: &Change{ID: p.ID}, Outcome: p.Outcome, Waves: p.Waves, Final: p.Final}
+func (p CompletedChange) entry() Entry {
+	return Entry{Change: &Change{ID: p.ID}, Outcome: p.Outcome, AllowedWaves: p.AllowedWaves, Final: p.Final}
 }
 
 // Clone is a state of its own; changes, which nobody alters, are shared.
 func (s State) Clone() State {
-	c := State{Promised: s.Promised, InForce: maps.Clone(s.InForce), Past: slices.Clone(s.Past)}
+	c := State{Promised: s.Promised, ActiveScripts: maps.Clone(s.ActiveScripts), Completed: slices.Clone(s.Completed)}
 	for _, e := range s.Entries {
 		entry := copyOf(e)
 		c.Entries = append(c.Entries, &entry)
@@ -56,17 +56,17 @@
 func NewAgent(now d.Micros, name string, s State, lease d.Micros, check func(instance, script string) error,
 	sum func(script string) string) *Agent {
 	a := &Agent{Name: name, State: s, check: check, sum: sum, lease: lease, since: now}
-	if s.Promised.N > 0 {
+	if s.Promised.Number > 0 {
 		a.until = now + lease
 	}
-	if a.State.InForce == nil {
-		a.State.InForce = map[string]string{}
+	if a.State.ActiveScripts == nil {
+		a.State.ActiveScripts = map[string]string{}
 	}
 	return a
 }
 
-// Changed says whether the state must be stored before anything else is done, and is then taken to be.
-func (a *Agent) Changed() bool {
+// TakeDirty says whether the state must be stored before anything else is done, and is then taken to be.
+func (a *Agent) TakeDirty() bool {
 	changed := a.changed
 	a.changed = false
 	return changed
@@ -84,10 +84,10 @@
 
 // Handle takes a message and answers it. The commands are to be carried out, and their ends told to Done.
 func (a *Agent) Handle(now d.Micros, m Message) (r Reply, do []Command) {
-	r = Reply{Verb: m.Verb, Seq: m.Seq}
-	switch m.Verb {
+	r = Reply{Type: m.Type, Seq: m.Seq}
+	switch m.Type {
 	case Promise:
-		r.OK, r.Why = a.promise(now, m)
+		r.OK, r.Reason = a.promise(now, m)
 	case Renew:
 		if r.OK = m.Ballot == a.State.Promised; r.OK {
 			a.until = now + m.Lease
@@ -97,15 +97,15 @@
 			a.until = now
 		}
 	case Prepare:
-		r.OK, r.Why = a.prepare(now, m)
+		r.OK, r.Reason = a.prepare(now, m)
 	case Accept:
-		r.OK, r.Why = a.accept(now, m)
+		r.OK, r.Reason = a.accept(now, m)
 	case Learn:
-		r.OK, r.Why, do = a.learn(m)
-	case Ask:
+		r.OK, r.Reason, do = a.learn(m)
+	case Query:
 		r.OK = true
 	}
-	r.Ballot, r.Held, r.Left = a.State.Promised, now-a.since, max(0, a.until-now)
+	r.Promised, r.HeldFor, r.LeaseLeft = a.State.Promised, now-a.since, max(0, a.until-now)
 	r.Entries = a.told(m)
 	return r, do
 }
@@ -114,39 +114,41 @@
 // all that is open, and what was chosen of all that is not. Without the last, whoever settles with a majority of those that
 // were told nothing and those that are done with it would drop what was decided to go.
 func (a *Agent) told(m Message) (out []Entry) {
-	if m.Verb == Promise {
-		for _, p := range a.State.Past {
+	if m.Type == Promise {
+		for _, p := range a.State.Completed {
 			out = append(out, p.entry())
 		}
 	}
 	for _, e := range a.State.Entries {
-		if m.Verb == Promise {
-			if e.Settled() {
+		if m.Type == Promise {
+			if e.IsComplete() {
 				out = append(out, past(e).entry())
 			} else {
 				out = append(out, copyOf(e))
 			}
-		} else if m.ID == e.Change.ID || m.Change != nil && m.Change.ID == e.Change.ID {
+		} else if m.ChangeID == e.Change.ID || m.Change != nil && m.Change.ID == e.Change.ID {
 			c := copyOf(e)
 			c.Change = &Change{ID: e.Change.ID} // who asks has the rest, or has no use for it
 			out = append(out, c)
 		}
 	}
-	if m.Verb == Ask && len(out) == 0 {
-		if p := a.past(m.ID); p != nil {
+	if m.Type == Query && len(out) == 0 {
+		if p := a.past(m.ChangeID); p != nil {
 			out = append(out, p.entry())
 		}
 	}
 	return out
 }
 
-func past(e *Entry) Past { return Past{e.Change.ID, e.Outcome, e.Waves, e.Final} }
+func past(e *Entry) CompletedChange {
+	return CompletedChange{e.Change.ID, e.Outcome, e.AllowedWaves, e.Final}
+}
 
 // past is what is left of a change whose entry made room; nil for nothing.
-func (a *Agent) past(id string) *Past {
-	for i := range a.State.Past {
-		if a.State.Past[i].ID == id {
-			return &a.State.Past[i]
+func (a *Agent) past(id string) *CompletedChange {
+	for i := range a.State.Completed {
+		if a.State.Completed[i].ID == id {
+			return &a.State.Completed[i]
 		}
 	}
 	return nil
@@ -154,12 +156,12 @@
 
 func copyOf(e *Entry) Entry {
 	c := *e
-	if e.Local != nil {
-		c.Local = map[string]*Local{}
+	if e.TargetStates != nil {
+		c.TargetStates = map[string]*TargetState{}
 	}
-	for name, l := range e.Local {
+	for name, l := range e.TargetStates {
 		local := *l
-		c.Local[name] = &local
+		c.TargetStates[name] = &local
 	}
 	if e.Vote != nil {
 		vote := *e.Vote
@@ -175,7 +177,7 @@
 	case m.Ballot == held: // it was lost on its way
 	case !held.Less(m.Ballot):
 		return false, fmt.Sprintf("a higher right was given, to %s", held.Holder)
-	case held.N > 0 && held.Holder != m.Ballot.Holder && a.until > now:
+	case held.Number > 0 && held.Holder != m.Ballot.Holder && a.until > now:
 		return false, fmt.Sprintf("held by %s", held.Holder)
 	default:
 		a.State.Promised, a.changed, a.since = m.Ballot, true, now
@@ -201,42 +203,42 @@
 		return false, why
 	}
 	if e := a.Entry(m.Change.ID); e != nil {
-		for _, l := range e.Local {
-			if l.Phase == Refused {
-				return false, l.Why
+		for _, l := range e.TargetStates {
+			if l.Phase == PhaseRefused {
+				return false, l.Reason
 			}
 		}
-		return e.Outcome != Drop && e.Local != nil, "it was dropped"
+		return e.Outcome != Abort && e.TargetStates != nil, "it was dropped"
 	}
 	if a.past(m.Change.ID) != nil {
 		return false, "it is over"
 	}
-	e := &Entry{Change: m.Change, Local: map[string]*Local{}}
+	e := &Entry{Change: m.Change, TargetStates: map[string]*TargetState{}}
 	for _, t := range m.Change.Targets {
 		if t.Agent != a.Name {
 			continue
 		}
-		before, mine := a.State.InForce[t.Instance]
-		l := &Local{Before: before}
-		e.Local[t.Instance] = l
+		before, mine := a.State.ActiveScripts[t.Instance]
+		l := &TargetState{PreviousScript: before}
+		e.TargetStates[t.Instance] = l
 		switch err := a.check(t.Instance, t.Script); {
 		case !mine:
-			l.Why = fmt.Sprintf("%s: not a director of %s", t.Instance, a.Name)
+			l.Reason = fmt.Sprintf("%s: not a director of %s", t.Instance, a.Name)
 		case a.sum(before) != t.Base:
-			l.Why = fmt.Sprintf("%s: something else is in force than the change was made for", t.Instance)
+			l.Reason = fmt.Sprintf("%s: something else is in force than the change was made for", t.Instance)
 		case a.busy(t.Instance):
-			l.Why = fmt.Sprintf("%s: an earlier change is not over", t.Instance)
+			l.Reason = fmt.Sprintf("%s: an earlier change is not over", t.Instance)
 		case err != nil:
-			l.Why = fmt.Sprintf("%s: %v", t.Instance, err)
+			l.Reason = fmt.Sprintf("%s: %v", t.Instance, err)
 		}
-		if l.Why != "" {
-			l.Phase = Refused
+		if l.Reason != "" {
+			l.Phase = PhaseRefused
 		}
 	}
 	a.add(e)
-	for _, name := range slices.Sorted(maps.Keys(e.Local)) {
-		if e.Local[name].Phase == Refused {
-			return false, e.Local[name].Why
+	for _, name := range slices.Sorted(maps.Keys(e.TargetStates)) {
+		if e.TargetStates[name].Phase == PhaseRefused {
+			return false, e.TargetStates[name].Reason
 		}
 	}
 	return true, ""
@@ -245,7 +247,7 @@
 // busy says whether a director has an unfinished part in an earlier change.
 func (a *Agent) busy(instance string) bool {
 	for _, e := range a.State.Entries {
-		if l := e.Local[instance]; l != nil && !l.Over() {
+		if l := e.TargetStates[instance]; l != nil && !l.IsTerminal() {
 			return true
 		}
 	}
@@ -257,9 +259,9 @@
 	a.changed = true
 	a.State.Entries = append(a.State.Entries, e)
 	for i := 0; len(a.State.Entries) > keptEntries && i < len(a.State.Entries); i++ {
-		if e := a.State.Entries[i]; e.Settled() {
-			a.State.Past = append(a.State.Past, past(e))
-			a.State.Past = a.State.Past[max(0, len(a.State.Past)-keptPast):]
+		if e := a.State.Entries[i]; e.IsComplete() {
+			a.State.Completed = append(a.State.Completed, past(e))
+			a.State.Completed = a.State.Completed[max(0, len(a.State.Completed)-keptPast):]
 			a.State.Entries = slices.Delete(a.State.Entries, i, i+1)
 			i--
 		}
@@ -272,7 +274,7 @@
 		return false, why
 	}
 	e := a.Entry(m.Change.ID)
-	if p := a.past(m.Change.ID); p != nil && p.Outcome != m.Outcome || e != nil && e.Outcome != Open && e.Outcome != m.Outcome {
+	if p := a.past(m.Change.ID); p != nil && p.Outcome != m.Outcome || e != nil && e.Outcome != Undecided && e.Outcome != m.Outcome {
 		return false, "it was chosen otherwise"
 	} else if p != nil {
 		return true, ""
@@ -289,7 +291,7 @@
 
 // learn takes what was chosen. It needs no ballot: it can't be otherwise any more.
 func (a *Agent) learn(m Message) (bool, string, []Command) {
-	id := m.ID
+	id := m.ChangeID
 	if m.Change != nil {
 		id = m.Change.ID
 	}
@@ -304,15 +306,15 @@
 	if e == nil {
 		return false, "not known", nil
 	}
-	if e.Outcome != Open && e.Outcome != m.Outcome {
+	if e.Outcome != Undecided && e.Outcome != m.Outcome {
 		return false, fmt.Sprintf("%s was chosen, not %s", e.Outcome, m.Outcome), nil // never, unless an agent forgot what it must not
 	}
-	waves, final := max(e.Waves, m.Waves), e.Final || m.Final
+	waves, final := max(e.AllowedWaves, m.AllowedWaves), e.Final || m.Final
 	if e.Final {
-		waves = e.Waves
+		waves = e.AllowedWaves
 	}
-	if e.Outcome != m.Outcome || e.Waves != waves || e.Final != final {
-		e.Outcome, e.Waves, e.Final, a.changed = m.Outcome, waves, final, true
+	if e.Outcome != m.Outcome || e.AllowedWaves != waves || e.Final != final {
+		e.Outcome, e.AllowedWaves, e.Final, a.changed = m.Outcome, waves, final, true
 	}
 	return true, "", a.drive(e)
 }
@@ -320,27 +322,27 @@
 // drive moves an entry's directors on as far as what was chosen allows.
 func (a *Agent) drive(e *Entry) (do []Command) {
 	for _, t := range e.Change.Targets {
-		l := e.Local[t.Instance]
-		if l == nil || t.Agent != a.Name || l.Phase != Waiting {
+		l := e.TargetStates[t.Instance]
+		if l == nil || t.Agent != a.Name || l.Phase != PhasePrepared {
 			continue
 		}
 		switch {
-		case e.Outcome == Drop || e.Outcome == Go && e.Final && t.Wave > e.Waves:
-			l.Phase, a.changed = Untouched, true
-		case e.Outcome == Go && t.Wave <= e.Waves:
-			l.Phase, a.changed = Going, true
-			do = append(do, Command{e.Change.ID, t.Instance, t.Script, l.Before})
+		case e.Outcome == Abort || e.Outcome == Commit && e.Final && t.Wave > e.AllowedWaves:
+			l.Phase, a.changed = PhaseUnchanged, true
+		case e.Outcome == Commit && t.Wave <= e.AllowedWaves:
+			l.Phase, a.changed = PhaseApplying, true
+			do = append(do, Command{e.Change.ID, t.Instance, t.Script, l.PreviousScript})
 		}
 	}
 	return do
 }
 
-// Unfinished are the commands that a restart finds begun: the director may have what it was told, or not.
-func (a *Agent) Unfinished() (do []Command) {
+// UnfinishedCommands are the commands that a restart finds begun: the director may have what it was told, or not.
+func (a *Agent) UnfinishedCommands() (do []Command) {
 	for _, e := range a.State.Entries {
 		for _, t := range e.Change.Targets {
-			if l := e.Local[t.Instance]; l != nil && l.Phase == Going {
-				do = append(do, Command{e.Change.ID, t.Instance, t.Script, l.Before})
+			if l := e.TargetStates[t.Instance]; l != nil && l.Phase == PhaseApplying {
+				do = append(do, Command{e.Change.ID, t.Instance, t.Script, l.PreviousScript})
 			}
 		}
 		do = append(do, a.drive(e)...)
@@ -348,28 +350,28 @@
 	return do
 }
 
-// Done takes a command's end: why is empty where the director runs the script, read back from it.
-func (a *Agent) Done(c Command, why string) {
-	e := a.Entry(c.ID)
-	if e == nil || e.Local[c.Instance] == nil || e.Local[c.Instance].Phase != Going {
+// CommandDone takes a command's end: why is empty where the director runs the script, read back from it.
+func (a *Agent) CommandDone(c Command, why string) {
+	e := a.Entry(c.ChangeID)
+	if e == nil || e.TargetStates[c.Instance] == nil || e.TargetStates[c.Instance].Phase != PhaseApplying {
 		return
 	}
 	a.changed = true
-	l := e.Local[c.Instance]
-	if l.Phase, l.Why = InForce, why; why != "" {
-		l.Phase = Failed
+	l := e.TargetStates[c.Instance]
+	if l.Phase, l.Reason = PhaseApplied, why; why != "" {
+		l.Phase = PhaseFailed
 		return
 	}
-	a.State.InForce[c.Instance] = c.Script
+	a.State.ActiveScripts[c.Instance] = c.Script
 }
 
-// Doubts are the changes of which this agent should ask the others what became of them: it knows no outcome, or whether one of
+// InDoubt are the changes of which this agent should ask the others what became of them: it knows no outcome, or whether one of
 // its directors may go. One that is being put in force is no doubt.
-func (a *Agent) Doubts() (ids []string) {
+func (a *Agent) InDoubt() (ids []string) {
 	for _, e := range a.State.Entries {
-		doubt := e.Outcome == Open
-		for _, l := range e.Local {
-			doubt = doubt || l.Phase == Waiting
+		doubt := e.Outcome == Undecided
+		for _, l := range e.TargetStates {
+			doubt = doubt || l.Phase == PhasePrepared
 		}
 		if doubt {
 			ids = append(ids, e.Change.ID)
@@ -378,11 +380,11 @@
 	return ids
 }
 
-// Heard takes another agent's answer to Ask: what it knows to be chosen is so.
-func (a *Agent) Heard(r Reply) (do []Command) {
+// HandleQueryReply takes another agent's answer to Ask: what it knows to be chosen is so.
+func (a *Agent) HandleQueryReply(r Reply) (do []Command) {
 	for _, e := range r.Entries {
-		if e.Outcome != Open && a.Entry(e.Change.ID) != nil {
-			_, _, more := a.learn(Message{ID: e.Change.ID, Outcome: e.Outcome, Waves: e.Waves, Final: e.Final})
+		if e.Outcome != Undecided && a.Entry(e.Change.ID) != nil {
+			_, _, more := a.learn(Message{ChangeID: e.Change.ID, Outcome: e.Outcome, AllowedWaves: e.AllowedWaves, Final: e.Final})
 			do = append(do, more...)
 		}
 	}
--- a/rollout/coordinator.go
+++ b/rollout/coordinator.go
@@ -8,21 +8,21 @@
 	d "tallyproxy/policy"
 )
 
-// Times are how long a coordinator waits.
-type Times struct {
+// Timeouts are how long a coordinator waits.
+type Timeouts struct {
 	Lease  d.Micros // of the right to change
 	Resend d.Micros // between two tries of a message
-	Give   d.Micros // up an agent that does not answer in a step
+	Step   d.Micros // up an agent that does not answer in a step
 	Wave   d.Micros // for the directors of a wave to run what they were given
 }
 
-// DefaultTimes suit agents a few milliseconds apart.
-func DefaultTimes() Times {
-	return Times{Lease: 3 * d.Second, Resend: d.Second / 2, Give: 5 * d.Second, Wave: 20 * d.Second}
+// DefaultTimeouts suit agents a few milliseconds apart.
+func DefaultTimeouts() Timeouts {
+	return Timeouts{Lease: 3 * d.Second, Resend: d.Second / 2, Step: 5 * d.Second, Wave: 20 * d.Second}
 }
 
-// Send is a message on its way to an agent.
-type Send struct {
+// Envelope is a message on its way to an agent.
+type Envelope struct {
 	To string
 	Message
 }
@@ -31,48 +31,48 @@
 type Step int
 
 const (
-	Promising Step = iota
-	Settling       // what an earlier holder left open
-	Preparing
-	Deciding
-	Waving
-	Finding // what became of a change that another has taken over
-	Ended
+	StepPromise Step = iota
+	StepRecover      // what an earlier holder left open
+	StepPrepare
+	StepDecide
+	StepApply
+	StepQuery // what became of a change that another has taken over
+	StepDone
 )
 
 var steps = [...]string{"promising", "settling", "preparing", "deciding", "putting in force", "finding out", "ended"}
 
 func (s Step) String() string { return steps[s] }
 
-// End is what came of one director.
-type End struct {
+// TargetResult is what came of one director.
+type TargetResult struct {
 	Instance string `json:"instance"`
 	Agent    string `json:"agent"`
 	State    string `json:"state"` // "changed", "untouched", "will be changed", "not known"
-	Why      string `json:"why,omitempty"`
+	Reason   string `json:"why,omitempty"`
 }
 
 // Result is what came of a coordinator's work.
 type Result struct {
-	ID      string   `json:"id"`
-	Outcome Outcome  `json:"outcome"`
-	Refused string   `json:"refused,omitempty"` // why nothing was begun, or all was dropped
-	Holder  string   `json:"holder,omitempty"`  // who holds the right to change, where that is why,
-	Held    d.Micros `json:"held,omitempty"`    // since how long
-	Left    d.Micros `json:"left,omitempty"`    // and for how long yet
-	Stopped string   `json:"stopped,omitempty"` // why no further wave was begun
-	Resume  bool     `json:"resume,omitempty"`  // another decided it meanwhile, and waves are left to whoever may go on
-	Ends    []End    `json:"ends"`
-	Sent    int      `json:"sent"` // messages
-}
-
-// Whole says whether every director has the change, or none has.
-func (r Result) Whole() bool {
+	ID            string         `json:"id"`
+	Outcome       Outcome        `json:"outcome"`
+	RefusalReason string         `json:"refused,omitempty"` // why nothing was begun, or all was dropped
+	Holder        string         `json:"holder,omitempty"`  // who holds the right to change, where that is why,
+	HeldFor       d.Micros       `json:"held,omitempty"`    // since how long
+	LeaseLeft     d.Micros       `json:"left,omitempty"`    // and for how long yet
+	StopReason    string         `json:"stopped,omitempty"` // why no further wave was begun
+	NeedsResume   bool           `json:"resume,omitempty"`  // another decided it meanwhile, and waves are left to whoever may go on
+	Targets       []TargetResult `json:"ends"`
+	MessagesSent  int            `json:"sent"` // messages
+}
+
+// AllOrNone says whether every director has the change, or none has.
+func (r Result) AllOrNone() bool {
 	counts := map[string]int{}
-	for _, e := range r.Ends {
+	for _, e := range r.Targets {
 		counts[e.State]++
 	}
-	return counts["changed"] == len(r.Ends) || counts["untouched"] == len(r.Ends)
+	return counts["changed"] == len(r.Targets) || counts["untouched"] == len(r.Targets)
 }
 
 // Coordinator takes one change through, or settles one that another left behind. It is told of time by Tick and of replies by
@@ -80,7 +80,7 @@
 type Coordinator struct {
 	me      string
 	agents  []string
-	times   Times
+	times   Timeouts
 	change  *Change // nil: to settle what is open, no more
 	ballot  Ballot
 	step    Step
@@ -99,16 +99,16 @@
 	stop    string // why no further wave
 	hold    bool   // no wave is begun that nobody has begun: whether it may is an operator's to say
 	worse   func() (why string, said bool)
-	local   map[string]Local // latest word of each director
+	local   map[string]TargetState // latest word of each director
 	r       Result
 }
 
 // NewCoordinator makes one for an operator's tool. Agents are all of the fleet. N must be higher than any ballot that this
 // holder used before; worse, where given, is asked between waves, until it has said, why to stop.
-func NewCoordinator(me string, n int64, agents []string, change *Change, t Times, worse func() (string, bool)) *Coordinator {
+func NewCoordinator(me string, n int64, agents []string, change *Change, t Timeouts, worse func() (string, bool)) *Coordinator {
 	c := &Coordinator{
 		me: me, agents: slices.Sorted(slices.Values(agents)), times: t, change: change, ballot: Ballot{n, me},
-		local: map[string]Local{}, worse: worse,
+		local: map[string]TargetState{}, worse: worse,
 	}
 	if change != nil {
 		c.r.ID = change.ID
@@ -117,8 +117,8 @@
 }
 
 // Start begins.
-func (c *Coordinator) Start(now d.Micros) []Send {
-	return c.enter(now, Promising, c.agents, Message{Verb: Promise, Lease: c.times.Lease, Change: c.change})
+func (c *Coordinator) Start(now d.Micros) []Envelope {
+	return c.enter(now, StepPromise, c.agents, Message{Type: Promise, Lease: c.times.Lease, Change: c.change})
 }
 
 // Step says where it is.
@@ -136,7 +136,7 @@
 func (c *Coordinator) beaten() bool { return !c.majority(len(c.agents) - c.no) }
 
 // enter begins a step by saying the same to some agents.
-func (c *Coordinator) enter(now d.Micros, s Step, to []string, m Message) []Send {
+func (c *Coordinator) enter(now d.Micros, s Step, to []string, m Message) []Envelope {
 	c.step, c.since = s, now
 	c.wait, c.sent, c.got = map[string]Message{}, map[string]d.Micros{}, map[string]Reply{}
 	c.yes, c.no = 0, 0
@@ -149,44 +149,44 @@
 }
 
 // send says what was not said yet, or was and not answered for a while.
-func (c *Coordinator) send(now d.Micros) (out []Send) {
+func (c *Coordinator) send(now d.Micros) (out []Envelope) {
 	for _, a := range slices.Sorted(maps.Keys(c.wait)) {
 		if at, said := c.sent[a]; !said || now-at >= c.times.Resend {
 			c.sent[a] = now
-			out = append(out, Send{a, c.wait[a]})
+			out = append(out, Envelope{a, c.wait[a]})
 		}
 	}
-	c.r.Sent += len(out)
+	c.r.MessagesSent += len(out)
 	return out
 }
 
 // Tick goes on where time has come.
-func (c *Coordinator) Tick(now d.Micros) []Send {
-	if c.step == Ended {
+func (c *Coordinator) Tick(now d.Micros) []Envelope {
+	if c.step == StepDone {
 		return nil
 	}
 	out := c.move(now)
-	if c.step == Ended {
+	if c.step == StepDone {
 		return out
 	}
 	out = append(out, c.send(now)...)
-	if c.step > Promising && c.step < Finding && now-c.renewed >= c.times.Lease/3 {
+	if c.step > StepPromise && c.step < StepQuery && now-c.renewed >= c.times.Lease/3 {
 		c.renewed = now
 		for _, a := range c.agents {
-			out = append(out, Send{a, Message{Verb: Renew, Ballot: c.ballot, Lease: c.times.Lease}})
+			out = append(out, Envelope{a, Message{Type: Renew, Ballot: c.ballot, Lease: c.times.Lease}})
 		}
-		c.r.Sent += len(c.agents)
+		c.r.MessagesSent += len(c.agents)
 	}
 	return out
 }
 
-// Got takes a reply. One of an earlier step tells nothing new but how directors are.
-func (c *Coordinator) Got(now d.Micros, from string, r Reply) []Send {
-	if c.step == Ended || r.Verb == Renew || r.Verb == Release {
+// HandleReply takes a reply. One of an earlier step tells nothing new but how directors are.
+func (c *Coordinator) HandleReply(now d.Micros, from string, r Reply) []Envelope {
+	if c.step == StepDone || r.Type == Renew || r.Type == Release {
 		return nil
 	}
 	c.note(r)
-	if r.Seq != c.seq || c.wait[from].Verb != r.Verb {
+	if r.Seq != c.seq || c.wait[from].Type != r.Type {
 		return nil
 	}
 	if _, waited := c.wait[from]; !waited {
@@ -197,8 +197,8 @@
 	}
 	c.yes, c.no, c.got[from] = c.yes+one(r.OK), c.no+one(!r.OK), r
 	switch {
-	case c.step == Finding && (c.outcome == Open || !c.reached(from)): // it is asked again
-	case c.step != Waving || !r.OK || c.reached(from):
+	case c.step == StepQuery && (c.outcome == Undecided || !c.reached(from)): // it is asked again
+	case c.step != StepApply || !r.OK || c.reached(from):
 		delete(c.wait, from)
 	}
 	return c.move(now)
@@ -217,13 +217,13 @@
 		if c.current == nil || e.Change.ID != c.current.ID {
 			continue
 		}
-		for name, l := range e.Local {
-			if old, ok := c.local[name]; !ok || !old.Over() {
+		for name, l := range e.TargetStates {
+			if old, ok := c.local[name]; !ok || !old.IsTerminal() {
 				c.local[name] = *l
 			}
 		}
-		if c.step == Finding && e.Outcome != Open {
-			c.outcome, c.wave = e.Outcome, max(c.wave, e.Waves)
+		if c.step == StepQuery && e.Outcome != Undecided {
+			c.outcome, c.wave = e.Outcome, max(c.wave, e.AllowedWaves)
 		}
 	}
 }
@@ -240,47 +240,47 @@
 
 // pending says whether something more will come of a director in the waves so far.
 func (c *Coordinator) pending(t Target) bool {
-	if c.outcome == Go && t.Wave > c.wave {
+	if c.outcome == Commit && t.Wave > c.wave {
 		return false
 	}
 	l, told := c.local[t.Instance]
-	return !l.Over() && (told || c.outcome == Go)
+	return !l.IsTerminal() && (told || c.outcome == Commit)
 }
 
 // move goes on as far as what was answered allows.
-func (c *Coordinator) move(now d.Micros) []Send {
-	late := now-c.since >= c.times.Give
+func (c *Coordinator) move(now d.Micros) []Envelope {
+	late := now-c.since >= c.times.Step
 	switch c.step {
-	case Promising:
+	case StepPromise:
 		return c.promised(now, late)
-	case Settling, Deciding:
+	case StepRecover, StepDecide:
 		switch {
 		case c.majority(c.yes):
 			return c.chosen(now)
 		case c.beaten(): // also where an even fleet is split in halves, and all have answered
 			return c.find(now)
-		case now-c.since >= 4*c.times.Give:
+		case now-c.since >= 4*c.times.Step:
 			return c.end(now, "no majority of the agents answers; `resume` goes on once they do")
 		}
-	case Preparing:
+	case StepPrepare:
 		if c.no > 0 {
 			for _, a := range slices.Sorted(maps.Keys(c.got)) {
 				if r := c.got[a]; !r.OK {
-					c.r.Refused = a + ": " + r.Why
-					return c.decide(now, Drop)
+					c.r.RefusalReason = a + ": " + r.Reason
+					return c.decide(now, Abort)
 				}
 			}
 		}
 		if len(c.wait) == 0 {
-			return c.decide(now, Go)
+			return c.decide(now, Commit)
 		}
 		if late {
-			c.r.Refused = slices.Sorted(maps.Keys(c.wait))[0] + ": does not answer"
-			return c.decide(now, Drop)
+			c.r.RefusalReason = slices.Sorted(maps.Keys(c.wait))[0] + ": does not answer"
+			return c.decide(now, Abort)
 		}
-	case Waving:
+	case StepApply:
 		return c.waved(now)
-	case Finding:
+	case StepQuery:
 		if len(c.wait) == 0 || now-c.since >= c.times.Wave {
 			return c.found(now)
 		}
@@ -290,41 +290,41 @@
 
 // find asks what became of a change once another holds the right to it: whoever took it over brings it to an end, and the one
 // who began it is told which.
-func (c *Coordinator) find(now d.Micros) []Send {
+func (c *Coordinator) find(now d.Micros) []Envelope {
 	if c.r.ID != "" && c.current.ID != c.r.ID || c.r.ID == "" { // it was another's: of the own one nothing was begun
 		return c.end(now, "taken over by another while an earlier change was being settled")
 	}
-	c.outcome, c.wave = Open, 1
-	return c.enter(now, Finding, c.agents, Message{Verb: Ask, ID: c.current.ID})
+	c.outcome, c.wave = Undecided, 1
+	return c.enter(now, StepQuery, c.agents, Message{Type: Query, ChangeID: c.current.ID})
 }
 
-func (c *Coordinator) found(now d.Micros) []Send {
-	if c.outcome == Open {
+func (c *Coordinator) found(now d.Micros) []Envelope {
+	if c.outcome == Undecided {
 		return c.end(now, "taken over by another while it was being decided; `status` tells what came of it")
 	}
-	c.r.Outcome, c.r.Ends = c.outcome, c.ends()
+	c.r.Outcome, c.r.Targets = c.outcome, c.ends()
 	switch {
-	case c.outcome == Drop && c.r.Refused == "":
-		c.r.Refused = "taken over by another before it was decided"
-	case c.outcome == Go:
-		c.r.Refused, c.r.Resume = "", c.wave < c.current.Waves()
+	case c.outcome == Abort && c.r.RefusalReason == "":
+		c.r.RefusalReason = "taken over by another before it was decided"
+	case c.outcome == Commit:
+		c.r.RefusalReason, c.r.NeedsResume = "", c.wave < c.current.WaveCount()
 	}
 	return c.end(now, "")
 }
 
 // promised begins once a majority gave the right to change: with what earlier holders left open.
-func (c *Coordinator) promised(now d.Micros, late bool) []Send {
+func (c *Coordinator) promised(now d.Micros, late bool) []Envelope {
 	switch {
 	case c.beaten() || late && !c.majority(c.yes):
-		c.r.Refused = "no majority of the agents answers"
+		c.r.RefusalReason = "no majority of the agents answers"
 		var higher Reply
 		for _, a := range slices.Sorted(maps.Keys(c.got)) {
-			if r := c.got[a]; !r.OK && (higher.Ballot.Less(r.Ballot) || higher.Why == "") {
+			if r := c.got[a]; !r.OK && (higher.Promised.Less(r.Promised) || higher.Reason == "") {
 				higher = r
 			}
 		}
 		if c.no > 0 {
-			c.r.Refused, c.r.Holder, c.r.Held, c.r.Left = higher.Why, higher.Ballot.Holder, higher.Held, higher.Left
+			c.r.RefusalReason, c.r.Holder, c.r.HeldFor, c.r.LeaseLeft = higher.Reason, higher.Promised.Holder, higher.HeldFor, higher.LeaseLeft
 		}
 		return c.end(now, "")
 	case !c.majority(c.yes) || len(c.wait) > 0 && !late && now-c.since < c.times.Resend:
@@ -343,13 +343,13 @@
 				best[e.Change.ID] = &entry
 				continue
 			}
-			if old.Outcome == Open {
+			if old.Outcome == Undecided {
 				old.Outcome = e.Outcome
 			}
 			if len(old.Change.Targets) == 0 { // told by one that is done with it
 				old.Change = e.Change
 			}
-			if old.Waves, old.Final = max(old.Waves, e.Waves), old.Final || e.Final; e.Vote != nil &&
+			if old.AllowedWaves, old.Final = max(old.AllowedWaves, e.AllowedWaves), old.Final || e.Final; e.Vote != nil &&
 				(old.Vote == nil || old.Vote.Ballot.Less(e.Vote.Ballot)) {
 				old.Vote = e.Vote
 			}
@@ -361,7 +361,7 @@
 		}
 		if e := best[id]; c.change == nil || id != c.change.ID {
 			c.open = append(c.open, e)
-		} else if e.Vote != nil || e.Outcome != Open { // it was begun before: the same as resuming
+		} else if e.Vote != nil || e.Outcome != Undecided { // it was begun before: the same as resuming
 			e.Change = c.change // those that are done with it told no more than its outcome
 			c.open, c.change = append(c.open, e), nil
 		}
@@ -370,32 +370,32 @@
 }
 
 // next takes up the next open change, then the operator's own.
-func (c *Coordinator) next(now d.Micros) []Send {
-	c.local, c.stop = map[string]Local{}, ""
+func (c *Coordinator) next(now d.Micros) []Envelope {
+	c.local, c.stop = map[string]TargetState{}, ""
 	if len(c.open) > 0 {
 		e := c.open[0]
 		c.open = c.open[1:]
-		c.take(e.Change, max(1, e.Waves))
-		for name, l := range e.Local {
+		c.take(e.Change, max(1, e.AllowedWaves))
+		for name, l := range e.TargetStates {
 			c.local[name] = *l
 		}
-		c.outcome = Drop // nobody of a majority accepted anything: nothing was chosen, nor will be with a lower ballot
-		if e.Outcome != Open {
+		c.outcome = Abort // nobody of a majority accepted anything: nothing was chosen, nor will be with a lower ballot
+		if e.Outcome != Undecided {
 			c.outcome = e.Outcome
 		} else if e.Vote != nil {
 			c.outcome = e.Vote.Outcome
 		}
-		if e.Final && e.Waves < e.Change.Waves() {
+		if e.Final && e.AllowedWaves < e.Change.WaveCount() {
 			c.stop = "stopped before"
 		}
-		return c.enter(now, Settling, c.agents, Message{Verb: Accept, Change: c.current, Outcome: c.outcome})
+		return c.enter(now, StepRecover, c.agents, Message{Type: Accept, Change: c.current, Outcome: c.outcome})
 	}
 	if c.change == nil {
 		return c.end(now, "")
 	}
 	c.take(c.change, 1)
 	c.change = nil
-	return c.enter(now, Preparing, c.current.Agents(), Message{Verb: Prepare, Change: c.current})
+	return c.enter(now, StepPrepare, c.current.Agents(), Message{Type: Prepare, Change: c.current})
 }
 
 // take makes a change the current one.
@@ -406,13 +406,13 @@
 	}
 }
 
-func (c *Coordinator) decide(now d.Micros, o Outcome) []Send {
+func (c *Coordinator) decide(now d.Micros, o Outcome) []Envelope {
 	c.outcome = o
-	return c.enter(now, Deciding, c.agents, Message{Verb: Accept, Change: c.current, Outcome: o})
+	return c.enter(now, StepDecide, c.agents, Message{Type: Accept, Change: c.current, Outcome: o})
 }
 
 // chosen tells all agents what a majority accepted.
-func (c *Coordinator) chosen(now d.Micros) []Send {
+func (c *Coordinator) chosen(now d.Micros) []Envelope {
 	if c.r.ID == "" || c.r.ID == c.current.ID {
 		c.r.ID, c.r.Outcome = c.current.ID, c.outcome
 	}
@@ -420,16 +420,16 @@
 }
 
 // tell has the present wave put in force, or drops the change.
-func (c *Coordinator) tell(now d.Micros) []Send {
-	final := c.outcome == Drop || c.stop != "" || c.wave >= c.current.Waves()
-	return c.enter(now, Waving, c.agents, Message{
-		Verb: Learn, Change: c.current, Outcome: c.outcome, Waves: c.wave, Final: final,
+func (c *Coordinator) tell(now d.Micros) []Envelope {
+	final := c.outcome == Abort || c.stop != "" || c.wave >= c.current.WaveCount()
+	return c.enter(now, StepApply, c.agents, Message{
+		Type: Learn, Change: c.current, Outcome: c.outcome, AllowedWaves: c.wave, Final: final,
 	})
 }
 
 // waved goes on to the next wave once a majority knows of this one and its directors run it; it stops where one would not
 // have it, where one does not answer, or where things look worse.
-func (c *Coordinator) waved(now d.Micros) []Send {
+func (c *Coordinator) waved(now d.Micros) []Envelope {
 	known := c.majority(c.yes) // an answer that is no more than late says so too
 	late := now-c.since >= c.times.Wave
 	if !late && !known {
@@ -440,14 +440,14 @@
 		if c.pending(t) {
 			pending++
 		}
-		if l := c.local[t.Instance]; l.Phase == Failed && t.Wave <= c.wave {
-			failed = t.Instance + ": " + l.Why
+		if l := c.local[t.Instance]; l.Phase == PhaseFailed && t.Wave <= c.wave {
+			failed = t.Instance + ": " + l.Reason
 		}
 	}
 	if !late && pending > 0 && !c.hold { // an agent that settles leaves the right to others meanwhile
 		return nil
 	}
-	if c.outcome == Drop || c.stop != "" || c.hold || c.wave >= c.current.Waves() {
+	if c.outcome == Abort || c.stop != "" || c.hold || c.wave >= c.current.WaveCount() {
 		if late || now-c.since >= c.times.Resend || len(c.wait) == 0 {
 			return c.over(now)
 		}
@@ -476,27 +476,27 @@
 }
 
 // over ends a change: what came of it is told, and the next is taken up.
-func (c *Coordinator) over(now d.Micros) []Send {
+func (c *Coordinator) over(now d.Micros) []Envelope {
 	if c.r.ID == c.current.ID {
-		c.r.Stopped = c.stop
-		c.r.Ends = c.ends()
+		c.r.StopReason = c.stop
+		c.r.Targets = c.ends()
 	}
 	return c.next(now)
 }
 
-func (c *Coordinator) ends() (ends []End) {
+func (c *Coordinator) ends() (ends []TargetResult) {
 	for _, t := range c.current.Targets {
-		e := End{Instance: t.Instance, Agent: t.Agent, State: "untouched"}
+		e := TargetResult{Instance: t.Instance, Agent: t.Agent, State: "untouched"}
 		l, told := c.local[t.Instance]
 		switch {
-		case told && l.Phase == InForce:
+		case told && l.Phase == PhaseApplied:
 			e.State = "changed"
-		case told && l.Over():
-			e.Why = l.Why
-		case c.outcome == Go && t.Wave <= c.wave:
-			e.State, e.Why = "will be changed", "its agent does not answer, and does it when it is back"
-			if told && l.Phase == Going {
-				e.Why = "its director is not done with it"
+		case told && l.IsTerminal():
+			e.Reason = l.Reason
+		case c.outcome == Commit && t.Wave <= c.wave:
+			e.State, e.Reason = "will be changed", "its agent does not answer, and does it when it is back"
+			if told && l.Phase == PhaseApplying {
+				e.Reason = "its director is not done with it"
 			}
 		}
 		ends = append(ends, e)
@@ -505,30 +505,30 @@
 }
 
 // end stops, and gives the right to change back.
-func (c *Coordinator) end(now d.Micros, why string) []Send {
+func (c *Coordinator) end(now d.Micros, why string) []Envelope {
 	if why != "" {
-		c.r.Refused = why
+		c.r.RefusalReason = why
 		of, state := c.current, "not known"
 		if c.change != nil { // it was not begun
 			of, state = c.change, "untouched"
 		}
 		for _, t := range of.Targets {
-			c.r.Ends = append(c.r.Ends, End{Instance: t.Instance, Agent: t.Agent, State: state, Why: why})
+			c.r.Targets = append(c.r.Targets, TargetResult{Instance: t.Instance, Agent: t.Agent, State: state, Reason: why})
 		}
 	}
-	return append(c.enter(now, Ended, nil, Message{}), c.Leave()...)
+	return append(c.enter(now, StepDone, nil, Message{}), c.Release()...)
 }
 
-// Leave gives the right to change back, at the end or in the middle of it: what is open is then settled by others at once.
-func (c *Coordinator) Leave() (out []Send) {
+// Release gives the right to change back, at the end or in the middle of it: what is open is then settled by others at once.
+func (c *Coordinator) Release() (out []Envelope) {
 	for _, a := range c.agents {
-		out = append(out, Send{a, Message{Verb: Release, Ballot: c.ballot}})
+		out = append(out, Envelope{a, Message{Type: Release, Ballot: c.ballot}})
 	}
-	c.r.Sent += len(c.agents)
+	c.r.MessagesSent += len(c.agents)
 	return out
 }
 
-// Waits says whom it waits for, and where.
-func (c *Coordinator) Waits() string {
+// DebugString says whom it waits for, and where.
+func (c *Coordinator) DebugString() string {
 	return fmt.Sprintf("%v %s since %v, for %v", c.step, c.r.ID, c.since, slices.Sorted(maps.Keys(c.wait)))
 }
--- a/rollout/fleet.go
+++ b/rollout/fleet.go
@@ -17,22 +17,22 @@
 
 // Ballot is a right to change the fleet. The higher takes it over from the lower.
 type Ballot struct {
-	N      int64  `json:"n"`
+	Number int64  `json:"n"`
 	Holder string `json:"holder"`
 }
 
 // Less says whether b is the lower.
 func (b Ballot) Less(c Ballot) bool {
-	return cmp.Or(cmp.Compare(b.N, c.N), cmp.Compare(b.Holder, c.Holder)) < 0
+	return cmp.Or(cmp.Compare(b.Number, c.Number), cmp.Compare(b.Holder, c.Holder)) < 0
 }
 
 // Outcome is what was decided of a change.
 type Outcome int
 
 const (
-	Open Outcome = iota
-	Go
-	Drop
+	Undecided Outcome = iota
+	Commit
+	Abort
 )
 
 var outcomes = [...]string{"open", "go", "drop"}
@@ -51,14 +51,14 @@
 // Change is one of several directors, to be whole or not at all.
 type Change struct {
 	ID      string   `json:"id"`
-	By      string   `json:"by"`
+	Author  string   `json:"by"`
 	Note    string   `json:"note"`
-	Undoes  string   `json:"undoes,omitempty"`
+	Reverts string   `json:"undoes,omitempty"`
 	Targets []Target `json:"targets"`
 }
 
-// Waves is how many there are.
-func (c *Change) Waves() (n int) {
+// WaveCount is how many there are.
+func (c *Change) WaveCount() (n int) {
 	for _, t := range c.Targets {
 		n = max(n, t.Wave)
 	}
@@ -78,28 +78,28 @@
 type Phase int
 
 const (
-	Waiting   Phase = iota // prepared, and not decided or not its wave
-	Refused                // it can't be prepared
-	Going                  // being put in force
-	InForce                // read back from the director
-	Failed                 // the director would not have it; what was before is in force
-	Untouched              // dropped, or stopped before its wave
+	PhasePrepared  Phase = iota // prepared, and not decided or not its wave
+	PhaseRefused                // it can't be prepared
+	PhaseApplying               // being put in force
+	PhaseApplied                // read back from the director
+	PhaseFailed                 // the director would not have it; what was before is in force
+	PhaseUnchanged              // dropped, or stopped before its wave
 )
 
 var phases = [...]string{"waiting", "refused", "going", "in force", "failed", "untouched"}
 
 func (p Phase) String() string { return phases[p] }
 
-// Local is one director's part in a change, at its agent.
-type Local struct {
-	Phase  Phase  `json:"phase"`
-	Why    string `json:"why,omitempty"`
-	Before string `json:"before"` // the script that was in force
+// TargetState is one director's part in a change, at its agent.
+type TargetState struct {
+	Phase          Phase  `json:"phase"`
+	Reason         string `json:"why,omitempty"`
+	PreviousScript string `json:"before"` // the script that was in force
 }
 
-// Over says whether nothing more will come of it.
-func (l *Local) Over() bool {
-	return l.Phase == InForce || l.Phase == Failed || l.Phase == Untouched || l.Phase == Refused
+// IsTerminal says whether nothing more will come of it.
+func (l *TargetState) IsTerminal() bool {
+	return l.Phase == PhaseApplied || l.Phase == PhaseFailed || l.Phase == PhaseUnchanged || l.Phase == PhaseRefused
 }
 
 // Vote is what an agent has accepted of a decision.
@@ -110,72 +110,72 @@
 
 // Entry is what an agent knows of a change.
 type Entry struct {
-	Change  *Change           `json:"change"`
-	Vote    *Vote             `json:"vote,omitempty"`
-	Outcome Outcome           `json:"outcome"` // chosen, once that is known
-	Waves   int               `json:"waves"`   // that may go
-	Final   bool              `json:"final"`   // no further wave will
-	Local   map[string]*Local `json:"local,omitempty"`
+	Change       *Change                 `json:"change"`
+	Vote         *Vote                   `json:"vote,omitempty"`
+	Outcome      Outcome                 `json:"outcome"` // chosen, once that is known
+	AllowedWaves int                     `json:"waves"`   // that may go
+	Final        bool                    `json:"final"`   // no further wave will
+	TargetStates map[string]*TargetState `json:"local,omitempty"`
 }
 
-// Settled says whether the agent has nothing more to do or to learn of it.
-func (e *Entry) Settled() bool {
-	if e.Outcome == Open {
+// IsComplete says whether the agent has nothing more to do or to learn of it.
+func (e *Entry) IsComplete() bool {
+	if e.Outcome == Undecided {
 		return false
 	}
-	for _, l := range e.Local {
-		if !l.Over() {
+	for _, l := range e.TargetStates {
+		if !l.IsTerminal() {
 			return false
 		}
 	}
-	return e.Outcome == Drop || e.Final || e.Waves >= e.Change.Waves()
+	return e.Outcome == Abort || e.Final || e.AllowedWaves >= e.Change.WaveCount()
 }
 
-// Verb is what a message asks.
-type Verb int
+// MessageType is what a message asks.
+type MessageType int
 
 const (
-	Promise Verb = iota // take the right to change
-	Renew               // keep it
-	Release             // give it back
-	Prepare             // check a change and store it
-	Accept              // accept a decision
-	Learn               // a decision was chosen, so many waves may go
-	Ask                 // what is known of a change
+	Promise MessageType = iota // take the right to change
+	Renew                      // keep it
+	Release                    // give it back
+	Prepare                    // check a change and store it
+	Accept                     // accept a decision
+	Learn                      // a decision was chosen, so many waves may go
+	Query                      // what is known of a change
 )
 
 var verbs = [...]string{"promise", "renew", "release", "prepare", "accept", "learn", "ask"}
 
-func (v Verb) String() string { return verbs[v] }
+func (v MessageType) String() string { return verbs[v] }
 
 // Message is what a coordinator, or an agent that seeks to catch up, says to an agent.
 type Message struct {
-	Verb    Verb     `json:"verb"`
-	Seq     int      `json:"seq"` // of its coordinator, given back with the reply
-	Ballot  Ballot   `json:"ballot"`
-	Lease   d.Micros `json:"lease,omitempty"`
-	Change  *Change  `json:"change,omitempty"`
-	ID      string   `json:"id,omitempty"`
-	Outcome Outcome  `json:"outcome,omitempty"`
-	Waves   int      `json:"waves,omitempty"`
-	Final   bool     `json:"final,omitempty"`
+	Type         MessageType `json:"verb"`
+	Seq          int         `json:"seq"` // of its coordinator, given back with the reply
+	Ballot       Ballot      `json:"ballot"`
+	Lease        d.Micros    `json:"lease,omitempty"`
+	Change       *Change     `json:"change,omitempty"`
+	ChangeID     string      `json:"id,omitempty"`
+	Outcome      Outcome     `json:"outcome,omitempty"`
+	AllowedWaves int         `json:"waves,omitempty"`
+	Final        bool        `json:"final,omitempty"`
 }
 
 // Reply answers a message.
 type Reply struct {
-	Verb    Verb     `json:"verb"`
-	Seq     int      `json:"seq"`
-	OK      bool     `json:"ok"`
-	Why     string   `json:"why,omitempty"`
-	Ballot  Ballot   `json:"ballot"` // the highest that was promised
-	Held    d.Micros `json:"held,omitempty"`
-	Left    d.Micros `json:"left,omitempty"` // of the holder's lease
-	Entries []Entry  `json:"entries,omitempty"`
+	Type      MessageType `json:"verb"`
+	Seq       int         `json:"seq"`
+	OK        bool        `json:"ok"`
+	Reason    string      `json:"why,omitempty"`
+	Promised  Ballot      `json:"ballot"` // the highest that was promised
+	HeldFor   d.Micros    `json:"held,omitempty"`
+	LeaseLeft d.Micros    `json:"left,omitempty"` // of the holder's lease
+	Entries   []Entry     `json:"entries,omitempty"`
 }
 
 // Command is what an agent must do with one of its directors: put a script in force and read back whether it is.
 type Command struct {
-	ID, Instance, Script, Before string
+	ChangeID, Instance, Script, PreviousScript string
 }
 
 const (
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -19,7 +19,7 @@
 // machine is an agent with what it has stored and what its directors run.
 type machine struct {
 	*Agent
-	settler *Settler
+	settler *Recovery
 	stored  []byte
 	runs    map[string]string
 	do      []Command
@@ -57,10 +57,10 @@
 	}
 	for i, name := range w.names {
 		m := &machine{runs: map[string]string{}}
-		s := State{InForce: map[string]string{}}
+		s := State{ActiveScripts: map[string]string{}}
 		for j := range 2 {
 			instance := fmt.Sprintf("n%d%d", i, j)
-			s.InForce[instance], m.runs[instance] = "base", "base"
+			s.ActiveScripts[instance], m.runs[instance] = "base", "base"
 		}
 		w.machines[name] = m
 		m.stored, _ = json.Marshal(s)
@@ -83,13 +83,13 @@
 		return nil
 	}
 	m.Agent, m.down = NewAgent(w.now, name, s, 10*d.Second, check, sum), false
-	m.settler = NewSettler(w.now, m.Agent, w.names, DefaultTimes())
-	m.do = m.Unfinished()
+	m.settler = NewRecovery(w.now, m.Agent, w.names, DefaultTimeouts())
+	m.do = m.UnfinishedCommands()
 	w.store(m)
 }
 
 // settle has an agent's settler do something; what it says leaves once it is stored.
-func (w *world) settle(m *machine, act func() ([]Send, []Command)) {
+func (w *world) settle(m *machine, act func() ([]Envelope, []Command)) {
 	if m.down {
 		return
 	}
@@ -100,15 +100,15 @@
 }
 
 func (w *world) tick(m *machine) {
-	w.settle(m, func() ([]Send, []Command) { return m.settler.Tick(w.now) })
+	w.settle(m, func() ([]Envelope, []Command) { return m.settler.Tick(w.now) })
 }
 
 func (w *world) store(m *machine) {
-	if m.Changed() {
+	if m.TakeDirty() {
 		m.stored, _ = json.Marshal(m.State)
 	}
 	for _, e := range m.State.Entries {
-		if e.Outcome == Open {
+		if e.Outcome == Undecided {
 			continue
 		}
 		if old, ok := w.chosen[e.Change.ID]; ok && old != e.Outcome {
@@ -120,13 +120,13 @@
 
 func (w *world) tool(change *Change) *Coordinator {
 	w.n++
-	c := NewCoordinator(fmt.Sprint("op", w.n), w.n, w.names, change, DefaultTimes(), nil)
+	c := NewCoordinator(fmt.Sprint("op", w.n), w.n, w.names, change, DefaultTimeouts(), nil)
 	w.tools[int(w.n)] = c
 	w.out(fmt.Sprint(w.n), c.Start(w.now))
 	return c
 }
 
-func (w *world) out(from string, sends []Send) {
+func (w *world) out(from string, sends []Envelope) {
 	for _, s := range sends {
 		m := s.Message
 		w.flight = append(w.flight, item{to: s.To, from: from, send: &m})
@@ -147,13 +147,13 @@
 		return
 	}
 	if m := w.machines[it.to]; m != nil { // an answer to its settler
-		w.settle(m, func() ([]Send, []Command) { return m.settler.Got(w.now, it.from, *it.reply) })
+		w.settle(m, func() ([]Envelope, []Command) { return m.settler.HandleReply(w.now, it.from, *it.reply) })
 		return
 	}
 	var n int
 	fmt.Sscan(it.to, &n)
 	if c := w.tools[n]; c != nil {
-		w.out(it.to, c.Got(w.now, it.from, *it.reply))
+		w.out(it.to, c.HandleReply(w.now, it.from, *it.reply))
 	}
 }
 
@@ -164,18 +164,18 @@
 	}
 	c := m.do[0]
 	m.do = m.do[1:]
-	w.went[c.ID+" "+c.Instance] = true
-	if w.chosen[c.ID] != Go {
-		w.err = fmt.Errorf("%s: %s was driven though the change was %s", c.ID, c.Instance, w.chosen[c.ID])
+	w.went[c.ChangeID+" "+c.Instance] = true
+	if w.chosen[c.ChangeID] != Commit {
+		w.err = fmt.Errorf("%s: %s was driven though the change was %s", c.ChangeID, c.Instance, w.chosen[c.ChangeID])
 	}
 	why := ""
 	if w.refuse[c.Instance] {
 		why = "it would not have it"
-		m.runs[c.Instance] = c.Before
+		m.runs[c.Instance] = c.PreviousScript
 	} else {
 		m.runs[c.Instance] = c.Script
 	}
-	m.Done(c, why)
+	m.CommandDone(c, why)
 	w.store(m)
 }
 
@@ -203,13 +203,13 @@
 }
 
 func (w *world) change(id, script string, waves int) *Change {
-	c := &Change{ID: id, By: "op", Note: "x"}
+	c := &Change{ID: id, Author: "op", Note: "x"}
 	i := 0
 	for _, name := range w.names {
 		m := w.machines[name]
 		for _, instance := range slices.Sorted(maps.Keys(m.runs)) {
 			c.Targets = append(c.Targets, Target{
-				Instance: instance, Agent: name, Base: sum(m.State.InForce[instance]), Script: script, Wave: 1 + i%waves,
+				Instance: instance, Agent: name, Base: sum(m.State.ActiveScripts[instance]), Script: script, Wave: 1 + i%waves,
 			})
 			i++
 		}
@@ -227,16 +227,16 @@
 		states  string // of all directors, counted
 		refused string
 	}{
-		{"all at once", 1, "new", func(*world) {}, Go, "changed:6", ""},
-		{"in three waves", 3, "new", func(*world) {}, Go, "changed:6", ""},
-		{"a faulty script", 1, "faulty", func(*world) {}, Drop, "untouched:6", "a0: n00: faulty"},
-		{"one agent is down", 1, "new", func(w *world) { w.machines["a1"].down = true }, Drop, "untouched:6", "a1: does not answer"},
+		{"all at once", 1, "new", func(*world) {}, Commit, "changed:6", ""},
+		{"in three waves", 3, "new", func(*world) {}, Commit, "changed:6", ""},
+		{"a faulty script", 1, "faulty", func(*world) {}, Abort, "untouched:6", "a0: n00: faulty"},
+		{"one agent is down", 1, "new", func(w *world) { w.machines["a1"].down = true }, Abort, "untouched:6", "a1: does not answer"},
 		{"a majority is down", 1, "new", func(w *world) {
 			w.machines["a1"].down, w.machines["a2"].down = true, true
-		}, Open, "", "no majority of the agents answers"},
-		{"a director would not have it: the waves stop", 2, "new", func(w *world) { w.refuse["n00"] = true }, Go,
+		}, Undecided, "", "no majority of the agents answers"},
+		{"a director would not have it: the waves stop", 2, "new", func(w *world) { w.refuse["n00"] = true }, Commit,
 			"changed:2 untouched:4", ""},
-		{"something else is in force", 1, "new", func(w *world) { w.machines["a2"].State.InForce["n21"] = "other" }, Drop,
+		{"something else is in force", 1, "new", func(w *world) { w.machines["a2"].State.ActiveScripts["n21"] = "other" }, Abort,
 			"untouched:6", "a2: n21: something else is in force than the change was made for"},
 	}
 	for _, c := range cases {
@@ -248,14 +248,14 @@
 			w.calm(200)
 			r := tool.Result()
 			counts := map[string]int{}
-			for _, e := range r.Ends {
+			for _, e := range r.Targets {
 				counts[e.State]++
 			}
 			var got []string
 			for _, state := range slices.Sorted(maps.Keys(counts)) {
 				got = append(got, fmt.Sprint(state, ":", counts[state]))
 			}
-			if tool.Step() != Ended || r.Outcome != c.outcome || strings.Join(got, " ") != c.states || r.Refused != c.refused || w.err != nil {
+			if tool.Step() != StepDone || r.Outcome != c.outcome || strings.Join(got, " ") != c.states || r.RefusalReason != c.refused || w.err != nil {
 				t.Errorf("%v: %+v, %v", tool.Step(), r, w.err)
 			}
 		})
@@ -278,21 +278,21 @@
 		w.flight = w.flight[1:]
 		w.deliver(it)
 	}
-	if r := second.Result(); second.Step() != Ended || r.Holder != "op1" || r.Held != 2*d.Second || r.Left <= 0 {
+	if r := second.Result(); second.Step() != StepDone || r.Holder != "op1" || r.HeldFor != 2*d.Second || r.LeaseLeft <= 0 {
 		t.Fatalf("the second: %+v", r)
 	}
 	delete(w.tools, 1) // the first dies; its lease runs out
 	w.now += 20 * d.Second
 	third := w.tool(w.change("c3", "three", 1))
 	w.calm(100)
-	if r := third.Result(); r.Outcome != Go || !r.Whole() {
+	if r := third.Result(); r.Outcome != Commit || !r.AllOrNone() {
 		t.Fatalf("the third: %+v", r)
 	}
 	w.tools[1] = first // late messages of the first are fenced off
 	for _, a := range w.names {
-		for _, verb := range []Verb{Prepare, Accept} {
-			r, do := w.machines[a].Handle(w.now, Message{Verb: verb, Ballot: Ballot{1, "op1"}, Change: w.change("c1", "one", 1), Outcome: Go})
-			if r.OK || len(do) > 0 || !strings.Contains(r.Why, "taken over by op3") {
+		for _, verb := range []MessageType{Prepare, Accept} {
+			r, do := w.machines[a].Handle(w.now, Message{Type: verb, Ballot: Ballot{1, "op1"}, Change: w.change("c1", "one", 1), Outcome: Commit})
+			if r.OK || len(do) > 0 || !strings.Contains(r.Reason, "taken over by op3") {
 				t.Errorf("%s: %+v", a, r)
 			}
 		}
@@ -350,16 +350,16 @@
 				if past := w.machines[t.Agent].past(e.Change.ID); past != nil && past.Outcome == e.Outcome {
 					continue
 				}
-				if e.Outcome == Go && (other == nil || other.Local[t.Instance] == nil || other.Local[t.Instance].Phase == Refused) {
+				if e.Outcome == Commit && (other == nil || other.TargetStates[t.Instance] == nil || other.TargetStates[t.Instance].Phase == PhaseRefused) {
 					fail("%s: %s was decided though %s could not take it", when, e.Change.ID, t.Instance)
 				}
 			}
-			for instance, l := range e.Local {
+			for instance, l := range e.TargetStates {
 				runs := m.runs[instance]
 				switch want := ""; {
-				case !l.Over():
+				case !l.IsTerminal():
 					fail("%s: %s of %s is left %v, %s is %v", when, instance, name, l.Phase, e.Change.ID, e.Outcome)
-				case l.Phase == InForce:
+				case l.Phase == PhaseApplied:
 					for _, t := range e.Change.Targets {
 						if t.Instance == instance {
 							want = t.Script
@@ -368,15 +368,15 @@
 					if e == m.State.Entries[len(m.State.Entries)-1] && runs != want {
 						fail("%s: %s runs %q though %s is in force", when, instance, runs, e.Change.ID)
 					}
-				case w.went[e.Change.ID+" "+instance] && l.Phase != Failed:
+				case w.went[e.Change.ID+" "+instance] && l.Phase != PhaseFailed:
 					fail("%s: %s was driven to %s, and is told to be %v", when, instance, e.Change.ID, l.Phase)
 				}
 			}
-			if e.Outcome == Open && len(e.Local) > 0 {
+			if e.Outcome == Undecided && len(e.TargetStates) > 0 {
 				fail("%s: %s is left open at %s", when, e.Change.ID, name)
 			}
 		}
-		for instance, script := range m.State.InForce {
+		for instance, script := range m.State.ActiveScripts {
 			if m.runs[instance] != script {
 				fail("%s: %s runs %q, its agent takes it for %q", when, instance, m.runs[instance], script)
 			}
@@ -425,7 +425,7 @@
 func (w *world) left() bool {
 	for _, name := range w.names {
 		for _, e := range w.machines[name].State.Entries {
-			if e.Outcome == Go && !e.Final && e.Waves < e.Change.Waves() {
+			if e.Outcome == Commit && !e.Final && e.AllowedWaves < e.Change.WaveCount() {
 				return true
 			}
 		}
@@ -490,8 +490,8 @@
 	end(w)
 	w.calm(600)
 	for n, c := range w.tools {
-		if c.Step() != Ended {
-			t.Fatalf("tool %d never returns: %s", n, c.Waits())
+		if c.Step() != StepDone {
+			t.Fatalf("tool %d never returns: %s", n, c.DebugString())
 		}
 	}
 	for range 3 { // each open rolling change waits for an operator who goes on
@@ -524,20 +524,20 @@
 			}
 			b := Ballot{1, "op1"}
 			for _, name := range w.names { // all have prepared it, two have decided it, one of these is through with it
-				say(name, Message{Verb: Prepare, Ballot: b, Change: change})
+				say(name, Message{Type: Prepare, Ballot: b, Change: change})
 			}
 			for _, name := range w.names[1:] {
-				say(name, Message{Verb: Accept, Ballot: b, Change: change, Outcome: Go})
+				say(name, Message{Type: Accept, Ballot: b, Change: change, Outcome: Commit})
 			}
-			w.chosen["c0"] = Go
-			say("a2", Message{Verb: Learn, Change: change, Outcome: Go, Waves: 1, Final: true})
+			w.chosen["c0"] = Commit
+			say("a2", Message{Type: Learn, Change: change, Outcome: Commit, AllowedWaves: 1, Final: true})
 			for i := range c.forget {
-				say("a2", Message{Verb: Learn, Change: &Change{ID: fmt.Sprint("x", i)}, Outcome: Drop})
+				say("a2", Message{Type: Learn, Change: &Change{ID: fmt.Sprint("x", i)}, Outcome: Abort})
 			}
 			w.machines["a1"].down = true // the majority that is left: one that knows nothing, one that is done
 			w.now += 20 * d.Second
 			tool := w.tool(nil)
-			w.until(func() bool { return tool.Step() != Promising })
+			w.until(func() bool { return tool.Step() != StepPromise })
 			w.boot("a1") // and then another: of its vote nobody was told
 			w.machines["a2"].down = true
 			w.calm(50)
@@ -558,7 +558,7 @@
 	for range 2 {
 		tool := w.tool(change)
 		w.calm(100)
-		if r := tool.Result(); tool.Step() != Ended || r.Outcome != Go || len(r.Ends) != 6 || !r.Whole() || r.Refused+r.Stopped != "" {
+		if r := tool.Result(); tool.Step() != StepDone || r.Outcome != Commit || len(r.Targets) != 6 || !r.AllOrNone() || r.RefusalReason+r.StopReason != "" {
 			t.Errorf("%v: %+v", tool.Step(), r)
 		}
 	}
@@ -571,17 +571,17 @@
 		t.Run(fmt.Sprint(agents, " agents"), func(t *testing.T) {
 			w := newWorld(agents)
 			tool := w.tool(w.change("c1", "new", 1))
-			w.until(func() bool { return tool.Step() == Deciding })
+			w.until(func() bool { return tool.Step() == StepDecide })
 			for _, name := range w.names[:(agents+1)/2] { // another right is given by half of them, and its holder dies
 				w.machines[name].State.Promised = Ballot{9, "op9"}
 			}
 			begun := w.now
-			for tool.Step() != Ended && w.now < begun+200*d.Second {
+			for tool.Step() != StepDone && w.now < begun+200*d.Second {
 				w.calm(1)
 			}
 			r := tool.Result()
-			if tool.Step() != Ended || r.Outcome == Open || !r.Whole() {
-				t.Errorf("after %v: %s, %+v", w.now-begun, tool.Waits(), r)
+			if tool.Step() != StepDone || r.Outcome == Undecided || !r.AllOrNone() {
+				t.Errorf("after %v: %s, %+v", w.now-begun, tool.DebugString(), r)
 			}
 			w.calm(100)
 			w.whole(t.Errorf, "split")
@@ -605,20 +605,20 @@
 			w := newWorld(5)
 			change := w.change("c1", "new", 10)
 			w.n++
-			tool := NewCoordinator("op1", 1, w.names, change, DefaultTimes(), c.worse)
+			tool := NewCoordinator("op1", 1, w.names, change, DefaultTimeouts(), c.worse)
 			w.tools[1] = tool
 			w.out("1", tool.Start(w.now))
 			begun := w.now
-			for tool.Step() != Ended && w.now < begun+300*d.Second {
-				if c.mute && tool.Step() == Waving {
+			for tool.Step() != StepDone && w.now < begun+300*d.Second {
+				if c.mute && tool.Step() == StepApply {
 					for _, name := range w.names[1:] {
 						w.machines[name].down = true
 					}
 				}
 				w.calm(1)
 			}
-			if r := tool.Result(); tool.Step() != Ended || r.Stopped != c.stopped || w.now-begun > 100*d.Second {
-				t.Errorf("after %v: %s, %+v", w.now-begun, tool.Waits(), r)
+			if r := tool.Result(); tool.Step() != StepDone || r.StopReason != c.stopped || w.now-begun > 100*d.Second {
+				t.Errorf("after %v: %s, %+v", w.now-begun, tool.DebugString(), r)
 			}
 		})
 	}
@@ -626,15 +626,15 @@
 
 // Of two decisions that were accepted somewhere, the one of the higher ballot holds: the lower one can't have been chosen.
 func TestHigherVoteHolds(t *testing.T) {
-	for _, outcome := range []Outcome{Go, Drop} {
+	for _, outcome := range []Outcome{Commit, Abort} {
 		w := newWorld(3)
 		change := w.change("c1", "new", 1)
 		for _, name := range w.names {
-			w.machines[name].Handle(w.now, Message{Verb: Prepare, Ballot: Ballot{1, "x"}, Change: change})
+			w.machines[name].Handle(w.now, Message{Type: Prepare, Ballot: Ballot{1, "x"}, Change: change})
 		}
-		other := Go + Drop - outcome
-		w.machines["a0"].Handle(w.now, Message{Verb: Accept, Ballot: Ballot{1, "x"}, Change: change, Outcome: other})
-		w.machines["a1"].Handle(w.now, Message{Verb: Accept, Ballot: Ballot{2, "y"}, Change: change, Outcome: outcome})
+		other := Commit + Abort - outcome
+		w.machines["a0"].Handle(w.now, Message{Type: Accept, Ballot: Ballot{1, "x"}, Change: change, Outcome: other})
+		w.machines["a1"].Handle(w.now, Message{Type: Accept, Ballot: Ballot{2, "y"}, Change: change, Outcome: outcome})
 		w.machines["a2"].down = true
 		w.n, w.now = 10, w.now+30*d.Second
 		w.tool(nil)
--- a/rollout/keeper.go
+++ b/rollout/keeper.go
@@ -9,17 +9,17 @@
 	keepSteady = 30 * d.Second // until it has run for so long
 )
 
-// Keeper decides when a director that ended by itself is started again: soon, and ever later while it goes on ending, so that one
+// RestartPolicy decides when a director that ended by itself is started again: soon, and ever later while it goes on ending, so that one
 // that can't run does not take its machine's time. One that ended as it was told to, by a signal to stop, stays down.
-type Keeper struct {
+type RestartPolicy struct {
 	up   bool
 	at   d.Micros // since it is up, or when it is to be started
 	wait d.Micros
 	ends int
 }
 
-// Look takes how the director is now, and says whether to start it.
-func (k *Keeper) Look(now d.Micros, up, told bool) (start bool) {
+// ShouldStart takes how the director is now, and says whether to start it.
+func (k *RestartPolicy) ShouldStart(now d.Micros, up, told bool) (start bool) {
 	switch {
 	case up && !k.up:
 		k.up, k.at = true, now
@@ -38,5 +38,5 @@
 	return false
 }
 
-// Ends is how often it was found down.
-func (k *Keeper) Ends() int { return k.ends }
+// Exits is how often it was found down.
+func (k *RestartPolicy) Exits() int { return k.ends }
--- a/rollout/keeper_test.go
+++ b/rollout/keeper_test.go
@@ -24,11 +24,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var k Keeper
+			var k RestartPolicy
 			var got []d.Micros
 			started, at := 0, d.Micros(0)
 			for now := d.Micros(0); now < 200*d.Second; now += d.Second {
-				if k.Look(now, c.lives(started, now-at), c.told) {
+				if k.ShouldStart(now, c.lives(started, now-at), c.told) {
 					started, at, got = started+1, now, append(got, now/d.Second)
 				}
 			}
