--- a/cmd/tallyctl/keys.go
+++ b/cmd/tallyctl/keys.go
@@ -50,7 +50,7 @@
 func (k *keysRevokeCmd) Run(c *command) error {
 	var certs []*x509.Certificate
 	for _, path := range k.Certs {
-		cert, err := authority.ReadCertificate(path)
+		cert, err := authority.LoadCertificate(path)
 		if err != nil {
 			return err
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -142,7 +142,7 @@
 		}
 	}
 	server := grpc.NewServer(
-		grpc.Creds(credentials.NewTLS(a.id.Server())), grpc.MaxRecvMsgSize(8<<20), grpc.MaxConcurrentStreams(64),
+		grpc.Creds(credentials.NewTLS(a.id.ServerTLS())), grpc.MaxRecvMsgSize(8<<20), grpc.MaxConcurrentStreams(64),
 		grpc.ConnectionTimeout(5*time.Second), grpc.UnaryInterceptor(a.guard),
 		grpc.WaitForHandlers(true), // what was taken is carried out or refused before the store is closed
 	)
@@ -290,7 +290,7 @@
 	if !ok || len(info.State.PeerCertificates) == 0 {
 		return "", nil, errors.New("no certificate")
 	}
-	return a.id.Trust(info.State.PeerCertificates[0], time.Now())
+	return a.id.Verify(info.State.PeerCertificates[0], time.Now())
 }
 
 // guard lets a call through where the certificate still holds and has the role. A panic ends the call alone.
@@ -305,9 +305,9 @@
 	if err != nil {
 		return nil, status.Error(codes.Unauthenticated, err.Error())
 	}
-	needs := []authority.Role{authority.See, authority.Change, authority.Keys, authority.Agent}
+	needs := []authority.Role{authority.RoleViewer, authority.RoleEditor, authority.RoleKeyAdmin, authority.RoleAgent}
 	if say, ok := req.(*fleetpb.SayRequest); ok && rollout.MessageType(say.GetVerb()) != rollout.Query {
-		if needs = []authority.Role{authority.Change, authority.Agent}; rollout.MessageType(say.GetVerb()) == rollout.Prepare {
+		if needs = []authority.Role{authority.RoleEditor, authority.RoleAgent}; rollout.MessageType(say.GetVerb()) == rollout.Prepare {
 			needs = needs[:1] // agents end what is open; they begin nothing
 		}
 		if b := say.GetBallot().GetHolder(); b != "" && !strings.HasPrefix(b, name+"/") {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -36,7 +36,7 @@
 		}
 		return i
 	}
-	op, own := id("op", authority.Change), id("a0", authority.Agent)
+	op, own := id("op", authority.RoleEditor), id("a0", authority.RoleAgent)
 	path := filepath.Join(dir, "fleet.star")
 	text := fmt.Sprintf("fleet(lease = seconds(5), authority = %q)\nagent(\"a0\", address = %q, depot = \"d\")\n"+
 		"director(\"n0\", agent = \"a0\", config = \"n0.json\", settings = %q, socket = \"n0.sock\", pidfile = \"n0.pid\")\n", keys, l.Addr(), path+"n")
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -41,7 +41,7 @@
 	if conn == nil {
 		var err error
 		conn, err = grpc.NewClient("passthrough:///"+entry.Address,
-			grpc.WithTransportCredentials(credentials.NewTLS(p.id.Client(name))),
+			grpc.WithTransportCredentials(credentials.NewTLS(p.id.ClientTLS(name))),
 			grpc.WithConnectParams(grpc.ConnectParams{
 				Backoff:           backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: time.Second},
 				MinConnectTimeout: 2 * time.Second,
--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -26,13 +26,13 @@
 type Role string
 
 const (
-	Agent  Role = "agent"  // an agent itself: may ask and probe others
-	See    Role = "see"    // an operator who may look,
-	Change Role = "change" // change,
-	Keys   Role = "keys"   // and revoke
+	RoleAgent    Role = "agent"  // an agent itself: may ask and probe others
+	RoleViewer   Role = "see"    // an operator who may look,
+	RoleEditor   Role = "change" // change,
+	RoleKeyAdmin Role = "keys"   // and revoke
 )
 
-var roles = []Role{Agent, See, Change, Keys}
+var roles = []Role{RoleAgent, RoleViewer, RoleEditor, RoleKeyAdmin}
 
 const (
 	caYears = 10 * 365 * 24 * time.Hour
@@ -147,7 +147,7 @@
 }
 
 func load(dir string) (*x509.Certificate, *ecdsa.PrivateKey, error) {
-	cert, err := Authority(dir)
+	cert, err := LoadCACertificate(dir)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -155,8 +155,8 @@
 	return cert, key, err
 }
 
-// Authority is the authority's own certificate.
-func Authority(dir string) (*x509.Certificate, error) {
+// LoadCACertificate is the authority's own certificate.
+func LoadCACertificate(dir string) (*x509.Certificate, error) {
 	der, err := get(filepath.Join(dir, caCert), "CERTIFICATE")
 	if err != nil {
 		return nil, err
@@ -243,8 +243,8 @@
 	return list, list.CheckSignatureFrom(ca)
 }
 
-// ReadCertificate reads one from a file.
-func ReadCertificate(path string) (*x509.Certificate, error) {
+// LoadCertificate reads one from a file.
+func LoadCertificate(path string) (*x509.Certificate, error) {
 	der, err := get(path, "CERTIFICATE")
 	if err != nil {
 		return nil, err
@@ -268,7 +268,7 @@
 
 // Open reads an identity: the authority's folder needs its certificate and list, not its key.
 func Open(dir, cert, key string) (*Identity, error) {
-	ca, err := Authority(dir)
+	ca, err := LoadCACertificate(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -312,7 +312,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cert, err := ReadCertificate(i.cert)
+	cert, err := LoadCertificate(i.cert)
 	if err != nil {
 		return nil, err
 	}
@@ -344,8 +344,8 @@
 	return nil
 }
 
-// Trust says whether a certificate holds at a time: the authority's, in its time and not revoked. It gives name and roles.
-func (i *Identity) Trust(cert *x509.Certificate, now time.Time) (name string, of []Role, err error) {
+// Verify says whether a certificate holds at a time: the authority's, in its time and not revoked. It gives name and roles.
+func (i *Identity) Verify(cert *x509.Certificate, now time.Time) (name string, of []Role, err error) {
 	if _, err := cert.Verify(x509.VerifyOptions{
 		Roots: i.pool, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
 	}); err != nil {
@@ -365,8 +365,8 @@
 	return cert.Subject.CommonName, of, nil
 }
 
-// Server is the TLS of one who listens.
-func (i *Identity) Server() *tls.Config {
+// ServerTLS is the TLS of one who listens.
+func (i *Identity) ServerTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: i.pool,
 		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.certificate() },
@@ -374,8 +374,8 @@
 	}
 }
 
-// Client is the TLS of one who calls another by its name.
-func (i *Identity) Client(name string) *tls.Config {
+// ClientTLS is the TLS of one who calls another by its name.
+func (i *Identity) ClientTLS(name string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, RootCAs: i.pool, ServerName: name,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return i.certificate() },
@@ -387,7 +387,7 @@
 	if len(c.PeerCertificates) == 0 {
 		return errors.New("no certificate")
 	}
-	_, _, err := i.Trust(c.PeerCertificates[0], time.Now())
+	_, _, err := i.Verify(c.PeerCertificates[0], time.Now())
 	return err
 }
 
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -49,7 +49,7 @@
 			return
 		}
 		defer nc.Close()
-		c := tls.Server(nc, server.Server())
+		c := tls.Server(nc, server.ServerTLS())
 		if err := c.Handshake(); err != nil {
 			served <- err
 			return
@@ -57,7 +57,7 @@
 		_, err = c.Write([]byte("x"))
 		served <- err
 	}()
-	c, err := tls.Dial("tcp", l.Addr().String(), client.Client(name))
+	c, err := tls.Dial("tcp", l.Addr().String(), client.ClientTLS(name))
 	if err == nil {
 		defer c.Close()
 		_, err = io.ReadFull(c, make([]byte, 1))
@@ -73,13 +73,13 @@
 
 func TestWhoIsTrusted(t *testing.T) {
 	dir, now := keysDir(t), time.Now()
-	server := issue(t, dir, t.TempDir(), "a0", time.Hour, now, Agent)
-	good := issue(t, dir, t.TempDir(), "op", time.Hour, now, See, Change)
-	late := issue(t, dir, t.TempDir(), "late", time.Minute, now.Add(-2*time.Hour), Change)
-	ahead := issue(t, dir, t.TempDir(), "ahead", time.Hour, now.Add(50*time.Minute), Change) // its clock is off by less than an hour
+	server := issue(t, dir, t.TempDir(), "a0", time.Hour, now, RoleAgent)
+	good := issue(t, dir, t.TempDir(), "op", time.Hour, now, RoleViewer, RoleEditor)
+	late := issue(t, dir, t.TempDir(), "late", time.Minute, now.Add(-2*time.Hour), RoleEditor)
+	ahead := issue(t, dir, t.TempDir(), "ahead", time.Hour, now.Add(50*time.Minute), RoleEditor) // its clock is off by less than an hour
 	other := keysDir(t)
-	stranger := issue(t, other, t.TempDir(), "op", time.Hour, now, See, Change)
-	revoked := issue(t, dir, t.TempDir(), "left", time.Hour, now, Change)
+	stranger := issue(t, other, t.TempDir(), "op", time.Hour, now, RoleViewer, RoleEditor)
+	revoked := issue(t, dir, t.TempDir(), "left", time.Hour, now, RoleEditor)
 	own, _ := revoked.certificate()
 	if err := meet(t, server, revoked, "a0"); err != nil {
 		t.Errorf("before it was revoked: %v", err)
@@ -106,8 +106,8 @@
 			}
 		})
 	}
-	name, of, err := server.Trust(must(good.certificate()).Leaf, now)
-	if err != nil || name != "op" || !slices.Equal(of, []Role{See, Change}) {
+	name, of, err := server.Verify(must(good.certificate()).Leaf, now)
+	if err != nil || name != "op" || !slices.Equal(of, []Role{RoleViewer, RoleEditor}) {
 		t.Errorf("%s %v %v", name, of, err)
 	}
 }
@@ -122,9 +122,9 @@
 // The same name issued again is used from the next connection on, without a stop.
 func TestRenewal(t *testing.T) {
 	dir, into := keysDir(t), t.TempDir()
-	i := issue(t, dir, into, "a0", time.Hour, time.Now(), Agent)
+	i := issue(t, dir, into, "a0", time.Hour, time.Now(), RoleAgent)
 	first := must(i.certificate()).Leaf.SerialNumber
-	if err := Issue(dir, into, "a0", []Role{Agent}, time.Hour, time.Now()); err != nil {
+	if err := Issue(dir, into, "a0", []Role{RoleAgent}, time.Hour, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	later := time.Now().Add(time.Second)
@@ -142,7 +142,7 @@
 
 func TestPrivateKeysStayPrivate(t *testing.T) {
 	dir, into := keysDir(t), t.TempDir()
-	issue(t, dir, into, "op", time.Hour, time.Now(), See)
+	issue(t, dir, into, "op", time.Hour, time.Now(), RoleViewer)
 	for _, path := range []string{filepath.Join(dir, caKey), filepath.Join(into, "op-key.pem")} {
 		if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 			t.Errorf("%s: %v, %v", path, info.Mode(), err)
@@ -159,7 +159,7 @@
 		name string
 		of   []Role
 		life time.Duration
-	}{{"", []Role{See}, time.Hour}, {"../x", []Role{See}, time.Hour}, {"x", nil, time.Hour}, {"x", []Role{"root"}, time.Hour}, {"x", []Role{See}, 0}} {
+	}{{"", []Role{RoleViewer}, time.Hour}, {"../x", []Role{RoleViewer}, time.Hour}, {"x", nil, time.Hour}, {"x", []Role{"root"}, time.Hour}, {"x", []Role{RoleViewer}, 0}} {
 		if err := Issue(dir, into, c.name, c.of, c.life, time.Now()); err == nil {
 			t.Errorf("%+v was issued", c)
 		}
--- a/internal/authority/golden_test.go
+++ b/internal/authority/golden_test.go
@@ -123,11 +123,11 @@
 		{"agent-0.pem", "", nil, now.Add(24 * time.Hour), "expired"},
 	}
 	for _, c := range cases {
-		cert, err := ReadCertificate(filepath.Join(dir, c.file))
+		cert, err := LoadCertificate(filepath.Join(dir, c.file))
 		if err != nil {
 			t.Fatal(err)
 		}
-		name, of, err := id.Trust(cert, c.at)
+		name, of, err := id.Verify(cert, c.at)
 		if name != c.name || !slices.Equal(of, c.of) || (err == nil) != (c.fault == "") ||
 			err != nil && !strings.Contains(err.Error(), c.fault) {
 			t.Errorf("%s at %v: %q, %v, %v", c.file, c.at, name, of, err)
@@ -143,16 +143,16 @@
 	if err := Init(dir, "golden", now); err != nil {
 		t.Fatal(err)
 	}
-	if err := Issue(dir, dir, "agent-0", []Role{Agent}, 24*time.Hour, now); err != nil {
+	if err := Issue(dir, dir, "agent-0", []Role{RoleAgent}, 24*time.Hour, now); err != nil {
 		t.Fatal(err)
 	}
-	if err := Issue(dir, dir, "viewer", []Role{See, Change, Keys}, 24*time.Hour, now); err != nil {
+	if err := Issue(dir, dir, "viewer", []Role{RoleViewer, RoleEditor, RoleKeyAdmin}, 24*time.Hour, now); err != nil {
 		t.Fatal(err)
 	}
-	if err := Issue(dir, dir, "operator", []Role{See, Change, Keys}, 24*time.Hour, now); err != nil {
+	if err := Issue(dir, dir, "operator", []Role{RoleViewer, RoleEditor, RoleKeyAdmin}, 24*time.Hour, now); err != nil {
 		t.Fatal(err)
 	}
-	left, err := ReadCertificate(filepath.Join(dir, "operator.pem"))
+	left, err := LoadCertificate(filepath.Join(dir, "operator.pem"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,11 +190,11 @@
 	}
 	golden := goldenFolder(t)
 	for _, name := range []string{"ca.pem", "agent-0.pem", "viewer.pem"} {
-		written, err := ReadCertificate(filepath.Join(dir, name))
+		written, err := LoadCertificate(filepath.Join(dir, name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		stored, err := ReadCertificate(filepath.Join(golden, name))
+		stored, err := LoadCertificate(filepath.Join(golden, name))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -240,7 +240,7 @@
 
 func readGoldenList(t *testing.T, dir string) *x509.RevocationList {
 	t.Helper()
-	ca, err := Authority(dir)
+	ca, err := LoadCACertificate(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -42,7 +42,7 @@
 	if err := authority.Init(f.Keys, "lab", now); err != nil {
 		return nil, err
 	}
-	if err := authority.Issue(f.Keys, dir, "op", []authority.Role{authority.See, authority.Change}, time.Hour, now); err != nil {
+	if err := authority.Issue(f.Keys, dir, "op", []authority.Role{authority.RoleViewer, authority.RoleEditor}, time.Hour, now); err != nil {
 		return nil, err
 	}
 	var text strings.Builder
@@ -57,7 +57,7 @@
 	}
 	for i := range agents {
 		name := fmt.Sprintf("a%02d", i)
-		if err := authority.Issue(f.Keys, dir, name, []authority.Role{authority.Agent}, time.Hour, now); err != nil {
+		if err := authority.Issue(f.Keys, dir, name, []authority.Role{authority.RoleAgent}, time.Hour, now); err != nil {
 			return nil, err
 		}
 		addr, err := faulttest.FreeAddress()
--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -413,7 +413,7 @@
 		}
 	})
 	t.Run("an operator who may only look", func(t *testing.T) {
-		if err := authority.Issue(f.Keys, f.Dir, "looker", []authority.Role{authority.See}, time.Hour, time.Now()); err != nil {
+		if err := authority.Issue(f.Keys, f.Dir, "looker", []authority.Role{authority.RoleViewer}, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		looker, err := f.Operator("looker")
@@ -431,7 +431,7 @@
 		}
 	})
 	t.Run("a revoked and an expired certificate", func(t *testing.T) {
-		if err := authority.Issue(f.Keys, f.Dir, "left", []authority.Role{authority.Change}, time.Hour, time.Now()); err != nil {
+		if err := authority.Issue(f.Keys, f.Dir, "left", []authority.Role{authority.RoleEditor}, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		left, err := f.Operator("left")
@@ -442,7 +442,7 @@
 		if v := left.Snapshot(t.Context()); !v.Agents[0].Reachable {
 			t.Fatalf("%+v", v.Agents)
 		}
-		cert, err := authority.ReadCertificate(filepath.Join(f.Dir, "left.pem"))
+		cert, err := authority.LoadCertificate(filepath.Join(f.Dir, "left.pem"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -454,7 +454,7 @@
 				t.Errorf("%+v", a)
 			}
 		}
-		if err := authority.Issue(f.Keys, f.Dir, "late", []authority.Role{authority.Change}, time.Minute, time.Now().Add(-2*time.Hour)); err != nil {
+		if err := authority.Issue(f.Keys, f.Dir, "late", []authority.Role{authority.RoleEditor}, time.Minute, time.Now().Add(-2*time.Hour)); err != nil {
 			t.Fatal(err)
 		}
 		late, err := f.Operator("late")
