--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -17,34 +17,36 @@
 	"tallyproxy/policy"
 )
 
-// sink hands on what a server's connections say.
-type sink struct {
-	asks   chan asked
-	closed chan *Conn
-	never  chan uint64
+// testHandler hands on what a server's connections say.
+type testHandler struct {
+	requests    chan receivedCall
+	closedConns chan *Conn
+	cancels     chan uint64
 }
 
-type asked struct {
-	c   *Conn
-	tag uint64
-	ask Request
+type receivedCall struct {
+	conn    *Conn
+	tag     uint64
+	request Request
 }
 
-func (s sink) HandleRequest(c *Conn, tag uint64, a Request) { s.asks <- asked{c, tag, a} }
-func (s sink) HandleCancel(_ *Conn, tag uint64)             { s.never <- tag }
-func (s sink) ConnClosed(c *Conn)                           { s.closed <- c }
-func (s sink) ConnOpened(*Conn)                             {}
-func (s sink) next(t *testing.T, tag uint64) *Conn          { return s.at(t, tag).c }
-func (s sink) at(t *testing.T, tag uint64) (a asked) {
+func (s testHandler) HandleRequest(c *Conn, tag uint64, a Request) {
+	s.requests <- receivedCall{c, tag, a}
+}
+func (s testHandler) HandleCancel(_ *Conn, tag uint64)        { s.cancels <- tag }
+func (s testHandler) ConnClosed(c *Conn)                      { s.closedConns <- c }
+func (s testHandler) ConnOpened(*Conn)                        {}
+func (s testHandler) nextConn(t *testing.T, tag uint64) *Conn { return s.nextRequest(t, tag).conn }
+func (s testHandler) nextRequest(t *testing.T, tag uint64) (a receivedCall) {
 	t.Helper()
-	if a = get(t, s.asks); a.tag != tag {
+	if a = receive(t, s.requests); a.tag != tag {
 		t.Fatalf("asked for tag %d, want %d", a.tag, tag)
 	}
 	return a
 }
 
-// get waits for what a channel brings.
-func get[T any](t *testing.T, from <-chan T) (v T) {
+// receive waits for what a channel brings.
+func receive[T any](t *testing.T, from <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
@@ -71,20 +73,20 @@
 	}},
 }
 
-type bed struct {
+type testServer struct {
 	*Server
-	sink
+	testHandler
 	pool *bufpool.Pool
 	addr string
 }
 
-func serve(t *testing.T, conns, buffers int, flush time.Duration, change ...func(*policy.Timeouts)) *bed {
+func startServer(t *testing.T, conns, buffers int, flush time.Duration, change ...func(*policy.Timeouts)) *testServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{pool: bufpool.New(buffers), addr: l.Addr().String()}
-	b.sink = sink{make(chan asked, 64), make(chan *Conn, 64), make(chan uint64, 64)}
+	b := &testServer{pool: bufpool.New(buffers), addr: l.Addr().String()}
+	b.testHandler = testHandler{make(chan receivedCall, 64), make(chan *Conn, 64), make(chan uint64, 64)}
 	m := policy.Timeouts{
 		WriteFlush: policy.Micros(flush.Microseconds()), Connect: policy.Second, PollRetry: policy.Second / 20,
 		RequestRead: 20 * policy.Second, DownstreamIdle: 20 * policy.Second, DefaultRetryAfter: 70_000,
@@ -92,13 +94,13 @@
 	for _, to := range change {
 		to(&m)
 	}
-	b.Server = New([]Handler{b.sink}, site, b.pool, conns, m)
+	b.Server = New([]Handler{b.testHandler}, site, b.pool, conns, m)
 	go b.Serve(l)
 	t.Cleanup(func() {
 		l.Close()
 		b.Server.mu.Lock()
 		for c := range b.Server.conns {
-			c.nc.Close()
+			c.netConn.Close()
 		}
 		b.Server.mu.Unlock()
 		eventually(t, "connections are left", func() bool { return b.ConnCount() == 0 })
@@ -109,23 +111,23 @@
 	return b
 }
 
-type client struct {
+type testClient struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (b *bed) dial(t *testing.T) client {
+func (b *testServer) dial(t *testing.T) testClient {
 	nc, err := net.Dial("tcp", b.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
-	return client{nc, bufio.NewReader(nc)}
+	return testClient{nc, bufio.NewReader(nc)}
 }
 
 // answer reads one answer, as its words.
-func (c client) answer(t *testing.T) string {
+func (c testClient) answer(t *testing.T) string {
 	t.Helper()
 	var n, size int
 	if _, err := fmt.Fscanf(c.in, "*%d\r\n", &n); err != nil {
@@ -145,24 +147,24 @@
 	return strings.Join(words, " ")
 }
 
-func (b *bed) body(size int) *bufpool.Body {
+func (b *testServer) body(size int) *bufpool.Body {
 	body := b.pool.NewBody(0)
 	body.Append(bytes.Repeat([]byte("x"), size))
 	return body
 }
 
-func ask(tag string) []byte { return frame("ASK", tag, "segment", fields) }
+func requestFrame(tag string) []byte { return frame("ASK", tag, "segment", fields) }
 
 func TestAnswers(t *testing.T) {
-	b := serve(t, 8, 64, 10*time.Second)
+	b := startServer(t, 8, 64, 10*time.Second)
 	c := b.dial(t)
-	c.Write(bytes.Join([][]byte{frame("STATUS", "1", ""), ask("2"), ask("3"), ask("4"), ask("5"), ask("6")}, nil))
+	c.Write(bytes.Join([][]byte{frame("STATUS", "1", ""), requestFrame("2"), requestFrame("3"), requestFrame("4"), requestFrame("5"), requestFrame("6")}, nil))
 	if got := c.answer(t); got != "1 serving  " {
 		t.Errorf("got %q", got)
 	}
-	conn := b.next(t, 2)
+	conn := b.nextConn(t, 2)
 	for tag := uint64(3); tag < 7; tag++ {
-		b.next(t, tag)
+		b.nextConn(t, tag)
 	}
 	for _, x := range []struct {
 		do   func()
@@ -185,18 +187,18 @@
 }
 
 func TestTagsAndCounts(t *testing.T) {
-	b := serve(t, 8, 64, 10*time.Second)
+	b := startServer(t, 8, 64, 10*time.Second)
 	c := b.dial(t)
-	c.Write(append(ask("1"), ask("1")...)) // the second use gets no answer of its own
-	conn := b.next(t, 1)
-	for tag := 2; tag <= mostOpen+1; tag++ {
-		c.Write(ask(fmt.Sprint(tag)))
+	c.Write(append(requestFrame("1"), requestFrame("1")...)) // the second use gets no answer of its own
+	conn := b.nextConn(t, 1)
+	for tag := 2; tag <= maxPendingRequests+1; tag++ {
+		c.Write(requestFrame(fmt.Sprint(tag)))
 	}
-	if got := c.answer(t); got != fmt.Sprint(mostOpen+1, " 503 later=70 ") {
-		t.Errorf("beyond %d open: %q", mostOpen, got)
+	if got := c.answer(t); got != fmt.Sprint(maxPendingRequests+1, " 503 later=70 ") {
+		t.Errorf("beyond %d open: %q", maxPendingRequests, got)
 	}
 	c.Write(frame("NEVERMIND", "2"))
-	if tag := get(t, b.never); tag != 2 {
+	if tag := receive(t, b.cancels); tag != 2 {
 		t.Errorf("gave up %d", tag)
 	}
 	conn.Fail(2) // no answer is owed any more
@@ -207,10 +209,10 @@
 }
 
 func TestMalformedFrameAfterRequests(t *testing.T) {
-	b := serve(t, 8, 64, 10*time.Second)
+	b := startServer(t, 8, 64, 10*time.Second)
 	c, other := b.dial(t), b.dial(t)
-	c.Write(append(ask("1"), "rubbish\r\n"...))
-	conn := b.next(t, 1)
+	c.Write(append(requestFrame("1"), "rubbish\r\n"...))
+	conn := b.nextConn(t, 1)
 	conn.Succeed(1, b.body(100_000), false)
 	if got := c.answer(t); !strings.HasPrefix(got, "1 200  xxx") {
 		t.Errorf("got %.20q", got)
@@ -225,12 +227,12 @@
 }
 
 func TestHangUpWithRequestsOpen(t *testing.T) {
-	b := serve(t, 8, 64, 10*time.Second)
+	b := startServer(t, 8, 64, 10*time.Second)
 	c := b.dial(t)
-	c.Write(append(ask("1"), ask("2")...))
-	conn := b.next(t, 1)
+	c.Write(append(requestFrame("1"), requestFrame("2")...))
+	conn := b.nextConn(t, 1)
 	c.Close()
-	if get(t, b.closed) != conn {
+	if receive(t, b.closedConns) != conn {
 		t.Error("another connection was reported")
 	}
 	conn.Succeed(1, b.body(100_000), false) // its buffers go back, as the clean-up checks
@@ -245,20 +247,20 @@
 	}{{"too long", 4096, 50 * time.Millisecond}, {"too much", 64, time.Hour}}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			b := serve(t, 8, x.buffers, x.flush)
+			b := startServer(t, 8, x.buffers, x.flush)
 			c, other := b.dial(t), b.dial(t)
 			closed := false
 			for tag := 1; !closed && tag < 1000; tag++ {
-				c.Write(ask(fmt.Sprint(tag)))
+				c.Write(requestFrame(fmt.Sprint(tag)))
 				select {
-				case a := <-b.asks:
-					a.c.Succeed(a.tag, b.body(240_000), false)
-				case <-b.closed:
+				case a := <-b.requests:
+					a.conn.Succeed(a.tag, b.body(240_000), false)
+				case <-b.closedConns:
 					closed = true
 				}
 				if tag == 3 { // much is waiting by now
-					other.Write(ask("1"))
-					b.next(t, 1).Succeed(1, b.body(240_000), false)
+					other.Write(requestFrame("1"))
+					b.nextConn(t, 1).Succeed(1, b.body(240_000), false)
 					if got := other.answer(t); len(got) != len("1 200  ")+240_000 {
 						t.Errorf("another client got %.20q", got)
 					}
@@ -273,20 +275,20 @@
 
 // With all its connections in use a server takes a further one once one of them is idle.
 func TestConnectionsUsedUp(t *testing.T) {
-	b := serve(t, 2, 64, 10*time.Second)
+	b := startServer(t, 2, 64, 10*time.Second)
 	c1, c2 := b.dial(t), b.dial(t)
-	c1.Write(ask("1"))
-	conn := b.next(t, 1)
-	c2.Write(ask("2"))
-	b.next(t, 2).Fail(2)
+	c1.Write(requestFrame("1"))
+	conn := b.nextConn(t, 1)
+	c2.Write(requestFrame("2"))
+	b.nextConn(t, 2).Fail(2)
 	c2.answer(t)
 	c3 := b.dial(t)
-	c3.Write(ask("3"))
+	c3.Write(requestFrame("3"))
 	if _, err := c2.in.ReadByte(); err != io.EOF {
 		t.Errorf("the idle one was not closed: %v", err)
 	}
 	c2.Close()
-	b.next(t, 3).Fail(3)
+	b.nextConn(t, 3).Fail(3)
 	conn.Fail(1)
 	if a, b := c1.answer(t), c3.answer(t); a != "1 500  " || b != "3 500  " {
 		t.Errorf("got %q and %q", a, b)
@@ -295,23 +297,23 @@
 
 // What comes is checked whole; the rest of the connection goes on, up to a number of faults.
 func TestUnusable(t *testing.T) {
-	b := serve(t, 8, 64, 10*time.Second)
+	b := startServer(t, 8, 64, 10*time.Second)
 	c := b.dial(t)
-	for tag := 1; tag < mostOpen; tag++ {
+	for tag := 1; tag < maxPendingRequests; tag++ {
 		c.Write(frame("ASK", fmt.Sprint(tag), "song", fields))
 		if got := c.answer(t); got != fmt.Sprint(tag, " 500  ") {
 			t.Fatalf("got %q", got)
 		}
 	}
-	c.Write(ask("90"))
-	b.next(t, 90).Fail(90)
+	c.Write(requestFrame("90"))
+	b.nextConn(t, 90).Fail(90)
 	c.answer(t)
-	c.Write(append(frame("ASK", "91", "song", fields), ask("92")...))
+	c.Write(append(frame("ASK", "91", "song", fields), requestFrame("92")...))
 	if got := c.answer(t); got != "91 500  " {
 		t.Errorf("got %q", got)
 	}
-	if _, err := c.in.ReadByte(); err != io.EOF || len(b.asks) != 0 {
-		t.Errorf("after too many faults: %v, %d asked for", err, len(b.asks))
+	if _, err := c.in.ReadByte(); err != io.EOF || len(b.requests) != 0 {
+		t.Errorf("after too many faults: %v, %d asked for", err, len(b.requests))
 	}
 	d := b.dial(t) // 60 MB that never come: the head is enough
 	fmt.Fprint(d, "*5\r\n$3\r\nASK\r\n$1\r\n7\r\n$7\r\nsegment\r\n$1\r\nx\r\n$60000000\r\n")
@@ -334,10 +336,10 @@
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			b := serve(t, 8, 64, 10*time.Second, short)
+			b := startServer(t, 8, 64, 10*time.Second, short)
 			busy, c := b.dial(t), b.dial(t)
-			busy.Write(ask("1"))
-			conn := b.next(t, 1)
+			busy.Write(requestFrame("1"))
+			conn := b.nextConn(t, 1)
 			io.WriteString(c, x.first)
 			if all, err := io.ReadAll(c.in); err != nil || strings.Contains(x.first, "1") != (len(all) > 0) {
 				t.Errorf("got %q, %v", all, err)
@@ -353,16 +355,16 @@
 // Connections that are silent or asked once make room for those that speak and for each other, however many come.
 func TestFloodOfConnections(t *testing.T) {
 	for _, first := range []string{"", string(frame("STATUS", "1"))} {
-		b := serve(t, 4, 64, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry = policy.Second / 100 })
+		b := startServer(t, 4, 64, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry = policy.Second / 100 })
 		good := b.dial(t)
-		good.Write(ask("6"))
-		open := b.next(t, 6)
+		good.Write(requestFrame("6"))
+		open := b.nextConn(t, 6)
 		for range 40 {
 			io.WriteString(b.dial(t), first)
 		}
 		late := b.dial(t)
-		late.Write(ask("7"))
-		b.next(t, 7).Fail(7)
+		late.Write(requestFrame("7"))
+		b.nextConn(t, 7).Fail(7)
 		if got := late.answer(t); got != "7 500  " {
 			t.Errorf("the late one got %q", got)
 		}
@@ -375,15 +377,15 @@
 
 // A client that is slow to read is not at rest: its answers are not cut off to make room.
 func TestSlowReaderKeepsItsPlace(t *testing.T) {
-	b := serve(t, 2, 4096, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry = policy.Second / 100 })
+	b := startServer(t, 2, 4096, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry = policy.Second / 100 })
 	slow := b.dial(t)
-	slow.Write(ask("1"))
-	conn := b.next(t, 1)
+	slow.Write(requestFrame("1"))
+	conn := b.nextConn(t, 1)
 	conn.Succeed(1, b.body(16<<20), false) // more than the sockets between them hold
 	eventually(t, "the answer was not taken up", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return len(conn.queue) == 0 && time.Since(conn.used) > 2*span(b.margins.PollRetry)
+		return len(conn.queue) == 0 && time.Since(conn.lastUsed) > 2*span(b.timeouts.PollRetry)
 	})
 	for range 8 {
 		b.dial(t)
@@ -398,14 +400,14 @@
 
 // Where the silent are too new to tell, one that asked and rests makes room.
 func TestRestingMakesRoomForNew(t *testing.T) {
-	b := serve(t, 3, 64, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry = 3600 * policy.Second })
+	b := startServer(t, 3, 64, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry = 3600 * policy.Second })
 	rested := b.dial(t)
 	rested.Write(frame("STATUS", "1"))
 	rested.answer(t)
 	b.Server.mu.Lock()
 	for c := range b.Server.conns {
 		c.mu.Lock()
-		c.used = c.used.Add(-2 * span(b.margins.PollRetry))
+		c.lastUsed = c.lastUsed.Add(-2 * span(b.timeouts.PollRetry))
 		c.mu.Unlock()
 	}
 	b.Server.mu.Unlock()
@@ -419,13 +421,13 @@
 	}
 }
 
-// poor is a listener that has no descriptor left at first.
-type poor struct {
+// descriptorlessListener is a listener that has no descriptor left at first.
+type descriptorlessListener struct {
 	net.Listener
 	failed bool
 }
 
-func (p *poor) Accept() (net.Conn, error) {
+func (p *descriptorlessListener) Accept() (net.Conn, error) {
 	if !p.failed {
 		p.failed = true
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -438,24 +440,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New([]Handler{sink{closed: make(chan *Conn, 1)}}, site, bufpool.New(1), 1,
+	s := New([]Handler{testHandler{closedConns: make(chan *Conn, 1)}}, site, bufpool.New(1), 1,
 		policy.Timeouts{WriteFlush: policy.Second, PollRetry: policy.Second / 5, RequestRead: policy.Second, DownstreamIdle: policy.Second})
 	done := make(chan error, 1)
-	go func() { done <- s.Serve(&poor{Listener: l}) }()
-	c := (&bed{addr: l.Addr().String()}).dial(t)
+	go func() { done <- s.Serve(&descriptorlessListener{Listener: l}) }()
+	c := (&testServer{addr: l.Addr().String()}).dial(t)
 	c.Write(frame("STATUS", "1"))
 	if got := c.answer(t); got != "1 serving  " {
 		t.Errorf("got %q", got)
 	}
 	c.Close()
 	l.Close()
-	if err := get(t, done); !errors.Is(err, net.ErrClosed) {
+	if err := receive(t, done); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("ended with %v", err)
 	}
 }
 
-// closes begins the server's end, and waits until a connection knows of it.
-func (b *bed) closes(t *testing.T, conn *Conn) (done chan struct{}) {
+// shutdownAsync begins the server's end, and waits until a connection knows of it.
+func (b *testServer) shutdownAsync(t *testing.T, conn *Conn) (done chan struct{}) {
 	t.Helper()
 	done = make(chan struct{})
 	go func() {
@@ -465,17 +467,17 @@
 	eventually(t, "the end was not begun", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return conn.phase == ending
+		return conn.phase == phaseDraining
 	})
 	return done
 }
 
 func TestCloseAnswersFirst(t *testing.T) {
-	b := serve(t, 2, 64, 10*time.Second)
+	b := startServer(t, 2, 64, 10*time.Second)
 	c := b.dial(t)
-	c.Write(ask("1"))
-	conn := b.next(t, 1)
-	done := b.closes(t, conn)
+	c.Write(requestFrame("1"))
+	conn := b.nextConn(t, 1)
+	done := b.shutdownAsync(t, conn)
 	conn.Fail(1)
 	if got := c.answer(t); got != "1 500  " {
 		t.Errorf("got %q", got)
@@ -484,16 +486,16 @@
 		t.Errorf("after the answer: %v, want the end", err)
 	}
 	c.Close()
-	get(t, done)
+	receive(t, done)
 }
 
 // A sink that panics ends the connection that called it, no more.
 func TestPanicEndsOneConnection(t *testing.T) {
-	b := serve(t, 4, 64, 10*time.Second)
-	close(b.asks) // so that Ask panics
+	b := startServer(t, 4, 64, 10*time.Second)
+	close(b.requests) // so that Ask panics
 	c, other := b.dial(t), b.dial(t)
-	c.Write(ask("1"))
-	get(t, b.closed)
+	c.Write(requestFrame("1"))
+	receive(t, b.closedConns)
 	other.Write(frame("STATUS", "1"))
 	if got := other.answer(t); got != "1 serving  " {
 		t.Errorf("another connection got %q", got)
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -39,7 +39,7 @@
 			verb: "ASK", tag: 18446744073709551615,
 			ask: Request{
 				Type: site.Settings.ContentTypes[0], TypeName: "segment", TransactionID: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
-				IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 1500 * time.Millisecond, bytes: []byte("bo\r\n"),
+				IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 1500 * time.Millisecond, rawBody: []byte("bo\r\n"),
 			},
 		},
 		{
@@ -50,7 +50,7 @@
 			verb: "ASK", tag: 41,
 			ask: Request{
 				Type: site.Settings.ContentTypes[1], TypeName: "cover", TransactionID: "0000000000000001", Object: "7F3A9C21E0B4D655", Group: 255,
-				IdempotencyKey: "5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a", IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 2 * time.Second, bytes: []byte{},
+				IdempotencyKey: "5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a", IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 2 * time.Second, rawBody: []byte{},
 			},
 		},
 		{name: "a cancel", frame: "*2\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n", verb: "NEVERMIND", tag: 7},
@@ -63,20 +63,20 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := parser{pool: bufpool.New(1)}
-			p.fed(copy(p.space(), c.frame))
+			p.advance(copy(p.readBuffer(), c.frame))
 			msg, ok, err := p.next()
 			if !ok || err != nil {
 				t.Fatalf("got %t, %v", ok, err)
 			}
-			if msg.verb == "ASK" {
-				if err := msg.ask.admit(types); err != nil {
+			if msg.command == "ASK" {
+				if err := msg.request.validate(types); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if want := (message{verb: c.verb, tag: c.tag, ask: c.ask}); !reflect.DeepEqual(msg, want) {
+			if want := (message{command: c.verb, tag: c.tag, request: c.ask}); !reflect.DeepEqual(msg, want) {
 				t.Errorf("got %+v, want %+v", msg, want)
 			}
-			if p.begun() {
+			if p.hasPartial() {
 				t.Error("bytes are left over")
 			}
 		})
@@ -85,7 +85,7 @@
 
 // TestGoldenAnswers holds the bytes that clients are sent for what they ask and for what becomes of it.
 func TestGoldenAnswers(t *testing.T) {
-	b := serve(t, 8, 64, 10*time.Second)
+	b := startServer(t, 8, 64, 10*time.Second)
 	c := b.dial(t)
 	var conn *Conn
 	asked := func(tag string) func() {
@@ -94,7 +94,7 @@
 				"\r\n$7\r\nsegment\r\n$66\r\ntxn=9b1f03aa5c7e2d41,limit=1500,item=7f3a9c21e0b4d655,n=3,shard=17\r\n"); err != nil {
 				t.Fatal(err)
 			}
-			conn = get(t, b.asks).c
+			conn = receive(t, b.requests).conn
 		}
 	}
 	sent := func(frame string) func() {
@@ -169,7 +169,7 @@
 		{&net.UnixAddr{Net: "unix", Name: "/run/x"}, 0x2ff2c44c9b5125dd},
 	}
 	for _, c := range cases {
-		if got := hostOf(c.address); got != c.want {
+		if got := hashHost(c.address); got != c.want {
 			t.Errorf("%s: %#x, want %#x", c.address, got, c.want)
 		}
 	}
--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -15,19 +15,19 @@
 
 // The protocol's words.
 const (
-	wordFulfilled = "200"
-	wordThrottled = "503"
-	wordAbandoned = "500"
-	wordServing   = "serving"
-	wordStopping  = "not_serving"
+	statusSucceeded  = "200"
+	statusRejected   = "503"
+	statusFailed     = "500"
+	statusServing    = "serving"
+	statusNotServing = "not_serving"
 )
 
 const (
-	mostWords   = 5
-	longestWord = 512
-	largestBody = 48_000 // of a client's write, the fifth word
-	mostParts   = 1 << 16
-	mostGroups  = 256
+	maxElements     = 5
+	maxElementBytes = 512
+	maxBodyBytes    = 48_000 // of a client's write, the fifth word
+	maxParts        = 1 << 16
+	maxGroups       = 256
 )
 
 // Request is a download that a client asks for.
@@ -46,15 +46,15 @@
 	ArrivedAt      time.Time
 	ClientHash     uint64 // its address, as a hash
 	ClientSuspect  bool   // what it asked for of late was of use to no node
-	bytes          []byte // the body, as it lies in the parser's buffer
-	malformed      error
+	rawBody        []byte // the body, as it lies in the parser's buffer
+	parseErr       error
 }
 
 // message is one of a client's; verb is empty where it is none of the protocol's.
 type message struct {
-	verb string
-	tag  uint64
-	ask  Request
+	command string
+	tag     uint64
+	request Request
 }
 
 // parser cuts what a client sends into messages. It is fed bytes and knows no socket.
@@ -62,37 +62,37 @@
 	pool  *bufpool.Pool
 	small [1 << 10]byte
 	buf   []byte // small, or one of the pool's while a message does not fit there
-	from  int    // what lies before is done with
-	to    int
+	start int    // what lies before is done with
+	end   int
 	args  [][]byte
 }
 
-// space is where the next bytes go; the messages of before are void from here on.
-func (p *parser) space() []byte {
-	rest := p.buf[p.from:p.to]
+// readBuffer is where the next bytes go; the messages of before are void from here on.
+func (p *parser) readBuffer() []byte {
+	rest := p.buf[p.start:p.end]
 	switch {
 	case len(rest) == 0:
-		p.close()
+		p.release()
 		p.buf = p.small[:]
 	case len(rest) == len(p.small) && len(p.buf) == len(p.small):
 		p.buf = p.pool.Get()
 	}
-	p.from, p.to = 0, copy(p.buf, rest)
-	return p.buf[p.to:]
+	p.start, p.end = 0, copy(p.buf, rest)
+	return p.buf[p.end:]
 }
 
-// fed says that so many bytes were put there.
-func (p *parser) fed(n int) { p.to += n }
+// advance says that so many bytes were put there.
+func (p *parser) advance(n int) { p.end += n }
 
-// begun says whether a message has come in part.
-func (p *parser) begun() bool { return p.from < p.to }
+// hasPartial says whether a message has come in part.
+func (p *parser) hasPartial() bool { return p.start < p.end }
 
-// close gives the buffer back.
-func (p *parser) close() {
+// release gives the buffer back.
+func (p *parser) release() {
 	if len(p.buf) == bufpool.BufferSize {
 		p.pool.Put(p.buf)
 	}
-	p.buf, p.from, p.to = nil, 0, 0
+	p.buf, p.start, p.end = nil, 0, 0
 }
 
 // next is the next message, where there is a whole one. After an error nothing more can be read; the message has the
@@ -103,8 +103,8 @@
 			err = fmt.Errorf("a frame that can't be cut: %v", bad)
 		}
 	}()
-	data := p.buf[p.from:p.to]
-	whole, tag, err := check(data)
+	data := p.buf[p.start:p.end]
+	whole, tag, err := checkFrame(data)
 	if err != nil || !whole {
 		return message{tag: tag}, false, err
 	}
@@ -112,23 +112,23 @@
 	if err != nil || !complete {
 		return message{tag: tag}, false, fmt.Errorf("a frame that can't be cut: %w", err)
 	}
-	p.args, p.from = args, p.to-len(rest)
-	msg, err = parse(args)
+	p.args, p.start = args, p.end-len(rest)
+	msg, err = parseMessage(args)
 	return msg, err == nil, err
 }
 
-// check walks along a frame as far as it has come, so that lengths that can't be are found before what they announce.
-func check(data []byte) (whole bool, tag uint64, err error) {
-	words, data, whole, err := number(data, '*', mostWords)
+// checkFrame walks along a frame as far as it has come, so that lengths that can't be are found before what they announce.
+func checkFrame(data []byte) (whole bool, tag uint64, err error) {
+	words, data, whole, err := parseLength(data, '*', maxElements)
 	if err != nil || !whole {
 		return false, 0, err
 	}
 	for i := range words {
-		most, n := longestWord, 0
-		if i == mostWords-1 {
-			most = largestBody
+		most, n := maxElementBytes, 0
+		if i == maxElements-1 {
+			most = maxBodyBytes
 		}
-		if n, data, whole, err = number(data, '$', most); err != nil || !whole || len(data) < n+2 {
+		if n, data, whole, err = parseLength(data, '$', most); err != nil || !whole || len(data) < n+2 {
 			return false, tag, err
 		}
 		if data[n] != '\r' || data[n+1] != '\n' {
@@ -142,8 +142,8 @@
 	return true, tag, nil
 }
 
-// number reads a line that is a mark and a number up to most.
-func number(data []byte, mark byte, most int) (n int, rest []byte, whole bool, err error) {
+// parseLength reads a line that is a mark and a number up to most.
+func parseLength(data []byte, mark byte, most int) (n int, rest []byte, whole bool, err error) {
 	for i, b := range data {
 		switch {
 		case i == 0 && b == mark:
@@ -164,8 +164,8 @@
 	return 0, nil, false, nil
 }
 
-// parse reads a message's words; its error is for one that can't be answered.
-func parse(args [][]byte) (message, error) {
+// parseMessage reads a message's words; its error is for one that can't be answered.
+func parseMessage(args [][]byte) (message, error) {
 	if len(args) < 2 {
 		return message{}, errors.New("a message without a tag")
 	}
@@ -176,22 +176,22 @@
 	msg := message{tag: tag}
 	switch verb := string(args[0]); {
 	case verb == "ASK":
-		msg.verb, msg.ask = verb, parseAsk(args[2:])
+		msg.command, msg.request = verb, parseRequest(args[2:])
 	case verb == "NEVERMIND" && len(args) == 2, verb == "STATUS" && len(args) <= 3:
-		msg.verb = verb
+		msg.command = verb
 	}
 	return msg, nil
 }
 
-// parseAsk reads the words of a download; what one word can tell of itself is checked.
-func parseAsk(args [][]byte) (a Request) {
+// parseRequest reads the words of a download; what one word can tell of itself is checked.
+func parseRequest(args [][]byte) (a Request) {
 	if len(args) < 2 || len(args) > 3 {
-		a.malformed = fmt.Errorf("%d words", len(args))
+		a.parseErr = fmt.Errorf("%d words", len(args))
 		return a
 	}
 	a.TypeName = string(args[0])
 	if len(args) == 3 {
-		a.bytes = args[2]
+		a.rawBody = args[2]
 	}
 	seen := map[string]bool{}
 	for field := range strings.SplitSeq(string(args[1]), ",") {
@@ -199,45 +199,45 @@
 		ok := !seen[name]
 		switch seen[name] = true; name {
 		case "txn":
-			a.TransactionID, ok = value, ok && hex(value, 16)
+			a.TransactionID, ok = value, ok && isHex(value, 16)
 		case "limit":
 			var ms int
-			ms, ok = whole(value, ok, 1, 1<<30)
+			ms, ok = parseBounded(value, ok, 1, 1<<30)
 			a.Timeout = time.Duration(ms) * time.Millisecond
 		case "second":
 			a.IsRetry, ok = true, ok && value == "1"
 		case "unique":
-			a.IdempotencyKey, ok = value, ok && hex(value, 32)
+			a.IdempotencyKey, ok = value, ok && isHex(value, 32)
 		case "item":
-			a.Object, ok = value, ok && hex(value, 16)
+			a.Object, ok = value, ok && isHex(value, 16)
 		case "n":
-			a.Part, ok = whole(value, ok, 0, mostParts-1)
+			a.Part, ok = parseBounded(value, ok, 0, maxParts-1)
 		case "shard":
-			a.Group, ok = whole(value, ok, 0, mostGroups-1)
+			a.Group, ok = parseBounded(value, ok, 0, maxGroups-1)
 		case "mine":
-			a.IfNoneMatch, ok = value, ok && hex(value, 16)
+			a.IfNoneMatch, ok = value, ok && isHex(value, 16)
 		default:
 			ok = false
 		}
 		if !ok {
-			a.malformed = fmt.Errorf("%.20s: %.20q can't be used here", name, value)
+			a.parseErr = fmt.Errorf("%.20s: %.20q can't be used here", name, value)
 			return a
 		}
 	}
 	for _, name := range []string{"txn", "limit", "item", "n", "shard"} {
 		if !seen[name] {
-			a.malformed = fmt.Errorf("%s: missing", name)
+			a.parseErr = fmt.Errorf("%s: missing", name)
 		}
 	}
 	return a
 }
 
-// admit checks a download against the settings and gives it its content type.
-func (a *Request) admit(types map[string]*policy.ContentType) error {
+// validate checks a download against the settings and gives it its content type.
+func (a *Request) validate(types map[string]*policy.ContentType) error {
 	t := types[a.TypeName]
 	switch {
-	case a.malformed != nil:
-		return a.malformed
+	case a.parseErr != nil:
+		return a.parseErr
 	case t == nil:
 		return errors.New("an unknown content type")
 	case policy.Micros(a.Timeout/time.Microsecond) > t.Timeout:
@@ -251,19 +251,19 @@
 	return nil
 }
 
-// whole reads a number in its bounds, written as numbers are.
-func whole(value string, ok bool, least, most int) (int, bool) {
+// parseBounded reads a number in its bounds, written as numbers are.
+func parseBounded(value string, ok bool, least, most int) (int, bool) {
 	n, err := strconv.Atoi(value)
 	return n, ok && err == nil && n >= least && n <= most && strconv.Itoa(n) == value
 }
 
-// hex says whether a value is so many hex digits.
-func hex(s string, digits int) bool {
+// isHex says whether a value is so many hex digits.
+func isHex(s string, digits int) bool {
 	return len(s) == digits && strings.Trim(s, "0123456789abcdefABCDEF") == ""
 }
 
-// appendHead writes an answer up to its body's bytes.
-func appendHead(to []byte, tag uint64, word, fields string, body int) []byte {
+// appendResponseHeader writes an answer up to its body's bytes.
+func appendResponseHeader(to []byte, tag uint64, word, fields string, body int) []byte {
 	to = redcon.AppendArray(to, 4)
 	to = redcon.AppendBulkString(to, strconv.FormatUint(tag, 10))
 	to = redcon.AppendBulkString(to, word)
--- a/internal/downstream/protocol_test.go
+++ b/internal/downstream/protocol_test.go
@@ -24,12 +24,12 @@
 
 const fields = "txn=9b1f03aa5c7e2d41,limit=1500,item=7f3a9c21e0b4d655,n=3,shard=17"
 
-// all feeds a parser pieces of a size and writes down what it makes of them.
-func all(data []byte, piece int) (got []string, err error) {
+// parseInPieces feeds a parser pieces of a size and writes down what it makes of them.
+func parseInPieces(data []byte, piece int) (got []string, err error) {
 	p := parser{pool: bufpool.New(1)}
 	for len(data) > 0 {
-		n := copy(p.space(), data[:min(piece, len(data))])
-		p.fed(n)
+		n := copy(p.readBuffer(), data[:min(piece, len(data))])
+		p.advance(n)
 		data = data[n:]
 		for {
 			msg, ok, err := p.next()
@@ -39,7 +39,7 @@
 			if !ok {
 				break
 			}
-			got = append(got, fmt.Sprintf("%s %d %s %d", msg.verb, msg.tag, msg.ask.Object, len(msg.ask.bytes)))
+			got = append(got, fmt.Sprintf("%s %d %s %d", msg.command, msg.tag, msg.request.Object, len(msg.request.rawBody)))
 		}
 	}
 	return got, nil
@@ -56,12 +56,12 @@
 		if piece == 1 {
 			data := bytes.Replace(data, []byte(body), nil, 1) // a byte at a time, without the long one's body
 			data = bytes.Replace(data, []byte("$48000"), []byte("$0"), 1)
-			if got, err := all(data, 1); err != nil || len(got) != len(want) {
+			if got, err := parseInPieces(data, 1); err != nil || len(got) != len(want) {
 				t.Errorf("byte by byte: %v, %v", got, err)
 			}
 			continue
 		}
-		if got, err := all(data, piece); err != nil || !reflect.DeepEqual(got, want) {
+		if got, err := parseInPieces(data, piece); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("pieces of %d: %v, %v", piece, got, err)
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got, err := all(append(frame("STATUS", "8"), c.in...), 4096); err == nil || len(got) != 1 {
+			if got, err := parseInPieces(append(frame("STATUS", "8"), c.in...), 4096); err == nil || len(got) != 1 {
 				t.Errorf("got %v, %v", got, err)
 			}
 		})
@@ -96,12 +96,12 @@
 	key := strings.Repeat("5c0f6e1a", 4)
 	whole := Request{
 		Type: types["segment"], TypeName: "segment", TransactionID: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
-		IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 1500 * time.Millisecond, bytes: []byte("b"),
+		IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 1500 * time.Millisecond, rawBody: []byte("b"),
 	}
-	msg, err := parse([][]byte{[]byte("ASK"), []byte("7"), []byte("segment"),
+	msg, err := parseMessage([][]byte{[]byte("ASK"), []byte("7"), []byte("segment"),
 		[]byte(fields + ",second=1,mine=4be0c1927d55a6f3"), []byte("b")})
-	if fault := msg.ask.admit(types); err != nil || fault != nil || !reflect.DeepEqual(msg.ask, whole) {
-		t.Errorf("got %+v, %v, %v", msg.ask, err, fault)
+	if fault := msg.request.validate(types); err != nil || fault != nil || !reflect.DeepEqual(msg.request, whole) {
+		t.Errorf("got %+v, %v, %v", msg.request, err, fault)
 	}
 	cases := []struct{ name, sort, old, new string }{
 		{"a content type", "song", "", ""}, {"no txn", "segment", "txn=9b1f03aa5c7e2d41,", ""},
@@ -122,14 +122,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			text := strings.Replace(fields, c.old, c.new, 1)
-			a := parseAsk([][]byte{[]byte(c.sort), []byte(text)})
-			if err := a.admit(types); err == nil {
+			a := parseRequest([][]byte{[]byte(c.sort), []byte(text)})
+			if err := a.validate(types); err == nil {
 				t.Errorf("%s was taken as %+v", text, a)
 			}
 		})
 	}
-	a := parseAsk([][]byte{[]byte("cover"), []byte(strings.Replace(fields, "n=3", "n=0,unique="+key, 1)), nil})
-	if err := a.admit(types); err != nil || a.IdempotencyKey != key {
+	a := parseRequest([][]byte{[]byte("cover"), []byte(strings.Replace(fields, "n=3", "n=0,unique="+key, 1)), nil})
+	if err := a.validate(types); err != nil || a.IdempotencyKey != key {
 		t.Errorf("a deduped one: %+v, %v", a, err)
 	}
 }
@@ -140,8 +140,8 @@
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n"), 100)
 	f.Fuzz(func(t *testing.T, data []byte, piece int) {
 		piece = max(1, piece)
-		whole, wholeErr := all(data, len(data)+1)
-		pieces, err := all(data, piece)
+		whole, wholeErr := parseInPieces(data, len(data)+1)
+		pieces, err := parseInPieces(data, piece)
 		if len(data) < bufpool.BufferSize && (!reflect.DeepEqual(whole, pieces) || (err == nil) != (wholeErr == nil)) {
 			t.Errorf("whole %v, %v; in pieces %v, %v", whole, wholeErr, pieces, err)
 		}
--- a/internal/downstream/rare_test.go
+++ b/internal/downstream/rare_test.go
@@ -12,74 +12,74 @@
 	"tallyproxy/policy"
 )
 
-// soon are margins under which what lies in a socket is read whole before it is handed on.
-func soon(m *policy.Timeouts) { m.MaxDecisionAge = policy.Second }
+// readAllFirst are margins under which what lies in a socket is read whole before it is handed on.
+func readAllFirst(m *policy.Timeouts) { m.MaxDecisionAge = policy.Second }
 
-// none checks that nothing more was asked for, behind a request of another connection that is.
-func (b *bed) none(t *testing.T) {
+// requireNoMoreRequests checks that nothing more was asked for, behind a request of another connection that is.
+func (b *testServer) requireNoMoreRequests(t *testing.T) {
 	t.Helper()
 	other := b.dial(t)
-	other.Write(ask("9000"))
-	b.next(t, 9000).Fail(9000)
+	other.Write(requestFrame("9000"))
+	b.nextConn(t, 9000).Fail(9000)
 	if got := other.answer(t); got != "9000 500  " {
 		t.Errorf("another connection got %q", got)
 	}
-	if len(b.asks) != 0 || len(b.never) != 0 {
-		t.Errorf("%d more were asked for, %d taken back", len(b.asks), len(b.never))
+	if len(b.requests) != 0 || len(b.cancels) != 0 {
+		t.Errorf("%d more were asked for, %d taken back", len(b.requests), len(b.cancels))
 	}
 }
 
 // What a client asked for and left or took back while it waited to be read is not handed on.
 func TestClientThatLeftWhileItWaited(t *testing.T) {
 	many := func() (out []byte) {
-		for tag := range mostOpen {
-			out = append(out, ask(fmt.Sprint(tag+1))...)
+		for tag := range maxPendingRequests {
+			out = append(out, requestFrame(fmt.Sprint(tag+1))...)
 		}
 		return out
 	}
 	cases := []struct {
 		name string
 		sent []byte
-		ends func(client)
+		ends func(testClient)
 	}{
-		{"closed", ask("1"), func(c client) { c.Close() }},
-		{"its side closed", ask("1"), func(c client) { c.Conn.(*net.TCPConn).CloseWrite() }},
-		{"reset", ask("1"), func(c client) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() }},
-		{"as many as may be open, closed", many(), func(c client) { c.Close() }},
+		{"closed", requestFrame("1"), func(c testClient) { c.Close() }},
+		{"its side closed", requestFrame("1"), func(c testClient) { c.Conn.(*net.TCPConn).CloseWrite() }},
+		{"reset", requestFrame("1"), func(c testClient) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() }},
+		{"as many as may be open, closed", many(), func(c testClient) { c.Close() }},
 		{"much that is written, closed", bytes.Join([][]byte{
 			frame("ASK", "1", "segment", fields, strings.Repeat("x", 48_000)),
 			frame("ASK", "2", "segment", strings.Replace(fields, "9b", "9c", 1), strings.Repeat("x", 48_000)),
-		}, nil), func(c client) { c.Close() }},
-		{"what can't be read after it, closed", append(ask("1"), "rubbish\r\n"...), func(c client) { c.Close() }},
-		{"much that can't be read after it, closed", append(ask("1"), strings.Repeat("rubbish\r\n", 10_000)...), func(c client) { c.Close() }},
-		{"half of another, closed", append(ask("1"), "*2\r\n$9"...), func(c client) { c.Close() }},
+		}, nil), func(c testClient) { c.Close() }},
+		{"what can't be read after it, closed", append(requestFrame("1"), "rubbish\r\n"...), func(c testClient) { c.Close() }},
+		{"much that can't be read after it, closed", append(requestFrame("1"), strings.Repeat("rubbish\r\n", 10_000)...), func(c testClient) { c.Close() }},
+		{"half of another, closed", append(requestFrame("1"), "*2\r\n$9"...), func(c testClient) { c.Close() }},
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			b := serve(t, 1, 64, 10*time.Second, soon)
+			b := startServer(t, 1, 64, 10*time.Second, readAllFirst)
 			first := b.dial(t) // has the one place
-			first.Write(ask("1"))
-			conn := b.next(t, 1)
+			first.Write(requestFrame("1"))
+			conn := b.nextConn(t, 1)
 			c := b.dial(t)
 			c.Write(x.sent)
-			eventually(t, "it does not wait", b.waiting.Load)
+			eventually(t, "it does not wait", b.awaitingSlot.Load)
 			x.ends(c)
 			conn.Fail(1)
 			first.answer(t)
 			first.Close()
-			get(t, b.closed)
+			receive(t, b.closedConns)
 			if x.name != "reset" { // which may be gone before it is accepted
-				get(t, b.closed)
+				receive(t, b.closedConns)
 			}
-			b.none(t)
+			b.requireNoMoreRequests(t)
 		})
 	}
 	t.Run("taken back", func(t *testing.T) {
-		b := serve(t, 1, 64, 10*time.Second, soon)
+		b := startServer(t, 1, 64, 10*time.Second, readAllFirst)
 		c := b.dial(t)
-		c.Write(bytes.Join([][]byte{ask("1"), ask("2"), frame("NEVERMIND", "1"), ask("3"), frame("NEVERMIND", "3"), ask("3")}, nil))
-		conn := b.next(t, 2)
-		b.next(t, 3)
+		c.Write(bytes.Join([][]byte{requestFrame("1"), requestFrame("2"), frame("NEVERMIND", "1"), requestFrame("3"), frame("NEVERMIND", "3"), requestFrame("3")}, nil))
+		conn := b.nextConn(t, 2)
+		b.nextConn(t, 3)
 		conn.Fail(2)
 		conn.Fail(3)
 		for _, want := range []string{"2 500  ", "3 500  "} {
@@ -87,8 +87,8 @@
 				t.Errorf("got %q, want %q", got, want)
 			}
 		}
-		if len(b.asks)+len(b.never) != 0 {
-			t.Errorf("%d more asked for, %d taken back", len(b.asks), len(b.never))
+		if len(b.requests)+len(b.cancels) != 0 {
+			t.Errorf("%d more asked for, %d taken back", len(b.requests), len(b.cancels))
 		}
 	})
 }
@@ -97,12 +97,12 @@
 func TestLeavingIsSeenByTheDeaf(t *testing.T) {
 	cases := []struct {
 		name  string
-		fault func(t *testing.T, b *bed, c client)
+		fault func(t *testing.T, b *testServer, c testClient)
 		takes bool
 	}{
-		{"after what can't be read", func(t *testing.T, b *bed, c client) { io.WriteString(c, "rubbish\r\n") }, false},
-		{"after too many faults", func(t *testing.T, b *bed, c client) {
-			for tag := range mostOpen {
+		{"after what can't be read", func(t *testing.T, b *testServer, c testClient) { io.WriteString(c, "rubbish\r\n") }, false},
+		{"after too many faults", func(t *testing.T, b *testServer, c testClient) {
+			for tag := range maxPendingRequests {
 				c.Write(frame("ASK", fmt.Sprint(100+tag), "song", fields))
 				c.answer(t)
 			}
@@ -110,20 +110,20 @@
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			b := serve(t, 2, 64, 10*time.Second)
+			b := startServer(t, 2, 64, 10*time.Second)
 			c := b.dial(t)
-			c.Write(append(ask("1"), ask("2")...))
-			conn := b.next(t, 1)
-			b.next(t, 2)
+			c.Write(append(requestFrame("1"), requestFrame("2")...))
+			conn := b.nextConn(t, 1)
+			b.nextConn(t, 2)
 			x.fault(t, b, c)
 			eventually(t, "it is listened to", func() bool {
 				conn.mu.Lock()
 				defer conn.mu.Unlock()
-				return conn.phase == ending
+				return conn.phase == phaseDraining
 			})
 			if x.takes {
-				c.Write(append(ask("3"), frame("NEVERMIND", "1")...))
-				if tag := get(t, b.never); tag != 1 {
+				c.Write(append(requestFrame("3"), frame("NEVERMIND", "1")...))
+				if tag := receive(t, b.cancels); tag != 1 {
 					t.Errorf("took back %d", tag)
 				}
 			}
@@ -131,28 +131,28 @@
 				t.Error("it does not wait")
 			}
 			c.Close()
-			if get(t, b.closed) != conn || conn.IsPending(2) {
+			if receive(t, b.closedConns) != conn || conn.IsPending(2) {
 				t.Error("its leaving was not seen")
 			}
-			if len(b.asks) > 0 {
+			if len(b.requests) > 0 {
 				t.Error("it was listened to")
 			}
 		})
 	}
 }
 
-// narrow is a sink that takes one thing at a time: a connection's reader stands still until it is taken.
-type narrow struct{ sink }
+// unbufferedHandler is a sink that takes one thing at a time: a connection's reader stands still until it is taken.
+type unbufferedHandler struct{ testHandler }
 
-func narrowBed(t *testing.T, conns int, change ...func(*policy.Timeouts)) (*bed, net.Listener) {
-	b := serve(t, conns, 64, 10*time.Second, change...)
-	asks := make(chan asked) // not buffered
-	b.sink.asks = asks
+func startUnbuffered(t *testing.T, conns int, change ...func(*policy.Timeouts)) (*testServer, net.Listener) {
+	b := startServer(t, conns, 64, 10*time.Second, change...)
+	asks := make(chan receivedCall) // not buffered
+	b.testHandler.requests = asks
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Server.sinks[0] = narrow{b.sink}
+	b.Server.handlers[0] = unbufferedHandler{b.testHandler}
 	b.addr = l.Addr().String()
 	go b.Serve(l)
 	t.Cleanup(func() { l.Close() })
@@ -161,43 +161,43 @@
 
 // What was sent before the client is told that nothing more comes is answered, also where it lies unread at that moment.
 func TestRequestInTheMomentOfTheShut(t *testing.T) {
-	b, l := narrowBed(t, 2, func(m *policy.Timeouts) { m.MaxDecisionAge = 0 })
+	b, l := startUnbuffered(t, 2, func(m *policy.Timeouts) { m.MaxDecisionAge = 0 })
 	c := b.dial(t)
-	c.Write(ask("1"))
-	first := get(t, b.asks)
-	c.Write(ask("2"))
-	eventually(t, "2 is not open", func() bool { return first.c.IsPending(2) }) // the reader stands still with it
-	c.Write(ask("3"))                                                           // and this lies in the socket
+	c.Write(requestFrame("1"))
+	first := receive(t, b.requests)
+	c.Write(requestFrame("2"))
+	eventually(t, "2 is not open", func() bool { return first.conn.IsPending(2) }) // the reader stands still with it
+	c.Write(requestFrame("3"))                                                     // and this lies in the socket
 	l.Close()
-	done := b.closes(t, first.c)
-	first.c.Fail(1)
-	first.c.Fail(2) // all that is known of is answered
+	done := b.shutdownAsync(t, first.conn)
+	first.conn.Fail(1)
+	first.conn.Fail(2) // all that is known of is answered
 	for _, want := range []string{"1 500  ", "2 500  "} {
 		if got := c.answer(t); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 	eventually(t, "the reader was not woken", func() bool {
-		first.c.mu.Lock()
-		defer first.c.mu.Unlock()
-		return first.c.answered()
+		first.conn.mu.Lock()
+		defer first.conn.mu.Unlock()
+		return first.conn.idleLocked()
 	})
-	get(t, b.asks)
-	if third := get(t, b.asks); third.tag != 3 {
+	receive(t, b.requests)
+	if third := receive(t, b.requests); third.tag != 3 {
 		t.Errorf("took %d", third.tag)
 	}
-	first.c.Fail(3)
+	first.conn.Fail(3)
 	if got := c.answer(t); got != "3 500  " {
 		t.Errorf("got %q", got)
 	}
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("after the answers: %v, want the end", err)
 	}
-	c.Write(ask("4")) // too late: it is sent again on another
+	c.Write(requestFrame("4")) // too late: it is sent again on another
 	c.Close()
-	get(t, done)
+	receive(t, done)
 	select {
-	case a := <-b.asks:
+	case a := <-b.requests:
 		t.Errorf("%d was taken after the end", a.tag)
 	default:
 	}
@@ -205,24 +205,24 @@
 
 // A connection that was accepted and waits for a place while the listener closes is served.
 func TestWaitingForAPlaceAtTheEnd(t *testing.T) {
-	b, l := narrowBed(t, 1)
+	b, l := startUnbuffered(t, 1)
 	first, c := b.dial(t), b.dial(t)
-	first.Write(ask("1"))
-	conn := get(t, b.asks).c
-	c.Write(ask("2"))
-	eventually(t, "it does not wait", b.waiting.Load)
+	first.Write(requestFrame("1"))
+	conn := receive(t, b.requests).conn
+	c.Write(requestFrame("2"))
+	eventually(t, "it does not wait", b.awaitingSlot.Load)
 	l.Close()
-	done := b.closes(t, conn)
+	done := b.shutdownAsync(t, conn)
 	conn.Fail(1)
 	first.answer(t)
 	first.Close()
-	a := get(t, b.asks)
+	a := receive(t, b.requests)
 	select {
 	case <-done:
 		t.Error("ended with a request open")
 	default:
 	}
-	a.c.Fail(a.tag)
+	a.conn.Fail(a.tag)
 	if got := c.answer(t); got != "2 500  " {
 		t.Errorf("got %q", got)
 	}
@@ -230,34 +230,34 @@
 		t.Errorf("after the answer: %v, want the end", err)
 	}
 	c.Close()
-	get(t, done)
+	receive(t, done)
 }
 
 // A client that always has something open does not keep the server from its end.
 func TestClientThatNeverRests(t *testing.T) {
-	b := serve(t, 2, 64, time.Hour, func(m *policy.Timeouts) { m.Connect = policy.Second / 20 })
+	b := startServer(t, 2, 64, time.Hour, func(m *policy.Timeouts) { m.Connect = policy.Second / 20 })
 	c := b.dial(t)
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() { // answers each only once the next is open
-		var last asked
+		var last receivedCall
 		for {
 			select {
-			case a := <-b.asks:
-				if last.c != nil {
-					last.c.Fail(last.tag)
+			case a := <-b.requests:
+				if last.conn != nil {
+					last.conn.Fail(last.tag)
 				}
 				last = a
-			case <-time.After(span(b.margins.Connect)): // where no next one comes
-				if last.c != nil {
-					last.c.Fail(last.tag)
+			case <-time.After(span(b.timeouts.Connect)): // where no next one comes
+				if last.conn != nil {
+					last.conn.Fail(last.tag)
 				}
 			case <-stop:
 				return
 			}
 		}
 	}()
-	c.Write(append(ask("1"), ask("2")...))
+	c.Write(append(requestFrame("1"), requestFrame("2")...))
 	c.answer(t)
 	done := make(chan struct{})
 	go func() {
@@ -266,7 +266,7 @@
 	}()
 	ended := false
 	for tag := 3; !ended; tag++ {
-		c.Write(ask(fmt.Sprint(tag)))
+		c.Write(requestFrame(fmt.Sprint(tag)))
 		_, err := c.in.ReadByte()
 		if ended = err != nil; !ended {
 			c.in.UnreadByte()
@@ -277,16 +277,16 @@
 		}
 	}
 	c.Close()
-	get(t, done)
+	receive(t, done)
 }
 
 // An answer that a slow reader has not taken yet is not lost when the connection is left, whatever the client sends meanwhile.
 func TestSlowReaderAtTheEnd(t *testing.T) {
-	b := serve(t, 2, 4096, 10*time.Second, func(m *policy.Timeouts) { m.Connect = policy.Second / 50 })
+	b := startServer(t, 2, 4096, 10*time.Second, func(m *policy.Timeouts) { m.Connect = policy.Second / 50 })
 	c := b.dial(t)
 	c.Conn.(*net.TCPConn).SetReadBuffer(64 << 10)
-	c.Write(ask("1"))
-	conn := b.next(t, 1)
+	c.Write(requestFrame("1"))
+	conn := b.nextConn(t, 1)
 	conn.Succeed(1, b.body(1<<20), false) // more than the client's side holds
 	done := make(chan struct{})
 	go func() {
@@ -297,8 +297,8 @@
 	eventually(t, "it is never shut", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		if conn.phase >= shut && over.IsZero() {
-			over = time.Now().Add(3 * span(b.margins.Connect))
+		if conn.phase >= phaseHalfClosed && over.IsZero() {
+			over = time.Now().Add(3 * span(b.timeouts.Connect))
 		}
 		return !over.IsZero() && time.Now().After(over)
 	})
@@ -307,39 +307,39 @@
 		t.Errorf("got %d bytes", len(got))
 	}
 	c.Close()
-	get(t, done)
+	receive(t, done)
 }
 
 // One that was told to stay away makes room only once it must have heard so: a reset could take the answer with it.
 func TestRoomIsNotMadeOverAnAnswerOnItsWay(t *testing.T) {
-	b := serve(t, 2, 64, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry, m.MaxDecisionAge = 3600*policy.Second, 3600*policy.Second })
+	b := startServer(t, 2, 64, 10*time.Second, func(m *policy.Timeouts) { m.PollRetry, m.MaxDecisionAge = 3600*policy.Second, 3600*policy.Second })
 	c := b.dial(t)
-	c.Write(ask("1"))
-	conn := b.next(t, 1)
+	c.Write(requestFrame("1"))
+	conn := b.nextConn(t, 1)
 	conn.Reject(1, 2*time.Hour)
 	c.answer(t)
 	eventually(t, "it is not answered", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return conn.answered()
+		return conn.idleLocked()
 	})
-	if n := b.makeRoom(1); n != 0 {
+	if n := b.evictIdle(1); n != 0 {
 		t.Errorf("%d ended at once", n)
 	}
 	conn.mu.Lock()
-	conn.used = conn.used.Add(-2 * span(b.margins.MaxDecisionAge))
+	conn.lastUsed = conn.lastUsed.Add(-2 * span(b.timeouts.MaxDecisionAge))
 	conn.mu.Unlock()
-	if n := b.makeRoom(1); n != 1 {
+	if n := b.evictIdle(1); n != 1 {
 		t.Errorf("%d ended later", n)
 	}
 }
 
 // A limit that is lowered holds for the connections that are there.
 func TestLoweredLimit(t *testing.T) {
-	b := serve(t, 8, 64, 10*time.Second, func(m *policy.Timeouts) { m.RequestRead, m.PollRetry = 20*policy.Second/10, 1000 })
+	b := startServer(t, 8, 64, 10*time.Second, func(m *policy.Timeouts) { m.RequestRead, m.PollRetry = 20*policy.Second/10, 1000 })
 	busy := b.dial(t)
-	busy.Write(ask("1"))
-	conn := b.next(t, 1)
+	busy.Write(requestFrame("1"))
+	conn := b.nextConn(t, 1)
 	for range 7 {
 		b.dial(t)
 	}
@@ -354,19 +354,19 @@
 
 // A client that leaves is seen to while its writer is stuck, since it read nothing: what else it asked for is given up at once.
 func TestLeavingWhileTheWriterIsStuck(t *testing.T) {
-	b := serve(t, 2, 4096, time.Hour)
+	b := startServer(t, 2, 4096, time.Hour)
 	c := b.dial(t)
-	c.Write(append(ask("1"), ask("2")...))
-	conn := b.next(t, 1)
-	b.next(t, 2)
+	c.Write(append(requestFrame("1"), requestFrame("2")...))
+	conn := b.nextConn(t, 1)
+	b.nextConn(t, 2)
 	conn.Succeed(1, b.body(16<<20), false) // more than the sockets between them hold
 	eventually(t, "the answer was not taken up", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return len(conn.queue) == 0 && conn.queued > 0
+		return len(conn.queue) == 0 && conn.queuedBytes > 0
 	})
 	c.Close()
-	if get(t, b.closed) != conn || conn.IsPending(2) {
+	if receive(t, b.closedConns) != conn || conn.IsPending(2) {
 		t.Error("its leaving was not seen")
 	}
 }
