--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -385,7 +385,7 @@
 	eventually(t, "the answer was not taken up", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return len(conn.queue) == 0 && time.Since(conn.lastUsed) > 2*span(b.timeouts.PollRetry)
+		return len(conn.queue) == 0 && time.Since(conn.lastUsed) > 2*b.timeouts.PollRetry.Duration()
 	})
 	for range 8 {
 		b.dial(t)
@@ -407,7 +407,7 @@
 	b.Server.mu.Lock()
 	for c := range b.Server.conns {
 		c.mu.Lock()
-		c.lastUsed = c.lastUsed.Add(-2 * span(b.timeouts.PollRetry))
+		c.lastUsed = c.lastUsed.Add(-2 * b.timeouts.PollRetry.Duration())
 		c.mu.Unlock()
 	}
 	b.Server.mu.Unlock()
--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -4,16 +4,19 @@
 	"errors"
 	"fmt"
 	"strconv"
-	"strings"
-	"time"
 
 	"github.com/tidwall/redcon"
+)
 
-	"tallyproxy/internal/bufpool"
-	"tallyproxy/policy"
+// Commands of the platform's protocol. A message is an array of RESP, the Redis serialization protocol: the command, the tag by which its
+// response names it, and the command's own elements.
+const (
+	commandRequest = "ASK"       // then the content type's name, the fields and, for a write, the body
+	commandCancel  = "NEVERMIND" // takes a request back; it has no response
+	commandStatus  = "STATUS"    // asks whether the director is serving; an element that follows means nothing
 )
 
-// The protocol's words.
+// Statuses of responses. A response is an array of the tag, the status, the fields and the body.
 const (
 	statusSucceeded  = "200"
 	statusRejected   = "503"
@@ -22,253 +25,55 @@
 	statusNotServing = "not_serving"
 )
 
+// Fields of responses.
+const (
+	fieldRetryAfter = "later" // milliseconds
+	fieldUnchanged  = "still" // 1: the copy that the client holds is valid
+)
+
+// Bounds of a message.
 const (
 	maxElements     = 5
 	maxElementBytes = 512
-	maxBodyBytes    = 48_000 // of a client's write, the fifth word
-	maxParts        = 1 << 16
-	maxGroups       = 256
-)
+	maxBodyBytes    = 48_000 // of the element at bodyIndex
 
-// Request is a download that a client asks for.
-type Request struct {
-	Type           *policy.ContentType
-	TypeName       string // its name
-	TransactionID  string
-	IdempotencyKey string // of a deduped download
-	Object         string
-	Part           int
-	Group          int
-	IfNoneMatch    string // the tag of the client's copy
-	IsRetry        bool
-	Timeout        time.Duration
-	Body           *bufpool.Body
-	ArrivedAt      time.Time
-	ClientHash     uint64 // its address, as a hash
-	ClientSuspect  bool   // what it asked for of late was of use to no node
-	rawBody        []byte // the body, as it lies in the parser's buffer
-	parseErr       error
-}
+	tagIndex  = 1
+	bodyIndex = maxElements - 1
+)
 
-// message is one of a client's; verb is empty where it is none of the protocol's.
+// message is one that a client sent. Its command is empty where the protocol has none of that form.
 type message struct {
 	command string
 	tag     uint64
-	request Request
-}
-
-// parser cuts what a client sends into messages. It is fed bytes and knows no socket.
-type parser struct {
-	pool  *bufpool.Pool
-	small [1 << 10]byte
-	buf   []byte // small, or one of the pool's while a message does not fit there
-	start int    // what lies before is done with
-	end   int
-	args  [][]byte
-}
-
-// readBuffer is where the next bytes go; the messages of before are void from here on.
-func (p *parser) readBuffer() []byte {
-	rest := p.buf[p.start:p.end]
-	switch {
-	case len(rest) == 0:
-		p.release()
-		p.buf = p.small[:]
-	case len(rest) == len(p.small) && len(p.buf) == len(p.small):
-		p.buf = p.pool.Get()
-	}
-	p.start, p.end = 0, copy(p.buf, rest)
-	return p.buf[p.end:]
-}
-
-// advance says that so many bytes were put there.
-func (p *parser) advance(n int) { p.end += n }
-
-// hasPartial says whether a message has come in part.
-func (p *parser) hasPartial() bool { return p.start < p.end }
-
-// release gives the buffer back.
-func (p *parser) release() {
-	if len(p.buf) == bufpool.BufferSize {
-		p.pool.Put(p.buf)
-	}
-	p.buf, p.start, p.end = nil, 0, 0
-}
-
-// next is the next message, where there is a whole one. After an error nothing more can be read; the message has the
-// tag then, if that had come.
-func (p *parser) next() (msg message, ok bool, err error) {
-	defer func() {
-		if bad := recover(); bad != nil { // the library trusts what it reads
-			err = fmt.Errorf("a frame that can't be cut: %v", bad)
-		}
-	}()
-	data := p.buf[p.start:p.end]
-	whole, tag, err := checkFrame(data)
-	if err != nil || !whole {
-		return message{tag: tag}, false, err
-	}
-	complete, args, _, rest, err := redcon.ReadNextCommand(data, p.args)
-	if err != nil || !complete {
-		return message{tag: tag}, false, fmt.Errorf("a frame that can't be cut: %w", err)
-	}
-	p.args, p.start = args, p.end-len(rest)
-	msg, err = parseMessage(args)
-	return msg, err == nil, err
-}
-
-// checkFrame walks along a frame as far as it has come, so that lengths that can't be are found before what they announce.
-func checkFrame(data []byte) (whole bool, tag uint64, err error) {
-	words, data, whole, err := parseLength(data, '*', maxElements)
-	if err != nil || !whole {
-		return false, 0, err
-	}
-	for i := range words {
-		most, n := maxElementBytes, 0
-		if i == maxElements-1 {
-			most = maxBodyBytes
-		}
-		if n, data, whole, err = parseLength(data, '$', most); err != nil || !whole || len(data) < n+2 {
-			return false, tag, err
-		}
-		if data[n] != '\r' || data[n+1] != '\n' {
-			return false, tag, errors.New("a word that does not end where it said")
-		}
-		if i == 1 {
-			tag, _ = strconv.ParseUint(string(data[:n]), 10, 64)
-		}
-		data = data[n+2:]
-	}
-	return true, tag, nil
+	request Request // for commandRequest
 }
 
-// parseLength reads a line that is a mark and a number up to most.
-func parseLength(data []byte, mark byte, most int) (n int, rest []byte, whole bool, err error) {
-	for i, b := range data {
-		switch {
-		case i == 0 && b == mark:
-		case i > 0 && b >= '0' && b <= '9' && n*10+int(b-'0') <= most && i <= 8:
-			n = n*10 + int(b-'0')
-		case i > 1 && b == '\r':
-			if len(data) == i+1 {
-				return 0, nil, false, nil
-			}
-			if data[i+1] == '\n' {
-				return n, data[i+2:], true, nil
-			}
-			fallthrough
-		default:
-			return 0, nil, false, fmt.Errorf("no %c and a number up to %d: %.12q", mark, most, data)
-		}
-	}
-	return 0, nil, false, nil
-}
-
-// parseMessage reads a message's words; its error is for one that can't be answered.
-func parseMessage(args [][]byte) (message, error) {
-	if len(args) < 2 {
+// parseMessage reads a message's elements. Its error is for a message without a usable tag, which can't be answered.
+func parseMessage(elements [][]byte) (message, error) {
+	if len(elements) <= tagIndex {
 		return message{}, errors.New("a message without a tag")
 	}
-	tag, err := strconv.ParseUint(string(args[1]), 10, 64)
+	tag, err := strconv.ParseUint(string(elements[tagIndex]), 10, 64)
 	if err != nil || tag == 0 {
-		return message{}, fmt.Errorf("a tag that is no number from 1 up: %.20q", args[1])
+		return message{}, fmt.Errorf("a tag that is no number from 1 up: %.20q", elements[tagIndex])
 	}
 	msg := message{tag: tag}
-	switch verb := string(args[0]); {
-	case verb == "ASK":
-		msg.command, msg.request = verb, parseRequest(args[2:])
-	case verb == "NEVERMIND" && len(args) == 2, verb == "STATUS" && len(args) <= 3:
-		msg.command = verb
+	switch command := string(elements[0]); {
+	case command == commandRequest:
+		msg.command, msg.request = command, parseRequest(elements[2:])
+	case command == commandCancel && len(elements) == 2, command == commandStatus && len(elements) <= 3:
+		msg.command = command
 	}
 	return msg, nil
 }
 
-// parseRequest reads the words of a download; what one word can tell of itself is checked.
-func parseRequest(args [][]byte) (a Request) {
-	if len(args) < 2 || len(args) > 3 {
-		a.parseErr = fmt.Errorf("%d words", len(args))
-		return a
-	}
-	a.TypeName = string(args[0])
-	if len(args) == 3 {
-		a.rawBody = args[2]
-	}
-	seen := map[string]bool{}
-	for field := range strings.SplitSeq(string(args[1]), ",") {
-		name, value, _ := strings.Cut(field, "=")
-		ok := !seen[name]
-		switch seen[name] = true; name {
-		case "txn":
-			a.TransactionID, ok = value, ok && isHex(value, 16)
-		case "limit":
-			var ms int
-			ms, ok = parseBounded(value, ok, 1, 1<<30)
-			a.Timeout = time.Duration(ms) * time.Millisecond
-		case "second":
-			a.IsRetry, ok = true, ok && value == "1"
-		case "unique":
-			a.IdempotencyKey, ok = value, ok && isHex(value, 32)
-		case "item":
-			a.Object, ok = value, ok && isHex(value, 16)
-		case "n":
-			a.Part, ok = parseBounded(value, ok, 0, maxParts-1)
-		case "shard":
-			a.Group, ok = parseBounded(value, ok, 0, maxGroups-1)
-		case "mine":
-			a.IfNoneMatch, ok = value, ok && isHex(value, 16)
-		default:
-			ok = false
-		}
-		if !ok {
-			a.parseErr = fmt.Errorf("%.20s: %.20q can't be used here", name, value)
-			return a
-		}
-	}
-	for _, name := range []string{"txn", "limit", "item", "n", "shard"} {
-		if !seen[name] {
-			a.parseErr = fmt.Errorf("%s: missing", name)
-		}
-	}
-	return a
-}
-
-// validate checks a download against the settings and gives it its content type.
-func (a *Request) validate(types map[string]*policy.ContentType) error {
-	t := types[a.TypeName]
-	switch {
-	case a.parseErr != nil:
-		return a.parseErr
-	case t == nil:
-		return errors.New("an unknown content type")
-	case policy.Micros(a.Timeout/time.Microsecond) > t.Timeout:
-		return errors.New("limit: over the content type's")
-	case a.Part > 0 && t.Unsplit:
-		return errors.New("n: the content type has no parts")
-	case (t.RetrySafety == policy.IdempotentWithKey) != (a.IdempotencyKey != ""):
-		return errors.New("unique: missing, or not for the content type")
-	}
-	a.Type = t
-	return nil
-}
-
-// parseBounded reads a number in its bounds, written as numbers are.
-func parseBounded(value string, ok bool, least, most int) (int, bool) {
-	n, err := strconv.Atoi(value)
-	return n, ok && err == nil && n >= least && n <= most && strconv.Itoa(n) == value
-}
-
-// isHex says whether a value is so many hex digits.
-func isHex(s string, digits int) bool {
-	return len(s) == digits && strings.Trim(s, "0123456789abcdefABCDEF") == ""
-}
-
-// appendResponseHeader writes an answer up to its body's bytes.
-func appendResponseHeader(to []byte, tag uint64, word, fields string, body int) []byte {
+// appendResponseHeader appends a response up to the first byte of its body, which has bodyBytes and is followed by a line end.
+func appendResponseHeader(to []byte, tag uint64, status, fields string, bodyBytes int) []byte {
 	to = redcon.AppendArray(to, 4)
 	to = redcon.AppendBulkString(to, strconv.FormatUint(tag, 10))
-	to = redcon.AppendBulkString(to, word)
+	to = redcon.AppendBulkString(to, status)
 	to = redcon.AppendBulkString(to, fields)
 	to = append(to, '$')
-	to = strconv.AppendInt(to, int64(body), 10)
+	to = strconv.AppendInt(to, int64(bodyBytes), 10)
 	return append(to, '\r', '\n')
 }
--- a/internal/downstream/rare_test.go
+++ b/internal/downstream/rare_test.go
@@ -248,7 +248,7 @@
 					last.conn.Fail(last.tag)
 				}
 				last = a
-			case <-time.After(span(b.timeouts.Connect)): // where no next one comes
+			case <-time.After(b.timeouts.Connect.Duration()): // where no next one comes
 				if last.conn != nil {
 					last.conn.Fail(last.tag)
 				}
@@ -298,7 +298,7 @@
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
 		if conn.phase >= phaseHalfClosed && over.IsZero() {
-			over = time.Now().Add(3 * span(b.timeouts.Connect))
+			over = time.Now().Add(3 * b.timeouts.Connect.Duration())
 		}
 		return !over.IsZero() && time.Now().After(over)
 	})
@@ -327,7 +327,7 @@
 		t.Errorf("%d ended at once", n)
 	}
 	conn.mu.Lock()
-	conn.lastUsed = conn.lastUsed.Add(-2 * span(b.timeouts.MaxDecisionAge))
+	conn.lastUsed = conn.lastUsed.Add(-2 * b.timeouts.MaxDecisionAge.Duration())
 	conn.mu.Unlock()
 	if n := b.evictIdle(1); n != 1 {
 		t.Errorf("%d ended later", n)
--- /dev/null
+++ b/internal/downstream/shutdown.go
@@ -0,0 +1,109 @@
+package downstream
+
+import (
+	"net"
+	"time"
+
+	"tallyproxy/internal/socket"
+)
+
+// connPhase is how far the end of a connection has come. It never goes back.
+type connPhase int
+
+const (
+	phaseActive     connPhase = iota
+	phaseDraining             // to be half-closed once nothing is pending or queued
+	phaseHalfClosed           // the sending side is closed, and the client's end of the connection is waited for
+	phaseClosed
+)
+
+// inputMode is which messages of a client are still acted on. It only becomes stricter. Whatever comes is read, so that it is seen
+// when the client leaves.
+type inputMode int
+
+const (
+	inputAll       inputMode = iota
+	inputCancels             // requests are ignored
+	inputDiscarded           // all is ignored: where messages begin is not known
+)
+
+// Shutdown closes the listeners, drains all connections, and returns once they have ended, at the latest after WriteFlush. A
+// connection that was accepted and waits for a slot is served first.
+func (s *Server) Shutdown() {
+	s.mu.Lock()
+	s.shuttingDown = true
+	for _, listener := range s.listeners {
+		_ = listener.Close() // fails only where it is closed already
+	}
+	for c := range s.conns {
+		c.mu.Lock()
+		c.drainLocked()
+		c.mu.Unlock()
+	}
+	s.mu.Unlock()
+	deadline := time.Now().Add(s.timeouts.WriteFlush.Duration())
+	for s.ConnCount() > 0 || s.openAccepts.Load() > 0 {
+		if time.Now().After(deadline) {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// drainLocked has the connection end once nothing is pending or queued. New requests are taken until it is half-closed, at the latest
+// within the Connect timeout. The caller holds c.mu.
+func (c *Conn) drainLocked() {
+	if c.phase == phaseActive {
+		c.phase, c.closeDeadline = phaseDraining, time.Now().Add(c.server.timeouts.Connect.Duration())
+	}
+	c.wakeWriter()
+}
+
+// restrictInputLocked drains the connection and from now on acts on no more input than the mode allows. The caller holds c.mu.
+func (c *Conn) restrictInputLocked(mode inputMode) {
+	c.input = max(c.input, mode)
+	c.drainLocked()
+}
+
+// halfCloseLocked closes the sending side: the client learns that nothing more comes and closes its own. The caller is the reader, and
+// holds c.mu.
+func (c *Conn) halfCloseLocked(now time.Time) {
+	timeouts := &c.server.timeouts
+	c.phase, c.closeDeadline = phaseHalfClosed, now.Add(timeouts.WriteFlush.Duration())
+	c.setReadDeadline(now.Add(timeouts.Connect.Duration()))
+	if tcp, ok := c.netConn.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite() // fails only where the client has reset the connection, which the reader sees
+	}
+	c.wakeWriter()
+}
+
+// mayHalfCloseLocked reports whether a draining connection has nothing more to do: nothing is pending or queued, and no input that is
+// still acted on lies in the socket, unless the drain deadline has passed. The caller holds c.mu.
+func (c *Conn) mayHalfCloseLocked(now time.Time) bool {
+	if c.phase == phaseActive || !c.idleLocked() {
+		return false
+	}
+	data, _ := socket.PendingInput(c.netConn)
+	return !data || c.input != inputAll || !now.Before(c.closeDeadline)
+}
+
+// Close ends the connection at once. Responses that are queued are lost.
+func (c *Conn) Close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closeLocked()
+}
+
+// closeLocked is Close for a caller that holds c.mu.
+func (c *Conn) closeLocked() {
+	if c.phase == phaseClosed {
+		return
+	}
+	c.phase = phaseClosed
+	for _, queued := range c.queue {
+		queued.body.Free()
+	}
+	c.queue, c.queuedBytes, c.pending = nil, 0, map[uint64]bool{}
+	_ = c.netConn.Close() // whatever was to be sent is given up
+	c.wakeWriter()
+}
