--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"io"
 	"net"
 	"reflect"
@@ -19,16 +20,16 @@
 	const plain = "txn=9b1f03aa5c7e2d41,limit=1500,item=7f3a9c21e0b4d655,n=3,shard=17"
 	cases := []struct {
 		name, frame string
-		verb        string
+		command     string
 		tag         uint64
-		ask         Request
+		request     Request
 	}{
 		{
-			name:  "a read",
-			frame: "*4\r\n$3\r\nASK\r\n$1\r\n7\r\n$7\r\nsegment\r\n$66\r\n" + plain + "\r\n",
-			verb:  "ASK", tag: 7,
-			ask: Request{
-				Type: site.Settings.ContentTypes[0], TypeName: "segment", TransactionID: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
+			name:    "a read",
+			frame:   "*4\r\n$3\r\nASK\r\n$1\r\n7\r\n$7\r\nsegment\r\n$66\r\n" + plain + "\r\n",
+			command: "ASK", tag: 7,
+			request: Request{
+				Type: site.ContentTypes[0], TypeName: "segment", TransactionID: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
 				Timeout: 1500 * time.Millisecond,
 			},
 		},
@@ -36,9 +37,9 @@
 			name: "every field of a read",
 			frame: "*5\r\n$3\r\nASK\r\n$20\r\n18446744073709551615\r\n$7\r\nsegment\r\n$97\r\n" + plain +
 				",second=1,mine=4be0c1927d55a6f3\r\n$4\r\nbo\r\n\r\n",
-			verb: "ASK", tag: 18446744073709551615,
-			ask: Request{
-				Type: site.Settings.ContentTypes[0], TypeName: "segment", TransactionID: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
+			command: "ASK", tag: 18446744073709551615,
+			request: Request{
+				Type: site.ContentTypes[0], TypeName: "segment", TransactionID: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
 				IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 1500 * time.Millisecond, rawBody: []byte("bo\r\n"),
 			},
 		},
@@ -47,19 +48,19 @@
 			frame: "*5\r\n$3\r\nASK\r\n$2\r\n41\r\n$5\r\ncover\r\n$138\r\n" +
 				"shard=255,n=0,item=7F3A9C21E0B4D655,limit=2000,txn=0000000000000001,mine=4be0c1927d55a6f3,second=1," +
 				"unique=5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a\r\n$0\r\n\r\n",
-			verb: "ASK", tag: 41,
-			ask: Request{
-				Type: site.Settings.ContentTypes[1], TypeName: "cover", TransactionID: "0000000000000001", Object: "7F3A9C21E0B4D655", Group: 255,
+			command: "ASK", tag: 41,
+			request: Request{
+				Type: site.ContentTypes[1], TypeName: "cover", TransactionID: "0000000000000001", Object: "7F3A9C21E0B4D655", Group: 255,
 				IdempotencyKey: "5c0f6e1a5c0f6e1a5c0f6e1a5c0f6e1a", IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 2 * time.Second, rawBody: []byte{},
 			},
 		},
-		{name: "a cancel", frame: "*2\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n", verb: "NEVERMIND", tag: 7},
-		{name: "a status", frame: "*2\r\n$6\r\nSTATUS\r\n$1\r\n8\r\n", verb: "STATUS", tag: 8},
-		{name: "a status with a word", frame: "*3\r\n$6\r\nSTATUS\r\n$1\r\n8\r\n$0\r\n\r\n", verb: "STATUS", tag: 8},
+		{name: "a cancel", frame: "*2\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n", command: "NEVERMIND", tag: 7},
+		{name: "a status", frame: "*2\r\n$6\r\nSTATUS\r\n$1\r\n8\r\n", command: "STATUS", tag: 8},
+		{name: "a status with a word", frame: "*3\r\n$6\r\nSTATUS\r\n$1\r\n8\r\n$0\r\n\r\n", command: "STATUS", tag: 8},
 		{name: "none of the protocol's", frame: "*2\r\n$4\r\nPING\r\n$1\r\n9\r\n", tag: 9},
 		{name: "a cancel with a word too many", frame: "*3\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n$0\r\n\r\n", tag: 7},
 	}
-	types := map[string]*policy.ContentType{"segment": site.Settings.ContentTypes[0], "cover": site.Settings.ContentTypes[1]}
+	types := map[string]*policy.ContentType{"segment": site.ContentTypes[0], "cover": site.ContentTypes[1]}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := parser{pool: bufpool.New(1)}
@@ -73,7 +74,7 @@
 					t.Fatal(err)
 				}
 			}
-			if want := (message{command: c.verb, tag: c.tag, request: c.ask}); !reflect.DeepEqual(msg, want) {
+			if want := (message{command: c.command, tag: c.tag, request: c.request}); !reflect.DeepEqual(msg, want) {
 				t.Errorf("got %+v, want %+v", msg, want)
 			}
 			if p.hasPartial() {
@@ -83,68 +84,62 @@
 	}
 }
 
-// TestGoldenAnswers holds the bytes that clients are sent for what they ask and for what becomes of it.
-func TestGoldenAnswers(t *testing.T) {
+// TestGoldenResponses holds the bytes of every response.
+func TestGoldenResponses(t *testing.T) {
 	b := startServer(t, 8, 64, 10*time.Second)
 	c := b.dial(t)
 	var conn *Conn
-	asked := func(tag string) func() {
+	request := func(tag string) func() {
 		return func() {
-			if _, err := io.WriteString(c, "*4\r\n$3\r\nASK\r\n$"+string('0'+byte(len(tag)))+"\r\n"+tag+
-				"\r\n$7\r\nsegment\r\n$66\r\ntxn=9b1f03aa5c7e2d41,limit=1500,item=7f3a9c21e0b4d655,n=3,shard=17\r\n"); err != nil {
-				t.Fatal(err)
-			}
+			c.send(t, fmt.Appendf(nil, "*4\r\n$3\r\nASK\r\n$%d\r\n%s\r\n$7\r\nsegment\r\n$66\r\n"+
+				"txn=9b1f03aa5c7e2d41,limit=1500,item=7f3a9c21e0b4d655,n=3,shard=17\r\n", len(tag), tag))
 			conn = receive(t, b.requests).conn
 		}
 	}
-	sent := func(frame string) func() {
-		return func() {
-			if _, err := io.WriteString(c, frame); err != nil {
-				t.Fatal(err)
-			}
-		}
+	send := func(frame string) func() {
+		return func() { c.send(t, []byte(frame)) }
 	}
 	cases := []struct {
-		name   string
-		before func() // what the client sends
-		do     func() // what becomes of it
-		want   string
+		name    string
+		send    func() // by the client
+		respond func() // nil where the connection does
+		want    string
 	}{
-		{"serving", sent("*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
-		{"serving, with a word", sent("*3\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n$0\r\n\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
-		{"a body", asked("2"), func() { conn.Succeed(2, b.body(3), false) }, "*4\r\n$1\r\n2\r\n$3\r\n200\r\n$0\r\n\r\n$3\r\nxxx\r\n"},
-		{"an empty body", asked("3"), func() { conn.Succeed(3, nil, false) }, "*4\r\n$1\r\n3\r\n$3\r\n200\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"serving", send("*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"serving, with a word", send("*3\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n$0\r\n\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"a body", request("2"), func() { conn.Succeed(2, b.body(3), false) }, "*4\r\n$1\r\n2\r\n$3\r\n200\r\n$0\r\n\r\n$3\r\nxxx\r\n"},
+		{"an empty body", request("3"), func() { conn.Succeed(3, nil, false) }, "*4\r\n$1\r\n3\r\n$3\r\n200\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{
-			"a body of several buffers", asked("4"), func() { conn.Succeed(4, b.body(100_000), false) },
+			"a body of several buffers", request("4"), func() { conn.Succeed(4, b.body(100_000), false) },
 			"*4\r\n$1\r\n4\r\n$3\r\n200\r\n$0\r\n\r\n$100000\r\n" + strings.Repeat("x", 100_000) + "\r\n",
 		},
-		{"the client's copy holds", asked("55"), func() { conn.Succeed(55, nil, true) }, "*4\r\n$2\r\n55\r\n$3\r\n200\r\n$7\r\nstill=1\r\n$0\r\n\r\n"},
-		{"come back later", asked("6"), func() { conn.Reject(6, 1250*time.Millisecond) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$10\r\nlater=1250\r\n$0\r\n\r\n"},
-		{"come back at once", asked("6"), func() { conn.Reject(6, 0) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"the client's copy holds", request("55"), func() { conn.Succeed(55, nil, true) }, "*4\r\n$2\r\n55\r\n$3\r\n200\r\n$7\r\nstill=1\r\n$0\r\n\r\n"},
+		{"come back later", request("6"), func() { conn.Reject(6, 1250*time.Millisecond) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$10\r\nlater=1250\r\n$0\r\n\r\n"},
+		{"come back at once", request("6"), func() { conn.Reject(6, 0) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{
-			"no room", asked("6"), func() { conn.RejectUnsent(6, Request{}) },
+			"no room", request("6"), func() { conn.RejectUnsent(6, Request{}) },
 			"*4\r\n$1\r\n6\r\n$3\r\n503\r\n$8\r\nlater=70\r\n$0\r\n\r\n",
 		},
 		{
-			"no room for a further try of a key", asked("6"), func() { conn.RejectUnsent(6, Request{IsRetry: true, IdempotencyKey: "5c"}) },
+			"no room for a further try of a key", request("6"), func() { conn.RejectUnsent(6, Request{IsRetry: true, IdempotencyKey: "5c"}) },
 			"*4\r\n$1\r\n6\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n",
 		},
-		{"failed", asked("7"), func() { conn.Fail(7) }, "*4\r\n$1\r\n7\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
-		{"a message that is none", sent("*2\r\n$4\r\nPING\r\n$1\r\n9\r\n"), nil, "*4\r\n$1\r\n9\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"failed", request("7"), func() { conn.Fail(7) }, "*4\r\n$1\r\n7\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"a message that is none", send("*2\r\n$4\r\nPING\r\n$1\r\n9\r\n"), nil, "*4\r\n$1\r\n9\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{
-			"an unknown content type", sent("*4\r\n$3\r\nASK\r\n$1\r\n9\r\n$4\r\nsong\r\n$1\r\nx\r\n"), nil,
+			"an unknown content type", send("*4\r\n$3\r\nASK\r\n$1\r\n9\r\n$4\r\nsong\r\n$1\r\nx\r\n"), nil,
 			"*4\r\n$1\r\n9\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n",
 		},
 		{
-			"not serving", func() { b.SetNotServing() }, sent("*2\r\n$6\r\nSTATUS\r\n$2\r\n10\r\n"),
+			"not serving", func() { b.SetNotServing() }, send("*2\r\n$6\r\nSTATUS\r\n$2\r\n10\r\n"),
 			"*4\r\n$2\r\n10\r\n$11\r\nnot_serving\r\n$0\r\n\r\n$0\r\n\r\n",
 		},
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			x.before()
-			if x.do != nil {
-				x.do()
+			x.send()
+			if x.respond != nil {
+				x.respond()
 			}
 			got := make([]byte, len(x.want))
 			if _, err := io.ReadFull(c.in, got); err != nil {
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -37,20 +37,20 @@
 
 // Request is what a client asks for.
 type Request struct {
-	Type           *policy.ContentType
-	TypeName       string
-	TransactionID  string        // 16 hexadecimal digits; one request that is open at a time has it
-	IdempotencyKey string        // 32 hexadecimal digits, where the type's RetrySafety is IdempotentWithKey
-	Object         string        // 16 hexadecimal digits
-	Part           int           // of the object, from 0
-	Group          int           // of the object: the protocol's shard, from 0
-	IfNoneMatch    string        // the tag of the copy that the client holds; empty for none
-	IsRetry        bool          // the client has sent this request before
-	Timeout        time.Duration // the client waits no longer, from when it sent the request
-	Body           *bufpool.Body // what a write carries; freed by who holds the request
-	ArrivedAt      time.Time     // when it was read
-	ClientHash     uint64        // a hash of the client's address without its port
-	ClientSuspect  bool          // see Conn.MarkSuspect
+	Type           *policy.ContentType // of TypeName, as the settings have it
+	TypeName       string              // as the client sent it
+	TransactionID  string              // 16 hexadecimal digits; one request that is open at a time has it
+	IdempotencyKey string              // 32 hexadecimal digits, where the type's RetrySafety is IdempotentWithKey
+	Object         string              // 16 hexadecimal digits
+	Part           int                 // of the object, from 0
+	Group          int                 // of the object: the protocol's shard, from 0
+	IfNoneMatch    string              // the tag of the copy that the client holds; empty for none
+	IsRetry        bool                // the client has sent this request before
+	Timeout        time.Duration       // the client waits no longer, from when it sent the request
+	Body           *bufpool.Body       // what a write carries; freed by who holds the request
+	ArrivedAt      time.Time           // when it was read
+	ClientHash     uint64              // a hash of the client's address without its port
+	ClientSuspect  bool                // see Conn.MarkSuspect
 
 	rawBody  []byte // the body in the parser's buffer, until it is copied to Body
 	parseErr error  // the first field that can't be used, or the last one that is missing
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -62,7 +62,7 @@
 		conns: map[*Conn]struct{}{}, connEnded: make(chan struct{}, 1),
 	}
 	for i, name := range site.Types {
-		s.contentTypes[name] = site.Settings.ContentTypes[i]
+		s.contentTypes[name] = site.ContentTypes[i]
 	}
 	s.SetMaxConns(maxConns)
 	return s
--- /dev/null
+++ b/internal/downstream/shutdown_test.go
@@ -0,0 +1,180 @@
+package downstream
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"tallyproxy/policy"
+)
+
+// TestShutdownAnswersFirst: a connection ends after its pending request is answered.
+func TestShutdownAnswersFirst(t *testing.T) {
+	b := startServer(t, 2, 64, 10*time.Second)
+	c := b.dial(t)
+	c.send(t, requestFrame("1"))
+	conn := b.nextConn(t, 1)
+	done := b.shutdownAsync(t, conn)
+	conn.Fail(1)
+	if got := c.answer(t); got != "1 500  " {
+		t.Errorf("got %q", got)
+	}
+	if _, err := c.in.ReadByte(); err != io.EOF {
+		t.Errorf("after the answer: %v, want the end", err)
+	}
+	c.close(t)
+	receive(t, done)
+}
+
+// TestRequestDuringHalfClose: a request that was sent before the connection was half-closed is answered, also where it lay unread then.
+func TestRequestDuringHalfClose(t *testing.T) {
+	b, listener := startUnbuffered(t, 2, func(m *policy.Timeouts) { m.MaxDecisionAge = 0 })
+	c := b.dial(t)
+	c.send(t, requestFrame("1"))
+	first := receive(t, b.requests)
+	c.send(t, requestFrame("2"))
+	eventually(t, "2 is not open", func() bool { return first.conn.IsPending(2) }) // the reader stands still with it
+	c.send(t, requestFrame("3"))                                                   // and this lies in the socket
+	closeListener(t, listener)
+	done := b.shutdownAsync(t, first.conn)
+	first.conn.Fail(1)
+	first.conn.Fail(2) // all that is known of is answered
+	for _, want := range []string{"1 500  ", "2 500  "} {
+		if got := c.answer(t); got != want {
+			t.Errorf("got %q, want %q", got, want)
+		}
+	}
+	eventually(t, "the reader was not woken", func() bool {
+		first.conn.mu.Lock()
+		defer first.conn.mu.Unlock()
+		return first.conn.idleLocked()
+	})
+	receive(t, b.requests)
+	if third := receive(t, b.requests); third.tag != 3 {
+		t.Errorf("took %d", third.tag)
+	}
+	first.conn.Fail(3)
+	if got := c.answer(t); got != "3 500  " {
+		t.Errorf("got %q", got)
+	}
+	if _, err := c.in.ReadByte(); err != io.EOF {
+		t.Errorf("after the answers: %v, want the end", err)
+	}
+	c.trySend(requestFrame("4")) // too late: it is sent again on another
+	c.close(t)
+	receive(t, done)
+	select {
+	case a := <-b.requests:
+		t.Errorf("%d was taken after the end", a.tag)
+	default:
+	}
+}
+
+// TestConnAwaitingSlotAtShutdown: a connection that was accepted and waits for a slot when the listener closes is served.
+func TestConnAwaitingSlotAtShutdown(t *testing.T) {
+	b, listener := startUnbuffered(t, 1)
+	first, c := b.dial(t), b.dial(t)
+	first.send(t, requestFrame("1"))
+	conn := receive(t, b.requests).conn
+	c.send(t, requestFrame("2"))
+	eventually(t, "it does not wait", b.awaitingSlot.Load)
+	closeListener(t, listener)
+	done := b.shutdownAsync(t, conn)
+	conn.Fail(1)
+	first.answer(t)
+	first.close(t)
+	a := receive(t, b.requests)
+	select {
+	case <-done:
+		t.Error("ended with a request open")
+	default:
+	}
+	a.conn.Fail(a.tag)
+	if got := c.answer(t); got != "2 500  " {
+		t.Errorf("got %q", got)
+	}
+	if _, err := c.in.ReadByte(); err != io.EOF {
+		t.Errorf("after the answer: %v, want the end", err)
+	}
+	c.close(t)
+	receive(t, done)
+}
+
+// TestShutdownWithBusyClient: a client that always has a pending request does not put off the end of its connection.
+func TestShutdownWithBusyClient(t *testing.T) {
+	b := startServer(t, 2, 64, time.Hour, func(m *policy.Timeouts) { m.Connect = policy.Second / 20 })
+	c := b.dial(t)
+	stop := make(chan struct{})
+	defer close(stop)
+	go func() { // answers each only once the next is open
+		var last receivedCall
+		for {
+			select {
+			case a := <-b.requests:
+				if last.conn != nil {
+					last.conn.Fail(last.tag)
+				}
+				last = a
+			case <-time.After(b.timeouts.Connect.Duration()): // where no next one comes
+				if last.conn != nil {
+					last.conn.Fail(last.tag)
+				}
+			case <-stop:
+				return
+			}
+		}
+	}()
+	c.send(t, requestFrame("1"), requestFrame("2"))
+	c.answer(t)
+	done := make(chan struct{})
+	go func() {
+		b.Shutdown()
+		close(done)
+	}()
+	ended := false
+	for tag := 3; !ended; tag++ {
+		c.trySend(requestFrame(fmt.Sprint(tag)))
+		_, err := c.in.ReadByte()
+		if ended = err != nil; !ended {
+			requireNoError(t, c.in.UnreadByte())
+			c.answer(t)
+		}
+		if tag > 100_000 {
+			t.Fatal("it is still served")
+		}
+	}
+	c.close(t)
+	receive(t, done)
+}
+
+// TestShutdownWithSlowReader: a half-closed connection stays until its client has read all responses, whatever it sends meanwhile.
+func TestShutdownWithSlowReader(t *testing.T) {
+	b := startServer(t, 2, 4096, 10*time.Second, func(m *policy.Timeouts) { m.Connect = policy.Second / 50 })
+	c := b.dial(t)
+	requireNoError(t, c.Conn.(*net.TCPConn).SetReadBuffer(64<<10))
+	c.send(t, requestFrame("1"))
+	conn := b.nextConn(t, 1)
+	conn.Succeed(1, b.body(1<<20), false) // more than the client's side holds
+	done := make(chan struct{})
+	go func() {
+		b.Shutdown()
+		close(done)
+	}()
+	over := time.Time{}
+	eventually(t, "it is never shut", func() bool {
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
+		if conn.phase >= phaseHalfClosed && over.IsZero() {
+			over = time.Now().Add(3 * b.timeouts.Connect.Duration())
+		}
+		return !over.IsZero() && time.Now().After(over)
+	})
+	c.send(t, []byte("*2\r\n")) // on a closed connection it brings a reset
+	if got := c.answer(t); len(got) != len("1 200  ")+1<<20 {
+		t.Errorf("got %d bytes", len(got))
+	}
+	c.close(t)
+	receive(t, done)
+}
