--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -5,6 +5,8 @@
 	"reflect"
 	"slices"
 	"testing"
+
+	"tallyproxy/internal/hash"
 )
 
 // checkJSON holds a type to the text that other versions send and read: the value is written as that text, and the text is read as that value.
@@ -46,11 +48,11 @@
 			`"zone_part":1.25,"fleet_part":0.5,"peers":[{"name":"n1","born":8,"state":"up","since":9,"alike":true}]}`)
 	checkJSON(t, Report{}, `{"name":"","born":0,"standing":"","sum":"","since":0,"sharing":0,"zone_part":0,"fleet_part":0,"peers":null}`)
 
-	b := New(0, Settings{Name: "n0", Incarnation: 7, ConfiguredDirectors: [2]int{3, 4}, MaxEntries: 9})
-	b.UpdatePeer(5, "n1", 8, 0, Up)
-	b.UpdatePeer(6, "n2", 9, 1, Failed)
-	b.SetNameConflict("127.0.0.1:1")
-	checkJSON(t, b.Report(10), `{"name":"n0","born":7,"standing":"few","sum":"49d447cd1d96caba","since":5,"sharing":0,"clash":"127.0.0.1:1",`+
+	view := New(0, Settings{Name: "n0", Incarnation: 7, ConfiguredDirectors: [2]int{3, 4}, MaxEntries: 9})
+	view.UpdatePeer(5, "n1", 8, 0, Up)
+	view.UpdatePeer(6, "n2", 9, 1, Failed)
+	view.SetNameConflict("127.0.0.1:1")
+	checkJSON(t, view.Report(10), `{"name":"n0","born":7,"standing":"few","sum":"49d447cd1d96caba","since":5,"sharing":0,"clash":"127.0.0.1:1",`+
 		`"zone_part":1,"fleet_part":1,"peers":[{"name":"n1","born":8,"state":"up","since":5,"alike":false},{"name":"n2","born":9,"state":"failed","since":4,"alike":false}]}`)
 	var states, standings []string
 	for s := Up; s <= Left; s++ {
@@ -63,40 +65,40 @@
 		t.Errorf("states are %q, standings %q", states, standings)
 	}
 	if ScopeZone != 0 || ScopeFleet != 1 {
-		t.Errorf("a count of two has the zone's at %d, the fleet's at %d", ScopeZone, ScopeFleet)
+		t.Errorf("the numbers of the scopes are %d and %d", ScopeZone, ScopeFleet)
 	}
 }
 
-// The sum of a view and the choice of witnesses follow from hashes that all versions compute alike.
-func TestGoldenSums(t *testing.T) {
+// The digest of a view and the choice of grantors follow from hashes that all versions compute alike.
+func TestGoldenDigests(t *testing.T) {
 	for text, want := range map[string]uint64{"": 0xc3817c016ba4ff30, "n0": 0x6401c4a877e40bdc, "director-17": 0x614f8dfaa02db980} {
-		if got := hashOf(text); got != want {
+		if got := hash.String(text); got != want {
 			t.Errorf("the hash of %q is %#x", text, got)
 		}
 	}
 	for x, want := range map[uint64]uint64{0: 0xe220a8397b1dcdaf, 1: 0x910a2dec89025cc1, 1 << 63: 0x481ec0a212a9f3db} {
-		if got := mix(x); got != want {
+		if got := hash.Mix(x); got != want {
 			t.Errorf("%d is mixed to %#x", x, got)
 		}
 	}
-	b := New(0, Settings{Name: "n0", Incarnation: 7, RequiredGrants: 3, MaxEntries: 99})
-	if b.Digest() != 0x56266a736aea3e1e {
-		t.Errorf("the sum of a view of one is %#x", b.Digest())
+	view := New(0, Settings{Name: "n0", Incarnation: 7, RequiredGrants: 3, MaxEntries: 99})
+	if view.Digest() != 0x56266a736aea3e1e {
+		t.Errorf("the digest of a view of one is %#x", view.Digest())
 	}
 	for i, name := range []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"} {
-		b.UpdatePeer(5, name, uint64(8+i), i%2, Up)
+		view.UpdatePeer(5, name, uint64(8+i), i%2, Up)
 	}
-	if b.Digest() != 0x5d0350a96e725886 {
-		t.Errorf("the sum of a view of nine is %#x", b.Digest())
+	if view.Digest() != 0x5d0350a96e725886 {
+		t.Errorf("the digest of a view of nine is %#x", view.Digest())
 	}
 	var names []string
-	for _, p := range b.witnesses() {
+	for _, p := range view.currentGrantors() {
 		names = append(names, p.name)
 	}
 	if !slices.Equal(names, []string{"n6", "n8", "n2"}) {
-		t.Errorf("the witnesses are %q", names)
+		t.Errorf("the grantors are %q", names)
 	}
-	if text := hex(0x1234567890abcdef); text != "1234567890abcdef" || hex(15) != "000000000000000f" {
-		t.Errorf("%q, %q", text, hex(15))
+	if text := formatDigest(0x1234567890abcdef); text != "1234567890abcdef" || formatDigest(15) != "000000000000000f" {
+		t.Errorf("%q, %q", text, formatDigest(15))
 	}
 }
--- a/membership/hints.go
+++ b/membership/hints.go
@@ -2,36 +2,42 @@
 
 import (
 	"maps"
-	"slices"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
-// Hint is what a director tells of a cache node: a reason for the others to ask it one question, and never more.
+// Hint is what a director tells its peers about a cache node: a reason to probe the node once, and no more than that.
 type Hint struct {
-	Node      string    `json:"Node"`
-	Condition Condition `json:"What"`
-	Age       d.Micros  `json:"Age"` // of what is told, on the teller's clock, when it was sent
+	Node      string        `json:"Node"` // id in the endpoint list
+	Condition Condition     `json:"What"` // observed by the sender
+	Age       policy.Micros `json:"Age"`  // of the observation when the hint was sent, by the sender's clock
 }
 
-// Condition is told of a node.
+// Condition is what a director has observed of a node.
 type Condition string
 
+// The conditions. Their texts are sent.
 const (
 	Unreachable Condition = "gone"  // it does not answer
 	Recovered   Condition = "back"  // it answers again
-	Restarted   Condition = "warms" // it started anew
-	Overloaded  Condition = "full"  // it turns pulls away
+	Restarted   Condition = "warms" // it has started anew, with a cold cache
+	Overloaded  Condition = "full"  // it rejects requests
 )
 
-// NodeStatus is what a director sees of a node: whether it is skipped, tried with a pull at a time, how warm it is, and how many pulls
-// may be out at it; 0 for no limit.
+// valid is false for the conditions of later versions.
+func (c Condition) valid() bool {
+	return c == Unreachable || c == Recovered || c == Restarted || c == Overloaded
+}
+
+// NodeStatus is how this director routes to a node.
 type NodeStatus struct {
-	Ejected, HalfOpen     bool
-	SlowStartShare, Limit float64
+	Ejected        bool    // it gets no requests
+	HalfOpen       bool    // it gets one request at a time, as a probe
+	SlowStartShare float64 // share of its full load, from 0 to 1
+	Limit          float64 // concurrent requests; 0 for no limit
 }
 
-// ConditionChange is what the others are to hear where one sight of a node has followed on another; false for nothing.
+// ConditionChange is the condition to tell the peers where a node's status has changed; false for none.
 func ConditionChange(before, now NodeStatus) (Condition, bool) {
 	switch {
 	case now.Ejected != before.Ejected:
@@ -47,112 +53,69 @@
 	return "", false
 }
 
-// UnhealthyCondition is what one that starts is to hear of a node that is seen so; false for nothing. How warm it is the list tells.
-func UnhealthyCondition(s NodeStatus) (Condition, bool) {
+// UnhealthyCondition is the condition of an unhealthy node that a director which starts should know; false for a healthy node. The start
+// of a node is in the endpoint list, so Restarted is not among them.
+func UnhealthyCondition(status NodeStatus) (Condition, bool) {
 	switch {
-	case s.Ejected || s.HalfOpen:
+	case status.Ejected || status.HalfOpen:
 		return Unreachable, true
-	case s.Limit > 0 && s.Limit < 1:
+	case status.Limit > 0 && status.Limit < 1:
 		return Overloaded, true
 	}
 	return "", false
 }
 
-// UnresolvedByProbe is what a question that its node has answered leaves open: whether it started anew, and whether it takes more than one pull
-// at a time. The next pull tells.
-func (h Hint) UnresolvedByProbe() (anew, full bool) {
+// UnresolvedByProbe is what stays open although the node has answered the probe: whether its cache is cold, and whether it takes more than
+// one request at a time. The next request shows it.
+func (h Hint) UnresolvedByProbe() (restarted, overloaded bool) {
 	return h.Condition == Restarted, h.Condition == Overloaded
 }
 
-// ShouldSendHint says whether the others should hear of a node now. Of each node each thing is told once in a while, and so many altogether.
-func (b *View) ShouldSendHint(now d.Micros, h Hint) bool {
-	if now-b.since >= b.s.HintInterval {
-		b.since, b.budget = now, 0
+// ShouldSendHint says whether to send a hint now, and counts it as sent. Each condition of a node is sent once in HintInterval, and
+// HintsPerInterval hints altogether.
+func (v *View) ShouldSendHint(now policy.Micros, hint Hint) bool {
+	if now-v.hintWindowStart >= v.settings.HintInterval {
+		v.hintWindowStart, v.hintsSent = now, 0
 	}
-	if b.budget >= b.s.HintsPerInterval || !once(b.told, now, string(h.Condition)+" "+h.Node, b.s) {
+	if v.hintsSent >= v.settings.HintsPerInterval || !oncePerInterval(v.hintsSentAt, now, string(hint.Condition)+" "+hint.Node, v.settings) {
 		return false
 	}
-	b.budget++
+	v.hintsSent++
 	return true
 }
 
-// ShouldProbe says whether a hint is worth a question to its node. Heard is when the node last answered this director, which counts
-// for more than any hint. A director that tells of all nodes all the time has a few of them asked, once each in a while.
-func (b *View) ShouldProbe(now d.Micros, from string, h Hint, heard d.Micros) bool {
-	p := b.peers[from]
-	if p == nil || p.state > Suspected || h.Age < 0 || h.Age > b.s.MaxHintAge || h.Condition != Recovered && now-heard < b.s.HintInterval/4 {
+// ShouldProbe says whether to probe a hint's node, and counts it as probed. lastAnswer is when the node last answered this director, which
+// counts for more than a hint. A peer that sends hints about all nodes all the time has HintsPerInterval of them probed, each once.
+func (v *View) ShouldProbe(now policy.Micros, from string, hint Hint, lastAnswer policy.Micros) bool {
+	p := v.peers[from]
+	if p == nil || !p.present() || hint.Age < 0 || hint.Age > v.settings.MaxHintAge || !hint.Condition.valid() {
 		return false
 	}
-	if h.Condition != Unreachable && h.Condition != Recovered && h.Condition != Restarted && h.Condition != Overloaded {
-		return false // of a later version
+	if hint.Condition != Recovered && now-lastAnswer < v.settings.HintInterval/4 {
+		return false
 	}
-	if now-p.from >= b.s.HintInterval {
-		p.from, p.hints = now, 0
+	if now-p.hintWindowStart >= v.settings.HintInterval {
+		p.hintWindowStart, p.hintsAccepted = now, 0
 	}
-	if p.hints >= b.s.HintsPerInterval || !once(b.asked, now, h.Node, b.s) {
+	if p.hintsAccepted >= v.settings.HintsPerInterval || !oncePerInterval(v.probedAt, now, hint.Node, v.settings) {
 		return false
 	}
-	p.hints++
+	p.hintsAccepted++
 	return true
 }
 
-// once says whether a node's turn has come, and books it. What is out of date goes when the book is full.
-func once(book map[string]d.Micros, now d.Micros, node string, s Settings) bool {
-	if at, ok := book[node]; ok && now-at < s.HintInterval {
+// oncePerInterval says whether the last time of a key is a HintInterval or more ago, and if so sets it to now. Where the table is full, the
+// entries that no longer matter go first.
+func oncePerInterval(times map[string]policy.Micros, now policy.Micros, key string, s Settings) bool {
+	if at, ok := times[key]; ok && now-at < s.HintInterval {
 		return false
 	}
-	if len(book) >= s.MaxEntries {
-		maps.DeleteFunc(book, func(_ string, at d.Micros) bool { return now-at >= s.HintInterval })
-		if len(book) >= s.MaxEntries {
+	if len(times) >= s.MaxEntries {
+		maps.DeleteFunc(times, func(_ string, at policy.Micros) bool { return now-at >= s.HintInterval })
+		if len(times) >= s.MaxEntries {
 			return false
 		}
 	}
-	book[node] = now
+	times[key] = now
 	return true
 }
-
-// Report is what a director tells of the others.
-type Report struct {
-	Name           string       `json:"name"`
-	Incarnation    uint64       `json:"born"`
-	PartitionState string       `json:"standing"`
-	Digest         string       `json:"sum"`     // of its view
-	StableFor      int64        `json:"since"`   // µs ago that the view changed
-	AgreeingPeers  int          `json:"sharing"` // others that were last heard to have the same view
-	NameConflict   string       `json:"clash,omitempty"`
-	ZoneQuota      float64      `json:"zone_part"` // over the fixed one
-	FleetQuota     float64      `json:"fleet_part"`
-	Peers          []PeerReport `json:"peers"`
-}
-
-// PeerReport is what it believes of one other.
-type PeerReport struct {
-	Name        string `json:"name"`
-	Incarnation uint64 `json:"born"`
-	State       string `json:"state"`
-	StateAge    int64  `json:"since"` // µs ago
-	Agrees      bool   `json:"alike"` // it had the same view when last heard
-}
-
-// Report tells of it all, by name.
-func (b *View) Report(now d.Micros) Report {
-	r := Report{Name: b.s.Name, Incarnation: b.s.Incarnation, PartitionState: b.PartitionState().String(), Digest: hex(b.sum), StableFor: int64(now - b.changed), NameConflict: b.clash}
-	r.ZoneQuota, _ = b.Quota(now, ScopeZone)
-	r.FleetQuota, _ = b.Quota(now, ScopeFleet)
-	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
-		p := b.peers[name]
-		alike := p.state <= Suspected && p.digestReceivedAt > 0 && p.digest == b.sum
-		r.AgreeingPeers += bit(alike)
-		r.Peers = append(r.Peers, PeerReport{name, p.incarnation, p.state.String(), int64(now - p.stateSince), alike})
-	}
-	return r
-}
-
-func hex(x uint64) string {
-	const digits = "0123456789abcdef"
-	out := make([]byte, 16)
-	for i := range out {
-		out[15-i] = digits[x>>(4*i)&15]
-	}
-	return string(out)
-}
