--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -11,11 +11,11 @@
 
 const mostLines = 24 // about who sees whom
 
-// Views tells who sees whom among the directors that talk with each other, and where their views differ; nothing where none
+// MembershipLines tells who sees whom among the directors that talk with each other, and where their views differ; nothing where none
 // does.
-func (v *View) Views() (lines []string) {
+func (v *Snapshot) MembershipLines() (lines []string) {
 	groups, parts := map[string][]string{}, map[string]string{}
-	var talk []Director
+	var talk []DirectorStatus
 	for _, d := range v.Directors {
 		if p := d.Report.Peers; d.Up && p != nil {
 			talk = append(talk, d)
@@ -64,10 +64,10 @@
 const old = 5 * time.Second
 
 // follows tells who asks the command channel for the others, and whose list is old.
-func follows(talk []Director) (lines []string) {
+func follows(talk []DirectorStatus) (lines []string) {
 	var who []string
 	for _, d := range talk {
-		if f := d.Report.Follow; f != nil && f.Calls {
+		if f := d.Report.Follow; f != nil && f.Polls {
 			who = append(who, d.Name)
 		}
 	}
@@ -75,9 +75,9 @@
 		lines = append(lines, "the command channel is asked by "+strings.Join(who, ", "))
 	}
 	for _, d := range talk {
-		if f := d.Report.Follow; f != nil && time.Duration(f.Age)*time.Microsecond > old {
+		if f := d.Report.Follow; f != nil && time.Duration(f.AgeMicros)*time.Microsecond > old {
 			lines = append(lines, fmt.Sprintf("%s: its list of nodes is known to have held %v ago; it hears %s", d.Name,
-				(time.Duration(f.Age)*time.Microsecond).Round(time.Second), cmp.Or(strings.Join(f.Sources, ", "), "nobody who knows more")))
+				(time.Duration(f.AgeMicros)*time.Microsecond).Round(time.Second), cmp.Or(strings.Join(f.Sources, ", "), "nobody who knows more")))
 		}
 	}
 	return lines
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -25,6 +25,7 @@
 	"tallyproxy/internal/discovery"
 	"tallyproxy/internal/dispatch"
 	"tallyproxy/internal/downstream"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/internal/status"
 	"tallyproxy/internal/upstream"
 	"tallyproxy/overload"
@@ -76,7 +77,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	if err := run(f, os.Getenv, level, stop, reload); err != nil {
-		slog.Error("failed", "err", err)
+		slog.Error(logevent.StartFailed, "err", err)
 		return 1
 	}
 	return 0
@@ -134,7 +135,7 @@
 	}
 	o, err := config.LoadOperator(f.Settings)
 	if err == nil {
-		_, err = discovery.New(c.Site).Known(c.Known)
+		_, err = discovery.New(c.Site).DecodeKnown(c.Known)
 	}
 	if err == nil {
 		err = o.Permit(c.Site)
@@ -145,8 +146,8 @@
 // options are what the operator's file says to the decisions.
 func options(o config.Operator, l config.Limits, g *gossipDriver) routing.Options {
 	return routing.Options{Overload: o.Storm, Dedup: o.Marks(l), QuotaShare: g.held, OnOverloadReport: func(_ policy.Micros, r overload.Report) {
-		slog.Info("storm", "state", r.State, "demand", r.Demand, "warm", r.Warm, "asks", r.Asks, "repeats", r.Repeats,
-			"early", r.Early, "connects", r.Connects, "promised", r.Promised, "kept", r.Kept)
+		slog.Info(logevent.OverloadState, "state", r.State, "demand", r.Demand, "warm", r.WarmShare, "admissions", r.Requests, "retries", r.Retries,
+			"early_retries", r.EarlyRetries, "connects", r.NewConnections, "reserved", r.ReservedShare, "reservations_kept", r.KeptShare)
 	}}
 }
 
@@ -159,21 +160,21 @@
 	level.Set(o.Log)
 	limitRuntime(c.Limits, o)
 	margins := routing.Timeouts(c.Site.Settings)
-	buffers := bufpool.New(c.Limits.Buffers(bufpool.Size))
+	buffers := bufpool.New(c.Limits.Buffers(bufpool.BufferSize))
 	fleet := upstream.New(buffers, margins, c.Limits.Dials())
 	shards := o.Shards(c.Limits)
 	if o.Cores > shards {
-		slog.Warn("fewer_cores", "asked", o.Cores, "allowed", shards)
+		slog.Warn(logevent.CoresLimited, "requested", o.Cores, "allowed", shards)
 	}
 	channel := discovery.New(c.Site)
-	channel.Seed(backoff.Seed(c.Site.Seed, c.Name))
+	channel.SetSeed(backoff.Seed(c.Site.Seed, c.Name))
 	g := &gossipDriver{}
-	own := newHeart(c.Site.Settings, margins, channel.Hurry, g.settled)
-	fleet.Heed(own.Trusted)
-	channel.Watch(heard{own, g})
+	own := newHeart(c.Site.Settings, margins, channel.PollNow, g.settled)
+	fleet.SetWriteCheck(own.Trusted)
+	channel.SetStallMonitor(heard{own, g})
 	d := newDecider(ownSettings(c), options(o, c.Limits, g), margins, fleet, shards, f.Divided)
 	d.watch(own)
-	known, err := channel.Known(c.Known)
+	known, err := channel.DecodeKnown(c.Known)
 	if err != nil {
 		return err
 	}
@@ -206,10 +207,10 @@
 		}
 		defer socket.Close()
 	}
-	channel.Move(c.Channel)
-	go channel.Follow(ctx, margins, g.told)
+	channel.SetAddress(c.Channel)
+	go channel.Run(ctx, margins, g.told)
 	giveBack()
-	slog.Info("started", "name", c.Name, "listen", c.Listen, "events", len(known), "settings", f.Settings, "cores", shards)
+	slog.Info(logevent.Started, "name", c.Name, "listen", c.Listen, "events", len(known), "settings", f.Settings, "cores", shards)
 
 	for stopping := false; !stopping; {
 		select {
@@ -224,26 +225,26 @@
 				err = o.Follow(nextO, c.Limits, next.Limits)
 			}
 			if err != nil {
-				slog.Warn("reload_refused", "err", err)
+				slog.Warn(logevent.ReloadRejected, "err", err)
 				keeper.refused(err)
 				continue
 			}
 			c, o = next, nextO
 			level.Set(o.Log)
 			limitRuntime(c.Limits, o)
-			buffers.Limit(c.Limits.Buffers(bufpool.Size))
-			fleet.Limit(c.Limits.Dials())
-			server.Limit(c.Limits.Clients())
+			buffers.SetLimit(c.Limits.Buffers(bufpool.BufferSize))
+			fleet.SetLimit(c.Limits.Dials())
+			server.SetMaxConns(c.Limits.Clients())
 			d.use(options(o, c.Limits, g))
 			g.avoid(append([]string{}, o.Avoid...))
 			keeper.took(c, o)
-			channel.Move(c.Channel)
-			slog.Info("reloaded", "channel", c.Channel)
+			channel.SetAddress(c.Channel)
+			slog.Info(logevent.Reloaded, "channel", c.Channel)
 		}
 	}
 	stopped := time.Now()
-	slog.Info("stopping", "open", d.open())
-	server.Stop()
+	slog.Info(logevent.Stopping, "open", d.open())
+	server.SetNotServing()
 	keeper.stop()
 	// What waits in the listener's queue was taken: it is let in, and has a moment to ask. Clients that go on coming keep the
 	// listener open no longer than they are allowed to come, once more.
@@ -252,18 +253,18 @@
 		settle = margins.CancelConfirm
 	}
 	for last := linger.Add(span(margins.DrainAccept)); time.Now().Before(last); time.Sleep(span(margins.DrainAccept) / 100) {
-		if time.Now().After(linger) && server.Quiet(span(settle)) {
+		if time.Now().After(linger) && server.QuietFor(span(settle)) {
 			break
 		}
 	}
 	l.Close()
 	d.close(stopped.Add(span(margins.DrainDeadline))) // then all is answered, also what goes on coming for a moment, and the clients are told to leave
-	server.Close()
+	server.Shutdown()
 	g.stop()
 	leave()
 	fleet.Close()
 	d.stop()
-	slog.Info("stopped")
+	slog.Info(logevent.Stopped)
 	return nil
 }
 
@@ -279,10 +280,10 @@
 type decider struct {
 	routers []*dispatch.Router
 	modules []*routing.Router
-	sinks   []downstream.Sink
+	sinks   []downstream.Handler
 }
 
-func newDecider(s policy.Settings, o routing.Options, m policy.Timeouts, fleet *upstream.Fleet, shards int, divided bool) *decider {
+func newDecider(s policy.Settings, o routing.Options, m policy.Timeouts, fleet *upstream.Pool, shards int, divided bool) *decider {
 	d, each := &decider{}, shards
 	if divided {
 		s.ZoneDirectors, each = max(1, s.ZoneDirectors)*shards, 1
@@ -378,12 +379,12 @@
 }
 
 // report tells how the director is.
-func (k *keeper) report(d *decider, s *downstream.Server, fleet *upstream.Fleet, g *gossipDriver) status.Report {
+func (k *keeper) report(d *decider, s *downstream.Server, fleet *upstream.Pool, g *gossipDriver) status.Report {
 	k.mu.Lock()
 	r := status.Report{
 		Name: k.c.Name, PID: os.Getpid(), Started: k.started, Stopping: k.stopping, Settings: k.o.Sum, Platform: k.c.Sum,
-		Reloads: k.reloads, Refused: k.why, Cores: k.o.Shards(k.c.Limits), Avoided: k.o.Avoid, Clients: s.Conns(),
-		MostClient: k.c.Limits.Clients(), Nodes: fleet.Conns(), Open: d.open(), Counts: map[string]int64{},
+		Reloads: k.reloads, Refused: k.why, Cores: k.o.Shards(k.c.Limits), Avoided: k.o.Avoid, Clients: s.ConnCount(),
+		MostClient: k.c.Limits.Clients(), Nodes: fleet.Connections(), Open: d.open(), Counts: map[string]int64{},
 	}
 	k.mu.Unlock()
 	r.Peers, r.Word, r.Follow = g.talk.Load().Report(), g.report(), g.ears.report()
