--- a/internal/dispatch/rare_test.go
+++ b/internal/dispatch/rare_test.go
@@ -46,7 +46,7 @@
 		script: b.script, stands: make(chan string, 2000), let: make(chan policy.Decision), after: make(chan policy.Outcome, 64),
 		then: func() policy.Decision { return policy.Decision{Action: policy.Reject} },
 	}
-	b.WithPolicy(func() { b.Router.module = m })
+	b.WithPolicy(func() { b.Router.policy = m })
 	return b, m
 }
 
@@ -209,7 +209,7 @@
 	}
 	b.ask("1", "")
 	get(t, m.stands)
-	for range waiting {
+	for range queueLimit {
 		b.Shards()[0].calls.PutUnbounded(func() {})
 	}
 	b.ask("2", "")
@@ -242,7 +242,7 @@
 	b.ask("2", "")
 	get(t, m.stands)
 	for _, s := range b.Shards() {
-		for _, of := range s.downloads { // its goroutine stands still
+		for _, of := range s.requests { // its goroutine stands still
 			for _, dl := range of {
 				if now := b.Now(); dl.Deadline > now {
 					t.Errorf("it may take %d more", dl.Deadline-now)
@@ -256,7 +256,7 @@
 
 // That no connection could be had is no word of the node.
 func TestNoConnectionIsNoWordOfTheNode(t *testing.T) {
-	if got := ending(upstream.Answer{}, &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrNoRoom}); got != policy.NotSent {
+	if got := resultOf(upstream.Answer{}, &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrNoRoom}); got != policy.NotSent {
 		t.Errorf("got %d", got)
 	}
 }
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -46,7 +46,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := ending(upstream.Answer{Word: c.word}, c.err); got != c.want {
+			if got := resultOf(upstream.Answer{Word: c.word}, c.err); got != c.want {
 				t.Errorf("got %d, want %d", got, c.want)
 			}
 		})
