--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -19,8 +19,8 @@
 	for _, d := range v.Directors {
 		if p := d.Report.Peers; d.Up && p != nil {
 			talk = append(talk, d)
-			groups[p.Sum] = append(groups[p.Sum], d.Name)
-			parts[p.Sum] = fmt.Sprintf("with %s, part %.2f of the zone's, %.2f of all", p.Standing, p.Zone, p.Fleet)
+			groups[p.Digest] = append(groups[p.Digest], d.Name)
+			parts[p.Digest] = fmt.Sprintf("with %s, part %.2f of the zone's, %.2f of all", p.PartitionState, p.ZoneQuota, p.FleetQuota)
 		}
 	}
 	if len(talk) == 0 {
@@ -44,13 +44,13 @@
 		var missing []string
 		for _, p := range d.Report.Peers.Peers {
 			if p.State != "up" {
-				missing = append(missing, fmt.Sprintf("%s %s for %v", p.Name, p.State, (time.Duration(p.Since)*time.Microsecond).Round(time.Second)))
+				missing = append(missing, fmt.Sprintf("%s %s for %v", p.Name, p.State, (time.Duration(p.StateAge)*time.Microsecond).Round(time.Second)))
 			}
 		}
 		if len(missing) > 0 {
 			lines = append(lines, fmt.Sprintf("%s sees: %s", d.Name, strings.Join(missing, ", ")))
 		}
-		if c := d.Report.Peers.Clash; c != "" {
+		if c := d.Report.Peers.NameConflict; c != "" {
 			lines = append(lines, fmt.Sprintf("%s: another director goes by this name, at %s", d.Name, c))
 		}
 	}
@@ -67,7 +67,7 @@
 func follows(talk []Director) (lines []string) {
 	var who []string
 	for _, d := range talk {
-		if f := d.Report.Follow; f != nil && f.Calls {
+		if f := d.Report.Follow; f != nil && f.Polls {
 			who = append(who, d.Name)
 		}
 	}
@@ -75,9 +75,9 @@
 		lines = append(lines, "the command channel is asked by "+strings.Join(who, ", "))
 	}
 	for _, d := range talk {
-		if f := d.Report.Follow; f != nil && time.Duration(f.Age)*time.Microsecond > old {
+		if f := d.Report.Follow; f != nil && time.Duration(f.AgeMicros)*time.Microsecond > old {
 			lines = append(lines, fmt.Sprintf("%s: its list of nodes is known to have held %v ago; it hears %s", d.Name,
-				(time.Duration(f.Age)*time.Microsecond).Round(time.Second), cmp.Or(strings.Join(f.Sources, ", "), "nobody who knows more")))
+				(time.Duration(f.AgeMicros)*time.Microsecond).Round(time.Second), cmp.Or(strings.Join(f.Sources, ", "), "nobody who knows more")))
 		}
 	}
 	return lines
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -10,7 +10,7 @@
 
 // attempt is one try of a request at an endpoint. Its shard's goroutine owns it.
 type attempt struct {
-	*upstream.Pull
+	*upstream.Attempt
 	deadline policy.Micros
 	ended    bool
 }
@@ -19,57 +19,58 @@
 func (s *Shard) send(req *request, d decision) {
 	s.router.sent.Add(1)
 	number := len(req.attempts)
-	var earlier []*upstream.Pull
+	var earlier []*upstream.Attempt
 	for _, a := range req.attempts {
-		earlier = append(earlier, a.Pull)
+		earlier = append(earlier, a.Attempt)
 	}
 	a := &attempt{deadline: d.at + d.Timeout}
 	req.attempts = append(req.attempts, a)
 	if d.target == nil { // the list has just lost it
-		a.Pull = &upstream.Pull{}
-		s.calls.PutUnbounded(func() { s.attemptEnded(req, number, policy.Withdrawn, upstream.Answer{}) })
+		a.Attempt = &upstream.Attempt{}
+		s.calls.PutUnbounded(func() { s.attemptEnded(req, number, policy.Withdrawn, upstream.Response{}) })
 		return
 	}
-	a.Pull = d.target.byShard[s.number].Send(s.upstreamRequest(req, d), func(answer upstream.Answer, err error) {
-		s.calls.PutUnbounded(func() { s.attemptEnded(req, number, resultOf(answer, err), answer) })
+	a.Attempt = d.target.byShard[s.number].Send(s.upstreamRequest(req, d), func(response upstream.Response, err error) {
+		s.calls.PutUnbounded(func() { s.attemptEnded(req, number, resultOf(response, err), response) })
 	}, earlier...)
 }
 
 // upstreamRequest puts together what an attempt asks of its endpoint.
-func (s *Shard) upstreamRequest(req *request, d decision) upstream.Want {
+func (s *Shard) upstreamRequest(req *request, d decision) upstream.Request {
 	message := &req.message
-	w := upstream.Want{
-		ID: message.Txn, Sort: message.Sort, Asset: req.Object, Slice: req.Part, Patience: d.Timeout.Duration(),
-		Key: message.Key, Rank: d.CacheRank, Oldest: d.MaxAge.Duration(), Join: d.Coalesce, Held: d.OnlyIfCached,
-		Renew: d.Revalidate, Seen: message.Held, Body: message.Body, Void: s.voidCheck(req, d),
+	out := upstream.Request{
+		ID: message.TransactionID, ContentType: message.TypeName, Object: req.Object, Part: req.Part,
+		Timeout: d.Timeout.Duration(), IdempotencyKey: message.IdempotencyKey, CacheRank: d.CacheRank, MaxAge: d.MaxAge.Duration(),
+		Coalesce: d.Coalesce, OnlyIfCached: d.OnlyIfCached, Revalidate: d.Revalidate, ClientTag: message.IfNoneMatch,
+		Body: message.Body, Superseded: s.supersededCheck(req, d),
 	}
 	if d.Source != d.Endpoint {
-		w.From = d.sourceID
+		out.SourceID = d.sourceID
 		if d.fillSource != nil {
-			w.Source = d.fillSource.byShard[s.number]
+			out.Source = d.fillSource.byShard[s.number]
 		}
 	}
-	return w
+	return out
 }
 
-// voidCheck returns a function that reports, just before an attempt is written, that its decision no longer holds: its client has
-// left, it is too late to begin, or a purge has come since and the decision is too old to be written all the same.
-func (s *Shard) voidCheck(req *request, d decision) func() bool {
+// supersededCheck returns a function that reports, just before an attempt is written, that its decision no longer holds: its client
+// has left, it is too late to begin, or a purge has come since and the decision is too old to be written all the same.
+func (s *Shard) supersededCheck(req *request, d decision) func() bool {
 	conn, tag, purges := req.conn, req.tag, d.purges
 	decidedAt, bounded, notAfter := s.router.timeAt(d.at), d.NotAfter > 0, s.router.timeAt(d.NotAfter)
 	maxAge := s.router.timeouts.MaxDecisionAge
 	return func() bool {
 		now := time.Now()
-		return !conn.Waits(tag) || bounded && !now.Before(notAfter) ||
+		return !conn.IsPending(tag) || bounded && !now.Before(notAfter) ||
 			maxAge > 0 && s.router.purges.Load() != purges && now.Sub(decidedAt) > maxAge.Duration()
 	}
 }
 
 // attemptEnded takes an attempt's result: it answers the client where that succeeded, and has the policy decide what comes next.
-func (s *Shard) attemptEnded(req *request, number int, result policy.Result, answer upstream.Answer) {
+func (s *Shard) attemptEnded(req *request, number int, result policy.Result, response upstream.Response) {
 	a := req.attempts[number]
 	if a.ended {
-		answer.Body.Free()
+		response.Body.Free()
 		return
 	}
 	a.ended = true
@@ -80,29 +81,29 @@
 	defer s.releaseID(req)
 	if !req.Done && result == policy.Succeeded {
 		s.router.succeeded.Add(1)
-		req.conn.Fulfil(req.tag, answer.Body, answer.Word == upstream.Unchanged)
+		req.conn.Succeed(req.tag, response.Body, response.Status == upstream.StatusUnchanged)
 		s.finish(req)
 	} else {
-		answer.Body.Free()
+		response.Body.Free()
 	}
-	if !req.Done && !req.conn.Waits(req.tag) {
+	if !req.Done && !req.conn.IsPending(req.tag) {
 		s.finish(req)
 	}
 	outcome := policy.Outcome{
-		Attempt: number, Result: result, CacheStatus: cacheStatuses[answer.Note], Final: req.Done,
+		Attempt: number, Result: result, CacheStatus: cacheStatuses[response.CacheStatus], Final: req.Done,
 	}
 	s.execute(req, s.router.decide(req, func(now policy.Micros) policy.Decision {
 		return s.router.policy.AttemptDone(now, &req.Request, outcome)
 	}))
 }
 
-// results gives the result that each of an endpoint's answers stands for.
-var results = map[upstream.Word]policy.Result{
-	upstream.Data: policy.Succeeded, upstream.Unchanged: policy.Succeeded, upstream.Absent: policy.CacheMiss,
-	upstream.Full: policy.Rejected, upstream.Failed: policy.Failed, upstream.Moot: policy.NotSent,
+// results gives the result that each of an endpoint's responses stands for.
+var results = map[upstream.Status]policy.Result{
+	upstream.StatusData: policy.Succeeded, upstream.StatusUnchanged: policy.Succeeded, upstream.StatusAbsent: policy.CacheMiss,
+	upstream.StatusFull: policy.Rejected, upstream.StatusFailed: policy.Failed, upstream.StatusMoot: policy.NotSent,
 }
 
-// cacheStatuses gives the status that each note on an endpoint's answer stands for.
+// cacheStatuses gives the status that each note on an endpoint's response stands for.
 var cacheStatuses = map[string]policy.CacheStatus{
 	"local": policy.Hit, "pulled": policy.Filled, "pulled_far": policy.FilledByOrigin,
 	"rode": policy.Coalesced, "expired": policy.Stale, "turned_away": policy.SourceRejected,
@@ -110,10 +111,10 @@
 	"far_fault": policy.OriginFailed,
 }
 
-// resultOf returns an attempt's result from its answer or error. One that was not wholly written never ran; any other may have.
-func resultOf(answer upstream.Answer, err error) policy.Result {
+// resultOf returns an attempt's result from its response or error. One that was not wholly written never ran; any other may have.
+func resultOf(response upstream.Response, err error) policy.Result {
 	if err == nil {
-		return results[answer.Word]
+		return results[response.Status]
 	}
 	failure := (*upstream.Error)(nil)
 	if !errors.As(err, &failure) {
@@ -121,13 +122,13 @@
 	}
 	written := failure.Stage >= upstream.WhollyWritten
 	switch {
-	case !written && errors.Is(err, upstream.ErrRecalled):
+	case !written && errors.Is(err, upstream.ErrWithdrawn):
 		return policy.Withdrawn
-	case !written && errors.Is(err, upstream.ErrNoRoom): // which says nothing about the endpoint
+	case !written && errors.Is(err, upstream.ErrConnectionLimit): // which says nothing about the endpoint
 		return policy.NotSent
-	case !written && failure.GaveUp:
+	case !written && failure.Cancelled:
 		return policy.NotSent
-	case failure.GaveUp:
+	case failure.Cancelled:
 		return policy.Cancelled
 	case !written:
 		return policy.ConnectFailed
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -2,7 +2,7 @@
 // each, own the requests of their clients with attempts and timers. They ask the policy in turn and do what it decides; they decide
 // nothing themselves.
 //
-// On a request's way, Shard.Ask takes it from the connection's reader, route and execute run on the shard's goroutine, send hands an
+// On a request's way, Shard.HandleRequest takes it from the connection's reader, route and execute run on the shard's goroutine, send hands an
 // attempt to upstream, and attemptEnded takes its result and writes the answer.
 package dispatch
 
@@ -22,7 +22,7 @@
 // Router holds what all shards share. Its methods may be called from any goroutine unless they say otherwise.
 type Router struct {
 	timeouts    policy.Timeouts
-	pool        *upstream.Fleet
+	pool        *upstream.Pool
 	clockStart  time.Time     // with the monotonic reading that the policy's clock runs by
 	clockOffset policy.Micros // the system's clock at clockStart
 	shards      []*Shard
@@ -35,19 +35,19 @@
 	// mu guards what follows: one shard at a time asks the policy, whose decisions take less than a microsecond.
 	mu             sync.Mutex
 	policy         policy.Policy
-	endpoints      map[string]*endpoint      // by id; an entry leaves as the list drops it
-	listed         map[string]discovery.Node // the list's entries as they came, by id; dropped as the list drops them
-	forcedDraining map[string]bool           // ids that are taken for draining, whatever the list says
+	endpoints      map[string]*endpoint          // by id; an entry leaves as the list drops it
+	listed         map[string]discovery.Endpoint // the list's entries as they came, by id; dropped as the list drops them
+	forcedDraining map[string]bool               // ids that are taken for draining, whatever the list says
 
 	succeeded, rejected, failed, sent, withdrawn atomic.Int64 // see Counts
 }
 
 // New returns a router with a number of shards; Run lets it work.
-func New(routingPolicy policy.Policy, timeouts policy.Timeouts, pool *upstream.Fleet, shards int) *Router {
+func New(routingPolicy policy.Policy, timeouts policy.Timeouts, pool *upstream.Pool, shards int) *Router {
 	r := &Router{
 		policy: routingPolicy, timeouts: timeouts, pool: pool, clockStart: time.Now(),
 		owners: shard.NewOwners(), epochs: shard.NewEpochs(shards),
-		endpoints: map[string]*endpoint{}, listed: map[string]discovery.Node{},
+		endpoints: map[string]*endpoint{}, listed: map[string]discovery.Endpoint{},
 	}
 	r.clockOffset = policy.Micros(r.clockStart.UnixMicro())
 	for number := range shards {
@@ -136,7 +136,7 @@
 		slog.Error("panic", "where", "route", "err", cause, "stack", string(debug.Stack()))
 		if req != nil {
 			req.shard.finish(req)
-			req.conn.Drop()
+			req.conn.Close()
 		}
 	}
 }
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -12,33 +12,33 @@
 // endpoint is one process of an endpoint. Each shard has connections of its own to it, within the pool's one limit: shared ones
 // would have all shards wait for each other's locks.
 type endpoint struct {
-	byShard []*upstream.Peer
+	byShard []*upstream.Endpoint
 	address string
 	started policy.Micros
 }
 
-func (r *Router) newEndpoint(node discovery.Node) *endpoint {
-	e := &endpoint{make([]*upstream.Peer, len(r.shards)), node.Addr, node.Started}
+func (r *Router) newEndpoint(node discovery.Endpoint) *endpoint {
+	e := &endpoint{make([]*upstream.Endpoint, len(r.shards)), node.Address, node.Started}
 	for i := range e.byShard {
-		e.byShard[i] = r.pool.Peer(node.Addr)
+		e.byShard[i] = r.pool.NewEndpoint(node.Address)
 	}
 	return e
 }
 
 // is reports whether a list entry is of this process, and not of a later one or another.
-func (e *endpoint) is(node discovery.Node) bool {
-	return e.address == node.Addr && e.started == node.Started
+func (e *endpoint) is(node discovery.Endpoint) bool {
+	return e.address == node.Address && e.started == node.Started
 }
 
 func (e *endpoint) closeWhenIdle() {
 	for _, u := range e.byShard {
-		u.Leave()
+		u.CloseWhenIdle()
 	}
 }
 
 func (e *endpoint) setDraining(draining bool) {
 	for _, u := range e.byShard {
-		u.Shun(draining)
+		u.SetDraining(draining)
 	}
 }
 
@@ -58,15 +58,15 @@
 func (r *Router) apply(e discovery.Event) {
 	defer r.epochs.Publish()
 	switch {
-	case e.Listed:
-		r.updateEndpoints(e.Nodes, e.Complete)
-	case e.At > 0:
-		r.purge(e.Object, e.Group, e.At)
+	case e.HasEndpoints:
+		r.updateEndpoints(e.Endpoints, e.Snapshot)
+	case e.PurgedAt > 0:
+		r.purge(e.Object, e.Group, e.PurgedAt)
 	}
 }
 
 // updateEndpoints takes the endpoint list, whole or the changed entries alone, with mu held.
-func (r *Router) updateEndpoints(nodes []discovery.Node, complete bool) {
+func (r *Router) updateEndpoints(nodes []discovery.Endpoint, complete bool) {
 	rows, named := make([]policy.Endpoint, len(nodes)), map[string]bool{}
 	for i, node := range nodes {
 		if r.listed[node.ID] = node; node.State == policy.Removed {
@@ -91,7 +91,7 @@
 }
 
 // updateEndpoint has an endpoint's connections follow its list entry: a process that was replaced or removed gets nothing more.
-func (r *Router) updateEndpoint(node discovery.Node) {
+func (r *Router) updateEndpoint(node discovery.Endpoint) {
 	e := r.endpoints[node.ID]
 	if e != nil && (node.State == policy.Removed || !e.is(node)) {
 		e.closeWhenIdle()
@@ -122,7 +122,7 @@
 
 // Address returns where an endpoint of the list listens; empty where there is none of that id.
 func (r *Router) Address(id string) (address string) {
-	r.WithPolicy(func() { address = r.listed[id].Addr })
+	r.WithPolicy(func() { address = r.listed[id].Address })
 	return address
 }
 
@@ -135,13 +135,13 @@
 		for _, id := range ids {
 			r.forcedDraining[id] = true
 		}
-		e := discovery.Event{Listed: true}
+		e := discovery.Event{HasEndpoints: true}
 		for _, id := range slices.Sorted(maps.Keys(r.listed)) {
 			if before[id] != r.forcedDraining[id] {
-				e.Nodes = append(e.Nodes, r.listed[id])
+				e.Endpoints = append(e.Endpoints, r.listed[id])
 			}
 		}
-		if len(e.Nodes) > 0 {
+		if len(e.Endpoints) > 0 {
 			r.apply(e)
 		}
 	})
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -16,7 +16,7 @@
 	shard     *Shard
 	conn      *downstream.Conn
 	tag       uint64 // the client's, on conn
-	message   downstream.Ask
+	message   downstream.Request
 	attempts  []*attempt
 	recheckAt policy.Micros // when to ask the policy again; 0 for not
 	timerDue  policy.Micros // 0 while it has no timer
@@ -27,15 +27,15 @@
 var errDuplicateID = errors.New("txn: it is that of an open request")
 
 // open takes up a request that has come, and asks the policy for its route.
-func (s *Shard) open(c *downstream.Conn, tag uint64, message downstream.Ask) {
-	if !c.Waits(tag) {
+func (s *Shard) open(c *downstream.Conn, tag uint64, message downstream.Request) {
+	if !c.IsPending(tag) {
 		message.Body.Free()
 		return
 	}
-	if !s.router.owners.Claim(message.Txn, s.number) {
+	if !s.router.owners.Claim(message.TransactionID, s.number) {
 		message.Body.Free()
-		c.Blame(errDuplicateID)
-		c.Abandon(tag)
+		c.ReportBadRequest(errDuplicateID)
+		c.Fail(tag)
 		return
 	}
 	req := s.newRequest(c, tag, message)
@@ -48,18 +48,18 @@
 	s.route(req)
 }
 
-func (s *Shard) newRequest(c *downstream.Conn, tag uint64, message downstream.Ask) *request {
+func (s *Shard) newRequest(c *downstream.Conn, tag uint64, message downstream.Request) *request {
 	req := &request{shard: s, conn: c, tag: tag, message: message}
 	req.timer.Value = req
 	req.Type, req.Object, req.Part, req.Group = message.Type, message.Object, message.Part, message.Group
-	req.IsRetry, req.IdempotencyKey = message.Again, message.Key
-	req.ClientHash, req.ClientSuspect = message.Client, message.Doubted
-	arrived := message.Came
+	req.IsRetry, req.IdempotencyKey = message.IsRetry, message.IdempotencyKey
+	req.ClientHash, req.ClientSuspect = message.ClientHash, message.ClientSuspect
+	arrived := message.ArrivedAt
 	if monitor := s.router.monitor; monitor != nil { // its client waits since it was sent, not since it was read
 		arrived = arrived.Add(-monitor.StaleBy(arrived))
 	}
 	req.ArrivedAt = s.router.microsAt(arrived)
-	req.Deadline = req.ArrivedAt + policy.MicrosOf(message.Limit) - s.router.timeouts.AnswerReserve
+	req.Deadline = req.ArrivedAt + policy.MicrosOf(message.Timeout) - s.router.timeouts.AnswerReserve
 	if s.drainUntil > 0 {
 		req.Deadline = min(req.Deadline, s.drainUntil)
 	}
@@ -68,7 +68,7 @@
 
 // route asks the policy for a request's route, and does what it decides.
 func (s *Shard) route(req *request) {
-	if !req.conn.Waits(req.tag) { // its client has left, and the call that says so waits behind others
+	if !req.conn.IsPending(req.tag) { // its client has left, and the call that says so waits behind others
 		s.finish(req)
 		return
 	}
@@ -114,7 +114,7 @@
 		s.send(req, d)
 	case policy.CancelAttempt:
 		if a := req.attempts[d.Attempt]; !a.ended {
-			a.GiveUp(true)
+			a.Cancel(true)
 		}
 	case policy.Reject, policy.Fail:
 		s.refuse(req, d)
@@ -131,14 +131,14 @@
 // refuse answers a request without an attempt's result: rejected, which makes a retry harmless, or failed, which promises nothing.
 func (s *Shard) refuse(req *request, d decision) {
 	if d.Unprocessable {
-		req.conn.Useless()
+		req.conn.MarkSuspect()
 	}
 	if d.Action == policy.Reject {
 		s.router.rejected.Add(1)
-		req.conn.Throttle(req.tag, d.RetryAfter.Duration())
+		req.conn.Reject(req.tag, d.RetryAfter.Duration())
 	} else {
 		s.router.failed.Add(1)
-		req.conn.Abandon(req.tag)
+		req.conn.Fail(req.tag)
 	}
 	s.finish(req)
 }
@@ -156,7 +156,7 @@
 	}
 	for _, a := range req.attempts {
 		if !a.ended {
-			a.GiveUp(false)
+			a.Cancel(false)
 		}
 	}
 	req.message.Body.Free()
@@ -168,7 +168,7 @@
 func (s *Shard) releaseID(req *request) {
 	running := slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.ended })
 	if req.Done && !running {
-		s.router.owners.Release(req.message.Txn, s.number)
+		s.router.owners.Release(req.message.TransactionID, s.number)
 	}
 }
 
@@ -179,8 +179,8 @@
 	now := s.router.Now()
 	for number, a := range req.attempts {
 		if !a.ended && a.deadline <= now && !req.Done {
-			a.GiveUp(false)
-			s.attemptEnded(req, number, policy.TimedOut, upstream.Answer{})
+			a.Cancel(false)
+			s.attemptEnded(req, number, policy.TimedOut, upstream.Response{})
 		}
 	}
 	if !req.Done && req.recheckAt > 0 && req.recheckAt <= now {
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -22,31 +22,31 @@
 
 func TestEndings(t *testing.T) {
 	fail := func(stage upstream.Stage, gaveUp bool) error {
-		return &upstream.Error{Stage: stage, GaveUp: gaveUp, Err: errors.New("x")}
+		return &upstream.Error{Stage: stage, Cancelled: gaveUp, Err: errors.New("x")}
 	}
 	cases := []struct {
 		name string
-		word upstream.Word
+		word upstream.Status
 		err  error
 		want policy.Result
 	}{
-		{"data", upstream.Data, nil, policy.Succeeded}, {"unchanged", upstream.Unchanged, nil, policy.Succeeded},
-		{"absent", upstream.Absent, nil, policy.CacheMiss}, {"full", upstream.Full, nil, policy.Rejected},
-		{"failed", upstream.Failed, nil, policy.Failed}, {"moot", upstream.Moot, nil, policy.NotSent},
+		{"data", upstream.StatusData, nil, policy.Succeeded}, {"unchanged", upstream.StatusUnchanged, nil, policy.Succeeded},
+		{"absent", upstream.StatusAbsent, nil, policy.CacheMiss}, {"full", upstream.StatusFull, nil, policy.Rejected},
+		{"failed", upstream.StatusFailed, nil, policy.Failed}, {"moot", upstream.StatusMoot, nil, policy.NotSent},
 		{"not connected", "", fail(upstream.NotConnected, false), policy.ConnectFailed},
 		{"nothing written", "", fail(upstream.NothingWritten, false), policy.ConnectFailed},
 		{"partly written", "", fail(upstream.PartlyWritten, false), policy.ConnectFailed},
 		{"wholly written", "", fail(upstream.WhollyWritten, false), policy.ConnectionLost},
-		{"answer begun", "", fail(upstream.AnswerBegun, false), policy.ConnectionLost},
+		{"answer begun", "", fail(upstream.ResponseStarted, false), policy.ConnectionLost},
 		{"given up, not connected", "", fail(upstream.NotConnected, true), policy.NotSent},
 		{"given up, partly written", "", fail(upstream.PartlyWritten, true), policy.NotSent},
 		{"given up, wholly written", "", fail(upstream.WhollyWritten, true), policy.Cancelled},
-		{"given up, answer begun", "", fail(upstream.AnswerBegun, true), policy.Cancelled},
+		{"given up, answer begun", "", fail(upstream.ResponseStarted, true), policy.Cancelled},
 		{"another error", "", errors.New("x"), policy.ConnectionLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := resultOf(upstream.Answer{Word: c.word}, c.err); got != c.want {
+			if got := resultOf(upstream.Response{Status: c.word}, c.err); got != c.want {
 				t.Errorf("got %d, want %d", got, c.want)
 			}
 		})
@@ -113,7 +113,7 @@
 	node   net.Listener
 	back   *bufio.Reader // what the node hears
 	nc     net.Conn      // its connection
-	fleet  *upstream.Fleet
+	fleet  *upstream.Pool
 	server *downstream.Server
 }
 
@@ -208,7 +208,7 @@
 	site := config.Site{Types: []string{"clip"}, Settings: policy.Settings{ContentTypes: []*policy.ContentType{{Timeout: 60 * policy.Second}}}}
 	b.Router, b.fleet = New(b.script, m, fleet, 1), fleet
 	go b.Router.Run()
-	server := downstream.New([]downstream.Sink{b.Router.Shards()[0]}, site, p, 8, m)
+	server := downstream.New([]downstream.Handler{b.Router.Shards()[0]}, site, p, 8, m)
 	b.server = server
 	go server.Serve(l)
 	b.list(policy.Ready)
@@ -221,19 +221,19 @@
 		b.client.Close()
 		b.node.Close()
 		l.Close()
-		for until := time.Now().Add(10 * time.Second); b.OpenRequests() > 0 || server.Conns() > 0; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(10 * time.Second); b.OpenRequests() > 0 || server.ConnCount() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Fatal("downloads or connections are left")
 			}
 		}
 		fleet.Close()
-		for until := time.Now().Add(10 * time.Second); fleet.Conns() > 0; time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(10 * time.Second); fleet.Connections() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Fatal("connections to nodes are left")
 			}
 		}
 		b.Router.Stop()
-		if out, _ := p.Out(); out != 0 {
+		if out, _ := p.InUse(); out != 0 {
 			t.Errorf("%d buffers are still out", out)
 		}
 	})
@@ -242,8 +242,8 @@
 
 // list tells of the one node.
 func (b *bed) list(state policy.EndpointState) {
-	b.Apply([]discovery.Event{{Listed: true, Complete: true, Nodes: []discovery.Node{
-		{Endpoint: policy.Endpoint{ID: "e1", State: state}, Addr: b.node.Addr().String()},
+	b.Apply([]discovery.Event{{HasEndpoints: true, Snapshot: true, Endpoints: []discovery.Endpoint{
+		{Endpoint: policy.Endpoint{ID: "e1", State: state}, Address: b.node.Addr().String()},
 	}}})
 	b.hears("listed 1 true")
 }
@@ -374,15 +374,15 @@
 
 func TestEvents(t *testing.T) {
 	b := newBed(t, 0, pulls, pulls)
-	b.Apply([]discovery.Event{{Object: "o", Group: -1, At: 5}, {}, {Group: 3, At: 6}})
+	b.Apply([]discovery.Event{{Object: "o", Group: -1, PurgedAt: 5}, {}, {Group: 3, PurgedAt: 6}})
 	b.hears("purged o -1 5")
 	b.hears("purged  3 6")
 	b.ask("1", "")
 	b.hears("where b000000000000001")
 	b.nodeHears("want a000000000000001 ")
 	// The same name and address with another start is a new process: what follows goes over a new connection.
-	b.Apply([]discovery.Event{{Listed: true, Nodes: []discovery.Node{
-		{Endpoint: policy.Endpoint{ID: "e1", Started: 7}, Addr: b.node.Addr().String()},
+	b.Apply([]discovery.Event{{HasEndpoints: true, Endpoints: []discovery.Endpoint{
+		{Endpoint: policy.Endpoint{ID: "e1", Started: 7}, Address: b.node.Addr().String()},
 	}}})
 	b.hears("listed 1 false")
 	old := b.nc
@@ -400,7 +400,7 @@
 // A fault in a decision costs the connection that it was about, no more.
 func TestPanicEndsOneConnection(t *testing.T) {
 	b := newBed(t, 0, pulls)
-	b.Apply([]discovery.Event{{Object: "bad", At: 1}})
+	b.Apply([]discovery.Event{{Object: "bad", PurgedAt: 1}})
 	other, err := net.Dial("tcp", b.client.RemoteAddr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -18,13 +18,13 @@
 type StallMonitor interface {
 	// Trusted reports whether it may act now.
 	Trusted() bool
-	// Clear returns a channel that is closed once it may act again.
-	Clear() <-chan struct{}
+	// Resolved returns a channel that is closed once it may act again.
+	Resolved() <-chan struct{}
 	// StaleBy returns how long before it was read at this time something may have come.
 	StaleBy(read time.Time) time.Duration
 }
 
-// Shard owns some clients' requests. Its exported methods are those of a downstream.Sink and may be called from any goroutine: each
+// Shard owns some clients' requests. Its exported methods are those of a downstream.Handler and may be called from any goroutine: each
 // hands a call to the shard's own goroutine, which alone touches the requests.
 type Shard struct {
 	router *Router
@@ -104,7 +104,7 @@
 			return true
 		}
 		select {
-		case <-monitor.Clear():
+		case <-monitor.Resolved():
 		case <-s.done:
 			return false
 		}
@@ -125,23 +125,23 @@
 	}
 }
 
-// Ask takes a request from a client, or turns it away where too much waits for the shard. It never waits: the connection's reader
+// HandleRequest takes a request from a client, or turns it away where too much waits for the shard. It never waits: the connection's reader
 // must go on, to see that its client leaves.
-func (s *Shard) Ask(c *downstream.Conn, tag uint64, message downstream.Ask) {
+func (s *Shard) HandleRequest(c *downstream.Conn, tag uint64, message downstream.Request) {
 	taken := s.calls.TryPut(func() { s.open(c, tag, message) })
 	if !taken {
 		message.Body.Free()
-		c.TurnAway(tag, message)
+		c.RejectUnsent(tag, message)
 	}
 }
 
-// Opened tells the policy that a client has connected.
-func (s *Shard) Opened(*downstream.Conn) {
+// ConnOpened tells the policy that a client has connected.
+func (s *Shard) ConnOpened(*downstream.Conn) {
 	s.router.WithPolicy(func() { s.router.policy.ClientConnected(s.router.Now()) })
 }
 
-// NeverMind ends a request that its client no longer waits for.
-func (s *Shard) NeverMind(c *downstream.Conn, tag uint64) {
+// HandleCancel ends a request that its client no longer waits for.
+func (s *Shard) HandleCancel(c *downstream.Conn, tag uint64) {
 	s.calls.PutUnbounded(func() {
 		if req := s.requests[c][tag]; req != nil {
 			s.finish(req)
@@ -149,8 +149,8 @@
 	})
 }
 
-// Closed ends all requests of a client that is gone.
-func (s *Shard) Closed(c *downstream.Conn) {
+// ConnClosed ends all requests of a client that is gone.
+func (s *Shard) ConnClosed(c *downstream.Conn) {
 	s.calls.PutUnbounded(func() {
 		for _, req := range s.requests[c] {
 			s.finish(req)
--- a/internal/downstream/protocol_test.go
+++ b/internal/downstream/protocol_test.go
@@ -52,7 +52,7 @@
 		frame("NEVERMIND", "7"), frame("SING", "10"),
 	}, nil)
 	want := []string{"ASK 7 7f3a9c21e0b4d655 0", "STATUS 8  0", "ASK 9 7f3a9c21e0b4d655 48000", "NEVERMIND 7  0", " 10  0"}
-	for _, piece := range []int{1, 7, 1000, bufpool.Size, len(data)} {
+	for _, piece := range []int{1, 7, 1000, bufpool.BufferSize, len(data)} {
 		if piece == 1 {
 			data := bytes.Replace(data, []byte(body), nil, 1) // a byte at a time, without the long one's body
 			data = bytes.Replace(data, []byte("$48000"), []byte("$0"), 1)
@@ -94,9 +94,9 @@
 func TestAsk(t *testing.T) {
 	types := map[string]*policy.ContentType{"segment": site.Settings.ContentTypes[0], "cover": site.Settings.ContentTypes[1]}
 	key := strings.Repeat("5c0f6e1a", 4)
-	whole := Ask{
-		Type: types["segment"], Sort: "segment", Txn: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
-		Held: "4be0c1927d55a6f3", Again: true, Limit: 1500 * time.Millisecond, bytes: []byte("b"),
+	whole := Request{
+		Type: types["segment"], TypeName: "segment", TransactionID: "9b1f03aa5c7e2d41", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17,
+		IfNoneMatch: "4be0c1927d55a6f3", IsRetry: true, Timeout: 1500 * time.Millisecond, bytes: []byte("b"),
 	}
 	msg, err := parse([][]byte{[]byte("ASK"), []byte("7"), []byte("segment"),
 		[]byte(fields + ",second=1,mine=4be0c1927d55a6f3"), []byte("b")})
@@ -129,7 +129,7 @@
 		})
 	}
 	a := parseAsk([][]byte{[]byte("cover"), []byte(strings.Replace(fields, "n=3", "n=0,unique="+key, 1)), nil})
-	if err := a.admit(types); err != nil || a.Key != key {
+	if err := a.admit(types); err != nil || a.IdempotencyKey != key {
 		t.Errorf("a deduped one: %+v, %v", a, err)
 	}
 }
@@ -142,7 +142,7 @@
 		piece = max(1, piece)
 		whole, wholeErr := all(data, len(data)+1)
 		pieces, err := all(data, piece)
-		if len(data) < bufpool.Size && (!reflect.DeepEqual(whole, pieces) || (err == nil) != (wholeErr == nil)) {
+		if len(data) < bufpool.BufferSize && (!reflect.DeepEqual(whole, pieces) || (err == nil) != (wholeErr == nil)) {
 			t.Errorf("whole %v, %v; in pieces %v, %v", whole, wholeErr, pieces, err)
 		}
 	})
