--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"tallyproxy/internal/discovery"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/internal/upstream"
 	"tallyproxy/policy"
 	"tallyproxy/shard"
@@ -133,7 +134,7 @@
 // recoverPanic, deferred, ends a request and its connection alone where a call about it panicked. With nil it ends nothing.
 func recoverPanic(req *request) {
 	if cause := recover(); cause != nil {
-		slog.Error("panic", "where", "route", "err", cause, "stack", string(debug.Stack()))
+		slog.Error(logevent.PanicRecovered, "component", "dispatch", "err", cause, "stack", string(debug.Stack()))
 		if req != nil {
 			req.shard.finish(req)
 			req.conn.Close()
--- a/internal/upstream/back.go
+++ b/internal/upstream/back.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"tallyproxy/internal/bufpool"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/internal/socket"
 	"tallyproxy/policy"
 )
@@ -155,7 +156,7 @@
 	if f.unloggedErrors++; time.Since(f.lastLogged) < span(f.timeouts.Connect) {
 		return
 	}
-	slog.Warn("bad_answer", "node", addr, "err", err, "faults", f.unloggedErrors)
+	slog.Warn(logevent.UpstreamBadResponse, "endpoint", addr, "err", err, "faults", f.unloggedErrors)
 	f.unloggedErrors, f.lastLogged = 0, time.Now()
 }
 
@@ -517,7 +518,7 @@
 // recoverPanic ends the connection alone where its goroutine panicked.
 func (c *conn) recoverPanic() {
 	if bad := recover(); bad != nil {
-		slog.Error("panic", "where", "back", "node", c.endpoint.address, "err", bad, "stack", string(debug.Stack()))
+		slog.Error(logevent.PanicRecovered, "component", "upstream", "node", c.endpoint.address, "err", bad, "stack", string(debug.Stack()))
 		c.endpoint.mu.Lock()
 		c.close(fmt.Errorf("panic: %v", bad))
 		c.endpoint.mu.Unlock()
