--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 lint:
 	test -z "$$(gofmt -l .)"
 	go vet ./...
+	go tool -modfile=tools/go.mod golangci-lint run ./...
 
 # The director with the configuration of example/; start example/toy first.
 run: build
