--- a/backoff/poller_test.go
+++ b/backoff/poller_test.go
@@ -44,7 +44,7 @@
 		name                string
 		results             []PollResult
 		overrun, retryAfter policy.Micros
-		maxPeak             float64  // share of the fleet that polls within 100 ms
+		maxPeak             float64       // share of the fleet that polls within 100 ms
 		minPause            policy.Micros // of every director
 		maxPause            policy.Micros // of every director
 		minMean             policy.Micros // of the pauses
