--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,347 @@
+package config
+
+import (
+	"encoding/json"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"tallyproxy/dedup"
+	"tallyproxy/overload"
+	"tallyproxy/policy"
+)
+
+// goldenPlatform is a platform's file with every key that is read, each with a value of its own.
+const goldenPlatform = `{"name":"n3","listen":"127.0.0.1:8443","seed":"8c1f30d27a5be964","channel":"127.0.0.2:8500",
+"known":{"cursor":7,"cmds":[]},"limits":{"cores":2.5,"memory_mb":256,"sockets":512},
+"settings":{"zone":1,"zones":["h","a","z"],"machine-types":["small","parent","origin"],"weights":"nominal",
+"lanes":[
+{"name":"clip","aim":401,"aim-stretch":1.25,"hard-limit":5001,"repeat":"free","value":2.5,"late-worth":0.25},
+{"name":"pay","aim":402.5,"aim-stretch":1.5,"hard-limit":5002,"repeat":"guarded","dedup-scope":"cell","dedup-window":6003,"value":3.5,"late-worth":0.5},
+{"name":"zoned","aim":403,"hard-limit":5004,"repeat":"guarded","dedup-scope":"zone"},
+{"name":"everywhere","aim":404,"hard-limit":5005,"repeat":"guarded","dedup-scope":"all"},
+{"name":"once","aim":405,"hard-limit":5006,"repeat":"single_shot","dedup-scope":""}],
+"contract":{"cold":1001,"cold-from":0.125,"overload-for":1002,"tip-multiple":1.75,"grace-to-answer":8.0005,"stop-sending-within":1003},
+"limits":{"cancel":true,"second-copies":true,"try-limit":3,"retry-after":true,"max-retry-after":1004,"connect-timeout":400,
+"keepalive":30000,"max-streams":100,"peers":true},
+"specifics":{"goes-through":[false,true],"gone-everywhere":6000,"purge-grace":1005,"max-age":[500,0,700],"in-pieces":[true,false],
+"note-level":"silent","origin-kind":2,"shield-kind":1,"pace-kb-per-s":1006,"pipe-kb-per-s":[1,1007,3],"count-by-zone":[4,5,6],
+"parent-cold-from":0.375,"parent-fall-multiple":2.25,"parent-warms-in":1008,"shares-fills":true,"straight":true}}}`
+
+func TestPlatformGolden(t *testing.T) {
+	got, err := load(t, goldenPlatform)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Config{
+		Name: "n3", Listen: "127.0.0.1:8443", Seed: "8c1f30d27a5be964", Channel: "127.0.0.2:8500",
+		Known: json.RawMessage(`{"cursor":7,"cmds":[]}`), Limits: Limits{Cores: 2.5, MemoryMB: 256, Sockets: 512},
+		Raw: got.Raw, Sum: "7ef37672259acedb9fdc9f463d88c2a3b6f4454029b3d19ea4472eee01fefa48",
+		Site: Site{
+			Settings: policy.Settings{
+				Seed: 0x8c1f30d27a5be964, Zone: 1, Instances: 5, Directors: 15, LinkKB: 1007,
+				Types: []*policy.ContentType{
+					{TargetTime: 401_000, Stretch: 1.25, Expiry: 5_001_000, Repeat: policy.Retriable, Benefit: 2.5, LateBenefit: 0.25, Fresh: 500_000},
+					{TargetTime: 402_500, Stretch: 1.5, Expiry: 5_002_000, Repeat: policy.Deduped, Scope: policy.ScopeCell, Window: 6_003_000,
+						Benefit: 3.5, LateBenefit: 0.5, PassThrough: true, Whole: true},
+					{TargetTime: 403_000, Expiry: 5_004_000, Repeat: policy.Deduped, Scope: policy.ScopeZone, Fresh: 700_000},
+					{TargetTime: 404_000, Expiry: 5_005_000, Repeat: policy.Deduped, Scope: policy.ScopeAll},
+					{TargetTime: 405_000, Expiry: 5_006_000, Repeat: policy.NonRetriable},
+				},
+				ParentKind: 1, OriginKind: 2, Direct: true, JoinFills: true, SourcesTold: false, Sized: true,
+				CanCancel: true, TwoAtOnce: true, MostPulls: 3, PaceKB: 1006,
+				Edge:      policy.Warming{From: 0.125, Time: 1_001_000, Multiple: 1.75, Window: 1_002_000},
+				Parent:    policy.Warming{From: 0.375, Time: 1_008_000, Multiple: 2.25, Window: 1_002_000},
+				PurgeKept: 6_000_000, PurgeWithin: 1_005_000, DrainWithin: 1_003_000, MaxComeBack: 1_004_000,
+				AnswerGrace: 8_001, ConnectTimeout: 400_000, KeepAlive: 30_000_000, Streams: 100,
+			},
+			Types: []string{"clip", "pay", "zoned", "everywhere", "once"},
+			Zones: []string{"h", "a", "z"}, Kinds: []string{"small", "parent", "origin"},
+			Weights: "nominal", NoteLevel: "silent", Peers: true,
+		},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%#v, want\n%#v", got, want)
+		for i := range got.Site.Settings.Types {
+			t.Logf("type %d: %#v", i, got.Site.Settings.Types[i])
+		}
+	}
+}
+
+// An old shape with the fewest keys: what the other keys default to.
+func TestPlatformDefaultsGolden(t *testing.T) {
+	got, err := load(t, `{"listen":"127.0.0.1:1","channel":"127.0.0.2:2","known":{},"settings":{"zones":["a"],"machine-types":["edge"],
+"lanes":[{"name":"l","hard-limit":1,"repeat":"free"}],"limits":{"try-limit":1,"connect-timeout":1,"keepalive":1,"max-retry-after":9},
+"specifics":{"origin-kind":0,"gone-everywhere":1,"note-level":"all"}}}`)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Config{
+		Name: "env", Listen: "127.0.0.1:1", Channel: "127.0.0.2:2", Known: json.RawMessage(`{}`),
+		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, Raw: got.Raw, Sum: "48530d896a83a70a3adb9c6277866e4434f1d2565967a109766fb6928aeb0e3e",
+		Site: Site{
+			Settings: policy.Settings{
+				ParentKind: -1, SourcesTold: true, MostPulls: 1, PurgeKept: 1000, ConnectTimeout: 1000, KeepAlive: 1000,
+				Types: []*policy.ContentType{{Expiry: 1000}},
+			},
+			Types: []string{"l"}, Zones: []string{"a"}, Kinds: []string{"edge"}, NoteLevel: "all",
+		},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%#v, want\n%#v", got, want)
+	}
+}
+
+func TestLimitsGolden(t *testing.T) {
+	for _, golden := range []struct {
+		limits                        Limits
+		cores, clients, dials, buffer int
+		memory                        int64
+		marks                         int
+	}{
+		{Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, 1, 512, 307, 4608, 150994944, 29491},
+		{Limits{Cores: 2.5, MemoryMB: 256, Sockets: 512}, 3, 256, 153, 6144, 201326592, 39321},
+		{Limits{Cores: 0.3, MemoryMB: 32, Sockets: 64}, 1, 29, 18, 768, 25165824, 4915},
+	} {
+		l := golden.limits
+		if l.CoresUp() != golden.cores || l.Clients() != golden.clients || l.Dials() != golden.dials ||
+			l.Buffers(16<<10) != golden.buffer || l.Memory() != golden.memory || DefaultOperator().Marks(l).Most != golden.marks {
+			t.Errorf("{%#v, %d, %d, %d, %d, %d, %d},", l, l.CoresUp(), l.Clients(), l.Dials(), l.Buffers(16<<10), l.Memory(),
+				DefaultOperator().Marks(l).Most)
+		}
+	}
+}
+
+func TestSumGolden(t *testing.T) {
+	for text, want := range map[string]string{
+		"":      "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855",
+		"log()": "497a3aeb231a4efebb5e750e629abf70d07074e8825f96c47f68d622ede382f4",
+	} {
+		if got := Sum([]byte(text)); got != want {
+			t.Errorf("%q: %s", text, got)
+		}
+	}
+}
+
+// goldenScript is an operator's script with every key, each with a value of its own.
+const goldenScript = `
+storm(mode = "guard", reach = 0.5, windows = 11, rise = 1.5, surge = 5, repeats = 0.625, cold = 0.75, promise = 0.875, clients = 4097)
+keys(marks = 10001, remember = 21, strangers = "abandon")
+door(settle = ms(101.5))
+machine(cores = 4)
+avoid(boxes = ["box-3", "box-1"])
+state(socket = "/run/n3.sock")
+peers(listen = "10.1.0.9:7946", advertise = "10.1.0.10:7947", seeds = ["10.1.0.8:7946", "10.1.0.7:7946"], key = "KEY", fleet = "depots", followers = 5)
+log(level = "debug")
+`
+
+func TestOperatorGolden(t *testing.T) {
+	keyFile := filepath.Join(t.TempDir(), "key")
+	if err := os.WriteFile(keyFile, []byte(" "+strings.Repeat("0f", 31)+"aB\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	keyBytes := append([]byte(strings.Repeat("\x0f", 31)), 0xab)
+	got, err := ReadOperator("d.star", []byte(strings.Replace(goldenScript, "KEY", keyFile, 1)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Operator{
+		Storm: overload.Settings{
+			Mode: overload.Guards, Reach: 0.5, Windows: 11, Rise: 1.5, Surge: 5, Repeats: 0.625, Cold: 0.75, Use: 0.875, Memory: 4097,
+		},
+		Keys: dedup.Settings{Most: 10001, Remember: 21, Abandon: true},
+		Log:  slog.LevelDebug, Settle: 101_500, Cores: 4, Avoid: []string{"box-3", "box-1"}, State: "/run/n3.sock",
+		Peers: &Peers{
+			Listen: "10.1.0.9:7946", Advertise: "10.1.0.10:7947", Seeds: []string{"10.1.0.8:7946", "10.1.0.7:7946"},
+			Fleet: "depots", Followers: 5, Key: keyFile, KeyBytes: keyBytes,
+		},
+		Sum: got.Sum, // of the script, which names a temporary file
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%#v %#v, want\n%#v %#v", got, got.Peers, want, want.Peers)
+	}
+}
+
+// What a script says that calls nothing, and the words of the choices.
+func TestOperatorDefaultsGolden(t *testing.T) {
+	defaults := Operator{
+		Storm: overload.Settings{
+			Mode: overload.Fixed, Reach: 1, Windows: 10, Rise: 1.25, Surge: 4, Repeats: 0.5, Cold: 0.6, Use: 0.9, Memory: 4096,
+		},
+		Keys: dedup.Settings{Most: -1, Remember: 20},
+	}
+	key := filepath.Join(t.TempDir(), "key")
+	if err := os.WriteFile(key, []byte(strings.Repeat("00", 32)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, golden := range []struct {
+		script string
+		change func(*Operator)
+	}{
+		{``, func(*Operator) {}},
+		{`storm(mode = "silent")`, func(o *Operator) { o.Storm.Mode = overload.Silent }},
+		{`storm(mode = "fixed")`, func(o *Operator) { o.Storm.Mode = overload.Fixed }},
+		{`keys(strangers = "send")`, func(o *Operator) { o.Keys.Abandon = false }},
+		{`door(settle = seconds(0.5))`, func(o *Operator) { o.Settle = 500_000 }},
+		{`door(settle = minutes(0.125))`, func(o *Operator) { o.Settle = 7_500_000 }},
+		{`log(level = "info")`, func(o *Operator) { o.Log = slog.LevelInfo }},
+		{`log(level = "warn")`, func(o *Operator) { o.Log = slog.LevelWarn }},
+		{`log(level = "error")`, func(o *Operator) { o.Log = slog.LevelError }},
+		{`peers(listen = "127.0.0.1:1", key = "` + key + `")`, func(o *Operator) {
+			o.Peers = &Peers{Listen: "127.0.0.1:1", Followers: 3, Key: key, KeyBytes: make([]byte, 32)}
+		}},
+	} {
+		want := defaults
+		golden.change(&want)
+		got, err := ReadOperator("d.star", []byte(golden.script))
+		if got.Sum != Sum([]byte(golden.script)) {
+			t.Errorf("%s: sum %s", golden.script, got.Sum)
+		}
+		if got.Sum = ""; err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %#v, %v, want %#v", golden.script, got, err, want)
+		}
+	}
+}
+
+// The whole lines that name what is wrong with a file: operators and their tools read them.
+func TestErrorLinesGolden(t *testing.T) {
+	operator := func(text string) error { _, err := ReadOperator("d.star", []byte(text)); return err }
+	fleet := func(text string) error { _, err := ReadInventory("f.star", []byte(text)); return err }
+	platform := func(old, text string) func(string) error {
+		return func(string) error { _, err := load(t, strings.Replace(goldenPlatform, old, text, 1)); return err }
+	}
+	const a0 = `agent("a0", address = "127.0.0.1:1")` + "\n"
+	const talk = `fleet(talk_key = "k")` + "\n"
+	for _, golden := range []struct {
+		read       func(string) error
+		text, want string
+	}{
+		{operator, "storm(rises = 1)", "d.star:1: storm.rises: an unknown key; there are mode, reach, windows, rise, surge, repeats, cold, promise, clients"},
+		{operator, "storm(rise = 0)", "d.star:1: storm.rise: 0 is not from 0.1 to 100"},
+		{operator, "storm(rise = \"x\")", "d.star:1: storm.rise: \"x\" is no number"},
+		{operator, "storm(windows = 1)", "d.star:1: storm.windows: 1 is not from 2 to 1000"},
+		{operator, "storm(windows = 1.5)", "d.star:1: storm.windows: 1.5 is no whole number"},
+		{operator, "storm(mode = 5)", "d.star:1: storm.mode: 5 is none of fixed, guard, silent"},
+		{operator, "log(level = \"loud\")", "d.star:1: log.level: \"loud\" is none of debug, error, info, warn"},
+		{operator, "keys(strangers = \"keep\")", "d.star:1: keys.strangers: \"keep\" is none of abandon, send"},
+		{operator, "door(settle = 5)", "d.star:1: door.settle: 5 has no unit: ms(), seconds() or minutes()"},
+		{operator, "door(settle = ms(0))", "d.star:1: door.settle: 0s is not from 1ms to 10s"},
+		{operator, "door(settle = ms(-1))", "d.star:1: ms: -1 can't be used here"},
+		{operator, "door(settle = ms())", "d.star:1: ms: takes one number"},
+		{operator, "avoid(boxes = 5)", "d.star:1: avoid.boxes: 5 is no list"},
+		{operator, "avoid(\n boxes = [\"a\", \"\"])", "d.star:2: avoid.boxes: [\"a\", \"\"]: entry 2 is empty, no text or there before"},
+		{operator, "state(socket = \"a\\tb\")", "d.star:1: state.socket: \"a\\tb\" is no plain text"},
+		{operator, "log()\nlog()", "d.star:2: log: said before, in line 1"},
+		{operator, "log(\"info\")", "d.star:1: log: a value without its key: \"info\""},
+		{operator, "peers()", "d.star:1: peers.listen: missing"},
+		{operator, "peers(listen = \"127.0.0.1:1\")", "d.star:1: peers.key: missing"},
+		{operator, "peers(listen = \"localhost:1\")", "d.star:1: peers.listen: \"localhost:1\" is no IPv4 address with a port"},
+		{operator, "peers(key = \"/nowhere/key\")", "d.star:1: peers.key: open /nowhere/key: no such file or directory"},
+		{operator, "strom()", "d.star:1: undefined: strom"},
+		{operator, "storm(", "d.star:1: got end of file, want ')'"},
+		{operator, "x = 1 // 0", "d.star:1: floored division by zero"},
+		{operator, "load(\"x.star\", \"y\")", "d.star:1: load not implemented by this application"},
+		{operator, "def f():\n  for i in range(1000000000):\n    pass\nf()", "d.star:2: Starlark computation cancelled: too many steps"},
+		{operator, strings.Repeat("#", 1<<20+1), "d.star: over 1048576 bytes"},
+		{fleet, "", "f.star: agent: there is none"},
+		{fleet, a0 + a0, "f.star:2: agent \"a0\": there before"},
+		{fleet, "agent()", "f.star:1: agent: its name comes first"},
+		{fleet, `agent("a0", address = "here")`, "f.star:1: agent.address: \"here\" of a0 is no address and port"},
+		{fleet, `agent("a0", address = "10.0.0.1:1")`, "f.star:1: agent.address: 10.0.0.1:1 of a0 lies beyond loopback, and beyond_loopback does not say so"},
+		{fleet, `agent("a0", address = "127.0.0.1:1", beyond_loopback = 1)`, "f.star:1: agent.beyond_loopback: 1 is neither True nor False"},
+		{fleet, a0 + `agent("a1", address = "127.0.0.1:1")`, "f.star:2: agent.address: 127.0.0.1:1 is that of a0 too"},
+		{fleet, `agent("a0", address = "127.0.0.1:1", talk = "127.0.0.1:2")`, "f.star:1: agent.talk: of a0 and fleet.talk_key, only one is given"},
+		{fleet, talk + a0, "f.star:2: agent.talk: of a0 and fleet.talk_key, only one is given"},
+		{fleet, talk + `agent("a0", address = "127.0.0.1:1", talk = "10.0.0.1:2")`, "f.star:2: agent.talk: 10.0.0.1:2 of a0 lies beyond loopback, and beyond_loopback does not say so"},
+		{fleet, `fleet(lease = ms(1))`, "f.star:1: fleet.lease: 1ms is not from 1s to 10m0s"},
+		{fleet, a0 + "director(\"n0\")\ndirector(\"n0\")", "f.star:3: director \"n0\": there before"},
+		{fleet, a0 + `director("n0")`, "f.star:2: director.agent: missing for n0"},
+		{fleet, a0 + `director("n0", agent = "a0")`, "f.star:2: director.config: missing for n0"},
+		{fleet, a0 + `director("n0", agent = "a0", config = "c")`, "f.star:2: director.settings: missing for n0"},
+		{fleet, a0 + `director("n0", agent = "a0", config = "c", settings = "s")`, "f.star:2: director.socket: missing for n0"},
+		{fleet, a0 + `director("n0", agent = "a0", config = "c", settings = "c")`, "f.star:2: director.settings: c is that of n0 too"},
+		{fleet, a0 + `director("n0", agent = "a1", config = "c", settings = "s", socket = "k")`, "f.star:2: director.agent: there is no agent \"a1\""},
+		{fleet, a0 + `director("n0", agent = "a0", config = "c", settings = "s", socket = "k")`, "f.star:2: director.command: neither it nor a pidfile for n0"},
+		{platform(`{"name":"n3"`, `{"name":5`), "", "name: a number can't be used here"},
+		{platform(`"cores":2.5`, `"cores":0`), "", "limits.cores: 0 is not above 0"},
+		{platform(`"memory_mb":256`, `"memory_mb":31`), "", "limits.memory_mb: 31 is under 32"},
+		{platform(`"sockets":512`, `"sockets":63`), "", "limits.sockets: 63 is under 64"},
+		{platform(`127.0.0.1:8443`, `here`), "", "listen: \"here\" is no address and port"},
+		{platform(`127.0.0.2:8500`, `here`), "", "channel: \"here\" is no address and port"},
+		{platform(`8c1f`, `zz`), "", "seed: \"zz30d27a5be964\" is not 16 hex digits"},
+		{platform(`"known"`, `"x"`), "", "known: missing"},
+		{platform(`"settings"`, `"x"`), "", "settings: missing"},
+		{platform(`"lanes"`, `"x"`), "", "settings: lanes: missing"},
+		{platform(`"aim":401`, `"aim":"x"`), "", "settings: lanes.aim: a string can't be used here"},
+		{platform(`"name":"clip"`, `"name":""`), "", "settings: lanes[0].name: missing"},
+		{platform(`"free"`, `"odd"`), "", "settings: lanes[0].repeat: \"odd\" is not known"},
+		{platform(`"cell"`, `"odd"`), "", "settings: lanes[1].dedup-scope: \"odd\" is not known"},
+		{platform(`5001`, `0`), "", "settings: lanes[0].hard-limit: not above 0"},
+		{platform(`"zone":1`, `"zone":3`), "", "settings: zone: 3 is not in zones"},
+		{platform(`"origin-kind":2`, `"origin-kind":3`), "", "settings: specifics.origin-kind: 3 is not in machine-types"},
+		{platform(`"connect-timeout":400`, `"connect-timeout":0`), "", "settings: limits.connect-timeout: not above 0"},
+		{platform(`30000`, `0`), "", "settings: limits.keepalive: not above 0"},
+		{platform(`"try-limit":3`, `"try-limit":0`), "", "settings: limits.try-limit: not above 0"},
+		{platform(`6000,`, `0,`), "", "settings: specifics.gone-everywhere: not above 0"},
+		{platform(`"nominal"`, `"odd"`), "", "settings: weights: \"odd\" is not silent, nominal or rough"},
+		{platform(`"silent"`, `"odd"`), "", "settings: specifics.note-level: \"odd\" is not all, hit or silent"},
+		{platform(`"silent"`, `"all"`), "", "settings: specifics.note-level: \"all\" is of the old shape, but weights \"nominal\" of the new one"},
+	} {
+		got := "no error"
+		if err := golden.read(golden.text); err != nil {
+			got = err.Error()
+		}
+		if got != golden.want {
+			t.Errorf("%.200s: got %s, want %s", golden.text, got, golden.want)
+		}
+	}
+}
+
+const goldenInventory = `
+fleet(lease = seconds(20), authority = "keys", talk_key = "talk.key")
+agent("a0", address = "127.0.0.1:7100", depot = "north", talk = "127.0.0.1:7200")
+agent("a1", address = "10.0.0.1:7101", depot = "south", talk = "10.0.0.1:7201", beyond_loopback = True)
+director("n0", agent = "a0", config = "n0.json", settings = "n0.star", socket = "n0.sock", command = ["bin/tallyproxy", "--x"], pidfile = "n0.pid")
+director("n1", agent = "a1", config = "n1.json", settings = "n1.star", socket = "n1.sock", pidfile = "n1.pid")
+`
+
+func TestInventoryGolden(t *testing.T) {
+	got, err := ReadInventory("f.star", []byte(goldenInventory))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range got.Agents {
+		if line := got.Agents[i].at.Line; line != int32(3+i) {
+			t.Errorf("agent %d in line %d", i, line)
+		}
+		got.Agents[i].at = AgentEntry{}.at
+	}
+	for i := range got.Directors {
+		if line := got.Directors[i].at.Line; line != int32(5+i) {
+			t.Errorf("director %d in line %d", i, line)
+		}
+		got.Directors[i].at = DirectorEntry{}.at
+	}
+	want := &Inventory{
+		Path: "f.star", Lease: 20 * policy.Second, Authority: "keys", TalkKey: "talk.key",
+		Agents: []AgentEntry{
+			{Name: "a0", Address: "127.0.0.1:7100", Depot: "north", Talk: "127.0.0.1:7200"},
+			{Name: "a1", Address: "10.0.0.1:7101", Depot: "south", Talk: "10.0.0.1:7201", Beyond: true},
+		},
+		Directors: []DirectorEntry{
+			{Name: "n0", Agent: "a0", Config: "n0.json", Settings: "n0.star", Socket: "n0.sock",
+				Command: []string{"bin/tallyproxy", "--x"}, Pidfile: "n0.pid"},
+			{Name: "n1", Agent: "a1", Config: "n1.json", Settings: "n1.star", Socket: "n1.sock", Pidfile: "n1.pid"},
+		},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%#v, want\n%#v", got, want)
+	}
+	if got, err := ReadInventory("f.star", []byte(`agent("a0", address = "127.0.0.1:1")`)); err != nil || time.Duration(got.Lease)*time.Microsecond != 3*time.Second {
+		t.Errorf("the lease by default: %#v, %v", got, err)
+	}
+}
--- /dev/null
+++ b/internal/status/golden_test.go
@@ -0,0 +1,69 @@
+package status
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"tallyproxy/gossip"
+	"tallyproxy/membership"
+	"tallyproxy/overload"
+	"tallyproxy/relays"
+	"tallyproxy/routing"
+)
+
+// goldenReport has every field set, each to a value of its own.
+func goldenReport() Report {
+	return Report{
+		Name: "n0", PID: 1, Started: time.Date(2026, 1, 2, 3, 4, 5, 600, time.UTC), Stopping: true,
+		Settings: "s", Platform: "p", Reloads: 2, Refused: "r", Cores: 3, Told: 4, InForce: 5,
+		Avoided: []string{"b"}, Clients: 6, MostClient: 7, Nodes: 8, Open: 9,
+		Counts: map[string]int64{"fulfilled": 10, "pulls": 11}, KeysHeld: 12, KeysFull: 13,
+		Storm: overload.Report{
+			State: overload.Held, Asks: 14, Repeats: 15, Early: 16, Connects: 17, Demand: 1.5, Warm: 0.25,
+			Promised: 2.5, Kept: 0.75, Part: 0.5, Remembers: 18,
+		},
+		Beliefs: []routing.View{{
+			ID: "e0", Kind: "edge", State: "ready", Warm: 0.125, Out: 19, Limit: 3.5, Skipped: 4.5, Trial: true, Heard: 5.5,
+		}},
+		Peers: &membership.Report{
+			Name: "n0", Born: 20, Standing: "most", Sum: "00000000000000ff", Since: 21, Sharing: 22, Clash: "c", Zone: 6.5, Fleet: 7.5,
+			Peers: []membership.Row{{Name: "n1", Born: 23, State: "alive", Since: 24, Alike: true}},
+		},
+		Follow: &relays.Report{Calls: true, Chosen: true, Sources: []string{"n2"}, Age: 25, Sum: "f"},
+		Word:   &gossip.Report{Own: 26, Best: 27, Held: []string{"e1"}, Heard: 28},
+	}
+}
+
+const goldenJSON = `{"name":"n0","pid":1,"started":"2026-01-02T03:04:05.0000006Z","stopping":true,"settings":"s","platform":"p","reloads":2,"refused":"r","cores":3,"told":4,"in_force":5,"avoided":["b"],"clients":6,"most_clients":7,"node_connections":8,"open":9,"counts":{"fulfilled":10,"pulls":11},"keys_held":12,"keys_full":13,"storm":{"State":2,"Asks":14,"Repeats":15,"Early":16,"Connects":17,"Demand":1.5,"Warm":0.25,"Promised":2.5,"Kept":0.75,"Part":0.5,"Remembers":18},"beliefs":[{"id":"e0","kind":"edge","state":"ready","warm":0.125,"out":19,"limit":3.5,"skipped":4.5,"trial":true,"heard":5.5}],"peers":{"name":"n0","born":20,"standing":"most","sum":"00000000000000ff","since":21,"sharing":22,"clash":"c","zone_part":6.5,"fleet_part":7.5,"peers":[{"name":"n1","born":23,"state":"alive","since":24,"alike":true}]},"follow":{"calls":true,"chosen":true,"sources":["n2"],"age_us":25,"sum":"f"},"word":{"own_age_us":26,"newest_age_us":27,"avoided":["e1"],"heard":28}}`
+
+const goldenZeroJSON = `{"name":"","pid":0,"started":"0001-01-01T00:00:00Z","stopping":false,"settings":"","platform":"","reloads":0,"refused":"","cores":0,"told":0,"in_force":0,"avoided":null,"clients":0,"most_clients":0,"node_connections":0,"open":0,"counts":null,"keys_held":0,"keys_full":0,"storm":{"State":0,"Asks":0,"Repeats":0,"Early":0,"Connects":0,"Demand":0,"Warm":0,"Promised":0,"Kept":0,"Part":0,"Remembers":0},"beliefs":null}`
+
+// Versions meet at the socket: a tool of another release reads this report.
+func TestReportGolden(t *testing.T) {
+	for name, golden := range map[string]struct {
+		report Report
+		text   string
+	}{
+		"every field": {goldenReport(), goldenJSON},
+		"no field":    {Report{}, goldenZeroJSON},
+	} {
+		t.Run(name, func(t *testing.T) {
+			raw, err := json.Marshal(golden.report)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(raw) != golden.text {
+				t.Errorf("encoded as\n%s, want\n%s", raw, golden.text)
+			}
+			var decoded Report
+			if err := json.Unmarshal([]byte(golden.text), &decoded); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(decoded, golden.report) {
+				t.Errorf("decoded as\n%+v, want\n%+v", decoded, golden.report)
+			}
+		})
+	}
+}
