--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -43,21 +43,21 @@
 		Raw: got.Raw, Sum: "7ef37672259acedb9fdc9f463d88c2a3b6f4454029b3d19ea4472eee01fefa48",
 		Site: Site{
 			Settings: policy.Settings{
-				Seed: 0x8c1f30d27a5be964, Zone: 1, Instances: 5, Directors: 15, LinkKB: 1007,
-				Types: []*policy.ContentType{
-					{TargetTime: 401_000, Stretch: 1.25, Expiry: 5_001_000, Repeat: policy.Retriable, Benefit: 2.5, LateBenefit: 0.25, Fresh: 500_000},
-					{TargetTime: 402_500, Stretch: 1.5, Expiry: 5_002_000, Repeat: policy.Deduped, Scope: policy.ScopeCell, Window: 6_003_000,
-						Benefit: 3.5, LateBenefit: 0.5, PassThrough: true, Whole: true},
-					{TargetTime: 403_000, Expiry: 5_004_000, Repeat: policy.Deduped, Scope: policy.ScopeZone, Fresh: 700_000},
-					{TargetTime: 404_000, Expiry: 5_005_000, Repeat: policy.Deduped, Scope: policy.ScopeAll},
-					{TargetTime: 405_000, Expiry: 5_006_000, Repeat: policy.NonRetriable},
+				Seed: 0x8c1f30d27a5be964, Zone: 1, ZoneDirectors: 5, TotalDirectors: 15, FillLinkKBPerSecond: 1007,
+				ContentTypes: []*policy.ContentType{
+					{LatencyObjective: 401_000, TransferFactor: 1.25, Timeout: 5_001_000, RetrySafety: policy.Idempotent, PriorityWeight: 2.5, LateWeight: 0.25, TTL: 500_000},
+					{LatencyObjective: 402_500, TransferFactor: 1.5, Timeout: 5_002_000, RetrySafety: policy.IdempotentWithKey, DedupScope: policy.DedupScopeCell, DedupWindow: 6_003_000,
+						PriorityWeight: 3.5, LateWeight: 0.5, Uncacheable: true, Unsplit: true},
+					{LatencyObjective: 403_000, Timeout: 5_004_000, RetrySafety: policy.IdempotentWithKey, DedupScope: policy.DedupScopeZone, TTL: 700_000},
+					{LatencyObjective: 404_000, Timeout: 5_005_000, RetrySafety: policy.IdempotentWithKey, DedupScope: policy.DedupScopeAll},
+					{LatencyObjective: 405_000, Timeout: 5_006_000, RetrySafety: policy.NotIdempotent},
 				},
-				ParentKind: 1, OriginKind: 2, Direct: true, JoinFills: true, SourcesTold: false, Sized: true,
-				CanCancel: true, TwoAtOnce: true, MostPulls: 3, PaceKB: 1006,
-				Edge:      policy.Warming{From: 0.125, Time: 1_001_000, Multiple: 1.75, Window: 1_002_000},
-				Parent:    policy.Warming{From: 0.375, Time: 1_008_000, Multiple: 2.25, Window: 1_002_000},
-				PurgeKept: 6_000_000, PurgeWithin: 1_005_000, DrainWithin: 1_003_000, MaxComeBack: 1_004_000,
-				AnswerGrace: 8_001, ConnectTimeout: 400_000, KeepAlive: 30_000_000, Streams: 100,
+				ParentKind: 1, OriginKind: 2, AllowDirect: true, CoalesceFills: true, ReportsCacheStatus: false, WeightsAreSizes: true,
+				CanCancel: true, ConcurrentAttempts: true, MaxAttempts: 3, TransferKBPerSecond: 1006,
+				EdgeSlowStart:   policy.SlowStart{InitialShare: 0.125, Duration: 1_001_000, OverloadFactor: 1.75, OverloadWindow: 1_002_000},
+				ParentSlowStart: policy.SlowStart{InitialShare: 0.375, Duration: 1_008_000, OverloadFactor: 2.25, OverloadWindow: 1_002_000},
+				PurgeRetention:  6_000_000, PurgePropagation: 1_005_000, DrainPropagation: 1_003_000, MaxRetryAfter: 1_004_000,
+				AnswerGrace: 8_001, ConnectTimeout: 400_000, KeepAliveTimeout: 30_000_000, MaxConcurrentStreams: 100,
 			},
 			Types: []string{"clip", "pay", "zoned", "everywhere", "once"},
 			Zones: []string{"h", "a", "z"}, Kinds: []string{"small", "parent", "origin"},
@@ -66,8 +66,8 @@
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%#v, want\n%#v", got, want)
-		for i := range got.Site.Settings.Types {
-			t.Logf("type %d: %#v", i, got.Site.Settings.Types[i])
+		for i := range got.Site.ContentTypes {
+			t.Logf("type %d: %#v", i, got.Site.ContentTypes[i])
 		}
 	}
 }
@@ -85,8 +85,8 @@
 		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, Raw: got.Raw, Sum: "48530d896a83a70a3adb9c6277866e4434f1d2565967a109766fb6928aeb0e3e",
 		Site: Site{
 			Settings: policy.Settings{
-				ParentKind: -1, SourcesTold: true, MostPulls: 1, PurgeKept: 1000, ConnectTimeout: 1000, KeepAlive: 1000,
-				Types: []*policy.ContentType{{Expiry: 1000}},
+				ParentKind: -1, ReportsCacheStatus: true, MaxAttempts: 1, PurgeRetention: 1000, ConnectTimeout: 1000, KeepAliveTimeout: 1000,
+				ContentTypes: []*policy.ContentType{{Timeout: 1000}},
 			},
 			Types: []string{"l"}, Zones: []string{"a"}, Kinds: []string{"edge"}, NoteLevel: "all",
 		},
--- a/internal/status/golden_test.go
+++ b/internal/status/golden_test.go
@@ -24,8 +24,8 @@
 			State: overload.Held, Asks: 14, Repeats: 15, Early: 16, Connects: 17, Demand: 1.5, Warm: 0.25,
 			Promised: 2.5, Kept: 0.75, Part: 0.5, Remembers: 18,
 		},
-		Beliefs: []routing.View{{
-			ID: "e0", Kind: "edge", State: "ready", Warm: 0.125, Out: 19, Limit: 3.5, Skipped: 4.5, Trial: true, Heard: 5.5,
+		Beliefs: []routing.EndpointView{{
+			ID: "e0", Kind: "edge", State: "ready", SlowStartShare: 0.125, InFlight: 19, Limit: 3.5, EjectedFor: 4.5, HalfOpen: true, LastAnswer: 5.5,
 		}},
 		Peers: &membership.Report{
 			Name: "n0", Born: 20, Standing: "most", Sum: "00000000000000ff", Since: 21, Sharing: 22, Clash: "c", Zone: 6.5, Fleet: 7.5,
