--- a/internal/status/golden_test.go
+++ b/internal/status/golden_test.go
@@ -28,11 +28,12 @@
 			ID: "e0", Kind: "edge", State: "ready", SlowStartShare: 0.125, InFlight: 19, Limit: 3.5, EjectedFor: 4.5, HalfOpen: true, LastAnswer: 5.5,
 		}},
 		Peers: &membership.Report{
-			Name: "n0", Born: 20, Standing: "most", Sum: "00000000000000ff", Since: 21, Sharing: 22, Clash: "c", Zone: 6.5, Fleet: 7.5,
-			Peers: []membership.Row{{Name: "n1", Born: 23, State: "alive", Since: 24, Alike: true}},
+			Name: "n0", Incarnation: 20, PartitionState: "most", Digest: "00000000000000ff", StableFor: 21, AgreeingPeers: 22,
+			NameConflict: "c", ZoneQuota: 6.5, FleetQuota: 7.5,
+			Peers: []membership.PeerReport{{Name: "n1", Incarnation: 23, State: "alive", StateAge: 24, Agrees: true}},
 		},
 		Follow: &relays.Report{Calls: true, Chosen: true, Sources: []string{"n2"}, Age: 25, Sum: "f"},
-		Word:   &gossip.Report{Own: 26, Best: 27, Held: []string{"e1"}, Heard: 28},
+		Word:   &gossip.Report{ChannelAge: 26, NewestAge: 27, Avoided: []string{"e1"}, Received: 28},
 	}
 }
 
