--- a/internal/dispatch/route.go
+++ b/internal/dispatch/route.go
@@ -26,7 +26,7 @@
 // Router holds what all shards share. Its methods may be called from any goroutine.
 type Router struct {
 	margins policy.Timeouts
-	fleet   *upstream.Fleet
+	fleet   *upstream.Pool
 	start   time.Time
 	offset  policy.Micros // the system's clock at the start
 	shards  []*Shard
@@ -37,9 +37,9 @@
 	mu      sync.Mutex    // one shard at a time asks the module; a download's decisions take less than a microsecond
 	module  policy.Policy
 	own     StallMonitor
-	peers   map[string]*peer          // by node; emptied by the list
-	listed  map[string]discovery.Node // as the list has it; emptied by it
-	avoided map[string]bool           // taken for draining, whatever the list says; the operator's
+	peers   map[string]*peer              // by node; emptied by the list
+	listed  map[string]discovery.Endpoint // as the list has it; emptied by it
+	avoided map[string]bool               // taken for draining, whatever the list says; the operator's
 
 	fulfilled, throttled, abandoned, pulled, recalled atomic.Int64
 }
@@ -47,21 +47,21 @@
 // peer is one process of a node. Each shard has connections of its own to it, within the fleet's one limit: shared ones
 // would have all shards wait for each other's locks.
 type peer struct {
-	of      []*upstream.Peer // by shard
+	of      []*upstream.Endpoint // by shard
 	addr    string
 	started policy.Micros
 }
 
 func (p *peer) leave() {
 	for _, q := range p.of {
-		q.Leave()
+		q.CloseWhenIdle()
 	}
 }
 
 // StallMonitor says whether this director may act on what it knows; where not, Clear is closed once it may.
 type StallMonitor interface {
 	Trusted() bool
-	Clear() <-chan struct{}
+	Resolved() <-chan struct{}
 	StaleBy(read time.Time) time.Duration // how long before it was read something may have come
 }
 
@@ -74,7 +74,7 @@
 func (s *Shard) rest() bool {
 	for s.own != nil && !s.own.Trusted() {
 		select {
-		case <-s.own.Clear():
+		case <-s.own.Resolved():
 		case <-s.done:
 			return false
 		}
@@ -101,7 +101,7 @@
 	shard *Shard
 	conn  *downstream.Conn
 	tag   uint64
-	ask   downstream.Ask
+	ask   downstream.Request
 	pulls []*pull
 	wake  policy.Micros // when to ask the module again; 0 for not
 	due   policy.Micros // its place among the timers; 0 for none
@@ -109,16 +109,16 @@
 }
 
 type pull struct {
-	*upstream.Pull
+	*upstream.Attempt
 	until policy.Micros
 	over  bool
 }
 
 // New makes a router of so many shards; Run lets it work.
-func New(module policy.Policy, m policy.Timeouts, fleet *upstream.Fleet, shards int) *Router {
+func New(module policy.Policy, m policy.Timeouts, fleet *upstream.Pool, shards int) *Router {
 	r := &Router{
 		module: module, margins: m, fleet: fleet, start: time.Now(), peers: map[string]*peer{}, ids: shard.NewOwners(),
-		epochs: shard.NewEpochs(shards), listed: map[string]discovery.Node{},
+		epochs: shard.NewEpochs(shards), listed: map[string]discovery.Endpoint{},
 	}
 	r.offset = policy.Micros(r.start.UnixMicro())
 	for i := range shards {
@@ -253,14 +253,14 @@
 
 func (r *Router) apply(e discovery.Event) {
 	defer r.epochs.Publish()
-	if !e.Listed {
-		if e.At > 0 {
-			r.void(e.Object, e.Group, e.At)
+	if !e.HasEndpoints {
+		if e.PurgedAt > 0 {
+			r.void(e.Object, e.Group, e.PurgedAt)
 		}
 		return
 	}
-	rows, named := make([]policy.Endpoint, len(e.Nodes)), map[string]bool{}
-	for i, n := range e.Nodes {
+	rows, named := make([]policy.Endpoint, len(e.Endpoints)), map[string]bool{}
+	for i, n := range e.Endpoints {
 		if r.listed[n.ID] = n; n.State == policy.Removed {
 			delete(r.listed, n.ID)
 		}
@@ -269,32 +269,32 @@
 		}
 		rows[i], named[n.ID] = n.Endpoint, true
 		p := r.peers[n.ID]
-		if p != nil && (n.State == policy.Removed || p.addr != n.Addr || p.started != n.Started) {
+		if p != nil && (n.State == policy.Removed || p.addr != n.Address || p.started != n.Started) {
 			p.leave()
 			delete(r.peers, n.ID)
 			p = nil
 		}
 		if p == nil && n.State != policy.Removed {
-			p = &peer{make([]*upstream.Peer, len(r.shards)), n.Addr, n.Started}
+			p = &peer{make([]*upstream.Endpoint, len(r.shards)), n.Address, n.Started}
 			for i := range p.of {
-				p.of[i] = r.fleet.Peer(n.Addr)
+				p.of[i] = r.fleet.NewEndpoint(n.Address)
 			}
 			r.peers[n.ID] = p
 		}
 		if p != nil {
 			for _, q := range p.of {
-				q.Shun(n.State != policy.Ready)
+				q.SetDraining(n.State != policy.Ready)
 			}
 		}
 	}
 	for id, p := range r.peers {
-		if e.Complete && !named[id] {
+		if e.Snapshot && !named[id] {
 			p.leave()
 			delete(r.peers, id)
 			delete(r.listed, id)
 		}
 	}
-	r.module.UpdateEndpoints(r.now(), rows, e.Complete)
+	r.module.UpdateEndpoints(r.now(), rows, e.Snapshot)
 }
 
 // void has copies be void from now on that are older than a time.
@@ -311,7 +311,7 @@
 
 // Address is where a node of the list listens; empty where there is none.
 func (r *Router) Address(id string) (addr string) {
-	r.WithPolicy(func() { addr = r.listed[id].Addr })
+	r.WithPolicy(func() { addr = r.listed[id].Address })
 	return addr
 }
 
@@ -323,13 +323,13 @@
 		for _, id := range ids {
 			r.avoided[id] = true
 		}
-		e := discovery.Event{Listed: true}
+		e := discovery.Event{HasEndpoints: true}
 		for _, id := range slices.Sorted(maps.Keys(r.listed)) {
 			if before[id] != r.avoided[id] {
-				e.Nodes = append(e.Nodes, r.listed[id])
+				e.Endpoints = append(e.Endpoints, r.listed[id])
 			}
 		}
-		if len(e.Nodes) > 0 {
+		if len(e.Endpoints) > 0 {
 			r.apply(e)
 		}
 	})
@@ -380,29 +380,29 @@
 	return d
 }
 
-// Ask takes a download from a client. It never waits: the connection's reader must go on, to see that its client leaves.
-func (s *Shard) Ask(c *downstream.Conn, tag uint64, a downstream.Ask) {
+// HandleRequest takes a download from a client. It never waits: the connection's reader must go on, to see that its client leaves.
+func (s *Shard) HandleRequest(c *downstream.Conn, tag uint64, a downstream.Request) {
 	taken := s.calls.TryPut(func() {
-		if !c.Waits(tag) {
+		if !c.IsPending(tag) {
 			a.Body.Free()
 			return
 		}
-		if !s.ids.Claim(a.Txn, s.number) { // a node could not tell the two apart
+		if !s.ids.Claim(a.TransactionID, s.number) { // a node could not tell the two apart
 			a.Body.Free()
-			c.Blame(errors.New("txn: it is that of an open request"))
-			c.Abandon(tag)
+			c.ReportBadRequest(errors.New("txn: it is that of an open request"))
+			c.Fail(tag)
 			return
 		}
 		dl := &download{shard: s, conn: c, tag: tag, ask: a}
 		dl.timer.Value = dl
-		dl.Type, dl.Object, dl.Part, dl.Group, dl.IsRetry = a.Type, a.Object, a.Part, a.Group, a.Again
-		dl.ClientHash, dl.IdempotencyKey, dl.ClientSuspect = a.Client, a.Key, a.Doubted
-		came := a.Came
+		dl.Type, dl.Object, dl.Part, dl.Group, dl.IsRetry = a.Type, a.Object, a.Part, a.Group, a.IsRetry
+		dl.ClientHash, dl.IdempotencyKey, dl.ClientSuspect = a.ClientHash, a.IdempotencyKey, a.ClientSuspect
+		came := a.ArrivedAt
 		if s.own != nil { // its client waits since it was sent, not since it was read
 			came = came.Add(-s.own.StaleBy(came))
 		}
 		dl.ArrivedAt = s.at(came)
-		dl.Deadline = dl.ArrivedAt + policy.Micros(a.Limit/time.Microsecond) - s.margins.AnswerReserve
+		dl.Deadline = dl.ArrivedAt + policy.Micros(a.Timeout/time.Microsecond) - s.margins.AnswerReserve
 		if s.end > 0 {
 			dl.Deadline = min(dl.Deadline, s.end)
 		}
@@ -416,13 +416,13 @@
 	})
 	if !taken {
 		a.Body.Free()
-		c.TurnAway(tag, a)
+		c.RejectUnsent(tag, a)
 	}
 }
 
 // where asks where a download goes, and does what is answered.
 func (s *Shard) where(dl *download) {
-	if !dl.conn.Waits(dl.tag) { // its client has left; the word of it waits behind others
+	if !dl.conn.IsPending(dl.tag) { // its client has left; the word of it waits behind others
 		s.finish(dl)
 		return
 	}
@@ -435,18 +435,18 @@
 		slog.Error("panic", "where", "route", "err", bad, "stack", string(debug.Stack()))
 		if dl != nil {
 			dl.shard.finish(dl)
-			dl.conn.Drop()
+			dl.conn.Close()
 		}
 	}
 }
 
-// Opened says that a client has connected.
-func (s *Shard) Opened(*downstream.Conn) {
+// ConnOpened says that a client has connected.
+func (s *Shard) ConnOpened(*downstream.Conn) {
 	s.WithPolicy(func() { s.module.ClientConnected(s.now()) })
 }
 
-// NeverMind says that a client no longer waits for a download.
-func (s *Shard) NeverMind(c *downstream.Conn, tag uint64) {
+// HandleCancel says that a client no longer waits for a download.
+func (s *Shard) HandleCancel(c *downstream.Conn, tag uint64) {
 	s.calls.PutUnbounded(func() {
 		if dl := s.downloads[c][tag]; dl != nil {
 			s.finish(dl)
@@ -454,8 +454,8 @@
 	})
 }
 
-// Closed says that a client is gone with all it asked for.
-func (s *Shard) Closed(c *downstream.Conn) {
+// ConnClosed says that a client is gone with all it asked for.
+func (s *Shard) ConnClosed(c *downstream.Conn) {
 	s.calls.PutUnbounded(func() {
 		for _, dl := range s.downloads[c] {
 			s.finish(dl)
@@ -476,7 +476,7 @@
 	}
 	for _, p := range dl.pulls {
 		if !p.over {
-			p.GiveUp(false)
+			p.Cancel(false)
 		}
 	}
 	dl.ask.Body.Free()
@@ -487,7 +487,7 @@
 // forget gives a download's id free once it can be met nowhere any more.
 func (s *Shard) forget(dl *download) {
 	if dl.Done && !slices.ContainsFunc(dl.pulls, func(p *pull) bool { return !p.over }) {
-		s.ids.Release(dl.ask.Txn, s.number)
+		s.ids.Release(dl.ask.TransactionID, s.number)
 	}
 }
 
@@ -498,18 +498,18 @@
 		s.pull(dl, a)
 	case policy.CancelAttempt:
 		if p := dl.pulls[a.Attempt]; !p.over {
-			p.GiveUp(true)
+			p.Cancel(true)
 		}
 	case policy.Reject, policy.Fail:
 		if a.Unprocessable {
-			dl.conn.Useless()
+			dl.conn.MarkSuspect()
 		}
 		if a.Action == policy.Reject {
 			s.throttled.Add(1)
-			dl.conn.Throttle(dl.tag, span(a.RetryAfter))
+			dl.conn.Reject(dl.tag, span(a.RetryAfter))
 		} else {
 			s.abandoned.Add(1)
-			dl.conn.Abandon(dl.tag)
+			dl.conn.Fail(dl.tag)
 		}
 		s.finish(dl)
 	}
@@ -523,43 +523,43 @@
 }
 
 func (s *Shard) pull(dl *download, a decided) {
-	w := upstream.Want{
-		ID: dl.ask.Txn, Sort: dl.ask.Sort, Asset: dl.Object, Slice: dl.Part, Patience: span(a.Timeout),
-		Key: dl.ask.Key, Rank: a.CacheRank, Oldest: span(a.MaxAge), Join: a.Coalesce, Held: a.OnlyIfCached, Renew: a.Revalidate,
-		Seen: dl.ask.Held, Body: dl.ask.Body,
+	w := upstream.Request{
+		ID: dl.ask.TransactionID, ContentType: dl.ask.TypeName, Object: dl.Object, Part: dl.Part, Timeout: span(a.Timeout),
+		IdempotencyKey: dl.ask.IdempotencyKey, CacheRank: a.CacheRank, MaxAge: span(a.MaxAge), Coalesce: a.Coalesce, OnlyIfCached: a.OnlyIfCached, Revalidate: a.Revalidate,
+		ClientTag: dl.ask.IfNoneMatch, Body: dl.ask.Body,
 	}
 	if a.Source != a.Endpoint {
-		w.From = a.source
+		w.SourceID = a.source
 		if a.from != nil {
 			w.Source = a.from.of[s.number]
 		}
 	}
 	decided, end := s.start.Add(span(a.at-s.offset)), s.start.Add(span(a.NotAfter-s.offset))
-	w.Void = func() bool {
+	w.Superseded = func() bool {
 		now := time.Now()
-		return !dl.conn.Waits(dl.tag) || a.NotAfter > 0 && !now.Before(end) ||
+		return !dl.conn.IsPending(dl.tag) || a.NotAfter > 0 && !now.Before(end) ||
 			s.margins.MaxDecisionAge > 0 && s.purges.Load() != a.purges && now.Sub(decided) > span(s.margins.MaxDecisionAge)
 	}
 	s.pulled.Add(1)
 	p := &pull{until: a.at + a.Timeout}
 	number := len(dl.pulls)
-	var before []*upstream.Pull
+	var before []*upstream.Attempt
 	for _, earlier := range dl.pulls {
-		before = append(before, earlier.Pull)
+		before = append(before, earlier.Attempt)
 	}
 	dl.pulls = append(dl.pulls, p)
 	if a.to == nil { // the list has just lost it
-		p.Pull = &upstream.Pull{}
-		s.calls.PutUnbounded(func() { s.ended(dl, number, policy.Withdrawn, upstream.Answer{}) })
+		p.Attempt = &upstream.Attempt{}
+		s.calls.PutUnbounded(func() { s.ended(dl, number, policy.Withdrawn, upstream.Response{}) })
 		return
 	}
-	p.Pull = a.to.of[s.number].Send(w, func(answer upstream.Answer, err error) {
+	p.Attempt = a.to.of[s.number].Send(w, func(answer upstream.Response, err error) {
 		s.calls.PutUnbounded(func() { s.ended(dl, number, ending(answer, err), answer) })
 	}, before...)
 }
 
 // ended takes a pull's end.
-func (s *Shard) ended(dl *download, number int, how policy.Result, answer upstream.Answer) {
+func (s *Shard) ended(dl *download, number int, how policy.Result, answer upstream.Response) {
 	p := dl.pulls[number]
 	if p.over {
 		answer.Body.Free()
@@ -573,15 +573,15 @@
 	defer s.forget(dl)
 	if !dl.Done && how == policy.Succeeded {
 		s.fulfilled.Add(1)
-		dl.conn.Fulfil(dl.tag, answer.Body, answer.Word == upstream.Unchanged)
+		dl.conn.Succeed(dl.tag, answer.Body, answer.Status == upstream.StatusUnchanged)
 		s.finish(dl)
 	} else {
 		answer.Body.Free()
 	}
-	if !dl.Done && !dl.conn.Waits(dl.tag) {
+	if !dl.Done && !dl.conn.IsPending(dl.tag) {
 		s.finish(dl)
 	}
-	out := policy.Outcome{Attempt: number, Result: how, CacheStatus: fillings[answer.Note], Final: dl.Done}
+	out := policy.Outcome{Attempt: number, Result: how, CacheStatus: fillings[answer.CacheStatus], Final: dl.Done}
 	s.act(dl, s.decide(dl, func(now policy.Micros) policy.Decision { return s.module.AttemptDone(now, &dl.Request, out) }))
 }
 
@@ -592,8 +592,8 @@
 	now := s.now()
 	for i, p := range dl.pulls {
 		if !p.over && p.until <= now && !dl.Done {
-			p.GiveUp(false)
-			s.ended(dl, i, policy.TimedOut, upstream.Answer{})
+			p.Cancel(false)
+			s.ended(dl, i, policy.TimedOut, upstream.Response{})
 		}
 	}
 	if !dl.Done && dl.wake > 0 && dl.wake <= now {
@@ -621,9 +621,9 @@
 	}
 }
 
-var endings = map[upstream.Word]policy.Result{
-	upstream.Data: policy.Succeeded, upstream.Unchanged: policy.Succeeded, upstream.Absent: policy.CacheMiss,
-	upstream.Full: policy.Rejected, upstream.Failed: policy.Failed, upstream.Moot: policy.NotSent,
+var endings = map[upstream.Status]policy.Result{
+	upstream.StatusData: policy.Succeeded, upstream.StatusUnchanged: policy.Succeeded, upstream.StatusAbsent: policy.CacheMiss,
+	upstream.StatusFull: policy.Rejected, upstream.StatusFailed: policy.Failed, upstream.StatusMoot: policy.NotSent,
 }
 
 var fillings = map[string]policy.CacheStatus{
@@ -634,20 +634,20 @@
 }
 
 // ending is what the module hears of a pull: one that was not wholly written never ran, any other may have.
-func ending(a upstream.Answer, err error) policy.Result {
+func ending(a upstream.Response, err error) policy.Result {
 	e := (*upstream.Error)(nil)
 	switch {
 	case err == nil:
-		return endings[a.Word]
+		return endings[a.Status]
 	case !errors.As(err, &e):
 		return policy.ConnectionLost
-	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrRecalled):
+	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrWithdrawn):
 		return policy.Withdrawn
-	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrNoRoom): // which is no word of the node
+	case e.Stage < upstream.WhollyWritten && errors.Is(err, upstream.ErrConnectionLimit): // which is no word of the node
 		return policy.NotSent
-	case e.GaveUp && e.Stage < upstream.WhollyWritten:
+	case e.Cancelled && e.Stage < upstream.WhollyWritten:
 		return policy.NotSent
-	case e.GaveUp:
+	case e.Cancelled:
 		return policy.Cancelled
 	case e.Stage < upstream.WhollyWritten:
 		return policy.ConnectFailed
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -134,7 +134,7 @@
 	}
 	o, err := config.LoadOperator(f.Settings)
 	if err == nil {
-		_, err = discovery.New(c.Site).Known(c.Known)
+		_, err = discovery.New(c.Site).DecodeKnown(c.Known)
 	}
 	if err == nil {
 		err = o.Permit(c.Site)
@@ -159,21 +159,21 @@
 	level.Set(o.Log)
 	limitRuntime(c.Limits, o)
 	margins := routing.Timeouts(c.Site.Settings)
-	buffers := bufpool.New(c.Limits.Buffers(bufpool.Size))
+	buffers := bufpool.New(c.Limits.Buffers(bufpool.BufferSize))
 	fleet := upstream.New(buffers, margins, c.Limits.Dials())
 	shards := o.Shards(c.Limits)
 	if o.Cores > shards {
 		slog.Warn("fewer_cores", "asked", o.Cores, "allowed", shards)
 	}
 	channel := discovery.New(c.Site)
-	channel.Seed(backoff.Seed(c.Site.Seed, c.Name))
+	channel.SetSeed(backoff.Seed(c.Site.Seed, c.Name))
 	g := &gossipDriver{}
-	own := newHeart(c.Site.Settings, margins, channel.Hurry, g.settled)
-	fleet.Heed(own.Trusted)
-	channel.Watch(heard{own, g})
+	own := newHeart(c.Site.Settings, margins, channel.PollNow, g.settled)
+	fleet.SetWriteCheck(own.Trusted)
+	channel.SetStallMonitor(heard{own, g})
 	d := newDecider(ownSettings(c), options(o, c.Limits, g), margins, fleet, shards, f.Divided)
 	d.watch(own)
-	known, err := channel.Known(c.Known)
+	known, err := channel.DecodeKnown(c.Known)
 	if err != nil {
 		return err
 	}
@@ -206,8 +206,8 @@
 		}
 		defer socket.Close()
 	}
-	channel.Move(c.Channel)
-	go channel.Follow(ctx, margins, g.told)
+	channel.SetAddress(c.Channel)
+	go channel.Run(ctx, margins, g.told)
 	giveBack()
 	slog.Info("started", "name", c.Name, "listen", c.Listen, "events", len(known), "settings", f.Settings, "cores", shards)
 
@@ -231,19 +231,19 @@
 			c, o = next, nextO
 			level.Set(o.Log)
 			limitRuntime(c.Limits, o)
-			buffers.Limit(c.Limits.Buffers(bufpool.Size))
-			fleet.Limit(c.Limits.Dials())
-			server.Limit(c.Limits.Clients())
+			buffers.SetLimit(c.Limits.Buffers(bufpool.BufferSize))
+			fleet.SetLimit(c.Limits.Dials())
+			server.SetMaxConns(c.Limits.Clients())
 			d.use(options(o, c.Limits, g))
 			g.avoid(append([]string{}, o.Avoid...))
 			keeper.took(c, o)
-			channel.Move(c.Channel)
+			channel.SetAddress(c.Channel)
 			slog.Info("reloaded", "channel", c.Channel)
 		}
 	}
 	stopped := time.Now()
 	slog.Info("stopping", "open", d.open())
-	server.Stop()
+	server.SetNotServing()
 	keeper.stop()
 	// What waits in the listener's queue was taken: it is let in, and has a moment to ask. Clients that go on coming keep the
 	// listener open no longer than they are allowed to come, once more.
@@ -252,13 +252,13 @@
 		settle = margins.CancelConfirm
 	}
 	for last := linger.Add(span(margins.DrainAccept)); time.Now().Before(last); time.Sleep(span(margins.DrainAccept) / 100) {
-		if time.Now().After(linger) && server.Quiet(span(settle)) {
+		if time.Now().After(linger) && server.QuietFor(span(settle)) {
 			break
 		}
 	}
 	l.Close()
 	d.close(stopped.Add(span(margins.DrainDeadline))) // then all is answered, also what goes on coming for a moment, and the clients are told to leave
-	server.Close()
+	server.Shutdown()
 	g.stop()
 	leave()
 	fleet.Close()
@@ -279,10 +279,10 @@
 type decider struct {
 	routers []*dispatch.Router
 	modules []*routing.Router
-	sinks   []downstream.Sink
+	sinks   []downstream.Handler
 }
 
-func newDecider(s policy.Settings, o routing.Options, m policy.Timeouts, fleet *upstream.Fleet, shards int, divided bool) *decider {
+func newDecider(s policy.Settings, o routing.Options, m policy.Timeouts, fleet *upstream.Pool, shards int, divided bool) *decider {
 	d, each := &decider{}, shards
 	if divided {
 		s.ZoneDirectors, each = max(1, s.ZoneDirectors)*shards, 1
@@ -378,12 +378,12 @@
 }
 
 // report tells how the director is.
-func (k *keeper) report(d *decider, s *downstream.Server, fleet *upstream.Fleet, g *gossipDriver) status.Report {
+func (k *keeper) report(d *decider, s *downstream.Server, fleet *upstream.Pool, g *gossipDriver) status.Report {
 	k.mu.Lock()
 	r := status.Report{
 		Name: k.c.Name, PID: os.Getpid(), Started: k.started, Stopping: k.stopping, Settings: k.o.Sum, Platform: k.c.Sum,
-		Reloads: k.reloads, Refused: k.why, Cores: k.o.Shards(k.c.Limits), Avoided: k.o.Avoid, Clients: s.Conns(),
-		MostClient: k.c.Limits.Clients(), Nodes: fleet.Conns(), Open: d.open(), Counts: map[string]int64{},
+		Reloads: k.reloads, Refused: k.why, Cores: k.o.Shards(k.c.Limits), Avoided: k.o.Avoid, Clients: s.ConnCount(),
+		MostClient: k.c.Limits.Clients(), Nodes: fleet.Connections(), Open: d.open(), Counts: map[string]int64{},
 	}
 	k.mu.Unlock()
 	r.Peers, r.Word, r.Follow = g.talk.Load().Report(), g.report(), g.ears.report()
