--- a/internal/status/golden_test.go
+++ b/internal/status/golden_test.go
@@ -32,7 +32,7 @@
 			NameConflict: "c", ZoneQuota: 6.5, FleetQuota: 7.5,
 			Peers: []membership.PeerReport{{Name: "n1", Incarnation: 23, State: "alive", StateAge: 24, Agrees: true}},
 		},
-		Follow: &relays.Report{Calls: true, Chosen: true, Sources: []string{"n2"}, Age: 25, Sum: "f"},
+		Follow: &relays.Report{Polls: true, Delegate: true, Sources: []string{"n2"}, AgeMicros: 25, ListSum: "f"},
 		Word:   &gossip.Report{ChannelAge: 26, NewestAge: 27, Avoided: []string{"e1"}, Received: 28},
 	}
 }
