--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -109,9 +109,9 @@
 	} {
 		l := golden.limits
 		if l.CoresUp() != golden.cores || l.Clients() != golden.clients || l.Dials() != golden.dials ||
-			l.Buffers(16<<10) != golden.buffer || l.Memory() != golden.memory || DefaultOperator().Marks(l).Most != golden.marks {
+			l.Buffers(16<<10) != golden.buffer || l.Memory() != golden.memory || DefaultOperator().Marks(l).MaxRecords != golden.marks {
 			t.Errorf("{%#v, %d, %d, %d, %d, %d, %d},", l, l.CoresUp(), l.Clients(), l.Dials(), l.Buffers(16<<10), l.Memory(),
-				DefaultOperator().Marks(l).Most)
+				DefaultOperator().Marks(l).MaxRecords)
 		}
 	}
 }
@@ -151,9 +151,9 @@
 	}
 	want := Operator{
 		Storm: overload.Settings{
-			Mode: overload.Guards, Reach: 0.5, Windows: 11, Rise: 1.5, Surge: 5, Repeats: 0.625, Cold: 0.75, Use: 0.875, Memory: 4097,
+			Mode: overload.ModeReserve, Horizon: 0.5, Windows: 11, DemandThreshold: 1.5, ConnectionSurge: 5, RetryShare: 0.625, ColdThreshold: 0.75, ReservableShare: 0.875, MaxReservations: 4097,
 		},
-		Keys: dedup.Settings{Most: 10001, Remember: 21, Abandon: true},
+		Keys: dedup.Settings{MaxRecords: 10001, RetainWindows: 21, FailUnknownRetries: true},
 		Log:  slog.LevelDebug, Settle: 101_500, Cores: 4, Avoid: []string{"box-3", "box-1"}, State: "/run/n3.sock",
 		Peers: &Peers{
 			Listen: "10.1.0.9:7946", Advertise: "10.1.0.10:7947", Seeds: []string{"10.1.0.8:7946", "10.1.0.7:7946"},
@@ -170,9 +170,9 @@
 func TestOperatorDefaultsGolden(t *testing.T) {
 	defaults := Operator{
 		Storm: overload.Settings{
-			Mode: overload.Fixed, Reach: 1, Windows: 10, Rise: 1.25, Surge: 4, Repeats: 0.5, Cold: 0.6, Use: 0.9, Memory: 4096,
+			Mode: overload.ModeFixed, Horizon: 1, Windows: 10, DemandThreshold: 1.25, ConnectionSurge: 4, RetryShare: 0.5, ColdThreshold: 0.6, ReservableShare: 0.9, MaxReservations: 4096,
 		},
-		Keys: dedup.Settings{Most: -1, Remember: 20},
+		Keys: dedup.Settings{MaxRecords: -1, RetainWindows: 20},
 	}
 	key := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(key, []byte(strings.Repeat("00", 32)), 0o600); err != nil {
@@ -183,9 +183,9 @@
 		change func(*Operator)
 	}{
 		{``, func(*Operator) {}},
-		{`storm(mode = "silent")`, func(o *Operator) { o.Storm.Mode = overload.Silent }},
-		{`storm(mode = "fixed")`, func(o *Operator) { o.Storm.Mode = overload.Fixed }},
-		{`keys(strangers = "send")`, func(o *Operator) { o.Keys.Abandon = false }},
+		{`storm(mode = "silent")`, func(o *Operator) { o.Storm.Mode = overload.ModeSilent }},
+		{`storm(mode = "fixed")`, func(o *Operator) { o.Storm.Mode = overload.ModeFixed }},
+		{`keys(strangers = "send")`, func(o *Operator) { o.Keys.FailUnknownRetries = false }},
 		{`door(settle = seconds(0.5))`, func(o *Operator) { o.Settle = 500_000 }},
 		{`door(settle = minutes(0.125))`, func(o *Operator) { o.Settle = 7_500_000 }},
 		{`log(level = "info")`, func(o *Operator) { o.Log = slog.LevelInfo }},
--- a/internal/status/golden_test.go
+++ b/internal/status/golden_test.go
@@ -21,8 +21,8 @@
 		Avoided: []string{"b"}, Clients: 6, MostClient: 7, Nodes: 8, Open: 9,
 		Counts: map[string]int64{"fulfilled": 10, "pulls": 11}, KeysHeld: 12, KeysFull: 13,
 		Storm: overload.Report{
-			State: overload.Held, Asks: 14, Repeats: 15, Early: 16, Connects: 17, Demand: 1.5, Warm: 0.25,
-			Promised: 2.5, Kept: 0.75, Part: 0.5, Remembers: 18,
+			State: overload.Held, Requests: 14, Retries: 15, EarlyRetries: 16, NewConnections: 17, Demand: 1.5, WarmShare: 0.25,
+			ReservedShare: 2.5, KeptShare: 0.75, CapacityFactor: 0.5, Reservations: 18,
 		},
 		Beliefs: []routing.EndpointView{{
 			ID: "e0", Kind: "edge", State: "ready", SlowStartShare: 0.125, InFlight: 19, Limit: 3.5, EjectedFor: 4.5, HalfOpen: true, LastAnswer: 5.5,
