--- a/cmd/tallyctl/change.go
+++ b/cmd/tallyctl/change.go
@@ -34,7 +34,7 @@
 	return (len(w.Depot) == 0 || slices.Contains(w.Depot, p.Depot)) && (len(w.Director) == 0 || slices.Contains(w.Director, p.Instance))
 }
 
-func sum(script string) string { return config.Sum([]byte(script)) }
+func sum(script string) string { return config.Digest([]byte(script)) }
 
 // plan makes a change of scripts from a file.
 func (w which) plan(v *ctl.Snapshot, script, by, note string, limit int) (*rollout.Change, error) {
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := config.ReadOperator(script, raw); err != nil {
+	if _, err := config.ParseOperator(script, raw); err != nil {
 		return nil, err
 	}
 	return w.edit(v, by, note, limit, func(rollout.Candidate) (string, error) { return string(raw), nil })
@@ -395,16 +395,16 @@
 	for _, d := range v.Directors {
 		up, storm, note := "no", "-", d.Reason
 		if d.Up {
-			up, storm = "yes", d.Report.Storm.State.String()
+			up, storm = "yes", d.Report.Overload.State.String()
 		}
 		if d.Drifted {
 			note = "runs something else than its agent put in force"
 		}
-		if len(d.Report.Avoided) > 0 {
-			note = strings.TrimSpace("keeps out " + strings.Join(d.Report.Avoided, ", ") + "  " + note)
+		if len(d.Report.AvoidedNodes) > 0 {
+			note = strings.TrimSpace("keeps out " + strings.Join(d.Report.AvoidedNodes, ", ") + "  " + note)
 		}
-		fmt.Fprintf(&b, "%-12s %-16s %-12s %-5s %-9s %7d %9d %9d  %s\n", d.Depot, d.Name, d.Agent, up, storm, d.Report.Open,
-			d.Report.Counts["fulfilled"], d.Report.Counts["throttled"], note)
+		fmt.Fprintf(&b, "%-12s %-16s %-12s %-5s %-9s %7d %9d %9d  %s\n", d.Depot, d.Name, d.Agent, up, storm, d.Report.OpenRequests,
+			d.Report.Counters["fulfilled"], d.Report.Counters["throttled"], note)
 	}
 	for _, line := range v.MembershipLines() {
 		fmt.Fprintln(&b, line)
--- a/cmd/tallyctl/main.go
+++ b/cmd/tallyctl/main.go
@@ -91,7 +91,7 @@
 		return nil, exit{exitUsage, errors.New("--cert: missing; `tallyctl keys issue` makes one")}
 	}
 	key := c.Cert[:len(c.Cert)-len(filepath.Ext(c.Cert))] + "-key.pem"
-	return authority.Open(within(inv.Path, inv.Authority), c.Cert, key)
+	return authority.Open(within(inv.Path, inv.AuthorityDir), c.Cert, key)
 }
 
 // within is a path as the inventory says it, from its folder.
@@ -108,14 +108,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if inv.TalkKey != "" {
-		inv.TalkKey = within(inv.Path, inv.TalkKey)
+	if inv.GossipKeyFile != "" {
+		inv.GossipKeyFile = within(inv.Path, inv.GossipKeyFile)
 	}
 	for i := range inv.Directors {
 		d := &inv.Directors[i]
-		d.Config, d.Settings, d.Socket = within(inv.Path, d.Config), within(inv.Path, d.Settings), within(inv.Path, d.Socket)
-		if d.Pidfile != "" {
-			d.Pidfile = within(inv.Path, d.Pidfile)
+		d.PlatformFile, d.SettingsFile, d.StatusSocket = within(inv.Path, d.PlatformFile), within(inv.Path, d.SettingsFile), within(inv.Path, d.StatusSocket)
+		if d.PIDFile != "" {
+			d.PIDFile = within(inv.Path, d.PIDFile)
 		}
 	}
 	return inv, nil
--- a/cmd/tallyctl/watch.go
+++ b/cmd/tallyctl/watch.go
@@ -96,7 +96,7 @@
 	type row struct{ depot, id string }
 	seen := map[row][]string{}
 	for _, d := range v.Directors {
-		for _, n := range d.Report.Beliefs {
+		for _, n := range d.Report.NodeViews {
 			if n.Kind == "other" {
 				continue
 			}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -71,7 +71,7 @@
 		inv: inv, me: *me, id: id, store: store, directors: map[string]*Director{}, start: time.Now(), peers: NewClients(inv, id),
 		calls: make(chan struct{}, callsAtOnce),
 	}
-	for _, e := range inv.Of(name) {
+	for _, e := range inv.DirectorsOf(name) {
 		a.directors[e.Name] = &Director{DirectorEntry: e}
 	}
 	return a, a.load()
@@ -95,15 +95,15 @@
 		if _, known := s.ActiveScripts[name]; known {
 			continue
 		}
-		raw, err := os.ReadFile(d.Settings)
+		raw, err := os.ReadFile(d.SettingsFile)
 		if err != nil {
 			return fmt.Errorf("director %s: %w", name, err)
 		}
 		s.ActiveScripts[name], ok = string(raw), false
 	}
-	a.a = rollout.NewAgent(a.now(), a.me.Name, s, a.inv.Lease, check, sum)
+	a.a = rollout.NewAgent(a.now(), a.me.Name, s, a.inv.LeaseDuration, check, sum)
 	times := rollout.DefaultTimeouts()
-	times.Lease = a.inv.Lease
+	times.Lease = a.inv.LeaseDuration
 	a.settler = rollout.NewRecovery(a.now(), a.a, a.inv.AgentNames(), times)
 	if !ok {
 		return a.store.Save(a.a.State)
@@ -112,11 +112,11 @@
 }
 
 func check(instance, script string) error {
-	_, err := config.ReadOperator(instance+".star", []byte(script))
+	_, err := config.ParseOperator(instance+".star", []byte(script))
 	return err
 }
 
-func sum(script string) string { return config.Sum([]byte(script)) }
+func sum(script string) string { return config.Digest([]byte(script)) }
 
 func (a *Agent) now() d.Micros { return d.Micros(time.Since(a.start) / time.Microsecond) }
 
@@ -185,17 +185,17 @@
 
 // meet has agents find out who of them is there, by the same detector as directors, where the inventory has a key for it.
 func (a *Agent) meet() error {
-	if a.me.Talk == "" {
+	if a.me.GossipAddress == "" {
 		return nil
 	}
-	key, err := config.ReadKey(a.inv.TalkKey)
+	key, err := config.ReadKey(a.inv.GossipKeyFile)
 	if err != nil {
 		return fmt.Errorf("fleet.talk_key: %w", err)
 	}
-	o := config.Peers{Listen: a.me.Talk, Fleet: "agents", KeyBytes: key}
+	o := config.Peers{Listen: a.me.GossipAddress, Fleet: "agents", SharedKey: key}
 	for _, other := range a.inv.Agents {
 		if other.Name != a.me.Name {
-			o.Seeds = append(o.Seeds, other.Talk)
+			o.Seeds = append(o.Seeds, other.GossipAddress)
 		}
 	}
 	s := membership.Derive(a.me.Name, uint64(time.Now().UnixMicro()), d.Settings{
@@ -378,7 +378,7 @@
 		if report, err := a.directors[name].Report(ctx); err != nil {
 			s.Why = err.Error()
 		} else {
-			s.Up, s.Settings = true, report.Settings
+			s.Up, s.Settings = true, report.SettingsDigest
 			s.Report, _ = json.Marshal(report)
 		}
 		out.Directors = append(out.Directors, s)
--- a/internal/agent/director.go
+++ b/internal/agent/director.go
@@ -71,18 +71,18 @@
 			return d.cmd.Process.Pid, nil
 		}
 	}
-	if d.Pidfile != "" {
-		raw, err := os.ReadFile(d.Pidfile)
+	if d.PIDFile != "" {
+		raw, err := os.ReadFile(d.PIDFile)
 		if err != nil {
 			return 0, err
 		}
 		pid, err := strconv.Atoi(strings.TrimSpace(string(raw)))
 		if err != nil || pid <= 1 {
-			return 0, fmt.Errorf("%s: %q is no process", d.Pidfile, raw)
+			return 0, fmt.Errorf("%s: %q is no process", d.PIDFile, raw)
 		}
 		return pid, nil
 	}
-	if r, err := status.Read(context.Background(), d.Socket); err == nil { // an agent before this one started it
+	if r, err := status.Read(context.Background(), d.StatusSocket); err == nil { // an agent before this one started it
 		return r.PID, nil
 	}
 	return 0, errors.New("it is not running")
@@ -116,7 +116,7 @@
 
 // Report is what it tells of itself.
 func (d *Director) Report(ctx context.Context) (status.Report, error) {
-	return status.Read(ctx, d.Socket)
+	return status.Read(ctx, d.StatusSocket)
 }
 
 // Start starts it, where it does not run, and waits until it tells how it is.
@@ -132,7 +132,7 @@
 	if len(d.Command) == 0 {
 		return errors.New("it does not run, and its inventory has no command")
 	}
-	cmd := exec.Command(d.Command[0], append(append([]string(nil), d.Command[1:]...), "--config", d.Config, "--settings", d.Settings)...)
+	cmd := exec.Command(d.Command[0], append(append([]string(nil), d.Command[1:]...), "--config", d.PlatformFile, "--settings", d.SettingsFile)...)
 	cmd.Env, cmd.Stderr = os.Environ(), os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // it outlives its agent
 	if err := cmd.Start(); err != nil {
@@ -196,14 +196,14 @@
 
 // Apply has it run a script, read back from it. One that would not have it, and still runs, gets the script of before back.
 func (d *Director) Apply(ctx context.Context, script, before string) error {
-	if err := write(d.Settings, script); err != nil {
+	if err := write(d.SettingsFile, script); err != nil {
 		return err // the old file is there, and in force
 	}
 	err := d.take(ctx, script)
 	if err == nil {
 		return nil
 	}
-	if werr := write(d.Settings, before); werr != nil {
+	if werr := write(d.SettingsFile, before); werr != nil {
 		return fmt.Errorf("%w; and its old script could not be written: %v", err, werr)
 	}
 	if berr := d.take(ctx, before); berr != nil {
@@ -214,9 +214,9 @@
 
 // take has it read its files, or starts it where it does not run, and reads back what it runs.
 func (d *Director) take(ctx context.Context, script string) error {
-	want := config.Sum([]byte(script))
+	want := config.Digest([]byte(script))
 	r, err := d.Report(ctx)
-	if err == nil && r.Settings == want {
+	if err == nil && r.SettingsDigest == want {
 		return nil // a crash of the agent came in between
 	}
 	if err != nil {
@@ -226,14 +226,14 @@
 	} else if err := d.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
-	refused, reloads := r.Refused, r.Reloads
+	refused, reloads := r.ReloadError, r.Reloads
 	signalled := time.Now()
 	return d.until(ctx, takes, func(r status.Report) (bool, string) {
-		if r.Settings == want {
+		if r.SettingsDigest == want {
 			return true, ""
 		}
-		if r.Refused != "" && (r.Refused != refused || time.Since(signalled) > takes/10) && r.Reloads == reloads {
-			return false, r.Refused
+		if r.ReloadError != "" && (r.ReloadError != refused || time.Since(signalled) > takes/10) && r.Reloads == reloads {
+			return false, r.ReloadError
 		}
 		return false, ""
 	})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,15 +15,15 @@
 
 // Config is what a director is told at its start.
 type Config struct {
-	Name    string          `json:"name"`
-	Listen  string          `json:"listen"`
-	Seed    string          `json:"seed"`
-	Channel string          `json:"channel"`
-	Known   json.RawMessage `json:"known"`
-	Limits  Limits          `json:"limits"`
-	Raw     json.RawMessage `json:"settings"`
-	Site    Site            `json:"-"`
-	Sum     string          `json:"-"` // of the file's bytes
+	Name        string          `json:"name"`
+	Listen      string          `json:"listen"`
+	Seed        string          `json:"seed"`
+	Channel     string          `json:"channel"`
+	Bootstrap   json.RawMessage `json:"known"`
+	Limits      Limits          `json:"limits"`
+	RawSettings json.RawMessage `json:"settings"`
+	Site        Site            `json:"-"`
+	Digest      string          `json:"-"` // of the file's bytes
 }
 
 // Limits are those of the machine.
@@ -33,26 +33,28 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// CoresUp is how many cores the program may be busy on at a time.
-func (l Limits) CoresUp() int { return int(math.Ceil(l.Cores)) }
+// MaxProcs is how many cores the program may be busy on at a time.
+func (l Limits) MaxProcs() int { return int(math.Ceil(l.Cores)) }
 
 // own is how many descriptors are kept for the director itself: standard input, output and error, two of the runtime's poller
 // and two of its control group's limits, the listener, a connection that was accepted beyond the limit, two of the command
 // channel's, a file that is read again; and as many for what is closed and not yet given back, the operator's socket and talk.
 func (l Limits) own() int { return max(12, l.Sockets/8) }
 
-// Clients is how many connections of clients are held at most; usual ones hold a third of the descriptors.
-func (l Limits) Clients() int { return min(l.Sockets/2, (l.Sockets-l.own())*4/7) }
+// MaxClientConnections is how many connections of clients are held at most; usual ones hold a third of the descriptors.
+func (l Limits) MaxClientConnections() int { return min(l.Sockets/2, (l.Sockets-l.own())*4/7) }
 
-// Dials is how many connections to nodes are held at most, but for a quarter more where a node has no other (Firsts of back). With
+// MaxNodeConnections is how many connections to nodes are held at most, but for a quarter more where a node has no other (Firsts of back). With
 // clients' and the director's own they stay within the limit, however many nodes there are.
-func (l Limits) Dials() int { return (l.Sockets - l.own() - l.Clients()) * 4 / 5 }
+func (l Limits) MaxNodeConnections() int {
+	return (l.Sockets - l.own() - l.MaxClientConnections()) * 4 / 5
+}
 
-// Memory is what Go's runtime may use, in bytes; the rest is for what it does not count.
-func (l Limits) Memory() int64 { return int64(l.MemoryMB) << 20 * 3 / 4 }
+// MemoryLimit is what Go's runtime may use, in bytes; the rest is for what it does not count.
+func (l Limits) MemoryLimit() int64 { return int64(l.MemoryMB) << 20 * 3 / 4 }
 
-// Buffers is how many buffers of a size may be out together.
-func (l Limits) Buffers(size int) int { return int(l.Memory() / 2 / int64(size)) }
+// MaxBuffers is how many buffers of a size may be out together.
+func (l Limits) MaxBuffers(size int) int { return int(l.MemoryLimit() / 2 / int64(size)) }
 
 // Load reads the file that NODE_CONFIG names.
 func Load(getenv func(string) string) (Config, error) {
@@ -65,15 +67,15 @@
 		return Config{}, fmt.Errorf("NODE_CONFIG: %w", err)
 	}
 	c := Config{
-		Sum: Sum(raw), Name: getenv("NODE_NAME"), Listen: getenv("NODE_LISTEN"),
+		Digest: Digest(raw), Name: getenv("NODE_NAME"), Listen: getenv("NODE_LISTEN"),
 		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 	}
 	return c, c.parse(raw)
 }
 
-// Follow gives the configuration that was read again for a director that runs on c. What can't change while requests go
+// Reload gives the configuration that was read again for a director that runs on c. What can't change while requests go
 // on must be as it was; the seed is for a start alone.
-func (c Config) Follow(next Config) (Config, error) {
+func (c Config) Reload(next Config) (Config, error) {
 	next.Seed, next.Site.Seed = c.Seed, c.Site.Seed
 	for _, a := range []struct {
 		key  string
@@ -109,12 +111,12 @@
 		return fmt.Errorf("limits.memory_mb: %d is under 32", c.Limits.MemoryMB)
 	case c.Limits.Sockets < 64:
 		return fmt.Errorf("limits.sockets: %d is under 64", c.Limits.Sockets)
-	case len(c.Raw) == 0:
+	case len(c.RawSettings) == 0:
 		return errors.New("settings: missing")
-	case len(c.Known) == 0:
+	case len(c.Bootstrap) == 0:
 		return errors.New("known: missing")
 	}
-	if c.Site, err = ParseSite(c.Raw); err != nil {
+	if c.Site, err = ParseSite(c.RawSettings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.Site.Seed = seed
@@ -126,7 +128,7 @@
 	if err := s.shape(); err != nil {
 		return err
 	}
-	for i, name := range s.Types {
+	for i, name := range s.TypeNames {
 		if name == "" {
 			return fmt.Errorf("settings: lanes[%d].name: missing", i)
 		}
@@ -135,11 +137,11 @@
 		}
 	}
 	switch {
-	case len(s.Types) == 0:
+	case len(s.TypeNames) == 0:
 		return errors.New("settings: lanes: missing")
-	case s.Zone < 0 || s.Zone >= len(s.Zones):
+	case s.Zone < 0 || s.Zone >= len(s.ZoneNames):
 		return fmt.Errorf("settings: zone: %d is not in zones", s.Zone)
-	case s.OriginKind < 0 || s.OriginKind >= len(s.Kinds):
+	case s.OriginKind < 0 || s.OriginKind >= len(s.KindNames):
 		return fmt.Errorf("settings: specifics.origin-kind: %d is not in machine-types", s.OriginKind)
 	case s.ConnectTimeout <= 0:
 		return errors.New("settings: limits.connect-timeout: not above 0")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,7 +34,7 @@
 	clip := c.Site.Settings.ContentTypes[0]
 	if c.Name != "n3" || c.Site.Seed != 0x8c1f30d27a5be964 || c.Site.ConnectTimeout != 400_000 || c.Site.MaxConcurrentStreams != 100 ||
 		clip.RetrySafety != policy.IdempotentWithKey || clip.DedupScope != policy.DedupScopeCell || clip.TTL != 500_000 ||
-		c.Site.Types[0] != "clip" || c.Limits.Clients() != 256 || c.Limits.Dials() != 153 {
+		c.Site.TypeNames[0] != "clip" || c.Limits.MaxClientConnections() != 256 || c.Limits.MaxNodeConnections() != 153 {
 		t.Errorf("read as %+v", c)
 	}
 	c, err = load(t, strings.NewReplacer(`"name":"n3",`, "", `"memory_mb":128,`, "").Replace(good))
@@ -69,7 +69,7 @@
 			}
 			next, err := Load(getenv)
 			if err == nil {
-				next, err = c.Follow(next)
+				next, err = c.Reload(next)
 			} else {
 				next = c
 			}
--- a/internal/config/descriptors_test.go
+++ b/internal/config/descriptors_test.go
@@ -9,12 +9,12 @@
 	const own = 12 // three standard files, four of the runtime, the listener, one accepted beyond, two of the channel, a file
 	for sockets := 64; sockets <= 4096; sockets++ {
 		l := Limits{Sockets: sockets}
-		firsts := max(1, l.Dials()/4)
-		if sum := l.Clients() + l.Dials() + firsts + own; sum > sockets {
-			t.Fatalf("%d: %d clients, %d to nodes, %d first ones and %d of its own are %d", sockets, l.Clients(), l.Dials(), firsts, own, sum)
+		firsts := max(1, l.MaxNodeConnections()/4)
+		if sum := l.MaxClientConnections() + l.MaxNodeConnections() + firsts + own; sum > sockets {
+			t.Fatalf("%d: %d clients, %d to nodes, %d first ones and %d of its own are %d", sockets, l.MaxClientConnections(), l.MaxNodeConnections(), firsts, own, sum)
 		}
-		if l.Clients() < sockets/3 || l.Dials() < sockets/4 {
-			t.Fatalf("%d: %d clients, %d to nodes", sockets, l.Clients(), l.Dials())
+		if l.MaxClientConnections() < sockets/3 || l.MaxNodeConnections() < sockets/4 {
+			t.Fatalf("%d: %d clients, %d to nodes", sockets, l.MaxClientConnections(), l.MaxNodeConnections())
 		}
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -39,8 +39,8 @@
 	}
 	want := Config{
 		Name: "n3", Listen: "127.0.0.1:8443", Seed: "8c1f30d27a5be964", Channel: "127.0.0.2:8500",
-		Known: json.RawMessage(`{"cursor":7,"cmds":[]}`), Limits: Limits{Cores: 2.5, MemoryMB: 256, Sockets: 512},
-		Raw: got.Raw, Sum: "7ef37672259acedb9fdc9f463d88c2a3b6f4454029b3d19ea4472eee01fefa48",
+		Bootstrap: json.RawMessage(`{"cursor":7,"cmds":[]}`), Limits: Limits{Cores: 2.5, MemoryMB: 256, Sockets: 512},
+		RawSettings: got.RawSettings, Digest: "7ef37672259acedb9fdc9f463d88c2a3b6f4454029b3d19ea4472eee01fefa48",
 		Site: Site{
 			Settings: policy.Settings{
 				Seed: 0x8c1f30d27a5be964, Zone: 1, ZoneDirectors: 5, TotalDirectors: 15, FillLinkKBPerSecond: 1007,
@@ -59,9 +59,9 @@
 				PurgeRetention:  6_000_000, PurgePropagation: 1_005_000, DrainPropagation: 1_003_000, MaxRetryAfter: 1_004_000,
 				AnswerGrace: 8_001, ConnectTimeout: 400_000, KeepAliveTimeout: 30_000_000, MaxConcurrentStreams: 100,
 			},
-			Types: []string{"clip", "pay", "zoned", "everywhere", "once"},
-			Zones: []string{"h", "a", "z"}, Kinds: []string{"small", "parent", "origin"},
-			Weights: "nominal", NoteLevel: "silent", Peers: true,
+			TypeNames: []string{"clip", "pay", "zoned", "everywhere", "once"},
+			ZoneNames: []string{"h", "a", "z"}, KindNames: []string{"small", "parent", "origin"},
+			Weights: "nominal", NoteLevel: "silent", AllowPeers: true,
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -81,14 +81,14 @@
 		t.Fatal(err)
 	}
 	want := Config{
-		Name: "env", Listen: "127.0.0.1:1", Channel: "127.0.0.2:2", Known: json.RawMessage(`{}`),
-		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, Raw: got.Raw, Sum: "48530d896a83a70a3adb9c6277866e4434f1d2565967a109766fb6928aeb0e3e",
+		Name: "env", Listen: "127.0.0.1:1", Channel: "127.0.0.2:2", Bootstrap: json.RawMessage(`{}`),
+		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, RawSettings: got.RawSettings, Digest: "48530d896a83a70a3adb9c6277866e4434f1d2565967a109766fb6928aeb0e3e",
 		Site: Site{
 			Settings: policy.Settings{
 				ParentKind: -1, ReportsCacheStatus: true, MaxAttempts: 1, PurgeRetention: 1000, ConnectTimeout: 1000, KeepAliveTimeout: 1000,
 				ContentTypes: []*policy.ContentType{{Timeout: 1000}},
 			},
-			Types: []string{"l"}, Zones: []string{"a"}, Kinds: []string{"edge"}, NoteLevel: "all",
+			TypeNames: []string{"l"}, ZoneNames: []string{"a"}, KindNames: []string{"edge"}, NoteLevel: "all",
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -108,10 +108,10 @@
 		{Limits{Cores: 0.3, MemoryMB: 32, Sockets: 64}, 1, 29, 18, 768, 25165824, 4915},
 	} {
 		l := golden.limits
-		if l.CoresUp() != golden.cores || l.Clients() != golden.clients || l.Dials() != golden.dials ||
-			l.Buffers(16<<10) != golden.buffer || l.Memory() != golden.memory || DefaultOperator().Marks(l).MaxRecords != golden.marks {
-			t.Errorf("{%#v, %d, %d, %d, %d, %d, %d},", l, l.CoresUp(), l.Clients(), l.Dials(), l.Buffers(16<<10), l.Memory(),
-				DefaultOperator().Marks(l).MaxRecords)
+		if l.MaxProcs() != golden.cores || l.MaxClientConnections() != golden.clients || l.MaxNodeConnections() != golden.dials ||
+			l.MaxBuffers(16<<10) != golden.buffer || l.MemoryLimit() != golden.memory || DefaultOperator().DedupSettings(l).MaxRecords != golden.marks {
+			t.Errorf("{%#v, %d, %d, %d, %d, %d, %d},", l, l.MaxProcs(), l.MaxClientConnections(), l.MaxNodeConnections(), l.MaxBuffers(16<<10), l.MemoryLimit(),
+				DefaultOperator().DedupSettings(l).MaxRecords)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 		"":      "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855",
 		"log()": "497a3aeb231a4efebb5e750e629abf70d07074e8825f96c47f68d622ede382f4",
 	} {
-		if got := Sum([]byte(text)); got != want {
+		if got := Digest([]byte(text)); got != want {
 			t.Errorf("%q: %s", text, got)
 		}
 	}
@@ -145,21 +145,21 @@
 		t.Fatal(err)
 	}
 	keyBytes := append([]byte(strings.Repeat("\x0f", 31)), 0xab)
-	got, err := ReadOperator("d.star", []byte(strings.Replace(goldenScript, "KEY", keyFile, 1)))
+	got, err := ParseOperator("d.star", []byte(strings.Replace(goldenScript, "KEY", keyFile, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := Operator{
-		Storm: overload.Settings{
+		Overload: overload.Settings{
 			Mode: overload.ModeReserve, Horizon: 0.5, Windows: 11, DemandThreshold: 1.5, ConnectionSurge: 5, RetryShare: 0.625, ColdThreshold: 0.75, ReservableShare: 0.875, MaxReservations: 4097,
 		},
-		Keys: dedup.Settings{MaxRecords: 10001, RetainWindows: 21, FailUnknownRetries: true},
-		Log:  slog.LevelDebug, Settle: 101_500, Cores: 4, Avoid: []string{"box-3", "box-1"}, State: "/run/n3.sock",
+		Dedup:    dedup.Settings{MaxRecords: 10001, RetainWindows: 21, FailUnknownRetries: true},
+		LogLevel: slog.LevelDebug, QuietPeriod: 101_500, Cores: 4, AvoidNodes: []string{"box-3", "box-1"}, StatusSocket: "/run/n3.sock",
 		Peers: &Peers{
 			Listen: "10.1.0.9:7946", Advertise: "10.1.0.10:7947", Seeds: []string{"10.1.0.8:7946", "10.1.0.7:7946"},
-			Fleet: "depots", Followers: 5, Key: keyFile, KeyBytes: keyBytes,
+			Fleet: "depots", Delegates: 5, KeyFile: keyFile, SharedKey: keyBytes,
 		},
-		Sum: got.Sum, // of the script, which names a temporary file
+		Digest: got.Digest, // of the script, which names a temporary file
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%#v %#v, want\n%#v %#v", got, got.Peers, want, want.Peers)
@@ -169,10 +169,10 @@
 // What a script says that calls nothing, and the words of the choices.
 func TestOperatorDefaultsGolden(t *testing.T) {
 	defaults := Operator{
-		Storm: overload.Settings{
+		Overload: overload.Settings{
 			Mode: overload.ModeFixed, Horizon: 1, Windows: 10, DemandThreshold: 1.25, ConnectionSurge: 4, RetryShare: 0.5, ColdThreshold: 0.6, ReservableShare: 0.9, MaxReservations: 4096,
 		},
-		Keys: dedup.Settings{MaxRecords: -1, RetainWindows: 20},
+		Dedup: dedup.Settings{MaxRecords: -1, RetainWindows: 20},
 	}
 	key := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(key, []byte(strings.Repeat("00", 32)), 0o600); err != nil {
@@ -183,25 +183,25 @@
 		change func(*Operator)
 	}{
 		{``, func(*Operator) {}},
-		{`storm(mode = "silent")`, func(o *Operator) { o.Storm.Mode = overload.ModeSilent }},
-		{`storm(mode = "fixed")`, func(o *Operator) { o.Storm.Mode = overload.ModeFixed }},
-		{`keys(strangers = "send")`, func(o *Operator) { o.Keys.FailUnknownRetries = false }},
-		{`door(settle = seconds(0.5))`, func(o *Operator) { o.Settle = 500_000 }},
-		{`door(settle = minutes(0.125))`, func(o *Operator) { o.Settle = 7_500_000 }},
-		{`log(level = "info")`, func(o *Operator) { o.Log = slog.LevelInfo }},
-		{`log(level = "warn")`, func(o *Operator) { o.Log = slog.LevelWarn }},
-		{`log(level = "error")`, func(o *Operator) { o.Log = slog.LevelError }},
+		{`storm(mode = "silent")`, func(o *Operator) { o.Overload.Mode = overload.ModeSilent }},
+		{`storm(mode = "fixed")`, func(o *Operator) { o.Overload.Mode = overload.ModeFixed }},
+		{`keys(strangers = "send")`, func(o *Operator) { o.Dedup.FailUnknownRetries = false }},
+		{`door(settle = seconds(0.5))`, func(o *Operator) { o.QuietPeriod = 500_000 }},
+		{`door(settle = minutes(0.125))`, func(o *Operator) { o.QuietPeriod = 7_500_000 }},
+		{`log(level = "info")`, func(o *Operator) { o.LogLevel = slog.LevelInfo }},
+		{`log(level = "warn")`, func(o *Operator) { o.LogLevel = slog.LevelWarn }},
+		{`log(level = "error")`, func(o *Operator) { o.LogLevel = slog.LevelError }},
 		{`peers(listen = "127.0.0.1:1", key = "` + key + `")`, func(o *Operator) {
-			o.Peers = &Peers{Listen: "127.0.0.1:1", Followers: 3, Key: key, KeyBytes: make([]byte, 32)}
+			o.Peers = &Peers{Listen: "127.0.0.1:1", Delegates: 3, KeyFile: key, SharedKey: make([]byte, 32)}
 		}},
 	} {
 		want := defaults
 		golden.change(&want)
-		got, err := ReadOperator("d.star", []byte(golden.script))
-		if got.Sum != Sum([]byte(golden.script)) {
-			t.Errorf("%s: sum %s", golden.script, got.Sum)
+		got, err := ParseOperator("d.star", []byte(golden.script))
+		if got.Digest != Digest([]byte(golden.script)) {
+			t.Errorf("%s: sum %s", golden.script, got.Digest)
 		}
-		if got.Sum = ""; err != nil || !reflect.DeepEqual(got, want) {
+		if got.Digest = ""; err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %#v, %v, want %#v", golden.script, got, err, want)
 		}
 	}
@@ -209,8 +209,8 @@
 
 // The whole lines that name what is wrong with a file: operators and their tools read them.
 func TestErrorLinesGolden(t *testing.T) {
-	operator := func(text string) error { _, err := ReadOperator("d.star", []byte(text)); return err }
-	fleet := func(text string) error { _, err := ReadInventory("f.star", []byte(text)); return err }
+	operator := func(text string) error { _, err := ParseOperator("d.star", []byte(text)); return err }
+	fleet := func(text string) error { _, err := ParseInventory("f.star", []byte(text)); return err }
 	platform := func(old, text string) func(string) error {
 		return func(string) error { _, err := load(t, strings.Replace(goldenPlatform, old, text, 1)); return err }
 	}
@@ -310,7 +310,7 @@
 `
 
 func TestInventoryGolden(t *testing.T) {
-	got, err := ReadInventory("f.star", []byte(goldenInventory))
+	got, err := ParseInventory("f.star", []byte(goldenInventory))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -327,21 +327,21 @@
 		got.Directors[i].at = DirectorEntry{}.at
 	}
 	want := &Inventory{
-		Path: "f.star", Lease: 20 * policy.Second, Authority: "keys", TalkKey: "talk.key",
+		Path: "f.star", LeaseDuration: 20 * policy.Second, AuthorityDir: "keys", GossipKeyFile: "talk.key",
 		Agents: []AgentEntry{
-			{Name: "a0", Address: "127.0.0.1:7100", Depot: "north", Talk: "127.0.0.1:7200"},
-			{Name: "a1", Address: "10.0.0.1:7101", Depot: "south", Talk: "10.0.0.1:7201", Beyond: true},
+			{Name: "a0", Address: "127.0.0.1:7100", Depot: "north", GossipAddress: "127.0.0.1:7200"},
+			{Name: "a1", Address: "10.0.0.1:7101", Depot: "south", GossipAddress: "10.0.0.1:7201", AllowNonLoopback: true},
 		},
 		Directors: []DirectorEntry{
-			{Name: "n0", Agent: "a0", Config: "n0.json", Settings: "n0.star", Socket: "n0.sock",
-				Command: []string{"bin/tallyproxy", "--x"}, Pidfile: "n0.pid"},
-			{Name: "n1", Agent: "a1", Config: "n1.json", Settings: "n1.star", Socket: "n1.sock", Pidfile: "n1.pid"},
+			{Name: "n0", Agent: "a0", PlatformFile: "n0.json", SettingsFile: "n0.star", StatusSocket: "n0.sock",
+				Command: []string{"bin/tallyproxy", "--x"}, PIDFile: "n0.pid"},
+			{Name: "n1", Agent: "a1", PlatformFile: "n1.json", SettingsFile: "n1.star", StatusSocket: "n1.sock", PIDFile: "n1.pid"},
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%#v, want\n%#v", got, want)
 	}
-	if got, err := ReadInventory("f.star", []byte(`agent("a0", address = "127.0.0.1:1")`)); err != nil || time.Duration(got.Lease)*time.Microsecond != 3*time.Second {
+	if got, err := ParseInventory("f.star", []byte(`agent("a0", address = "127.0.0.1:1")`)); err != nil || time.Duration(got.LeaseDuration)*time.Microsecond != 3*time.Second {
 		t.Errorf("the lease by default: %#v, %v", got, err)
 	}
 }
--- a/internal/config/inventory.go
+++ b/internal/config/inventory.go
@@ -17,31 +17,31 @@
 // Inventory is what a fleet is made of: agents, each on a machine, and the directors that they look after. It is a Starlark
 // script beside the operator's file, read by the tool and by every agent.
 type Inventory struct {
-	Path      string
-	Lease     policy.Micros // of the right to change
-	Authority string        // folder with the authority's certificate and the list of those revoked
-	TalkKey   string        // file of the key with which agents find out who of them is there; empty for not at all
-	Agents    []AgentEntry
-	Directors []DirectorEntry
+	Path          string
+	LeaseDuration policy.Micros // of the right to change
+	AuthorityDir  string        // folder with the authority's certificate and the list of those revoked
+	GossipKeyFile string        // file of the key with which agents find out who of them is there; empty for not at all
+	Agents        []AgentEntry
+	Directors     []DirectorEntry
 }
 
 // AgentEntry is one agent.
 type AgentEntry struct {
 	Name, Address, Depot string
-	Talk                 string // address for that, TCP and UDP over IPv4
-	Beyond               bool   // may listen beyond loopback
+	GossipAddress        string // address for that, TCP and UDP over IPv4
+	AllowNonLoopback     bool   // may listen beyond loopback
 	at                   syntax.Position
 }
 
 // DirectorEntry is one director.
 type DirectorEntry struct {
-	Name, Agent string
-	Config      string   // the platform's file
-	Settings    string   // the operator's, which changes are about
-	Socket      string   // where it tells how it is
-	Command     []string // that starts it; empty where something else does
-	Pidfile     string   // where its process is found then
-	at          syntax.Position
+	Name, Agent  string
+	PlatformFile string   // the platform's file
+	SettingsFile string   // the operator's, which changes are about
+	StatusSocket string   // where it tells how it is
+	Command      []string // that starts it; empty where something else does
+	PIDFile      string   // where its process is found then
+	at           syntax.Position
 }
 
 // Agent is the entry of a name; nil for none.
@@ -62,8 +62,8 @@
 	return names
 }
 
-// Of are the directors of an agent.
-func (i *Inventory) Of(agent string) (all []DirectorEntry) {
+// DirectorsOf are the directors of an agent.
+func (i *Inventory) DirectorsOf(agent string) (all []DirectorEntry) {
 	for _, d := range i.Directors {
 		if d.Agent == agent {
 			all = append(all, d)
@@ -78,12 +78,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return ReadInventory(path, raw)
+	return ParseInventory(path, raw)
 }
 
-// ReadInventory reads a script; the path is for its errors.
-func ReadInventory(path string, raw []byte) (*Inventory, error) {
-	inv := &Inventory{Path: path, Lease: 3 * policy.Second}
+// ParseInventory reads a script; the path is for its errors.
+func ParseInventory(path string, raw []byte) (*Inventory, error) {
+	inv := &Inventory{Path: path, LeaseDuration: 3 * policy.Second}
 	if len(raw) > largestFile {
 		return nil, fmt.Errorf("%s: over %d bytes", path, largestFile)
 	}
@@ -91,8 +91,8 @@
 	var directors []*DirectorEntry
 	err := runScript(path, raw, map[string]section{
 		"fleet": {keys: []key{
-			timed("lease", &inv.Lease, time.Second, 10*time.Minute), text("authority", &inv.Authority),
-			text("talk_key", &inv.TalkKey),
+			timed("lease", &inv.LeaseDuration, time.Second, 10*time.Minute), text("authority", &inv.AuthorityDir),
+			text("talk_key", &inv.GossipKeyFile),
 		}},
 		"agent": {many: func(name string, at syntax.Position) ([]key, error) {
 			if slices.ContainsFunc(agents, func(a *AgentEntry) bool { return a.Name == name }) {
@@ -100,7 +100,7 @@
 			}
 			a := &AgentEntry{Name: name, at: at}
 			agents = append(agents, a)
-			return []key{text("address", &a.Address), text("depot", &a.Depot), socket("talk", &a.Talk), truth("beyond_loopback", &a.Beyond)}, nil
+			return []key{text("address", &a.Address), text("depot", &a.Depot), socket("talk", &a.GossipAddress), truth("beyond_loopback", &a.AllowNonLoopback)}, nil
 		}},
 		"director": {many: func(name string, at syntax.Position) ([]key, error) {
 			if slices.ContainsFunc(directors, func(d *DirectorEntry) bool { return d.Name == name }) {
@@ -109,8 +109,8 @@
 			d := &DirectorEntry{Name: name, at: at}
 			directors = append(directors, d)
 			return []key{
-				text("agent", &d.Agent), text("config", &d.Config), text("settings", &d.Settings), text("socket", &d.Socket),
-				words("command", &d.Command), text("pidfile", &d.Pidfile),
+				text("agent", &d.Agent), text("config", &d.PlatformFile), text("settings", &d.SettingsFile), text("socket", &d.StatusSocket),
+				words("command", &d.Command), text("pidfile", &d.PIDFile),
 			}, nil
 		}},
 	})
@@ -124,12 +124,12 @@
 		switch {
 		case err != nil || ip == nil:
 			return nil, fault{a.at, fmt.Errorf("agent.address: %q of %s is no address and port", a.Address, a.Name)}
-		case !ip.IsLoopback() && !a.Beyond:
+		case !ip.IsLoopback() && !a.AllowNonLoopback:
 			return nil, fault{a.at, fmt.Errorf("agent.address: %s of %s lies beyond loopback, and beyond_loopback does not say so", a.Address, a.Name)}
-		case (a.Talk == "") != (inv.TalkKey == ""):
+		case (a.GossipAddress == "") != (inv.GossipKeyFile == ""):
 			return nil, fault{a.at, fmt.Errorf("agent.talk: of %s and fleet.talk_key, only one is given", a.Name)}
-		case a.Talk != "" && !a.Beyond && !netip.MustParseAddrPort(a.Talk).Addr().IsLoopback():
-			return nil, fault{a.at, fmt.Errorf("agent.talk: %s of %s lies beyond loopback, and beyond_loopback does not say so", a.Talk, a.Name)}
+		case a.GossipAddress != "" && !a.AllowNonLoopback && !netip.MustParseAddrPort(a.GossipAddress).Addr().IsLoopback():
+			return nil, fault{a.at, fmt.Errorf("agent.talk: %s of %s lies beyond loopback, and beyond_loopback does not say so", a.GossipAddress, a.Name)}
 		case addresses[a.Address] != "":
 			return nil, fault{a.at, fmt.Errorf("agent.address: %s is that of %s too", a.Address, addresses[a.Address])}
 		}
@@ -139,7 +139,7 @@
 	files := map[string]string{}
 	for _, d := range directors {
 		for _, x := range []struct{ key, value string }{
-			{"agent", d.Agent}, {"config", d.Config}, {"settings", d.Settings}, {"socket", d.Socket},
+			{"agent", d.Agent}, {"config", d.PlatformFile}, {"settings", d.SettingsFile}, {"socket", d.StatusSocket},
 		} {
 			if x.value == "" {
 				return nil, fault{d.at, fmt.Errorf("director.%s: missing for %s", x.key, d.Name)}
@@ -154,7 +154,7 @@
 		if inv.Agent(d.Agent) == nil {
 			return nil, fault{d.at, fmt.Errorf("director.agent: there is no agent %q", d.Agent)}
 		}
-		if len(d.Command) == 0 && d.Pidfile == "" {
+		if len(d.Command) == 0 && d.PIDFile == "" {
 			return nil, fault{d.at, fmt.Errorf("director.command: neither it nor a pidfile for %s", d.Name)}
 		}
 		inv.Directors = append(inv.Directors, *d)
--- a/internal/config/inventory_test.go
+++ b/internal/config/inventory_test.go
@@ -18,12 +18,12 @@
 `
 
 func TestInventory(t *testing.T) {
-	inv, err := ReadInventory("fleet.star", []byte(inventory))
+	inv, err := ParseInventory("fleet.star", []byte(inventory))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(inv.Agents) != 3 || len(inv.Directors) != 6 || inv.Lease != 20*policy.Second || inv.Agent("a2").Depot != "south" ||
-		len(inv.Of("a1")) != 2 || inv.Of("a1")[1].Settings != "n11.star" || inv.Agent("x") != nil {
+	if len(inv.Agents) != 3 || len(inv.Directors) != 6 || inv.LeaseDuration != 20*policy.Second || inv.Agent("a2").Depot != "south" ||
+		len(inv.DirectorsOf("a1")) != 2 || inv.DirectorsOf("a1")[1].SettingsFile != "n11.star" || inv.Agent("x") != nil {
 		t.Errorf("%+v", inv)
 	}
 	cases := []struct{ name, add, want string }{
@@ -44,12 +44,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if inv, err := ReadInventory("fleet.star", []byte(inventory+c.add)); err == nil || inv != nil || !strings.Contains(err.Error(), c.want) {
+			if inv, err := ParseInventory("fleet.star", []byte(inventory+c.add)); err == nil || inv != nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
 		})
 	}
-	if _, err := ReadInventory("fleet.star", nil); err == nil {
+	if _, err := ParseInventory("fleet.star", nil); err == nil {
 		t.Error("an empty one was taken")
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -29,17 +29,17 @@
 // Operator is what the operator's own file says: a Starlark script that calls each section's function at most once. What
 // it does not name has its default.
 type Operator struct {
-	Storm overload.Settings
-	Keys  dedup.Settings
-	Log   slog.Level
+	Overload overload.Settings
+	Dedup    dedup.Settings
+	LogLevel slog.Level
 	// Settle is how long nothing must have come after the signal to stop before the director ends; 0 for the margin's
 	// figure.
-	Settle policy.Micros
-	Cores  int      // 0: not said
-	Avoid  []string // boxes that are taken for draining, whatever the list says
-	State  string   // path of the socket at which the director tells how it is; empty for none
-	Peers  *Peers   // how it talks with other directors; nil for not at all
-	Sum    string   // of the script's bytes
+	QuietPeriod  policy.Micros
+	Cores        int      // 0: not said
+	AvoidNodes   []string // boxes that are taken for draining, whatever the list says
+	StatusSocket string   // path of the socket at which the director tells how it is; empty for none
+	Peers        *Peers   // how it talks with other directors; nil for not at all
+	Digest       string   // of the script's bytes
 }
 
 // Peers is how a director talks with others.
@@ -48,9 +48,9 @@
 	Advertise string // at which others reach it, where that is another one
 	Seeds     []string
 	Fleet     string // directors of another fleet are not heard
-	Followers int    // directors of a location that follow the command channel for the rest; 0: each does for itself
-	Key       string // file of the key that all of them share: 64 hex digits
-	KeyBytes  []byte
+	Delegates int    // directors of a location that follow the command channel for the rest; 0: each does for itself
+	KeyFile   string // file of the key that all of them share: 64 hex digits
+	SharedKey []byte
 }
 
 // keyBytes is the length of the key: AES-256.
@@ -69,9 +69,9 @@
 	return key, nil
 }
 
-// Permit says whether the platform lets directors do what the operator's file asks for.
-func (o Operator) Permit(s Site) error {
-	if o.Peers != nil && !s.Peers {
+// CheckAllowed says whether the platform lets directors do what the operator's file asks for.
+func (o Operator) CheckAllowed(s Site) error {
+	if o.Peers != nil && !s.AllowPeers {
 		return errors.New("peers: the platform's settings don't permit talk between directors (limits.peers)")
 	}
 	return nil
@@ -82,28 +82,28 @@
 	markPart  = 16  // part of the memory that marks may take where the file does not say how many
 )
 
-// Marks is the settings of keys, with as many marks as memory allows where the file says none.
-func (o Operator) Marks(l Limits) dedup.Settings {
-	k := o.Keys
+// DedupSettings is the settings of keys, with as many marks as memory allows where the file says none.
+func (o Operator) DedupSettings(l Limits) dedup.Settings {
+	k := o.Dedup
 	if k.MaxRecords < 0 {
-		k.MaxRecords = int(l.Memory() / markPart / markBytes)
+		k.MaxRecords = int(l.MemoryLimit() / markPart / markBytes)
 	}
 	return k
 }
 
-// Shards is how many cores' shards a director has: one, but where the file says more, up to what the platform allows.
-func (o Operator) Shards(l Limits) int { return max(1, min(o.Cores, l.CoresUp())) }
+// ShardCount is how many cores' shards a director has: one, but where the file says more, up to what the platform allows.
+func (o Operator) ShardCount(l Limits) int { return max(1, min(o.Cores, l.MaxProcs())) }
 
-// Follow says whether the settings that were read again can be taken by a director that runs on o.
-func (o Operator) Follow(next Operator, was, is Limits) error {
-	if o.State != next.State {
-		return fmt.Errorf("state.socket: a change from %q to %q needs a restart", o.State, next.State)
+// CheckReload says whether the settings that were read again can be taken by a director that runs on o.
+func (o Operator) CheckReload(next Operator, was, is Limits) error {
+	if o.StatusSocket != next.StatusSocket {
+		return fmt.Errorf("state.socket: a change from %q to %q needs a restart", o.StatusSocket, next.StatusSocket)
 	}
 	if !reflect.DeepEqual(o.Peers, next.Peers) {
 		return errors.New("peers: a change needs a restart")
 	}
-	if o.Shards(was) != next.Shards(is) {
-		return fmt.Errorf("machine.cores: a change from %d to %d needs a restart", o.Shards(was), next.Shards(is))
+	if o.ShardCount(was) != next.ShardCount(is) {
+		return fmt.Errorf("machine.cores: a change from %d to %d needs a restart", o.ShardCount(was), next.ShardCount(is))
 	}
 	return nil
 }
@@ -117,36 +117,36 @@
 
 // DefaultOperator is what holds without a file: fixed advice, and marks of deduped downloads.
 func DefaultOperator() Operator {
-	return Operator{Storm: overload.DefaultSettings(), Keys: dedup.Settings{MaxRecords: -1, RetainWindows: 20}}
+	return Operator{Overload: overload.DefaultSettings(), Dedup: dedup.Settings{MaxRecords: -1, RetainWindows: 20}}
 }
 
 // LoadOperator reads the file; with no path it gives the defaults. Errors name file, line and key.
 func LoadOperator(path string) (Operator, error) {
 	o := DefaultOperator()
-	if o.Sum = Sum(nil); path == "" {
+	if o.Digest = Digest(nil); path == "" {
 		return o, nil
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return o, err
 	}
-	return ReadOperator(path, raw)
+	return ParseOperator(path, raw)
 }
 
-// Sum tells apart what a file says.
-func Sum(raw []byte) string { return fmt.Sprintf("%x", sha256.Sum256(raw)) }
+// Digest tells apart what a file says.
+func Digest(raw []byte) string { return fmt.Sprintf("%x", sha256.Sum256(raw)) }
 
-// ReadOperator reads a script; the path is for its errors.
-func ReadOperator(path string, raw []byte) (Operator, error) {
+// ParseOperator reads a script; the path is for its errors.
+func ParseOperator(path string, raw []byte) (Operator, error) {
 	o := DefaultOperator()
-	if o.Sum = Sum(raw); len(raw) > largestFile {
+	if o.Digest = Digest(raw); len(raw) > largestFile {
 		return o, fmt.Errorf("%s: over %d bytes", path, largestFile)
 	}
-	p := Peers{Followers: 3}
+	p := Peers{Delegates: 3}
 	err := runScript(path, raw, map[string]section{
 		"peers": {keys: []key{
 			socket("listen", &p.Listen), socket("advertise", &p.Advertise), text("fleet", &p.Fleet),
-			count("followers", &p.Followers, 0, 100),
+			count("followers", &p.Delegates, 0, 100),
 			{"seeds", func(v starlark.Value) error {
 				if err := words("", &p.Seeds).set(v); err != nil {
 					return err
@@ -159,8 +159,8 @@
 				return nil
 			}},
 			{"key", func(v starlark.Value) (err error) {
-				if err = text("", &p.Key).set(v); err == nil {
-					p.KeyBytes, err = ReadKey(p.Key)
+				if err = text("", &p.KeyFile).set(v); err == nil {
+					p.SharedKey, err = ReadKey(p.KeyFile)
 				}
 				return err
 			}},
@@ -168,36 +168,36 @@
 			switch {
 			case p.Listen == "":
 				return errors.New("peers.listen: missing")
-			case p.Key == "":
+			case p.KeyFile == "":
 				return errors.New("peers.key: missing")
 			}
 			o.Peers = &p
 			return nil
 		}},
 		"storm": {keys: []key{
-			choice("mode", &o.Storm.Mode, map[string]overload.Mode{
+			choice("mode", &o.Overload.Mode, map[string]overload.Mode{
 				"guard": overload.ModeReserve, "fixed": overload.ModeFixed, "silent": overload.ModeSilent,
 			}),
-			ratio("reach", &o.Storm.Horizon, 0.1, 1),
-			count("windows", &o.Storm.Windows, 2, 1000),
-			ratio("rise", &o.Storm.DemandThreshold, 0.1, 100),
-			ratio("surge", &o.Storm.ConnectionSurge, 1, 1000),
-			ratio("repeats", &o.Storm.RetryShare, 0, 1),
-			ratio("cold", &o.Storm.ColdThreshold, 0, 1),
-			ratio("promise", &o.Storm.ReservableShare, 0.05, 1),
-			count("clients", &o.Storm.MaxReservations, 64, 1<<20),
+			ratio("reach", &o.Overload.Horizon, 0.1, 1),
+			count("windows", &o.Overload.Windows, 2, 1000),
+			ratio("rise", &o.Overload.DemandThreshold, 0.1, 100),
+			ratio("surge", &o.Overload.ConnectionSurge, 1, 1000),
+			ratio("repeats", &o.Overload.RetryShare, 0, 1),
+			ratio("cold", &o.Overload.ColdThreshold, 0, 1),
+			ratio("promise", &o.Overload.ReservableShare, 0.05, 1),
+			count("clients", &o.Overload.MaxReservations, 64, 1<<20),
 		}},
 		"keys": {keys: []key{
-			count("marks", &o.Keys.MaxRecords, 0, 1<<20),
-			ratio("remember", &o.Keys.RetainWindows, 1, 1000),
-			choice("strangers", &o.Keys.FailUnknownRetries, map[string]bool{"send": false, "abandon": true}),
+			count("marks", &o.Dedup.MaxRecords, 0, 1<<20),
+			ratio("remember", &o.Dedup.RetainWindows, 1, 1000),
+			choice("strangers", &o.Dedup.FailUnknownRetries, map[string]bool{"send": false, "abandon": true}),
 		}},
-		"door":    {keys: []key{timed("settle", &o.Settle, time.Millisecond, 10*time.Second)}},
+		"door":    {keys: []key{timed("settle", &o.QuietPeriod, time.Millisecond, 10*time.Second)}},
 		"machine": {keys: []key{count("cores", &o.Cores, 1, 256)}},
-		"avoid":   {keys: []key{words("boxes", &o.Avoid)}},
-		"state":   {keys: []key{text("socket", &o.State)}},
+		"avoid":   {keys: []key{words("boxes", &o.AvoidNodes)}},
+		"state":   {keys: []key{text("socket", &o.StatusSocket)}},
 		"log": {keys: []key{
-			choice("level", &o.Log, map[string]slog.Level{
+			choice("level", &o.LogLevel, map[string]slog.Level{
 				"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError,
 			}),
 		}},
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -20,9 +20,9 @@
 }
 
 func TestOperator(t *testing.T) {
-	plain := func(o Operator) Operator { o.Sum = ""; return o }
+	plain := func(o Operator) Operator { o.Digest = ""; return o }
 	o, err := LoadOperator("")
-	if err != nil || !reflect.DeepEqual(plain(o), DefaultOperator()) || o.Storm.Mode != overload.ModeFixed || o.Marks(Limits{MemoryMB: 32}).MaxRecords != 4915 {
+	if err != nil || !reflect.DeepEqual(plain(o), DefaultOperator()) || o.Overload.Mode != overload.ModeFixed || o.DedupSettings(Limits{MemoryMB: 32}).MaxRecords != 4915 {
 		t.Errorf("without a file: %+v, %v", o, err)
 	}
 	o, err = operator(t, `
@@ -34,15 +34,15 @@
 avoid(boxes = ["box-" + str(i) for i in range(2)])
 state(socket = "/run/n0.sock")
 `)
-	if err != nil || o.Storm.Mode != overload.ModeReserve || o.Storm.Windows != 20 || o.Storm.DemandThreshold != 1.5 || o.Storm.ConnectionSurge != 4 ||
-		o.Keys.RetainWindows != 5 || !o.Keys.FailUnknownRetries || o.Keys.MaxRecords != 100 || o.Settle != 250_000 || o.Log != slog.LevelWarn ||
-		!reflect.DeepEqual(o.Avoid, []string{"box-0", "box-1"}) || o.State != "/run/n0.sock" || len(o.Sum) != 64 {
+	if err != nil || o.Overload.Mode != overload.ModeReserve || o.Overload.Windows != 20 || o.Overload.DemandThreshold != 1.5 || o.Overload.ConnectionSurge != 4 ||
+		o.Dedup.RetainWindows != 5 || !o.Dedup.FailUnknownRetries || o.Dedup.MaxRecords != 100 || o.QuietPeriod != 250_000 || o.LogLevel != slog.LevelWarn ||
+		!reflect.DeepEqual(o.AvoidNodes, []string{"box-0", "box-1"}) || o.StatusSocket != "/run/n0.sock" || len(o.Digest) != 64 {
 		t.Errorf("read as %+v, %v", o, err)
 	}
-	if o, err = LoadOperator("../../deploy/director.star"); err != nil || o.Storm.Mode != overload.ModeReserve {
+	if o, err = LoadOperator("../../deploy/director.star"); err != nil || o.Overload.Mode != overload.ModeReserve {
 		t.Errorf("the file that is delivered: %+v, %v", o, err)
 	}
-	if o.Storm.Mode = overload.ModeFixed; !reflect.DeepEqual(plain(o), DefaultOperator()) {
+	if o.Overload.Mode = overload.ModeFixed; !reflect.DeepEqual(plain(o), DefaultOperator()) {
 		t.Errorf("the file that is delivered says other figures than the defaults: %+v", o)
 	}
 }
@@ -53,15 +53,15 @@
 		allowed float64
 		want    int
 	}{{0, 4, 1}, {1, 4, 1}, {4, 4, 4}, {4, 3.2, 4}, {8, 2, 2}, {8, 0.3, 1}} {
-		if got := (Operator{Cores: c.asked}).Shards(Limits{Cores: c.allowed}); got != c.want {
+		if got := (Operator{Cores: c.asked}).ShardCount(Limits{Cores: c.allowed}); got != c.want {
 			t.Errorf("%d asked, %v allowed: %d, want %d", c.asked, c.allowed, got, c.want)
 		}
 	}
 	two := Limits{Cores: 2}
-	if err := (Operator{Cores: 2}).Follow(Operator{Cores: 1}, two, two); err == nil || !strings.Contains(err.Error(), "machine.cores") {
+	if err := (Operator{Cores: 2}).CheckReload(Operator{Cores: 1}, two, two); err == nil || !strings.Contains(err.Error(), "machine.cores") {
 		t.Errorf("a reload that changes the cores: %v", err)
 	}
-	if err := (Operator{Cores: 2}).Follow(Operator{Cores: 3}, two, two); err != nil {
+	if err := (Operator{Cores: 2}).CheckReload(Operator{Cores: 3}, two, two); err != nil {
 		t.Errorf("one that does not: %v", err)
 	}
 }
@@ -79,22 +79,22 @@
 		return "peers(\n listen = \"" + listen + "\",\n " + more + "\n key = \"" + key + "\")"
 	}
 	o, err := operator(t, with("127.0.0.1:7946", `seeds = ["127.0.0.2:7946", "127.0.0.3:7946"], advertise = "127.0.0.9:1", fleet = "depots",`, good))
-	if err != nil || o.Peers == nil || o.Peers.Listen != "127.0.0.1:7946" || len(o.Peers.Seeds) != 2 || len(o.Peers.KeyBytes) != 32 ||
+	if err != nil || o.Peers == nil || o.Peers.Listen != "127.0.0.1:7946" || len(o.Peers.Seeds) != 2 || len(o.Peers.SharedKey) != 32 ||
 		o.Peers.Advertise != "127.0.0.9:1" || o.Peers.Fleet != "depots" {
 		t.Fatalf("%+v, %v", o.Peers, err)
 	}
-	if err := o.Permit(Site{}); err == nil || !strings.Contains(err.Error(), "peers: the platform's settings") {
+	if err := o.CheckAllowed(Site{}); err == nil || !strings.Contains(err.Error(), "peers: the platform's settings") {
 		t.Errorf("not permitted: %v", err)
 	}
-	if err := o.Permit(Site{Peers: true}); err != nil {
+	if err := o.CheckAllowed(Site{AllowPeers: true}); err != nil {
 		t.Error(err)
 	}
-	if err := DefaultOperator().Permit(Site{}); err != nil {
+	if err := DefaultOperator().CheckAllowed(Site{}); err != nil {
 		t.Error(err)
 	}
 	next := o
 	next.Peers = &Peers{Listen: "127.0.0.1:7947"}
-	if err := o.Follow(next, Limits{}, Limits{}); err == nil || !strings.Contains(err.Error(), "peers: a change needs a restart") {
+	if err := o.CheckReload(next, Limits{}, Limits{}); err == nil || !strings.Contains(err.Error(), "peers: a change needs a restart") {
 		t.Errorf("followed: %v", err)
 	}
 	for _, c := range []struct{ name, text, want string }{
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -68,9 +68,9 @@
 // Site is the settings with the names that the protocols use for what is counted there.
 type Site struct {
 	policy.Settings
-	Types, Zones, Kinds []string
-	Weights, NoteLevel  string // as they were given, for the check of the shape
-	Peers               bool   // directors may talk to each other
+	TypeNames, ZoneNames, KindNames []string
+	Weights, NoteLevel              string // as they were given, for the check of the shape
+	AllowPeers                      bool   // directors may talk to each other
 }
 
 // The two shapes of a deployment, by the words of the two keys that tell them apart: the old one with nodes of one
@@ -105,7 +105,7 @@
 	}
 	s.AllowDirect, s.CoalesceFills, s.ReportsCacheStatus = sp.Straight, sp.SharesFills, sp.NoteLevel == "all"
 	s.Weights, s.NoteLevel, s.WeightsAreSizes = p.Weights, sp.NoteLevel, weightsShape[p.Weights] == "new"
-	s.Peers = p.Limits.Peers
+	s.AllowPeers = p.Limits.Peers
 	s.CanCancel, s.ConcurrentAttempts = p.Limits.Cancel, p.Limits.SecondCopies
 	s.ZoneDirectors, s.FillLinkKBPerSecond = at(sp.CountByZone, p.Zone), at(sp.Links, p.Zone)
 	for _, n := range sp.CountByZone {
@@ -118,7 +118,7 @@
 	}
 	s.AnswerGrace, s.ConnectTimeout = span(c.Grace), span(p.Limits.Connect)
 	s.KeepAliveTimeout, s.MaxConcurrentStreams = span(p.Limits.KeepAlive), p.Limits.Streams
-	s.Zones, s.Kinds = p.Zones, p.Kinds
+	s.ZoneNames, s.KindNames = p.Zones, p.Kinds
 	s.PurgeRetention, s.PurgePropagation, s.DrainPropagation = span(sp.GoneEverywhere), span(sp.PurgeGrace), span(c.Drain)
 	if p.Limits.RetryAfter {
 		s.MaxRetryAfter = span(p.Limits.MaxRetryAfter)
@@ -132,7 +132,7 @@
 		if !ok {
 			return s, fmt.Errorf("lanes[%d].dedup-scope: %q is not known", i, lane.DedupScope)
 		}
-		s.Types = append(s.Types, lane.Name)
+		s.TypeNames = append(s.TypeNames, lane.Name)
 		s.Settings.ContentTypes = append(s.Settings.ContentTypes, &policy.ContentType{
 			LatencyObjective: span(lane.Aim), TransferFactor: lane.Stretch, Timeout: span(lane.HardLimit),
 			RetrySafety: repeat, DedupScope: scope, DedupWindow: span(lane.DedupWindow),
--- a/internal/ctl/boxes.go
+++ b/internal/ctl/boxes.go
@@ -17,7 +17,7 @@
 func (v *Snapshot) CheckCacheNode(box string) error {
 	known := map[string]bool{}
 	for _, d := range v.Directors {
-		for _, b := range d.Report.Beliefs {
+		for _, b := range d.Report.NodeViews {
 			known[b.ID] = true
 		}
 	}
--- a/internal/ctl/boxes_test.go
+++ b/internal/ctl/boxes_test.go
@@ -11,7 +11,7 @@
 func TestListed(t *testing.T) {
 	tells := func(names ...string) (d DirectorStatus) {
 		for _, name := range names {
-			d.Report.Beliefs = append(d.Report.Beliefs, routing.EndpointView{ID: name})
+			d.Report.NodeViews = append(d.Report.NodeViews, routing.EndpointView{ID: name})
 		}
 		return d
 	}
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -35,7 +35,7 @@
 // Open reaches the fleet of an inventory as the owner of a certificate.
 func Open(inv *config.Inventory, id *authority.Identity) *Fleet {
 	t := rollout.DefaultTimeouts()
-	t.Lease = inv.Lease
+	t.Lease = inv.LeaseDuration
 	return &Fleet{
 		Inventory: inv, HolderID: id.Name() + "/" + random(4), peers: agent.NewClients(inv, id), start: time.Now(), times: t,
 	}
@@ -154,7 +154,7 @@
 			x.AgentReachable, x.Up, x.Reason, x.Script, x.Settings = true, ds.GetUp(), ds.GetWhy(), ds.GetScript(), ds.GetSettings()
 			if x.Up {
 				json.Unmarshal(ds.GetReport(), &x.Report)
-				x.Drifted = x.Settings != config.Sum([]byte(x.Script))
+				x.Drifted = x.Settings != config.Digest([]byte(x.Script))
 			}
 		}
 		v.Directors = append(v.Directors, x)
@@ -238,7 +238,7 @@
 			continue
 		}
 		for _, name := range []string{"fulfilled", "throttled", "abandoned"} {
-			n := x.Report.Counts[name] - b.Counts[name]
+			n := x.Report.Counters[name] - b.Counters[name]
 			if all += n; name == "fulfilled" {
 				good += n
 			}
@@ -439,7 +439,7 @@
 	if len(boxes) > 0 {
 		script += fmt.Sprintf("avoid(boxes = [%s]) # by tallyctl\n", `"`+strings.Join(boxes, `", "`)+`"`)
 	}
-	if _, err := config.ReadOperator("script", []byte(script)); err != nil {
+	if _, err := config.ParseOperator("script", []byte(script)); err != nil {
 		return "", err
 	}
 	return script, nil
--- a/internal/ctl/golden_test.go
+++ b/internal/ctl/golden_test.go
@@ -27,7 +27,7 @@
 			Agents: []AgentStatus{{Name: "a0", Depot: "east", Reachable: true, Reason: "slow", Members: map[string]string{"a1": "up"}}},
 			Directors: []DirectorStatus{{
 				Name: "n0", Agent: "a0", Depot: "east", Up: true, Reason: "slow", Script: "log()", Drifted: true, AgentReachable: true, Settings: "sum",
-				Report: status.Report{Name: "n0", PID: 7, Counts: map[string]int64{"fulfilled": 1}},
+				Report: status.Report{Name: "n0", PID: 7, Counters: map[string]int64{"fulfilled": 1}},
 			}},
 			Changes: []ChangeStatus{change}, Holder: "op/2", HeldFor: 11, LeaseLeft: 12,
 		}, `{"agents":[{"name":"a0","depot":"east","answers":true,"why":"slow","members":{"a1":"up"}}],"directors":[{"name":"n0","agent":"a0","depot":"east","up":true,"why":"slow","script":"log()","drifted":true,"known":true,"report":{"name":"n0","pid":7,"started":"0001-01-01T00:00:00Z","stopping":false,"settings":"","platform":"","reloads":0,"refused":"","cores":0,"told":0,"in_force":0,"avoided":null,"clients":0,"most_clients":0,"node_connections":0,"open":0,"counts":{"fulfilled":1},"keys_held":0,"keys_full":0,"storm":{"State":0,"Asks":0,"Repeats":0,"Early":0,"Connects":0,"Demand":0,"Warm":0,"Promised":0,"Kept":0,"Part":0,"Remembers":0},"beliefs":null},"settings":"sum"}],"changes":[{"id":"c1","by":"op/1","note":"why","undoes":"c0","outcome":"go","open":true,"directors":{"n0":"failed"},"whys":{"n0":"bad"}}],"holder":"op/2","held":11,"left":12}`},
@@ -36,7 +36,7 @@
 		{"empty change", ChangeStatus{}, `{"id":"","by":"","note":"","outcome":"","open":false,"directors":null}`},
 		{"agent", AgentStatus{}, `{"name":"","depot":"","answers":false}`},
 		{"director whose report has every part", DirectorStatus{Report: status.Report{
-			Beliefs: []routing.EndpointView{{}}, Peers: &membership.Report{Peers: []membership.PeerReport{{}}}, Follow: &relays.Report{}, Word: &gossip.Report{},
+			NodeViews: []routing.EndpointView{{}}, Membership: &membership.Report{Peers: []membership.PeerReport{{}}}, Relay: &relays.Report{}, Gossip: &gossip.Report{},
 		}}, `{"name":"","agent":"","depot":"","up":false,"script":"","drifted":false,"known":false,"report":{"name":"","pid":0,"started":"0001-01-01T00:00:00Z","stopping":false,"settings":"","platform":"","reloads":0,"refused":"","cores":0,"told":0,"in_force":0,"avoided":null,"clients":0,"most_clients":0,"node_connections":0,"open":0,"counts":null,"keys_held":0,"keys_full":0,"storm":{"State":0,"Asks":0,"Repeats":0,"Early":0,"Connects":0,"Demand":0,"Warm":0,"Promised":0,"Kept":0,"Part":0,"Remembers":0},"beliefs":[{"id":"","kind":"","state":"","warm":0,"out":0,"limit":0,"skipped":0,"trial":false,"heard":0}],"peers":{"name":"","born":0,"standing":"","sum":"","since":0,"sharing":0,"zone_part":0,"fleet_part":0,"peers":[{"name":"","born":0,"state":"","since":0,"alike":false}]},"follow":{"calls":false,"chosen":false,"sources":null,"age_us":0,"sum":""},"word":{"own_age_us":0,"newest_age_us":0,"avoided":null,"heard":0}},"settings":""}`},
 	}
 	for _, c := range cases {
--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -17,7 +17,7 @@
 	groups, parts := map[string][]string{}, map[string]string{}
 	var talk []DirectorStatus
 	for _, d := range v.Directors {
-		if p := d.Report.Peers; d.Up && p != nil {
+		if p := d.Report.Membership; d.Up && p != nil {
 			talk = append(talk, d)
 			groups[p.Digest] = append(groups[p.Digest], d.Name)
 			parts[p.Digest] = fmt.Sprintf("with %s, part %.2f of the zone's, %.2f of all", p.PartitionState, p.ZoneQuota, p.FleetQuota)
@@ -42,7 +42,7 @@
 	lines = append(lines, follows(talk)...)
 	for _, d := range talk {
 		var missing []string
-		for _, p := range d.Report.Peers.Peers {
+		for _, p := range d.Report.Membership.Peers {
 			if p.State != "up" {
 				missing = append(missing, fmt.Sprintf("%s %s for %v", p.Name, p.State, (time.Duration(p.StateAge)*time.Microsecond).Round(time.Second)))
 			}
@@ -50,7 +50,7 @@
 		if len(missing) > 0 {
 			lines = append(lines, fmt.Sprintf("%s sees: %s", d.Name, strings.Join(missing, ", ")))
 		}
-		if c := d.Report.Peers.NameConflict; c != "" {
+		if c := d.Report.Membership.NameConflict; c != "" {
 			lines = append(lines, fmt.Sprintf("%s: another director goes by this name, at %s", d.Name, c))
 		}
 	}
@@ -67,7 +67,7 @@
 func follows(talk []DirectorStatus) (lines []string) {
 	var who []string
 	for _, d := range talk {
-		if f := d.Report.Follow; f != nil && f.Polls {
+		if f := d.Report.Relay; f != nil && f.Polls {
 			who = append(who, d.Name)
 		}
 	}
@@ -75,7 +75,7 @@
 		lines = append(lines, "the command channel is asked by "+strings.Join(who, ", "))
 	}
 	for _, d := range talk {
-		if f := d.Report.Follow; f != nil && time.Duration(f.AgeMicros)*time.Microsecond > old {
+		if f := d.Report.Relay; f != nil && time.Duration(f.AgeMicros)*time.Microsecond > old {
 			lines = append(lines, fmt.Sprintf("%s: its list of nodes is known to have held %v ago; it hears %s", d.Name,
 				(time.Duration(f.AgeMicros)*time.Microsecond).Round(time.Second), cmp.Or(strings.Join(f.Sources, ", "), "nobody who knows more")))
 		}
--- a/internal/ctl/views_test.go
+++ b/internal/ctl/views_test.go
@@ -11,7 +11,7 @@
 
 func TestViews(t *testing.T) {
 	director := func(name, sum, standing string, rows ...membership.PeerReport) DirectorStatus {
-		return DirectorStatus{Name: name, Up: true, Report: status.Report{Peers: &membership.Report{Digest: sum, PartitionState: standing, ZoneQuota: 1, FleetQuota: 1.25, Peers: rows}}}
+		return DirectorStatus{Name: name, Up: true, Report: status.Report{Membership: &membership.Report{Digest: sum, PartitionState: standing, ZoneQuota: 1, FleetQuota: 1.25, Peers: rows}}}
 	}
 	gone := membership.PeerReport{Name: "n2", State: "failed", StateAge: 4_000_000}
 	cases := []struct {
@@ -27,13 +27,13 @@
 				"n0 sees: n2 failed for 4s", "n1 sees: n2 failed for 4s"}},
 		{"a name twice", []DirectorStatus{func() DirectorStatus {
 			d := director("n0", "a", "most")
-			d.Report.Peers.NameConflict = "127.0.0.9:1"
+			d.Report.Membership.NameConflict = "127.0.0.9:1"
 			return d
 		}()},
 			[]string{"one view: n0", "n0: another director goes by this name, at 127.0.0.9:1"}},
 	}
 	follower, hearer := director("n0", "a", "most"), director("n1", "a", "most")
-	follower.Report.Follow, hearer.Report.Follow = &relays.Report{Polls: true}, &relays.Report{AgeMicros: 7_000_000, Sources: []string{"n0"}}
+	follower.Report.Relay, hearer.Report.Relay = &relays.Report{Polls: true}, &relays.Report{AgeMicros: 7_000_000, Sources: []string{"n0"}}
 	cases = append(cases, struct {
 		name      string
 		directors []DirectorStatus
--- a/internal/discovery/feed.go
+++ b/internal/discovery/feed.go
@@ -186,7 +186,7 @@
 				if row.Weight != nil {
 					n.Weight = *row.Weight
 				}
-				n.Zone, n.Kind = slices.Index(f.site.Zones, row.Zone), slices.Index(f.site.Kinds, row.Type)
+				n.Zone, n.Kind = slices.Index(f.site.ZoneNames, row.Zone), slices.Index(f.site.KindNames, row.Type)
 				state, ok := states[row.Status]
 				if !ok || row.Name == "" || strings.ContainsAny(row.Name, " ,=\r\n") {
 					return nil, fmt.Errorf("cmds[%d].nodes: status %q of name %q can't be used", i, row.Status, row.Name)
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -18,7 +18,7 @@
 	"tallyproxy/stall"
 )
 
-var site = config.Site{Zones: []string{"east", "west"}, Kinds: []string{"std", "parent"}}
+var site = config.Site{ZoneNames: []string{"east", "west"}, KindNames: []string{"std", "parent"}}
 
 const (
 	list = `{"cursor":1,"nodes":{"index":7,"snapshot":true,"endpoints":[` +
--- a/internal/dispatch/route_test.go
+++ b/internal/dispatch/route_test.go
@@ -205,7 +205,7 @@
 		RequestRead: 60 * policy.Second, DownstreamIdle: 60 * policy.Second}
 	p := bufpool.New(64)
 	fleet := upstream.New(p, m, 8)
-	site := config.Site{Types: []string{"clip"}, Settings: policy.Settings{ContentTypes: []*policy.ContentType{{Timeout: 60 * policy.Second}}}}
+	site := config.Site{TypeNames: []string{"clip"}, Settings: policy.Settings{ContentTypes: []*policy.ContentType{{Timeout: 60 * policy.Second}}}}
 	b.Router, b.fleet = New(b.script, m, fleet, 1), fleet
 	go b.Router.Run()
 	server := downstream.New([]downstream.Handler{b.Router.Shards()[0]}, site, p, 8, m)
--- a/internal/dispatch/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := downstream.New(sinks, config.Site{Types: []string{"clip"}, Settings: s}, p, 64, m)
+	server := downstream.New(sinks, config.Site{TypeNames: []string{"clip"}, Settings: s}, p, 64, m)
 	go server.Serve(l)
 	for i := range shards { // each goes to the next shard
 		nc, err := net.Dial("tcp", l.Addr().String())
--- a/internal/downstream/front.go
+++ b/internal/downstream/front.go
@@ -65,7 +65,7 @@
 		sinks: sinks, types: map[string]*policy.ContentType{}, pool: p, margins: m, conns: map[*Conn]struct{}{},
 		left: make(chan struct{}, 1),
 	}
-	for i, name := range site.Types {
+	for i, name := range site.TypeNames {
 		s.types[name] = site.Settings.ContentTypes[i]
 	}
 	s.SetMaxConns(most)
--- a/internal/downstream/front_test.go
+++ b/internal/downstream/front_test.go
@@ -65,7 +65,7 @@
 }
 
 var site = config.Site{
-	Types: []string{"segment", "cover"},
+	TypeNames: []string{"segment", "cover"},
 	Settings: policy.Settings{ContentTypes: []*policy.ContentType{
 		{Timeout: 2 * policy.Second}, {Timeout: 2 * policy.Second, RetrySafety: policy.IdempotentWithKey, Unsplit: true},
 	}},
--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rollout.Plan(ctl.NewChangeID(), "op", line, places, limit, func(s string) string { return config.Sum([]byte(s)) },
+	return rollout.Plan(ctl.NewChangeID(), "op", line, places, limit, func(s string) string { return config.Digest([]byte(s)) },
 		func(p rollout.Candidate) string { return p.Script + line + "\n" })
 }
 
@@ -106,7 +106,7 @@
 	// taken back, as a change of its own
 	v := op.Snapshot(t.Context())
 	of, before := v.Change(change.ID)
-	undo := rollout.Undo(ctl.NewChangeID(), "op", of, before, func(s string) string { return config.Sum([]byte(s)) })
+	undo := rollout.Undo(ctl.NewChangeID(), "op", of, before, func(s string) string { return config.Digest([]byte(s)) })
 	if r, err := op.Run(t.Context(), undo, nil, nil); err != nil || !r.AllOrNone() {
 		t.Fatalf("undo: %+v, %v", r, err)
 	}
@@ -397,7 +397,7 @@
 		}
 		v := op.Snapshot(t.Context())
 		places, _ := v.Candidates()
-		change := rollout.Plan(ctl.NewChangeID(), "op", "x", places, 1, func(s string) string { return config.Sum([]byte(s)) },
+		change := rollout.Plan(ctl.NewChangeID(), "op", "x", places, 1, func(s string) string { return config.Digest([]byte(s)) },
 			func(p rollout.Candidate) string { return strings.Replace(p.Script, ".sock", ".elsewhere", 1) })
 		r, err = op.Run(t.Context(), change, nil, nil)
 		if err != nil || r.StopReason == "" || !strings.Contains(r.StopReason, "needs a restart") {
@@ -485,7 +485,7 @@
 	zipf := fakes.NewZipf(200, 1)
 	for i, d := range f.Inventory.Directors {
 		c := &fakes.Client{
-			W: f.World, Targets: []*fakes.Target{{Addr: listenOf(t, d.Config)}}, Retries: 5, Wait: 50 * time.Millisecond,
+			W: f.World, Targets: []*fakes.Target{{Addr: listenOf(t, d.PlatformFile)}}, Retries: 5, Wait: 50 * time.Millisecond,
 			Rand: newRand(uint64(i)), Zipf: zipf,
 		}
 		all.Go(func() { c.Live(ctx, 0, 20*time.Millisecond) })
@@ -496,7 +496,7 @@
 			t.Fatal("the box has no share")
 		}
 	}
-	change := rollout.Plan(ctl.NewChangeID(), "op", "drain", places, 1, func(s string) string { return config.Sum([]byte(s)) },
+	change := rollout.Plan(ctl.NewChangeID(), "op", "drain", places, 1, func(s string) string { return config.Digest([]byte(s)) },
 		func(p rollout.Candidate) string {
 			script, err := ctl.EditAvoidedNodes(p.Script, "box-0", true)
 			if err != nil {
--- a/internal/experiment/together.go
+++ b/internal/experiment/together.go
@@ -59,7 +59,7 @@
 		}
 		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: g.Directors, TotalDirectors: g.Directors,
 			ConnectTimeout: 400_000 * slow, EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second * slow}})
-		t, err := gossipnet.Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "lab", KeyBytes: bytes.Repeat([]byte{7}, 32)}, s, now,
+		t, err := gossipnet.Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "lab", SharedKey: bytes.Repeat([]byte{7}, 32)}, s, now,
 			gossipnet.Handlers{})
 		if err != nil {
 			return nil, err
--- a/internal/faulttest/rig.go
+++ b/internal/faulttest/rig.go
@@ -222,17 +222,17 @@
 	sum, there := "", slices.DeleteFunc(r.Processes(), func(p *Process) bool { return !r.isUp(p) || p.twin })
 	for _, p := range there {
 		report, err := status.Read(ctx, p.Socket)
-		if err != nil || report.Peers == nil {
+		if err != nil || report.Membership == nil {
 			return false
 		}
 		up := 1
-		for _, o := range report.Peers.Peers {
+		for _, o := range report.Membership.Peers {
 			up += bit(o.State == "up")
 		}
-		if up != len(there) || sum != "" && sum != report.Peers.Digest {
+		if up != len(there) || sum != "" && sum != report.Membership.Digest {
 			return false
 		}
-		sum = report.Peers.Digest
+		sum = report.Membership.Digest
 	}
 	return true
 }
@@ -494,7 +494,7 @@
 // chosen are those that follow the channel by their place, as they see it.
 func (r *Rig) chosen(ctx context.Context) (who []int) {
 	for i, p := range r.Processes() {
-		if report, err := status.Read(ctx, p.Socket); err == nil && report.Follow != nil && report.Follow.Delegate {
+		if report, err := status.Read(ctx, p.Socket); err == nil && report.Relay != nil && report.Relay.Delegate {
 			who = append(who, i)
 		}
 	}
@@ -661,7 +661,7 @@
 		return nil
 	}
 	raw, _ := os.ReadFile(filepath.Join(r.dir, "0.star"))
-	o, err := config.ReadOperator("liar", raw)
+	o, err := config.ParseOperator("liar", raw)
 	if err != nil || o.Peers == nil {
 		return nil
 	}
--- a/internal/gossipnet/peering.go
+++ b/internal/gossipnet/peering.go
@@ -147,7 +147,7 @@
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Transport, c.Label, c.SecretKey, c.Logger = s.Name, transport, o.Fleet, o.KeyBytes, logger
+	c.Name, c.Transport, c.Label, c.SecretKey, c.Logger = s.Name, transport, o.Fleet, o.SharedKey, logger
 	c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = host, port, host, port
 	if o.Advertise != "" {
 		if c.AdvertiseAddr, c.AdvertisePort, err = address(o.Advertise); err != nil {
--- a/internal/gossipnet/peering_test.go
+++ b/internal/gossipnet/peering_test.go
@@ -29,7 +29,7 @@
 	begun := time.Now()
 	s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: 3, TotalDirectors: 3, ConnectTimeout: 400_000,
 		EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second}})
-	talk, err := Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "test", KeyBytes: bytes.Repeat([]byte{key}, 32)}, s,
+	talk, err := Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "test", SharedKey: bytes.Repeat([]byte{key}, 32)}, s,
 		func() policy.Micros {
 			return policy.Second*100 + policy.Micros(time.Since(begun)/time.Microsecond)
 		},
@@ -197,7 +197,7 @@
 		begun := time.Now()
 		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: 2, TotalDirectors: 2, ConnectTimeout: 400_000,
 			EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second}})
-		talk, err := Start(config.Peers{Listen: at[i], Advertise: advertise, Seeds: seeds, Fleet: "test", KeyBytes: bytes.Repeat([]byte{1}, 32)}, s,
+		talk, err := Start(config.Peers{Listen: at[i], Advertise: advertise, Seeds: seeds, Fleet: "test", SharedKey: bytes.Repeat([]byte{1}, 32)}, s,
 			func() policy.Micros { return policy.Second + policy.Micros(time.Since(begun)/time.Microsecond) }, ears)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -73,7 +73,7 @@
 	g.book = gossip.New(g.clock(), w)
 	own.StartSuspect(own.Now())
 	g.took(known, g.clock()-2*g.kept) // what others hear of the channel is newer than a file
-	g.ears = newHearing(g, relays.DeriveSettings(c.Name, followers, len(c.Site.Zones), len(c.Site.Kinds), s))
+	g.ears = newHearing(g, relays.DeriveSettings(c.Name, followers, len(c.Site.ZoneNames), len(c.Site.KindNames), s))
 	g.ears.fold(known)
 	channel.SetShouldPoll(g.ears.may)
 }
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -135,17 +135,17 @@
 	}
 	o, err := config.LoadOperator(f.Settings)
 	if err == nil {
-		_, err = discovery.New(c.Site).DecodeKnown(c.Known)
+		_, err = discovery.New(c.Site).DecodeKnown(c.Bootstrap)
 	}
 	if err == nil {
-		err = o.Permit(c.Site)
+		err = o.CheckAllowed(c.Site)
 	}
 	return c, o, err
 }
 
 // options are what the operator's file says to the decisions.
 func options(o config.Operator, l config.Limits, g *gossipDriver) routing.Options {
-	return routing.Options{Overload: o.Storm, Dedup: o.Marks(l), QuotaShare: g.held, OnOverloadReport: func(_ policy.Micros, r overload.Report) {
+	return routing.Options{Overload: o.Overload, Dedup: o.DedupSettings(l), QuotaShare: g.held, OnOverloadReport: func(_ policy.Micros, r overload.Report) {
 		slog.Info(logevent.OverloadState, "state", r.State, "demand", r.Demand, "warm", r.WarmShare, "admissions", r.Requests, "retries", r.Retries,
 			"early_retries", r.EarlyRetries, "connects", r.NewConnections, "reserved", r.ReservedShare, "reservations_kept", r.KeptShare)
 	}}
@@ -157,12 +157,12 @@
 	if err != nil {
 		return err
 	}
-	level.Set(o.Log)
+	level.Set(o.LogLevel)
 	limitRuntime(c.Limits, o)
 	margins := routing.Timeouts(c.Site.Settings)
-	buffers := bufpool.New(c.Limits.Buffers(bufpool.BufferSize))
-	fleet := upstream.New(buffers, margins, c.Limits.Dials())
-	shards := o.Shards(c.Limits)
+	buffers := bufpool.New(c.Limits.MaxBuffers(bufpool.BufferSize))
+	fleet := upstream.New(buffers, margins, c.Limits.MaxNodeConnections())
+	shards := o.ShardCount(c.Limits)
 	if o.Cores > shards {
 		slog.Warn(logevent.CoresLimited, "requested", o.Cores, "allowed", shards)
 	}
@@ -174,12 +174,12 @@
 	channel.SetStallMonitor(heard{own, g})
 	d := newDecider(ownSettings(c), options(o, c.Limits, g), margins, fleet, shards, f.Divided)
 	d.watch(own)
-	known, err := channel.DecodeKnown(c.Known)
+	known, err := channel.DecodeKnown(c.Bootstrap)
 	if err != nil {
 		return err
 	}
 	g.d = d
-	g.avoid(o.Avoid)
+	g.avoid(o.AvoidNodes)
 	d.apply(known)
 	l, err := net.Listen("tcp4", c.Listen) // IPv4 alone: a wildcard address would open an IPv6 socket
 	if err != nil {
@@ -190,17 +190,17 @@
 	go own.run(ctx)
 	d.run()
 	if o.Peers != nil {
-		g.keep(c, o.Peers.Followers, own, channel, known)
+		g.keep(c, o.Peers.Delegates, own, channel, known)
 		if err := g.start(*o.Peers, c, fleet); err != nil {
 			l.Close()
 			return err
 		}
 	}
-	server := downstream.New(d.sinks, c.Site, buffers, c.Limits.Clients(), margins)
+	server := downstream.New(d.sinks, c.Site, buffers, c.Limits.MaxClientConnections(), margins)
 	go server.Serve(l)
 	keeper := &keeper{started: time.Now(), c: c, o: o}
-	if o.State != "" {
-		socket, err := status.Serve(o.State, func() status.Report { return keeper.report(d, server, fleet, g) })
+	if o.StatusSocket != "" {
+		socket, err := status.Serve(o.StatusSocket, func() status.Report { return keeper.report(d, server, fleet, g) })
 		if err != nil {
 			l.Close()
 			return fmt.Errorf("state.socket: %w", err)
@@ -219,10 +219,10 @@
 		case <-reload:
 			next, nextO, err := load(f, getenv)
 			if err == nil {
-				next, err = c.Follow(next)
+				next, err = c.Reload(next)
 			}
 			if err == nil {
-				err = o.Follow(nextO, c.Limits, next.Limits)
+				err = o.CheckReload(nextO, c.Limits, next.Limits)
 			}
 			if err != nil {
 				slog.Warn(logevent.ReloadRejected, "err", err)
@@ -230,13 +230,13 @@
 				continue
 			}
 			c, o = next, nextO
-			level.Set(o.Log)
+			level.Set(o.LogLevel)
 			limitRuntime(c.Limits, o)
-			buffers.SetLimit(c.Limits.Buffers(bufpool.BufferSize))
-			fleet.SetLimit(c.Limits.Dials())
-			server.SetMaxConns(c.Limits.Clients())
+			buffers.SetLimit(c.Limits.MaxBuffers(bufpool.BufferSize))
+			fleet.SetLimit(c.Limits.MaxNodeConnections())
+			server.SetMaxConns(c.Limits.MaxClientConnections())
 			d.use(options(o, c.Limits, g))
-			g.avoid(append([]string{}, o.Avoid...))
+			g.avoid(append([]string{}, o.AvoidNodes...))
 			keeper.took(c, o)
 			channel.SetAddress(c.Channel)
 			slog.Info(logevent.Reloaded, "channel", c.Channel)
@@ -248,7 +248,7 @@
 	keeper.stop()
 	// What waits in the listener's queue was taken: it is let in, and has a moment to ask. Clients that go on coming keep the
 	// listener open no longer than they are allowed to come, once more.
-	linger, settle := stopped.Add(span(margins.DrainAccept)), o.Settle
+	linger, settle := stopped.Add(span(margins.DrainAccept)), o.QuietPeriod
 	if settle == 0 {
 		settle = margins.CancelConfirm
 	}
@@ -382,22 +382,22 @@
 func (k *keeper) report(d *decider, s *downstream.Server, fleet *upstream.Pool, g *gossipDriver) status.Report {
 	k.mu.Lock()
 	r := status.Report{
-		Name: k.c.Name, PID: os.Getpid(), Started: k.started, Stopping: k.stopping, Settings: k.o.Sum, Platform: k.c.Sum,
-		Reloads: k.reloads, Refused: k.why, Cores: k.o.Shards(k.c.Limits), Avoided: k.o.Avoid, Clients: s.ConnCount(),
-		MostClient: k.c.Limits.Clients(), Nodes: fleet.Connections(), Open: d.open(), Counts: map[string]int64{},
+		Name: k.c.Name, PID: os.Getpid(), Started: k.started, Stopping: k.stopping, SettingsDigest: k.o.Digest, PlatformDigest: k.c.Digest,
+		Reloads: k.reloads, ReloadError: k.why, Cores: k.o.ShardCount(k.c.Limits), AvoidedNodes: k.o.AvoidNodes, ClientConnections: s.ConnCount(),
+		MaxClientConnections: k.c.Limits.MaxClientConnections(), NodeConnections: fleet.Connections(), OpenRequests: d.open(), Counters: map[string]int64{},
 	}
 	k.mu.Unlock()
-	r.Peers, r.Word, r.Follow = g.talk.Load().Report(), g.report(), g.ears.report()
+	r.Membership, r.Gossip, r.Relay = g.talk.Load().Report(), g.report(), g.ears.report()
 	for i, router := range d.routers {
 		for name, n := range router.Counts() {
-			r.Counts[name] += n
+			r.Counters[name] += n
 		}
-		r.Told, r.InForce = router.Epochs()
+		r.EventsReceived, r.EventsApplied = router.Epochs()
 		router.WithPolicy(func() {
 			now := router.Now()
 			held, full := d.modules[i].DedupCounts()
-			r.KeysHeld, r.KeysFull = r.KeysHeld+held, r.KeysFull+full
-			r.Storm, r.Beliefs = d.modules[i].OverloadReport(now), d.modules[i].Endpoints(now)
+			r.DedupRecords, r.DedupRejected = r.DedupRecords+held, r.DedupRejected+full
+			r.Overload, r.NodeViews = d.modules[i].OverloadReport(now), d.modules[i].Endpoints(now)
 		})
 	}
 	return r
@@ -405,12 +405,12 @@
 
 // limitRuntime keeps Go's runtime to the machine's limits, and to the operator's.
 func limitRuntime(l config.Limits, o config.Operator) {
-	cores := l.CoresUp()
+	cores := l.MaxProcs()
 	if o.Cores > 0 {
-		cores = o.Shards(l)
+		cores = o.ShardCount(l)
 	}
 	runtime.GOMAXPROCS(cores)
-	debug.SetMemoryLimit(l.Memory())
+	debug.SetMemoryLimit(l.MemoryLimit())
 }
 
 func span(t policy.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -370,7 +370,7 @@
 		t.Error("started with a faulty script")
 	}
 	write("storm(mode = \"guard\")\nmachine(cores = 4)")
-	if c, o, err := load(f, os.Getenv); err != nil || o.Storm.Mode != overload.ModeReserve || o.Shards(c.Limits) != 1 {
+	if c, o, err := load(f, os.Getenv); err != nil || o.Overload.Mode != overload.ModeReserve || o.ShardCount(c.Limits) != 1 {
 		t.Errorf("%+v, %v", o, err)
 	}
 }
@@ -395,8 +395,8 @@
 	}
 	ask(0, 30)
 	r, err := status.Read(t.Context(), socket)
-	if err != nil || r.Name != "n1" || r.Settings != config.Sum([]byte(script)) || r.Counts["fulfilled"] != 30 || r.Counts["pulls"] < 30 ||
-		len(r.Beliefs) != 2 || r.Beliefs[0].State != "ready" || r.Clients != 1 || r.Told != 1 || r.Open != 0 || asked[0].Load() == 0 {
+	if err != nil || r.Name != "n1" || r.SettingsDigest != config.Digest([]byte(script)) || r.Counters["fulfilled"] != 30 || r.Counters["pulls"] < 30 ||
+		len(r.NodeViews) != 2 || r.NodeViews[0].State != "ready" || r.ClientConnections != 1 || r.EventsReceived != 1 || r.OpenRequests != 0 || asked[0].Load() == 0 {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	reload := func(text string, until func(status.Report) bool) {
@@ -414,13 +414,13 @@
 			}
 		}
 	}
-	reload(script+"avoid(boxes = 5)", func(r status.Report) bool { return strings.Contains(r.Refused, "avoid.boxes") })
-	if r.Settings != config.Sum([]byte(script)) || r.Reloads != 0 {
+	reload(script+"avoid(boxes = 5)", func(r status.Report) bool { return strings.Contains(r.ReloadError, "avoid.boxes") })
+	if r.SettingsDigest != config.Digest([]byte(script)) || r.Reloads != 0 {
 		t.Errorf("after a refused reload: %+v", r)
 	}
 	avoid := script + "avoid(boxes = [\"e0\"])"
-	reload(avoid, func(r status.Report) bool { return r.Settings == config.Sum([]byte(avoid)) })
-	if r.Refused != "" || r.Reloads != 1 || r.Beliefs[0].State != "draining" || len(r.Avoided) != 1 {
+	reload(avoid, func(r status.Report) bool { return r.SettingsDigest == config.Digest([]byte(avoid)) })
+	if r.ReloadError != "" || r.Reloads != 1 || r.NodeViews[0].State != "draining" || len(r.AvoidedNodes) != 1 {
 		t.Errorf("after the reload: %+v", r)
 	}
 	before := asked[0].Load()
@@ -430,10 +430,10 @@
 	}
 	reload(script, func(r status.Report) bool { return r.Reloads == 2 })
 	ask(60, 90)
-	if asked[0].Load() == before || r.Beliefs[0].State != "ready" {
-		t.Errorf("the box is not used again: %+v", r.Beliefs)
+	if asked[0].Load() == before || r.NodeViews[0].State != "ready" {
+		t.Errorf("the box is not used again: %+v", r.NodeViews)
 	}
-	reload("state(socket = \"/elsewhere\")", func(r status.Report) bool { return strings.Contains(r.Refused, "needs a restart") })
+	reload("state(socket = \"/elsewhere\")", func(r status.Report) bool { return strings.Contains(r.ReloadError, "needs a restart") })
 	c.Close()
 	p.leave(t)
 	if _, err := os.Stat(socket); !os.IsNotExist(err) {
--- a/internal/status/golden_test.go
+++ b/internal/status/golden_test.go
@@ -17,23 +17,23 @@
 func goldenReport() Report {
 	return Report{
 		Name: "n0", PID: 1, Started: time.Date(2026, 1, 2, 3, 4, 5, 600, time.UTC), Stopping: true,
-		Settings: "s", Platform: "p", Reloads: 2, Refused: "r", Cores: 3, Told: 4, InForce: 5,
-		Avoided: []string{"b"}, Clients: 6, MostClient: 7, Nodes: 8, Open: 9,
-		Counts: map[string]int64{"fulfilled": 10, "pulls": 11}, KeysHeld: 12, KeysFull: 13,
-		Storm: overload.Report{
+		SettingsDigest: "s", PlatformDigest: "p", Reloads: 2, ReloadError: "r", Cores: 3, EventsReceived: 4, EventsApplied: 5,
+		AvoidedNodes: []string{"b"}, ClientConnections: 6, MaxClientConnections: 7, NodeConnections: 8, OpenRequests: 9,
+		Counters: map[string]int64{"fulfilled": 10, "pulls": 11}, DedupRecords: 12, DedupRejected: 13,
+		Overload: overload.Report{
 			State: overload.Held, Requests: 14, Retries: 15, EarlyRetries: 16, NewConnections: 17, Demand: 1.5, WarmShare: 0.25,
 			ReservedShare: 2.5, KeptShare: 0.75, CapacityFactor: 0.5, Reservations: 18,
 		},
-		Beliefs: []routing.EndpointView{{
+		NodeViews: []routing.EndpointView{{
 			ID: "e0", Kind: "edge", State: "ready", SlowStartShare: 0.125, InFlight: 19, Limit: 3.5, EjectedFor: 4.5, HalfOpen: true, LastAnswer: 5.5,
 		}},
-		Peers: &membership.Report{
+		Membership: &membership.Report{
 			Name: "n0", Incarnation: 20, PartitionState: "most", Digest: "00000000000000ff", StableFor: 21, AgreeingPeers: 22,
 			NameConflict: "c", ZoneQuota: 6.5, FleetQuota: 7.5,
 			Peers: []membership.PeerReport{{Name: "n1", Incarnation: 23, State: "alive", StateAge: 24, Agrees: true}},
 		},
-		Follow: &relays.Report{Polls: true, Delegate: true, Sources: []string{"n2"}, AgeMicros: 25, ListSum: "f"},
-		Word:   &gossip.Report{ChannelAge: 26, NewestAge: 27, Avoided: []string{"e1"}, Received: 28},
+		Relay:  &relays.Report{Polls: true, Delegate: true, Sources: []string{"n2"}, AgeMicros: 25, ListSum: "f"},
+		Gossip: &gossip.Report{ChannelAge: 26, NewestAge: 27, Avoided: []string{"e1"}, Received: 28},
 	}
 }
 
--- a/internal/status/state.go
+++ b/internal/status/state.go
@@ -25,30 +25,30 @@
 
 // Report is what is told.
 type Report struct {
-	Name       string                 `json:"name"`
-	PID        int                    `json:"pid"`
-	Started    time.Time              `json:"started"`
-	Stopping   bool                   `json:"stopping"`
-	Settings   string                 `json:"settings"` // sum of the operator's script that is in force; of no bytes where there is none
-	Platform   string                 `json:"platform"` // of the platform's file
-	Reloads    int                    `json:"reloads"`  // that took effect
-	Refused    string                 `json:"refused"`  // why the last reload did not; empty where it did
-	Cores      int                    `json:"cores"`
-	Told       int64                  `json:"told"`     // events of the command channel
-	InForce    int64                  `json:"in_force"` // of them on every core
-	Avoided    []string               `json:"avoided"`  // boxes that the operator's file keeps out
-	Clients    int                    `json:"clients"`  // connections,
-	MostClient int                    `json:"most_clients"`
-	Nodes      int                    `json:"node_connections"`
-	Open       int                    `json:"open"` // downloads
-	Counts     map[string]int64       `json:"counts"`
-	KeysHeld   int                    `json:"keys_held"`
-	KeysFull   int                    `json:"keys_full"`
-	Storm      overload.Report        `json:"storm"`
-	Beliefs    []routing.EndpointView `json:"beliefs"`
-	Peers      *membership.Report     `json:"peers,omitempty"`  // what it makes of other directors; none where it knows of none
-	Follow     *relays.Report         `json:"follow,omitempty"` // who asks the channel for whom
-	Word       *gossip.Report         `json:"word,omitempty"`   // and how old the newest word of the channel is, here and there
+	Name                 string                 `json:"name"`
+	PID                  int                    `json:"pid"`
+	Started              time.Time              `json:"started"`
+	Stopping             bool                   `json:"stopping"`
+	SettingsDigest       string                 `json:"settings"` // sum of the operator's script that is in force; of no bytes where there is none
+	PlatformDigest       string                 `json:"platform"` // of the platform's file
+	Reloads              int                    `json:"reloads"`  // that took effect
+	ReloadError          string                 `json:"refused"`  // why the last reload did not; empty where it did
+	Cores                int                    `json:"cores"`
+	EventsReceived       int64                  `json:"told"`     // events of the command channel
+	EventsApplied        int64                  `json:"in_force"` // of them on every core
+	AvoidedNodes         []string               `json:"avoided"`  // boxes that the operator's file keeps out
+	ClientConnections    int                    `json:"clients"`  // connections,
+	MaxClientConnections int                    `json:"most_clients"`
+	NodeConnections      int                    `json:"node_connections"`
+	OpenRequests         int                    `json:"open"` // downloads
+	Counters             map[string]int64       `json:"counts"`
+	DedupRecords         int                    `json:"keys_held"`
+	DedupRejected        int                    `json:"keys_full"`
+	Overload             overload.Report        `json:"storm"`
+	NodeViews            []routing.EndpointView `json:"beliefs"`
+	Membership           *membership.Report     `json:"peers,omitempty"`  // what it makes of other directors; none where it knows of none
+	Relay                *relays.Report         `json:"follow,omitempty"` // who asks the channel for whom
+	Gossip               *gossip.Report         `json:"word,omitempty"`   // and how old the newest word of the channel is, here and there
 }
 
 const (
--- a/internal/status/state_test.go
+++ b/internal/status/state_test.go
@@ -19,7 +19,7 @@
 	left.(*net.UnixListener).SetUnlinkOnClose(false)
 	left.Close()
 	s, err := Serve(path, func() Report {
-		return Report{Name: "n0", Beliefs: []routing.EndpointView{{ID: "e0", SlowStartShare: 0.5}}}
+		return Report{Name: "n0", NodeViews: []routing.EndpointView{{ID: "e0", SlowStartShare: 0.5}}}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v", info, err)
 	}
-	if r, err := Read(t.Context(), path); err != nil || r.Name != "n0" || len(r.Beliefs) != 1 || r.Beliefs[0].SlowStartShare != 0.5 {
+	if r, err := Read(t.Context(), path); err != nil || r.Name != "n0" || len(r.NodeViews) != 1 || r.NodeViews[0].SlowStartShare != 0.5 {
 		t.Errorf("%+v, %v", r, err)
 	}
 	if _, err := Serve(path, func() Report { return Report{} }); err == nil {
