--- a/backoff/poller.go
+++ b/backoff/poller.go
@@ -26,7 +26,9 @@
 )
 
 // pollResultNames are values of log lines.
-var pollResultNames = [...]string{"news", "nothing", "refused", "half", "hung", "busy", "rubbish", "given up"}
+var pollResultNames = [...]string{
+	"changed", "unchanged", "connect_failed", "truncated", "timed_out", "unavailable", "malformed", "canceled",
+}
 
 // String returns the result's name in log lines.
 func (r PollResult) String() string { return pollResultNames[r] }
--- a/backoff/poller_test.go
+++ b/backoff/poller_test.go
@@ -99,7 +99,7 @@
 	for result := Changed; result <= Canceled; result++ {
 		got = append(got, result.String())
 	}
-	if want := []string{"news", "nothing", "refused", "half", "hung", "busy", "rubbish", "given up"}; !slices.Equal(got, want) {
+	if want := []string{"changed", "unchanged", "connect_failed", "truncated", "timed_out", "unavailable", "malformed", "canceled"}; !slices.Equal(got, want) {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
--- /dev/null
+++ b/internal/discovery/fetch_test.go
@@ -0,0 +1,88 @@
+package discovery
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"tallyproxy/backoff"
+	"tallyproxy/internal/fakes"
+)
+
+// respond writes an answer. A poll that was canceled takes none, which is no fault of the test.
+func respond(w io.Writer, text string) {
+	_, _ = io.WriteString(w, text)
+}
+
+// Each way in which a poll fails is told apart.
+func TestClassifyError(t *testing.T) {
+	cases := []struct {
+		name       string
+		serve      http.HandlerFunc // nil: nobody listens
+		want       backoff.PollResult
+		retryAfter time.Duration
+	}{
+		{"nobody listens", nil, backoff.ConnectFailed, 0},
+		{"closed before an answer", func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }, backoff.ConnectFailed, 0},
+		{"overloaded", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, backoff.Unavailable, 0},
+		{"overloaded with a retry time", func(w http.ResponseWriter, _ *http.Request) {
+			w.Header().Set("Retry-After", "5")
+			w.WriteHeader(http.StatusTooManyRequests)
+		}, backoff.Unavailable, 5 * time.Second},
+		{"overloaded with a malformed retry time", func(w http.ResponseWriter, _ *http.Request) {
+			w.Header().Set("Retry-After", "-5")
+			w.WriteHeader(http.StatusServiceUnavailable)
+		}, backoff.Unavailable, 0},
+		{"not found", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }, backoff.Malformed, 0},
+		{"truncated", func(w http.ResponseWriter, _ *http.Request) {
+			w.Header().Set("Content-Length", "999")
+			respond(w, `{"cursor":2,`)
+		}, backoff.Truncated, 0},
+		{"truncated without a length that says so", func(w http.ResponseWriter, _ *http.Request) { respond(w, `{"cursor":2,"cmds":[`) }, backoff.Truncated, 0},
+		{"malformed", func(w http.ResponseWriter, _ *http.Request) { respond(w, `{"cursor":"x"}`) }, backoff.Malformed, 0},
+		{"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, backoff.TimedOut, 0},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			server := httptest.NewServer(c.serve)
+			if c.serve == nil {
+				server.Close()
+			}
+			defer server.Close()
+			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
+			defer cancel()
+			client := &http.Client{}
+			defer client.CloseIdleConnections()
+			_, err := New(testSite).fetch(ctx, client, server.URL+"/cmd/next")
+			if result, retryAfter := classifyError(err); result != c.want || retryAfter != c.retryAfter {
+				t.Errorf("%v: %v, retry after %v; want %v, %v", err, result, retryAfter, c.want, c.retryAfter)
+			}
+		})
+	}
+}
+
+// A dial that nobody answers ends with its timeout though the poll that began it was canceled before: two of them would keep back
+// all later polls.
+func TestDialTimeout(t *testing.T) {
+	listener, err := fakes.Unheard()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }() // nothing is written to it
+	dialed := make(chan error, 1)
+	go func() {
+		_, err := dialIPv4(50*time.Millisecond)(context.WithoutCancel(t.Context()), "tcp", listener.Addr().String())
+		dialed <- err
+	}()
+	select {
+	case err := <-dialed:
+		if err == nil {
+			t.Error("it came up")
+		}
+	case <-time.After(10 * time.Second):
+		t.Fatal("it goes on")
+	}
+}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -38,7 +38,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := New(site).Decode([]byte(c.text))
+			got, err := New(testSite).Decode([]byte(c.text))
 			if err != nil {
 				t.Fatal(err)
 			}
