--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -5,59 +5,32 @@
 	"maps"
 	"slices"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
-// State is what an agent must not forget: it is stored before any reply that rests on it leaves.
-type State struct {
-	Promised      Ballot            `json:"promised"`
-	Entries       []*Entry          `json:"entries"`        // in the order they came
-	ActiveScripts map[string]string `json:"in_force"`       // by director: the script
-	Completed     []CompletedChange `json:"past,omitempty"` // settled changes whose entries made room, the latest last
-}
-
-// CompletedChange is what stays of a settled change: an agent that was away for long must still not be told otherwise.
-type CompletedChange struct {
-	ID           string  `json:"id"`
-	Outcome      Outcome `json:"outcome"`
-	AllowedWaves int     `json:"waves"`
-	Final        bool    `json:"final"`
-}
-
-func (p CompletedChange) entry() Entry {
-	return Entry{Change: &Change{ID: p.ID}, Outcome: p.Outcome, AllowedWaves: p.AllowedWaves, Final: p.Final}
-}
-
-// Clone is a state of its own; changes, which nobody alters, are shared.
-func (s State) Clone() State {
-	c := State{Promised: s.Promised, ActiveScripts: maps.Clone(s.ActiveScripts), Completed: slices.Clone(s.Completed)}
-	for _, e := range s.Entries {
-		entry := copyOf(e)
-		c.Entries = append(c.Entries, &entry)
-	}
-	return c
-}
-
-// Agent is one machine's part. Check says whether a director could take a script; it reads no more than its arguments.
+// Agent is the state machine of one machine's agent. Its driver stores State whenever TakeDirty says so, before it sends the reply or
+// carries out the commands that depend on it.
 type Agent struct {
-	Name  string
-	State State
-	check func(instance, script string) error
-	sum   func(script string) string
+	Name  string // in the inventory
+	State State  // only the driver's load and store touch it from outside
+
+	checkScript func(instance, script string) error
+	checksum    func(script string) string
 
-	// not stored: a restart gives the holder a whole lease
-	lease   d.Micros // of the holder of the promised ballot
-	until   d.Micros
-	since   d.Micros
-	changed bool
+	// The lease is not stored: after a restart the holder has a whole lease again.
+	defaultLease policy.Micros // for a ballot that is first seen in a Prepare or Accept
+	leaseEnd     policy.Micros // of the promised ballot
+	promisedAt   policy.Micros
+	dirty        bool
 }
 
-// NewAgent takes up from what was stored; a first start has only what is in force.
-func NewAgent(now d.Micros, name string, s State, lease d.Micros, check func(instance, script string) error,
-	sum func(script string) string) *Agent {
-	a := &Agent{Name: name, State: s, check: check, sum: sum, lease: lease, since: now}
-	if s.Promised.Number > 0 {
-		a.until = now + lease
+// NewAgent makes an agent of its stored state; at the first start that has only ActiveScripts. The lease is that of the fleet's
+// inventory. checkScript says whether a director could run a script, and checksum gives the form of Target.Base; both are pure.
+func NewAgent(now policy.Micros, name string, state State, lease policy.Micros, checkScript func(instance, script string) error,
+	checksum func(script string) string) *Agent {
+	a := &Agent{Name: name, State: state, checkScript: checkScript, checksum: checksum, defaultLease: lease, promisedAt: now}
+	if state.Promised.Number > 0 {
+		a.leaseEnd = now + lease
 	}
 	if a.State.ActiveScripts == nil {
 		a.State.ActiveScripts = map[string]string{}
@@ -65,239 +38,207 @@
 	return a
 }
 
-// TakeDirty says whether the state must be stored before anything else is done, and is then taken to be.
+// TakeDirty reports whether State has changed since the last call and must be stored.
 func (a *Agent) TakeDirty() bool {
-	changed := a.changed
-	a.changed = false
-	return changed
+	dirty := a.dirty
+	a.dirty = false
+	return dirty
 }
 
-// Entry is what is known of a change; nil for nothing.
-func (a *Agent) Entry(id string) *Entry {
-	for _, e := range a.State.Entries {
-		if e.Change.ID == id {
-			return e
-		}
-	}
-	return nil
-}
+// Entry returns what is known of a change, nil for nothing.
+func (a *Agent) Entry(id string) *Entry { return a.State.entry(id) }
 
-// Handle takes a message and answers it. The commands are to be carried out, and their ends told to Done.
-func (a *Agent) Handle(now d.Micros, m Message) (r Reply, do []Command) {
-	r = Reply{Type: m.Type, Seq: m.Seq}
+// Handle processes a message and returns the reply. The caller carries out the commands and reports each to CommandDone.
+func (a *Agent) Handle(now policy.Micros, m Message) (reply Reply, commands []Command) {
+	reply = Reply{Type: m.Type, Seq: m.Seq}
 	switch m.Type {
 	case Promise:
-		r.OK, r.Reason = a.promise(now, m)
+		reply.OK, reply.Reason = a.promise(now, m)
 	case Renew:
-		if r.OK = m.Ballot == a.State.Promised; r.OK {
-			a.until = now + m.Lease
+		if reply.OK = m.Ballot == a.State.Promised; reply.OK {
+			a.leaseEnd = now + m.Lease
 		}
 	case Release:
-		if r.OK = m.Ballot == a.State.Promised; r.OK {
-			a.until = now
+		if reply.OK = m.Ballot == a.State.Promised; reply.OK {
+			a.leaseEnd = now
 		}
 	case Prepare:
-		r.OK, r.Reason = a.prepare(now, m)
+		reply.OK, reply.Reason = a.prepare(now, m)
 	case Accept:
-		r.OK, r.Reason = a.accept(now, m)
+		reply.OK, reply.Reason = a.accept(now, m)
 	case Learn:
-		r.OK, r.Reason, do = a.learn(m)
+		reply.OK, reply.Reason, commands = a.learn(m)
 	case Query:
-		r.OK = true
+		reply.OK = true
 	}
-	r.Promised, r.HeldFor, r.LeaseLeft = a.State.Promised, now-a.since, max(0, a.until-now)
-	r.Entries = a.told(m)
-	return r, do
+	reply.Promised, reply.HeldFor, reply.LeaseLeft = a.State.Promised, now-a.promisedAt, max(0, a.leaseEnd-now)
+	if m.Type == Promise {
+		reply.Entries = a.allEntries()
+	} else {
+		reply.Entries = a.entriesOf(m)
+	}
+	return reply, commands
 }
 
-// told is what a reply tells of changes: of the one that is spoken of how its directors are; to who takes the right to change,
-// all that is open, and what was chosen of all that is not. Without the last, whoever settles with a majority of those that
-// were told nothing and those that are done with it would drop what was decided to go.
-func (a *Agent) told(m Message) (out []Entry) {
-	if m.Type == Promise {
-		for _, p := range a.State.Completed {
-			out = append(out, p.entry())
-		}
+// allEntries returns, for a new holder of the right to change, every incomplete entry and the outcome of every complete one. Without the
+// outcomes, a holder whose majority consists of agents that were told nothing and agents that are done would abort a committed change.
+func (a *Agent) allEntries() (entries []Entry) {
+	for _, c := range a.State.Completed {
+		entries = append(entries, c.entry())
 	}
 	for _, e := range a.State.Entries {
-		if m.Type == Promise {
-			if e.IsComplete() {
-				out = append(out, past(e).entry())
-			} else {
-				out = append(out, copyOf(e))
-			}
-		} else if m.ChangeID == e.Change.ID || m.Change != nil && m.Change.ID == e.Change.ID {
-			c := copyOf(e)
-			c.Change = &Change{ID: e.Change.ID} // who asks has the rest, or has no use for it
-			out = append(out, c)
+		if e.IsComplete() {
+			entries = append(entries, e.completed().entry())
+		} else {
+			entries = append(entries, e.clone())
 		}
 	}
-	if m.Type == Query && len(out) == 0 {
-		if p := a.past(m.ChangeID); p != nil {
-			out = append(out, p.entry())
-		}
-	}
-	return out
+	return entries
 }
 
-func past(e *Entry) CompletedChange {
-	return CompletedChange{e.Change.ID, e.Outcome, e.AllowedWaves, e.Final}
-}
-
-// past is what is left of a change whose entry made room; nil for nothing.
-func (a *Agent) past(id string) *CompletedChange {
-	for i := range a.State.Completed {
-		if a.State.Completed[i].ID == id {
-			return &a.State.Completed[i]
+// entriesOf returns the entry of the change that a message is about. The change is given by its ID alone: whoever asks has the rest, or
+// has no use for it.
+func (a *Agent) entriesOf(m Message) (entries []Entry) {
+	for _, e := range a.State.Entries {
+		if m.ChangeID == e.Change.ID || m.Change != nil && m.Change.ID == e.Change.ID {
+			entry := e.clone()
+			entry.Change = &Change{ID: e.Change.ID}
+			entries = append(entries, entry)
 		}
 	}
-	return nil
-}
-
-func copyOf(e *Entry) Entry {
-	c := *e
-	if e.TargetStates != nil {
-		c.TargetStates = map[string]*TargetState{}
-	}
-	for name, l := range e.TargetStates {
-		local := *l
-		c.TargetStates[name] = &local
-	}
-	if e.Vote != nil {
-		vote := *e.Vote
-		c.Vote = &vote
+	if m.Type == Query && len(entries) == 0 {
+		if c := a.State.completed(m.ChangeID); c != nil {
+			entries = append(entries, c.entry())
+		}
 	}
-	return c
+	return entries
 }
 
-// promise gives the right to change to a higher ballot, where nobody else's lease runs.
-func (a *Agent) promise(now d.Micros, m Message) (bool, string) {
-	held := a.State.Promised
+// promise grants the right to change to a higher ballot, unless another holder's lease has not expired.
+func (a *Agent) promise(now policy.Micros, m Message) (ok bool, reason string) {
+	current := a.State.Promised
 	switch {
-	case m.Ballot == held: // it was lost on its way
-	case !held.Less(m.Ballot):
-		return false, fmt.Sprintf("a higher right was given, to %s", held.Holder)
-	case held.Number > 0 && held.Holder != m.Ballot.Holder && a.until > now:
-		return false, fmt.Sprintf("held by %s", held.Holder)
+	case m.Ballot == current: // repeated: the reply was lost
+	case !current.Less(m.Ballot):
+		return false, fmt.Sprintf("a higher right was given, to %s", current.Holder)
+	case current.Number > 0 && current.Holder != m.Ballot.Holder && a.leaseEnd > now:
+		return false, fmt.Sprintf("held by %s", current.Holder)
 	default:
-		a.State.Promised, a.changed, a.since = m.Ballot, true, now
+		a.State.Promised, a.dirty, a.promisedAt = m.Ballot, true, now
 	}
-	a.until = now + m.Lease
+	a.leaseEnd = now + m.Lease
 	return true, ""
 }
 
-// fenced says whether a ballot has been taken over.
-func (a *Agent) fenced(now d.Micros, m Message) (string, bool) {
+// fence reports whether a higher ballot has taken over from the message's ballot. A ballot higher than the promised one is promised: its
+// Promise was lost, or granted by other agents only.
+func (a *Agent) fence(now policy.Micros, m Message) (fenced bool, reason string) {
 	if m.Ballot.Less(a.State.Promised) {
-		return fmt.Sprintf("taken over by %s", a.State.Promised.Holder), true
+		return true, fmt.Sprintf("taken over by %s", a.State.Promised.Holder)
 	}
-	if a.State.Promised.Less(m.Ballot) { // its promise was lost, or given elsewhere
-		a.State.Promised, a.changed, a.since, a.until = m.Ballot, true, now, now+a.lease
+	if a.State.Promised.Less(m.Ballot) {
+		a.State.Promised, a.dirty, a.promisedAt, a.leaseEnd = m.Ballot, true, now, now+a.defaultLease
 	}
-	return "", false
+	return false, ""
 }
 
 // prepare checks a change for this agent's directors and stores it.
-func (a *Agent) prepare(now d.Micros, m Message) (bool, string) {
-	if why, out := a.fenced(now, m); out {
-		return false, why
+func (a *Agent) prepare(now policy.Micros, m Message) (ok bool, reason string) {
+	if fenced, reason := a.fence(now, m); fenced {
+		return false, reason
 	}
 	if e := a.Entry(m.Change.ID); e != nil {
-		for _, l := range e.TargetStates {
-			if l.Phase == PhaseRefused {
-				return false, l.Reason
+		for _, state := range e.TargetStates {
+			if state.Phase == PhaseRefused {
+				return false, state.Reason
 			}
 		}
 		return e.Outcome != Abort && e.TargetStates != nil, "it was dropped"
 	}
-	if a.past(m.Change.ID) != nil {
+	if a.State.completed(m.Change.ID) != nil {
 		return false, "it is over"
 	}
 	e := &Entry{Change: m.Change, TargetStates: map[string]*TargetState{}}
 	for _, t := range m.Change.Targets {
-		if t.Agent != a.Name {
-			continue
-		}
-		before, mine := a.State.ActiveScripts[t.Instance]
-		l := &TargetState{PreviousScript: before}
-		e.TargetStates[t.Instance] = l
-		switch err := a.check(t.Instance, t.Script); {
-		case !mine:
-			l.Reason = fmt.Sprintf("%s: not a director of %s", t.Instance, a.Name)
-		case a.sum(before) != t.Base:
-			l.Reason = fmt.Sprintf("%s: something else is in force than the change was made for", t.Instance)
-		case a.busy(t.Instance):
-			l.Reason = fmt.Sprintf("%s: an earlier change is not over", t.Instance)
-		case err != nil:
-			l.Reason = fmt.Sprintf("%s: %v", t.Instance, err)
-		}
-		if l.Reason != "" {
-			l.Phase = PhaseRefused
+		if t.Agent == a.Name {
+			e.TargetStates[t.Instance] = a.prepareTarget(t)
 		}
 	}
 	a.add(e)
-	for _, name := range slices.Sorted(maps.Keys(e.TargetStates)) {
-		if e.TargetStates[name].Phase == PhaseRefused {
-			return false, e.TargetStates[name].Reason
+	for _, instance := range slices.Sorted(maps.Keys(e.TargetStates)) {
+		if state := e.TargetStates[instance]; state.Phase == PhaseRefused {
+			return false, state.Reason
 		}
 	}
 	return true, ""
 }
 
-// busy says whether a director has an unfinished part in an earlier change.
-func (a *Agent) busy(instance string) bool {
+// prepareTarget checks whether a target can be applied.
+func (a *Agent) prepareTarget(t Target) *TargetState {
+	active, known := a.State.ActiveScripts[t.Instance]
+	state := &TargetState{PreviousScript: active}
+	switch err := a.checkScript(t.Instance, t.Script); {
+	case !known:
+		state.Reason = fmt.Sprintf("%s: not a director of %s", t.Instance, a.Name)
+	case a.checksum(active) != t.Base:
+		state.Reason = fmt.Sprintf("%s: something else is in force than the change was made for", t.Instance)
+	case a.hasPendingTarget(t.Instance):
+		state.Reason = fmt.Sprintf("%s: an earlier change is not over", t.Instance)
+	case err != nil:
+		state.Reason = fmt.Sprintf("%s: %v", t.Instance, err)
+	}
+	if state.Reason != "" {
+		state.Phase = PhaseRefused
+	}
+	return state
+}
+
+// hasPendingTarget reports whether an earlier change of a director has not come to its end.
+func (a *Agent) hasPendingTarget(instance string) bool {
 	for _, e := range a.State.Entries {
-		if l := e.TargetStates[instance]; l != nil && !l.IsTerminal() {
+		if state := e.TargetStates[instance]; state != nil && !state.IsTerminal() {
 			return true
 		}
 	}
 	return false
 }
 
-// add remembers a change, and forgets the oldest settled one where there are too many.
 func (a *Agent) add(e *Entry) {
-	a.changed = true
-	a.State.Entries = append(a.State.Entries, e)
-	for i := 0; len(a.State.Entries) > keptEntries && i < len(a.State.Entries); i++ {
-		if e := a.State.Entries[i]; e.IsComplete() {
-			a.State.Completed = append(a.State.Completed, past(e))
-			a.State.Completed = a.State.Completed[max(0, len(a.State.Completed)-keptPast):]
-			a.State.Entries = slices.Delete(a.State.Entries, i, i+1)
-			i--
-		}
-	}
+	a.dirty = true
+	a.State.add(e)
 }
 
-// accept accepts a decision, unless a higher ballot was promised.
-func (a *Agent) accept(now d.Micros, m Message) (bool, string) {
-	if why, out := a.fenced(now, m); out {
-		return false, why
+// accept votes for an outcome, unless a higher ballot was promised.
+func (a *Agent) accept(now policy.Micros, m Message) (ok bool, reason string) {
+	if fenced, reason := a.fence(now, m); fenced {
+		return false, reason
 	}
-	e := a.Entry(m.Change.ID)
-	if p := a.past(m.Change.ID); p != nil && p.Outcome != m.Outcome || e != nil && e.Outcome != Undecided && e.Outcome != m.Outcome {
+	e, completed := a.Entry(m.Change.ID), a.State.completed(m.Change.ID)
+	if completed != nil && completed.Outcome != m.Outcome || e != nil && e.Outcome != Undecided && e.Outcome != m.Outcome {
 		return false, "it was chosen otherwise"
-	} else if p != nil {
+	}
+	if completed != nil {
 		return true, ""
 	}
-	if e == nil { // no part in it, or it was not reached: it can hold the decision all the same
+	if e == nil { // the agent has no target or was not reached by Prepare; it can vote all the same
 		e = &Entry{Change: m.Change}
 		a.add(e)
 	}
-	if e.Vote == nil || *e.Vote != (Vote{m.Ballot, m.Outcome}) {
-		e.Vote, a.changed = &Vote{m.Ballot, m.Outcome}, true
+	if vote := (Vote{m.Ballot, m.Outcome}); e.Vote == nil || *e.Vote != vote {
+		e.Vote, a.dirty = &vote, true
 	}
 	return true, ""
 }
 
-// learn takes what was chosen. It needs no ballot: it can't be otherwise any more.
-func (a *Agent) learn(m Message) (bool, string, []Command) {
+// learn stores a chosen outcome and the waves that are allowed. It needs no ballot, since what was chosen can't change any more.
+func (a *Agent) learn(m Message) (ok bool, reason string, commands []Command) {
 	id := m.ChangeID
 	if m.Change != nil {
 		id = m.Change.ID
 	}
 	e := a.Entry(id)
-	if p := a.past(id); e == nil && p != nil {
-		return p.Outcome == m.Outcome, "it is over", nil
+	if c := a.State.completed(id); e == nil && c != nil {
+		return c.Outcome == m.Outcome, "it is over", nil
 	}
 	if e == nil && m.Change != nil {
 		e = &Entry{Change: m.Change}
@@ -306,87 +247,90 @@
 	if e == nil {
 		return false, "not known", nil
 	}
-	if e.Outcome != Undecided && e.Outcome != m.Outcome {
-		return false, fmt.Sprintf("%s was chosen, not %s", e.Outcome, m.Outcome), nil // never, unless an agent forgot what it must not
+	if e.Outcome != Undecided && e.Outcome != m.Outcome { // only where an agent has lost its store
+		return false, fmt.Sprintf("%s was chosen, not %s", e.Outcome, m.Outcome), nil
 	}
-	waves, final := max(e.AllowedWaves, m.AllowedWaves), e.Final || m.Final
+	allowed, final := max(e.AllowedWaves, m.AllowedWaves), e.Final || m.Final
 	if e.Final {
-		waves = e.AllowedWaves
+		allowed = e.AllowedWaves
 	}
-	if e.Outcome != m.Outcome || e.AllowedWaves != waves || e.Final != final {
-		e.Outcome, e.AllowedWaves, e.Final, a.changed = m.Outcome, waves, final, true
+	if e.Outcome != m.Outcome || e.AllowedWaves != allowed || e.Final != final {
+		e.Outcome, e.AllowedWaves, e.Final, a.dirty = m.Outcome, allowed, final, true
 	}
-	return true, "", a.drive(e)
+	return true, "", a.advance(e)
 }
 
-// drive moves an entry's directors on as far as what was chosen allows.
-func (a *Agent) drive(e *Entry) (do []Command) {
+// advance moves an entry's prepared targets on as far as the outcome and the allowed waves go.
+func (a *Agent) advance(e *Entry) (commands []Command) {
 	for _, t := range e.Change.Targets {
-		l := e.TargetStates[t.Instance]
-		if l == nil || t.Agent != a.Name || l.Phase != PhasePrepared {
+		state := e.TargetStates[t.Instance]
+		if state == nil || t.Agent != a.Name || state.Phase != PhasePrepared {
 			continue
 		}
 		switch {
 		case e.Outcome == Abort || e.Outcome == Commit && e.Final && t.Wave > e.AllowedWaves:
-			l.Phase, a.changed = PhaseUnchanged, true
+			state.Phase, a.dirty = PhaseUnchanged, true
 		case e.Outcome == Commit && t.Wave <= e.AllowedWaves:
-			l.Phase, a.changed = PhaseApplying, true
-			do = append(do, Command{e.Change.ID, t.Instance, t.Script, l.PreviousScript})
+			state.Phase, a.dirty = PhaseApplying, true
+			commands = append(commands, Command{e.Change.ID, t.Instance, t.Script, state.PreviousScript})
 		}
 	}
-	return do
+	return commands
 }
 
-// UnfinishedCommands are the commands that a restart finds begun: the director may have what it was told, or not.
-func (a *Agent) UnfinishedCommands() (do []Command) {
+// UnfinishedCommands returns the commands to carry out after a restart: those that were being carried out, of which it is not known
+// whether the director has the script, and those that are due.
+func (a *Agent) UnfinishedCommands() (commands []Command) {
 	for _, e := range a.State.Entries {
 		for _, t := range e.Change.Targets {
-			if l := e.TargetStates[t.Instance]; l != nil && l.Phase == PhaseApplying {
-				do = append(do, Command{e.Change.ID, t.Instance, t.Script, l.PreviousScript})
+			if state := e.TargetStates[t.Instance]; state != nil && state.Phase == PhaseApplying {
+				commands = append(commands, Command{e.Change.ID, t.Instance, t.Script, state.PreviousScript})
 			}
 		}
-		do = append(do, a.drive(e)...)
+		commands = append(commands, a.advance(e)...)
 	}
-	return do
+	return commands
 }
 
-// CommandDone takes a command's end: why is empty where the director runs the script, read back from it.
-func (a *Agent) CommandDone(c Command, why string) {
+// CommandDone takes the result of a command. The failure is empty where the director was read back as running the script.
+func (a *Agent) CommandDone(c Command, failure string) {
 	e := a.Entry(c.ChangeID)
 	if e == nil || e.TargetStates[c.Instance] == nil || e.TargetStates[c.Instance].Phase != PhaseApplying {
 		return
 	}
-	a.changed = true
-	l := e.TargetStates[c.Instance]
-	if l.Phase, l.Reason = PhaseApplied, why; why != "" {
-		l.Phase = PhaseFailed
+	a.dirty = true
+	state := e.TargetStates[c.Instance]
+	state.Reason = failure
+	if failure != "" {
+		state.Phase = PhaseFailed
 		return
 	}
+	state.Phase = PhaseApplied
 	a.State.ActiveScripts[c.Instance] = c.Script
 }
 
-// InDoubt are the changes of which this agent should ask the others what became of them: it knows no outcome, or whether one of
-// its directors may go. One that is being put in force is no doubt.
+// InDoubt returns the IDs of the changes whose outcome the agent should ask other agents for: undecided ones, and those with a target
+// that waits for its wave. A change that is being applied is not in doubt.
 func (a *Agent) InDoubt() (ids []string) {
 	for _, e := range a.State.Entries {
-		doubt := e.Outcome == Undecided
-		for _, l := range e.TargetStates {
-			doubt = doubt || l.Phase == PhasePrepared
+		inDoubt := e.Outcome == Undecided
+		for _, state := range e.TargetStates {
+			inDoubt = inDoubt || state.Phase == PhasePrepared
 		}
-		if doubt {
+		if inDoubt {
 			ids = append(ids, e.Change.ID)
 		}
 	}
 	return ids
 }
 
-// HandleQueryReply takes another agent's answer to Ask: what it knows to be chosen is so.
-func (a *Agent) HandleQueryReply(r Reply) (do []Command) {
-	for _, e := range r.Entries {
+// HandleQueryReply learns from another agent's reply to Query which outcomes were chosen.
+func (a *Agent) HandleQueryReply(reply Reply) (commands []Command) {
+	for _, e := range reply.Entries {
 		if e.Outcome != Undecided && a.Entry(e.Change.ID) != nil {
 			_, _, more := a.learn(Message{ChangeID: e.Change.ID, Outcome: e.Outcome, AllowedWaves: e.AllowedWaves, Final: e.Final})
-			do = append(do, more...)
+			commands = append(commands, more...)
 		}
 	}
-	return do
+	return commands
 }
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -347,7 +347,7 @@
 		for _, e := range m.State.Entries {
 			for _, t := range e.Change.Targets { // decided to go means prepared everywhere
 				other := w.machines[t.Agent].Entry(e.Change.ID)
-				if past := w.machines[t.Agent].past(e.Change.ID); past != nil && past.Outcome == e.Outcome {
+				if past := w.machines[t.Agent].State.completed(e.Change.ID); past != nil && past.Outcome == e.Outcome {
 					continue
 				}
 				if e.Outcome == Commit && (other == nil || other.TargetStates[t.Instance] == nil || other.TargetStates[t.Instance].Phase == PhaseRefused) {
@@ -509,7 +509,7 @@
 	cases := []struct {
 		name   string
 		forget int // changes after it
-	}{{"its entry is there", 0}, {"its entry made room", keptEntries + 10}}
+	}{{"its entry is there", 0}, {"its entry made room", maxEntries + 10}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(3)
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -1,49 +1,49 @@
 package rollout
 
 import (
+	"cmp"
 	"slices"
-	"strings"
 )
 
-// Candidate is where a director stands, for planning.
+// Candidate is a director that a change may take in.
 type Candidate struct {
-	Instance, Agent, Depot, Script string // the script that is in force
+	Instance string
+	Agent    string
+	Depot    string
+	Script   string // the active one
 }
 
-// Plan makes a change of directors that run some scripts now. Edit gives a director's new script; one that stays as it is has no
-// part in it. With a limit of 0 all go together; else depots follow each other, and at most so many change at a time.
-func Plan(id, by, note string, places []Candidate, limit int, sum func(string) string, edit func(Candidate) string) *Change {
-	c := &Change{ID: id, Author: by, Note: note}
-	sorted := slices.Clone(places)
+// Plan makes a change of the candidates whose script edit changes. With a limit of 0 there is one wave; otherwise a wave has the
+// directors of one depot, at most limit of them. The checksum gives the form of Target.Base.
+func Plan(id, author, note string, candidates []Candidate, limit int, checksum func(string) string, edit func(Candidate) string) *Change {
+	change := &Change{ID: id, Author: author, Note: note}
+	sorted := slices.Clone(candidates)
 	slices.SortFunc(sorted, func(a, b Candidate) int {
-		if n := strings.Compare(a.Depot, b.Depot); n != 0 {
-			return n
-		}
-		return strings.Compare(a.Instance, b.Instance)
+		return cmp.Or(cmp.Compare(a.Depot, b.Depot), cmp.Compare(a.Instance, b.Instance))
 	})
 	wave, inWave, depot := 1, 0, ""
-	for _, p := range sorted {
-		script := edit(p)
-		if script == p.Script {
+	for _, c := range sorted {
+		script := edit(c)
+		if script == c.Script {
 			continue
 		}
-		if limit > 0 && inWave > 0 && (inWave >= limit || p.Depot != depot) {
+		if limit > 0 && inWave > 0 && (inWave >= limit || c.Depot != depot) {
 			wave, inWave = wave+1, 0
 		}
-		depot = p.Depot
+		depot = c.Depot
 		inWave++
-		c.Targets = append(c.Targets, Target{Instance: p.Instance, Agent: p.Agent, Base: sum(p.Script), Script: script, Wave: wave})
+		change.Targets = append(change.Targets, Target{Instance: c.Instance, Agent: c.Agent, Base: checksum(c.Script), Script: script, Wave: wave})
 	}
-	return c
+	return change
 }
 
-// Undo makes the change that takes another back where it is in force; before is what was there, by director.
-func Undo(id, by string, of *Change, before map[string]string, sum func(string) string) *Change {
-	c := &Change{ID: id, Author: by, Note: "undo " + of.ID, Reverts: of.ID}
+// Undo makes the change that takes another one back at the directors that run it. Previous has the script that each of them had before.
+func Undo(id, author string, of *Change, previous map[string]string, checksum func(string) string) *Change {
+	change := &Change{ID: id, Author: author, Note: "undo " + of.ID, Reverts: of.ID}
 	for _, t := range of.Targets {
-		if script, had := before[t.Instance]; had {
-			c.Targets = append(c.Targets, Target{Instance: t.Instance, Agent: t.Agent, Base: sum(t.Script), Script: script, Wave: t.Wave})
+		if script, applied := previous[t.Instance]; applied {
+			change.Targets = append(change.Targets, Target{Instance: t.Instance, Agent: t.Agent, Base: checksum(t.Script), Script: script, Wave: t.Wave})
 		}
 	}
-	return c
+	return change
 }
