--- a/rollout/change.go
+++ b/rollout/change.go
@@ -86,7 +86,7 @@
 
 // TargetState is an agent's stored state of one target.
 type TargetState struct {
-	Phase          Phase  `json:"phase"`
+	Phase          Phase  `json:"phase"`         // how far the change has come
 	Reason         string `json:"why,omitempty"` // why it was refused or failed
 	PreviousScript string `json:"before"`        // the script that was active when the change was prepared
 }
@@ -98,13 +98,13 @@
 
 // Vote is the outcome that an agent has accepted, and by which ballot.
 type Vote struct {
-	Ballot  Ballot  `json:"ballot"`
-	Outcome Outcome `json:"outcome"`
+	Ballot  Ballot  `json:"ballot"`  // by which it was proposed
+	Outcome Outcome `json:"outcome"` // Commit or Abort
 }
 
 // Entry is what an agent knows of a change.
 type Entry struct {
-	Change       *Change                 `json:"change"`
+	Change       *Change                 `json:"change"`          // never nil; without targets in a reply that tells the state only
 	Vote         *Vote                   `json:"vote,omitempty"`  // nil until an outcome has been accepted
 	Outcome      Outcome                 `json:"outcome"`         // the chosen one, Undecided until the agent learns it
 	AllowedWaves int                     `json:"waves"`           // waves up to this one may be applied
--- a/rollout/golden_test.go
+++ b/rollout/golden_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
 // Agents and tools of different versions meet during a roll-out, and an agent's store outlives its version: the encoded forms below
@@ -35,7 +35,7 @@
 		}, `{"promised":{"n":7,"holder":"op/1"},"entries":[{"change":{"id":"c1","by":"op/1","note":"why","undoes":"c0","targets":[{"instance":"n0","agent":"a0","base":"sum","script":"log()","wave":2}]},"vote":{"ballot":{"n":7,"holder":"op/1"},"outcome":2},"outcome":1,"waves":2,"final":true,"local":{"n0":{"phase":4,"why":"bad","before":"old()"}}}],"in_force":{"n0":"log()"},"past":[{"id":"c0","outcome":2,"waves":3,"final":true}]}`},
 		{"empty state", State{}, `{"promised":{"n":0,"holder":""},"entries":null,"in_force":null}`},
 		{"message", Message{
-			Type: Accept, Seq: 4, Ballot: Ballot{7, "op/1"}, Lease: 3 * d.Second, Change: goldenChange(), ChangeID: "c1", Outcome: Abort, AllowedWaves: 2, Final: true,
+			Type: Accept, Seq: 4, Ballot: Ballot{7, "op/1"}, Lease: 3 * policy.Second, Change: goldenChange(), ChangeID: "c1", Outcome: Abort, AllowedWaves: 2, Final: true,
 		}, `{"verb":4,"seq":4,"ballot":{"n":7,"holder":"op/1"},"lease":3000000,"change":{"id":"c1","by":"op/1","note":"why","undoes":"c0","targets":[{"instance":"n0","agent":"a0","base":"sum","script":"log()","wave":2}]},"id":"c1","outcome":2,"waves":2,"final":true}`},
 		{"empty message", Message{}, `{"verb":0,"seq":0,"ballot":{"n":0,"holder":""}}`},
 		{"reply", Reply{
--- a/rollout/message.go
+++ b/rollout/message.go
@@ -23,7 +23,7 @@
 
 // Message is a request to an agent, from a coordinator or from another agent's Recovery.
 type Message struct {
-	Type         MessageType   `json:"verb"`
+	Type         MessageType   `json:"verb"`              // what is asked
 	Seq          int           `json:"seq"`               // the sender's step, repeated in the reply
 	Ballot       Ballot        `json:"ballot"`            // the sender's; zero for Query
 	Lease        policy.Micros `json:"lease,omitempty"`   // for Promise and Renew
@@ -42,14 +42,14 @@
 
 // Reply is an agent's answer to a message.
 type Reply struct {
-	Type      MessageType   `json:"verb"`
-	Seq       int           `json:"seq"` // of the message
-	OK        bool          `json:"ok"`
-	Reason    string        `json:"why,omitempty"`  // why not, where OK is false
-	Promised  Ballot        `json:"ballot"`         // the highest ballot that the agent has promised
-	HeldFor   policy.Micros `json:"held,omitempty"` // since that ballot was promised
-	LeaseLeft policy.Micros `json:"left,omitempty"` // of that ballot's lease
-	Entries   []Entry       `json:"entries,omitempty"`
+	Type      MessageType   `json:"verb"`              // of the message
+	Seq       int           `json:"seq"`               // of the message
+	OK        bool          `json:"ok"`                // the agent did what it was asked
+	Reason    string        `json:"why,omitempty"`     // why not, where OK is false
+	Promised  Ballot        `json:"ballot"`            // the highest ballot that the agent has promised
+	HeldFor   policy.Micros `json:"held,omitempty"`    // since that ballot was promised
+	LeaseLeft policy.Micros `json:"left,omitempty"`    // of that ballot's lease
+	Entries   []Entry       `json:"entries,omitempty"` // of the change that was asked about, of all for Promise
 }
 
 // Command tells an agent's driver to apply a script to one of its directors and to read back whether the director runs it. The result
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -7,9 +7,9 @@
 
 // Candidate is a director that a change may take in.
 type Candidate struct {
-	Instance string
-	Agent    string
-	Depot    string
+	Instance string // its name
+	Agent    string // the agent that looks after it
+	Depot    string // the site that its agent is at
 	Script   string // the active one
 }
 
--- a/rollout/result.go
+++ b/rollout/result.go
@@ -4,8 +4,8 @@
 
 // TargetResult is what came of one target of a change.
 type TargetResult struct {
-	Instance string `json:"instance"`
-	Agent    string `json:"agent"`
+	Instance string `json:"instance"`      // the director
+	Agent    string `json:"agent"`         // its agent
 	State    string `json:"state"`         // "changed", "untouched", "will be changed" or "not known"
 	Reason   string `json:"why,omitempty"` // why it was not changed
 }
@@ -20,8 +20,8 @@
 	LeaseLeft     policy.Micros  `json:"left,omitempty"`    // of Holder's lease, in microseconds
 	StopReason    string         `json:"stopped,omitempty"` // why no further wave was begun
 	NeedsResume   bool           `json:"resume,omitempty"`  // another holder decided it, and waves are left for whoever may begin them
-	Targets       []TargetResult `json:"ends"`
-	MessagesSent  int            `json:"sent"`
+	Targets       []TargetResult `json:"ends"`              // in the order of the change; nil where nothing was begun
+	MessagesSent  int            `json:"sent"`              // by the coordinator, renewals and repetitions included
 }
 
 // AllOrNone reports whether every target was changed, or every target is unchanged.
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -21,10 +21,10 @@
 // CompletedChange is what is kept of a change once its entry is dropped: an agent that was away for long must still learn the same
 // outcome.
 type CompletedChange struct {
-	ID           string  `json:"id"`
-	Outcome      Outcome `json:"outcome"`
-	AllowedWaves int     `json:"waves"`
-	Final        bool    `json:"final"`
+	ID           string  `json:"id"`      // of the change
+	Outcome      Outcome `json:"outcome"` // Commit or Abort
+	AllowedWaves int     `json:"waves"`   // waves up to this one were applied
+	Final        bool    `json:"final"`   // no further wave was allowed
 }
 
 func (c CompletedChange) entry() Entry {
