--- a/internal/status/state_test.go
+++ b/internal/status/server_test.go
@@ -1,6 +1,7 @@
 package status
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"os"
@@ -10,14 +11,17 @@
 	"tallyproxy/routing"
 )
 
-func TestState(t *testing.T) {
+// The socket serves the report to its owner alone, replaces what a killed director left, and goes with the server.
+func TestServe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n0.sock")
-	left, err := net.Listen("unix", path) // of a director that was killed
+	stale, err := net.Listen("unix", path) // of a director that was killed
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.(*net.UnixListener).SetUnlinkOnClose(false)
-	left.Close()
+	stale.(*net.UnixListener).SetUnlinkOnClose(false)
+	if err := stale.Close(); err != nil {
+		t.Fatal(err)
+	}
 	s, err := Serve(path, func() Report {
 		return Report{Name: "n0", NodeViews: []routing.EndpointView{{ID: "e0", SlowStartShare: 0.5}}}
 	})
@@ -31,9 +35,11 @@
 		t.Errorf("%+v, %v", r, err)
 	}
 	if _, err := Serve(path, func() Report { return Report{} }); err == nil {
-		t.Error("two directors at one socket")
+		t.Error("two directors serve on one socket")
 	}
-	client := http.Client{Transport: &http.Transport{Dial: func(_, _ string) (net.Conn, error) { return net.Dial("unix", path) }}}
+	client := http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
+		return net.Dial("unix", path)
+	}}}
 	if resp, err := client.Post("http://x/state", "", nil); err != nil || resp.StatusCode != http.StatusNotFound {
 		t.Errorf("a POST: %v, %v", resp, err)
 	}
@@ -54,6 +60,7 @@
 	(*Server)(nil).Close()
 }
 
+// A panic while the report is made fails its request and nothing else.
 func TestPanicIsAnswered(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n0.sock")
 	first := true
