--- a/internal/upstream/back_test.go
+++ b/internal/upstream/back_test.go
@@ -157,10 +157,10 @@
 		want string
 	}{
 		{"closed without an answer", func(node) {}, "wholly written"},
-		{"closed within an answer", func(n node) { io.WriteString(n, "a1 data - 9\r\nxyz") }, "answer begun"},
+		{"closed within an answer", func(n node) { io.WriteString(n, "a1 data - 9\r\nxyz") }, "response started"},
 		{"closed within another's", func(n node) { io.WriteString(n, "a2 data - 9\r\nxyz") }, "wholly written"},
 		{"unreadable", func(n node) { io.WriteString(n, "rubbish\r\n") }, "wholly written"},
-		{"a copy that it lacks is said to hold", func(n node) { io.WriteString(n, "a1 unchanged - 0\r\n\r\n") }, "answer begun"},
+		{"a copy that it lacks is said to hold", func(n node) { io.WriteString(n, "a1 unchanged - 0\r\n\r\n") }, "response started"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -261,7 +261,7 @@
 	eventually(t, "never silent", func() bool {
 		b.Endpoint.mu.Lock()
 		defer b.Endpoint.mu.Unlock()
-		return time.Since(pull.sentAt) > span(m.Connect)
+		return time.Since(pull.sentAt) > m.Connect.Duration()
 	})
 	pull.Cancel(false)
 	expect(t, ends, "wholly written, given up")
@@ -384,13 +384,13 @@
 		n.hears(t, "want a1")
 		_, a2 := b.send("a2")
 		n.hears(t, "want a2")
-		time.Sleep(2 * span(m.ReadStall)) // as long as it likes between answers
+		time.Sleep(2 * m.ReadStall.Duration()) // as long as it likes between answers
 		io.WriteString(n, "a2 full - 0\r\n\r\n")
 		expect(t, a2, "full 0")
 		_, a2 = b.send("a2")
 		n.hears(t, "want a2")
 		io.WriteString(n, text)
-		expect(t, a1, map[bool]string{true: "answer begun", false: "wholly written"}[len(text) > 9])
+		expect(t, a1, map[bool]string{true: "response started", false: "wholly written"}[len(text) > 9])
 		expect(t, a2, "wholly written")
 		if _, err := n.in.ReadByte(); err == nil {
 			t.Error("the connection is still open")
--- /dev/null
+++ b/internal/upstream/endpoint.go
@@ -0,0 +1,106 @@
+package upstream
+
+import (
+	"slices"
+	"sync"
+	"sync/atomic"
+)
+
+// Endpoint is one process of a node, at its address, with the connections to it. It is safe for concurrent use.
+type Endpoint struct {
+	pool     *Pool
+	address  string
+	draining atomic.Bool // see SetDraining
+
+	mu      sync.Mutex // guards what follows, and all connections and attempts of the endpoint
+	conns   []*conn    // that are open or being opened
+	closing bool       // see CloseWhenIdle
+}
+
+// SetDraining sets whether the endpoint is draining: then no new request is written to it, and none that names it as its source is
+// written to another. What waits to be written ends with ErrWithdrawn.
+func (e *Endpoint) SetDraining(draining bool) { e.draining.Store(draining) }
+
+// CloseWhenIdle removes the endpoint from the pool: it is draining, and each of its connections is closed as soon as no attempt is
+// open on it.
+func (e *Endpoint) CloseWhenIdle() {
+	e.pool.mu.Lock()
+	delete(e.pool.endpoints, e)
+	e.pool.mu.Unlock()
+	e.draining.Store(true)
+	e.mu.Lock()
+	e.closing = true
+	e.mu.Unlock()
+	e.closeMatching(func(c *conn) bool { return len(c.attempts) == 0 })
+}
+
+// closeMatching closes the connections for which match returns true.
+func (e *Endpoint) closeMatching(match func(*conn) bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, c := range slices.Clone(e.conns) {
+		if match(c) {
+			c.close(errCancelled)
+		}
+	}
+}
+
+// hasUnusedConn reports whether a connection takes requests and has none.
+func (e *Endpoint) hasUnusedConn() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return slices.ContainsFunc(e.conns, func(c *conn) bool { return !c.retired && len(c.attempts) == 0 })
+}
+
+// enqueue queues an attempt's request on a connection. It returns false when none takes it and none may be opened. The caller holds
+// the endpoint's lock.
+func (e *Endpoint) enqueue(a *Attempt) bool {
+	c := e.pickConn(a)
+	if c == nil {
+		return false
+	}
+	a.conn, a.stage = c, NotConnected
+	if c.netConn != nil {
+		a.stage = NothingWritten
+	}
+	c.attempts[a.request.ID] = a
+	c.lastUsed = a.sentAt
+	c.queue = append(c.queue, message{attempt: a})
+	c.wakeWriter()
+	return true
+}
+
+// pickConn returns the connection of the best rank, and among these the one with the fewest attempts, that accepts the attempt. Where
+// all carry the preferred number of attempts, it opens another within the pool's limit. It returns nil when there is no connection. The
+// caller holds the endpoint's lock.
+func (e *Endpoint) pickConn(a *Attempt) *conn {
+	var best *conn
+	for _, c := range e.conns {
+		if c.accepts(a) && (best == nil || c.isBetterThan(best)) {
+			best = c
+		}
+	}
+	if best != nil && len(best.attempts) < e.pool.timeouts.PreferredStreams {
+		return best
+	}
+	if !e.reserveConn() {
+		return best
+	}
+	c := newConn(e)
+	e.conns = append(e.conns, c)
+	go c.run()
+	return c
+}
+
+// reserveConn counts another connection, unless the pool's limit is reached. The caller holds the endpoint's lock.
+func (e *Endpoint) reserveConn() bool {
+	limit := e.pool.limit.Load()
+	if len(e.conns) == 0 {
+		limit += firstConnectionReserve(limit)
+	}
+	if e.pool.connections.Add(1) > limit {
+		e.pool.connections.Add(-1)
+		return false
+	}
+	return true
+}
--- a/internal/upstream/rare_test.go
+++ b/internal/upstream/rare_test.go
@@ -94,7 +94,7 @@
 					return true
 				}
 				before = now
-				time.Sleep(10 * span(m.MaxDecisionAge))
+				time.Sleep(10 * m.MaxDecisionAge.Duration())
 				return false
 			})
 			last := fmt.Sprint("s", before-1) // in order: all before it are in the sockets
--- /dev/null
+++ b/internal/upstream/request.go
@@ -0,0 +1,85 @@
+package upstream
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"tallyproxy/internal/bufpool"
+)
+
+// maxRequestHead is the most bytes of a request apart from its body. The downstream package bounds the values.
+const maxRequestHead = 1024
+
+// Request is a request to a node. It must not change once it is sent.
+type Request struct {
+	ID             string // unique among the requests that are open on a connection
+	ContentType    string
+	Object         string
+	Part           int           // of the object, from 0
+	Timeout        time.Duration // how long the node may take; it is sent as at least a millisecond
+	IdempotencyKey string        // the same for all attempts of a request that is idempotent by its key; empty for others
+	SourceID       string        // the node that a cache miss is filled from; empty for no fill
+	CacheRank      int           // how gladly the node keeps a copy; 0 for its own choice
+	MaxAge         time.Duration // the age up to which a copy serves; 0 for the content type's
+	Coalesce       bool          // the node may answer from another's fill that is under way
+	OnlyIfCached   bool          // a miss is not filled
+	Revalidate     bool          // a copy is checked with the source first
+	ClientTag      string        // the version tag of the client's copy; empty where it has none
+	Body           *bufpool.Body // the sender's, who frees it once the attempt has ended
+
+	Source     *Endpoint   // the endpoint of SourceID, which must not be draining when the request is written; nil where not known
+	Superseded func() bool // reports whether the request must not be written any more; nil for never. Safe for concurrent use
+}
+
+// appendRequest appends a request as it is written.
+func appendRequest(to []byte, r *Request) []byte {
+	to = fmt.Appendf(to, "want %s sort=%s,asset=%s,slice=%d,patience=%d", r.ID, r.ContentType, r.Object, r.Part, atLeastOneMillisecond(r.Timeout))
+	to = appendField(to, ",op=", r.IdempotencyKey)
+	to = appendField(to, ",from=", r.SourceID)
+	if r.CacheRank > 0 {
+		to = fmt.Appendf(to, ",rank=%d", r.CacheRank)
+	}
+	if r.MaxAge > 0 {
+		to = fmt.Appendf(to, ",oldest=%d", atLeastOneMillisecond(r.MaxAge))
+	}
+	to = appendField(to, ",mode=", strings.Join(r.modes(), "+"))
+	to = appendField(to, ",seen=", r.ClientTag)
+	to = fmt.Appendf(to, " %d\r\n", r.Body.Len())
+	for _, part := range r.Body.Parts() {
+		to = append(to, part...)
+	}
+	return append(to, "\r\n"...)
+}
+
+// modes returns the modes that are set, in the order in which they are written.
+func (r *Request) modes() []string {
+	var modes []string
+	if r.Coalesce {
+		modes = append(modes, "join")
+	}
+	if r.OnlyIfCached {
+		modes = append(modes, "held")
+	}
+	if r.Revalidate {
+		modes = append(modes, "renew")
+	}
+	return modes
+}
+
+// appendField appends a field's name and value, unless the value is empty.
+func appendField(to []byte, name, value string) []byte {
+	if value == "" {
+		return to
+	}
+	return append(append(to, name...), value...)
+}
+
+// atLeastOneMillisecond returns a duration in whole milliseconds, of which the protocol wants one at least.
+func atLeastOneMillisecond(d time.Duration) int64 { return max(1, d.Milliseconds()) }
+
+// appendCancel appends the cancelling of the request with an id.
+func appendCancel(to []byte, id string) []byte { return fmt.Appendf(to, "never_mind %s\r\n", id) }
+
+// appendProbe appends a probe. The node answers it under the same id, after it has read what was written before.
+func appendProbe(to []byte, id string) []byte { return fmt.Appendf(to, "there %s\r\n", id) }
