--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -16,15 +16,15 @@
 	ID             string // unique among the requests that are open on a connection
 	ContentType    string
 	Object         string
-	Part           int           // of the object, from 0
+	Part           int           // of the object; the node keeps and fills each part on its own
 	Timeout        time.Duration // how long the node may take; it is sent as at least a millisecond
 	IdempotencyKey string        // the same for all attempts of a request that is idempotent by its key; empty for others
 	SourceID       string        // the node that a cache miss is filled from; empty for no fill
-	CacheRank      int           // how gladly the node keeps a copy; 0 for its own choice
-	MaxAge         time.Duration // the age up to which a copy serves; 0 for the content type's
-	Coalesce       bool          // the node may answer from another's fill that is under way
-	OnlyIfCached   bool          // a miss is not filled
-	Revalidate     bool          // a copy is checked with the source first
+	CacheRank      int           // the rank of the copy that the node keeps; 0 to keep none
+	MaxAge         time.Duration // no copy older than this serves; 0 for the time that the content type sets
+	Coalesce       bool          // a miss joins a fill that is under way
+	OnlyIfCached   bool          // the fill takes what its source has cached, and nothing from further on
+	Revalidate     bool          // an ageing copy serves, and the node renews it afterwards
 	ClientTag      string        // the version tag of the client's copy; empty where it has none
 	Body           *bufpool.Body // the sender's, who frees it once the attempt has ended
 
