--- a/internal/ctl/views.go
+++ b/internal/ctl/views.go
@@ -11,13 +11,13 @@
 
 const mostLines = 24 // about who sees whom
 
-// Views tells who sees whom among the directors that talk with each other, and where their views differ; nothing where none
+// MembershipLines tells who sees whom among the directors that talk with each other, and where their views differ; nothing where none
 // does.
-func (v *View) Views() (lines []string) {
+func (v *Snapshot) MembershipLines() (lines []string) {
 	groups, parts := map[string][]string{}, map[string]string{}
-	var talk []Director
+	var talk []DirectorStatus
 	for _, d := range v.Directors {
-		if p := d.Report.Peers; d.Up && p != nil {
+		if p := d.Report.Membership; d.Up && p != nil {
 			talk = append(talk, d)
 			groups[p.Digest] = append(groups[p.Digest], d.Name)
 			parts[p.Digest] = fmt.Sprintf("with %s, part %.2f of the zone's, %.2f of all", p.PartitionState, p.ZoneQuota, p.FleetQuota)
@@ -42,7 +42,7 @@
 	lines = append(lines, follows(talk)...)
 	for _, d := range talk {
 		var missing []string
-		for _, p := range d.Report.Peers.Peers {
+		for _, p := range d.Report.Membership.Peers {
 			if p.State != "up" {
 				missing = append(missing, fmt.Sprintf("%s %s for %v", p.Name, p.State, (time.Duration(p.StateAge)*time.Microsecond).Round(time.Second)))
 			}
@@ -50,7 +50,7 @@
 		if len(missing) > 0 {
 			lines = append(lines, fmt.Sprintf("%s sees: %s", d.Name, strings.Join(missing, ", ")))
 		}
-		if c := d.Report.Peers.NameConflict; c != "" {
+		if c := d.Report.Membership.NameConflict; c != "" {
 			lines = append(lines, fmt.Sprintf("%s: another director goes by this name, at %s", d.Name, c))
 		}
 	}
@@ -64,10 +64,10 @@
 const old = 5 * time.Second
 
 // follows tells who asks the command channel for the others, and whose list is old.
-func follows(talk []Director) (lines []string) {
+func follows(talk []DirectorStatus) (lines []string) {
 	var who []string
 	for _, d := range talk {
-		if f := d.Report.Follow; f != nil && f.Polls {
+		if f := d.Report.Relay; f != nil && f.Polls {
 			who = append(who, d.Name)
 		}
 	}
@@ -75,7 +75,7 @@
 		lines = append(lines, "the command channel is asked by "+strings.Join(who, ", "))
 	}
 	for _, d := range talk {
-		if f := d.Report.Follow; f != nil && time.Duration(f.AgeMicros)*time.Microsecond > old {
+		if f := d.Report.Relay; f != nil && time.Duration(f.AgeMicros)*time.Microsecond > old {
 			lines = append(lines, fmt.Sprintf("%s: its list of nodes is known to have held %v ago; it hears %s", d.Name,
 				(time.Duration(f.AgeMicros)*time.Microsecond).Round(time.Second), cmp.Or(strings.Join(f.Sources, ", "), "nobody who knows more")))
 		}
--- a/internal/server/heart.go
+++ b/internal/server/heart.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"tallyproxy/backoff"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/policy"
 	"tallyproxy/stall"
 )
@@ -22,10 +23,10 @@
 	// A call may take the channel's time, and be given up only after that of its connection; then comes a pause.
 	cycle := m.LongPoll + 2*m.Connect + backoff.DeriveIntervals(s, m).MaxPause + m.StallThreshold
 	h.Detector = stall.New(stall.Thresholds{Stall: m.StallThreshold, PollCycle: cycle, SuspectTimeout: m.SuspectTimeout}, h.Now(), func(gap policy.Micros) {
-		slog.Warn("time_jumped", "by", span(gap))
+		slog.Warn(logevent.ClockStall, "gap", span(gap))
 		hurry()
 	}, func(how stall.Resolution, took policy.Micros) {
-		slog.Info("time_settled", "how", how.String(), "after", span(took))
+		slog.Info(logevent.ClockStallResolved, "result", how.String(), "duration", span(took))
 		settled(how)
 	})
 	return h
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -11,6 +11,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"tallyproxy/internal/logevent"
 )
 
 const (
@@ -134,7 +136,7 @@
 // recoverPanic closes the connection when its goroutine panics, so that nothing else is harmed. It is deferred.
 func (c *conn) recoverPanic() {
 	if reason := recover(); reason != nil {
-		slog.Error("panic", "where", "back", "node", c.endpoint.address, "err", reason, "stack", string(debug.Stack()))
+		slog.Error(logevent.PanicRecovered, "component", "upstream", "node", c.endpoint.address, "err", reason, "stack", string(debug.Stack()))
 		c.fail(fmt.Errorf("panic: %v", reason))
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"tallyproxy/internal/bufpool"
+	"tallyproxy/internal/logevent"
 	"tallyproxy/policy"
 )
 
@@ -88,7 +89,7 @@
 	if time.Since(p.lastLogged) < p.timeouts.Connect.Duration() {
 		return
 	}
-	slog.Warn("bad_answer", "node", address, "err", err, "faults", p.unloggedErrors)
+	slog.Warn(logevent.UpstreamBadResponse, "endpoint", address, "err", err, "faults", p.unloggedErrors)
 	p.unloggedErrors, p.lastLogged = 0, time.Now()
 }
 
