--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rollout.Plan(ctl.NewChangeID(), "op", line, places, limit, func(s string) string { return config.Sum([]byte(s)) },
+	return rollout.Plan(ctl.NewChangeID(), "op", line, places, limit, func(s string) string { return config.Digest([]byte(s)) },
 		func(p rollout.Candidate) string { return p.Script + line + "\n" })
 }
 
@@ -106,7 +106,7 @@
 	// taken back, as a change of its own
 	v := op.Snapshot(t.Context())
 	of, before := v.Change(change.ID)
-	undo := rollout.Undo(ctl.NewChangeID(), "op", of, before, func(s string) string { return config.Sum([]byte(s)) })
+	undo := rollout.Undo(ctl.NewChangeID(), "op", of, before, func(s string) string { return config.Digest([]byte(s)) })
 	if r, err := op.Run(t.Context(), undo, nil, nil); err != nil || !r.AllOrNone() {
 		t.Fatalf("undo: %+v, %v", r, err)
 	}
@@ -397,7 +397,7 @@
 		}
 		v := op.Snapshot(t.Context())
 		places, _ := v.Candidates()
-		change := rollout.Plan(ctl.NewChangeID(), "op", "x", places, 1, func(s string) string { return config.Sum([]byte(s)) },
+		change := rollout.Plan(ctl.NewChangeID(), "op", "x", places, 1, func(s string) string { return config.Digest([]byte(s)) },
 			func(p rollout.Candidate) string { return strings.Replace(p.Script, ".sock", ".elsewhere", 1) })
 		r, err = op.Run(t.Context(), change, nil, nil)
 		if err != nil || r.StopReason == "" || !strings.Contains(r.StopReason, "needs a restart") {
@@ -413,7 +413,7 @@
 		}
 	})
 	t.Run("an operator who may only look", func(t *testing.T) {
-		if err := authority.Issue(f.Keys, f.Dir, "looker", []authority.Role{authority.See}, time.Hour, time.Now()); err != nil {
+		if err := authority.Issue(f.Keys, f.Dir, "looker", []authority.Role{authority.RoleViewer}, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		looker, err := f.Operator("looker")
@@ -431,7 +431,7 @@
 		}
 	})
 	t.Run("a revoked and an expired certificate", func(t *testing.T) {
-		if err := authority.Issue(f.Keys, f.Dir, "left", []authority.Role{authority.Change}, time.Hour, time.Now()); err != nil {
+		if err := authority.Issue(f.Keys, f.Dir, "left", []authority.Role{authority.RoleEditor}, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		left, err := f.Operator("left")
@@ -442,7 +442,7 @@
 		if v := left.Snapshot(t.Context()); !v.Agents[0].Reachable {
 			t.Fatalf("%+v", v.Agents)
 		}
-		cert, err := authority.ReadCertificate(filepath.Join(f.Dir, "left.pem"))
+		cert, err := authority.LoadCertificate(filepath.Join(f.Dir, "left.pem"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -454,7 +454,7 @@
 				t.Errorf("%+v", a)
 			}
 		}
-		if err := authority.Issue(f.Keys, f.Dir, "late", []authority.Role{authority.Change}, time.Minute, time.Now().Add(-2*time.Hour)); err != nil {
+		if err := authority.Issue(f.Keys, f.Dir, "late", []authority.Role{authority.RoleEditor}, time.Minute, time.Now().Add(-2*time.Hour)); err != nil {
 			t.Fatal(err)
 		}
 		late, err := f.Operator("late")
@@ -485,7 +485,7 @@
 	zipf := fakes.NewZipf(200, 1)
 	for i, d := range f.Inventory.Directors {
 		c := &fakes.Client{
-			W: f.World, Targets: []*fakes.Target{{Addr: listenOf(t, d.Config)}}, Retries: 5, Wait: 50 * time.Millisecond,
+			W: f.World, Targets: []*fakes.Target{{Addr: listenOf(t, d.PlatformFile)}}, Retries: 5, Wait: 50 * time.Millisecond,
 			Rand: newRand(uint64(i)), Zipf: zipf,
 		}
 		all.Go(func() { c.Live(ctx, 0, 20*time.Millisecond) })
@@ -496,7 +496,7 @@
 			t.Fatal("the box has no share")
 		}
 	}
-	change := rollout.Plan(ctl.NewChangeID(), "op", "drain", places, 1, func(s string) string { return config.Sum([]byte(s)) },
+	change := rollout.Plan(ctl.NewChangeID(), "op", "drain", places, 1, func(s string) string { return config.Digest([]byte(s)) },
 		func(p rollout.Candidate) string {
 			script, err := ctl.EditAvoidedNodes(p.Script, "box-0", true)
 			if err != nil {
