--- /dev/null
+++ b/internal/dispatch/attempt_test.go
@@ -0,0 +1,54 @@
+package dispatch
+
+import (
+	"errors"
+	"testing"
+
+	"tallyproxy/internal/upstream"
+	"tallyproxy/policy"
+)
+
+// TestResults gives the result of each way in which an attempt can end.
+func TestResults(t *testing.T) {
+	fail := func(stage upstream.Stage, cancelled bool) error {
+		return &upstream.Error{Stage: stage, Cancelled: cancelled, Err: errors.New("x")}
+	}
+	cases := []struct {
+		name   string
+		status upstream.Status
+		err    error
+		want   policy.Result
+	}{
+		{"data", upstream.StatusData, nil, policy.Succeeded},
+		{"unchanged", upstream.StatusUnchanged, nil, policy.Succeeded},
+		{"absent", upstream.StatusAbsent, nil, policy.CacheMiss},
+		{"full", upstream.StatusFull, nil, policy.Rejected},
+		{"failed", upstream.StatusFailed, nil, policy.Failed},
+		{"moot", upstream.StatusMoot, nil, policy.NotSent},
+		{"not connected", "", fail(upstream.NotConnected, false), policy.ConnectFailed},
+		{"nothing written", "", fail(upstream.NothingWritten, false), policy.ConnectFailed},
+		{"partly written", "", fail(upstream.PartlyWritten, false), policy.ConnectFailed},
+		{"wholly written", "", fail(upstream.WhollyWritten, false), policy.ConnectionLost},
+		{"response started", "", fail(upstream.ResponseStarted, false), policy.ConnectionLost},
+		{"cancelled, not connected", "", fail(upstream.NotConnected, true), policy.NotSent},
+		{"cancelled, partly written", "", fail(upstream.PartlyWritten, true), policy.NotSent},
+		{"cancelled, wholly written", "", fail(upstream.WhollyWritten, true), policy.Cancelled},
+		{"cancelled, response started", "", fail(upstream.ResponseStarted, true), policy.Cancelled},
+		{"another error", "", errors.New("x"), policy.ConnectionLost},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			if got := resultOf(upstream.Response{Status: c.status}, c.err); got != c.want {
+				t.Errorf("got %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+// TestNoConnectionAvailable checks that an endpoint isn't blamed where the pool's limit left no connection for it.
+func TestNoConnectionAvailable(t *testing.T) {
+	err := &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrConnectionLimit}
+	if got := resultOf(upstream.Response{}, err); got != policy.NotSent {
+		t.Errorf("got %d", got)
+	}
+}
--- /dev/null
+++ b/internal/dispatch/harness_test.go
@@ -0,0 +1,387 @@
+package dispatch
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"tallyproxy/internal/bufpool"
+	"tallyproxy/internal/config"
+	"tallyproxy/internal/discovery"
+	"tallyproxy/internal/downstream"
+	"tallyproxy/internal/upstream"
+	"tallyproxy/policy"
+)
+
+// testTimeout bounds every wait of these tests.
+const testTimeout = 10 * time.Second
+
+// panicObject is an object over which the scripted policy panics.
+const panicObject = "baaaaaaaaaaaaaad"
+
+// scriptedPolicy gives the decisions that it was made with, in their order, and records its calls.
+type scriptedPolicy struct {
+	decisions    []policy.Decision
+	recheckAfter policy.Micros
+	calls        chan string
+	recheck      chan struct{} // a request is routed a second time only once this is closed
+}
+
+func (p *scriptedPolicy) next(call string) policy.Decision {
+	p.calls <- call
+	if len(p.decisions) == 0 {
+		return policy.Decision{}
+	}
+	d := p.decisions[0]
+	if p.decisions = p.decisions[1:]; d.Action == policy.CancelAttempt {
+		p.recheckAfter = 0 // the outcome comes next
+	}
+	return d
+}
+
+func (p *scriptedPolicy) Route(_ policy.Micros, req *policy.Request) policy.Decision {
+	if req.Object == panicObject {
+		panic(req.Object)
+	}
+	if req.PolicyState == nil {
+		req.PolicyState = p
+	} else {
+		<-p.recheck
+	}
+	return p.next("route " + req.Object)
+}
+
+func (p *scriptedPolicy) AttemptDone(_ policy.Micros, _ *policy.Request, outcome policy.Outcome) policy.Decision {
+	return p.next(fmt.Sprint("done ", outcome.Attempt, " ", int(outcome.Result), " ", int(outcome.CacheStatus), " ", outcome.Final))
+}
+
+func (p *scriptedPolicy) ClientConnected(policy.Micros) {}
+
+func (p *scriptedPolicy) RecheckAfter(policy.Micros, *policy.Request) policy.Micros {
+	return p.recheckAfter
+}
+
+func (p *scriptedPolicy) UpdateEndpoints(_ policy.Micros, endpoints []policy.Endpoint, complete bool) {
+	p.calls <- fmt.Sprint("endpoints ", len(endpoints), " ", complete)
+}
+
+func (p *scriptedPolicy) Purge(_ policy.Micros, object string, group int, at policy.Micros) {
+	if object == "bad" {
+		panic(object)
+	}
+	p.calls <- fmt.Sprint("purge ", object, " ", group, " ", int64(at))
+}
+
+// blockingPolicy blocks in Route until the test gives a decision.
+type blockingPolicy struct {
+	*scriptedPolicy
+	routing   chan string                           // objects that Route blocks over
+	decide    chan policy.Decision                  // what Route returns
+	outcomes  chan policy.Outcome                   // what AttemptDone got
+	afterDone func() policy.Decision                // what AttemptDone returns unless the request is done
+	notAfter  func(now policy.Micros) policy.Micros // the bound of what Route returns; nil for none
+}
+
+func (p *blockingPolicy) Route(now policy.Micros, req *policy.Request) policy.Decision {
+	p.routing <- req.Object
+	d := <-p.decide
+	if p.notAfter != nil {
+		d.NotAfter = p.notAfter(now)
+	}
+	return d
+}
+
+func (p *blockingPolicy) AttemptDone(_ policy.Micros, _ *policy.Request, outcome policy.Outcome) policy.Decision {
+	p.outcomes <- outcome
+	if outcome.Final {
+		return policy.Decision{}
+	}
+	return p.afterDone()
+}
+
+// harness is a router of one shard, with one client and one endpoint, e1, that the test speaks for.
+type harness struct {
+	t             *testing.T
+	router        *Router
+	policy        *scriptedPolicy
+	server        *downstream.Server
+	client        net.Conn
+	clientIn      *bufio.Reader
+	endpoint      net.Listener
+	endpointConn  net.Conn      // the connection to the endpoint that was accepted last; nil to accept another
+	endpointInput *bufio.Reader // of endpointConn
+}
+
+// sendToE1 has a request sent to e1, filled from p1.
+var sendToE1 = policy.Decision{
+	Action: policy.Send, Endpoint: &policy.Endpoint{ID: "e1"}, Source: &policy.Endpoint{ID: "p1"}, Timeout: 60 * policy.Second,
+}
+
+func newHarness(t *testing.T, recheckAfter policy.Micros, decisions ...policy.Decision) *harness {
+	t.Helper()
+	h := &harness{t: t, policy: &scriptedPolicy{decisions, recheckAfter, make(chan string, 64), make(chan struct{})}}
+	timeouts := policy.Timeouts{
+		Connect: 10 * policy.Second, Idle: 100 * policy.Second, PreferredStreams: 8, MaxStreams: 8, WriteFlush: 10 * policy.Second,
+		ReadStall: 10 * policy.Second, RequestRead: 60 * policy.Second, DownstreamIdle: 60 * policy.Second,
+	}
+	buffers := bufpool.New(64)
+	pool := upstream.New(buffers, timeouts, 8)
+	site := config.Site{
+		Types: []string{"clip"}, Settings: policy.Settings{ContentTypes: []*policy.ContentType{{Timeout: 60 * policy.Second}}},
+	}
+	h.endpoint = listen(t)
+	h.router = New(h.policy, timeouts, pool, 1)
+	go h.router.Run()
+	h.server = downstream.New([]downstream.Handler{h.router.Shards()[0]}, site, buffers, 8, timeouts)
+	listener := listen(t)
+	go serve(t, h.server, listener)
+	h.updateEndpoint(policy.Ready)
+	h.client = dial(t, listener.Addr())
+	h.clientIn = bufio.NewReader(h.client)
+	t.Cleanup(func() {
+		closeAll(t, h.client, h.endpoint, listener)
+		waitFor(t, "requests and clients' connections to end", func() bool {
+			return h.router.OpenRequests() == 0 && h.server.ConnCount() == 0
+		})
+		pool.Close()
+		waitFor(t, "the endpoint's connections to end", func() bool { return pool.Connections() == 0 })
+		h.router.Stop()
+		if inUse, _ := buffers.InUse(); inUse != 0 {
+			t.Errorf("%d buffers are still in use", inUse)
+		}
+	})
+	return h
+}
+
+func newBlockingHarness(t *testing.T) (*harness, *blockingPolicy) {
+	t.Helper()
+	h := newHarness(t, 0)
+	p := &blockingPolicy{
+		scriptedPolicy: h.policy, routing: make(chan string, 2000), decide: make(chan policy.Decision),
+		outcomes:  make(chan policy.Outcome, 64),
+		afterDone: func() policy.Decision { return policy.Decision{Action: policy.Reject} },
+	}
+	h.router.WithPolicy(func() { h.router.policy = p })
+	return h, p
+}
+
+// updateEndpoint brings a list of the one endpoint.
+func (h *harness) updateEndpoint(state policy.EndpointState) {
+	h.t.Helper()
+	h.router.Apply([]discovery.Event{{HasEndpoints: true, Snapshot: true, Endpoints: []discovery.Endpoint{
+		{Endpoint: policy.Endpoint{ID: "e1", State: state}, Address: h.endpoint.Addr().String()},
+	}}})
+	h.expectCall("endpoints 1 true")
+}
+
+// expectCall reads the policy's next call.
+func (h *harness) expectCall(want string) {
+	h.t.Helper()
+	if got := receive(h.t, h.policy.calls); got != want {
+		h.t.Fatalf("the policy was called for %q, want %q", got, want)
+	}
+}
+
+// expectAtEndpoint reads the next line that the endpoint gets, which must start with a prefix.
+func (h *harness) expectAtEndpoint(prefix string) {
+	h.t.Helper()
+	if h.endpointConn == nil {
+		h.endpointConn = accept(h.t, h.endpoint)
+		h.endpointInput = bufio.NewReader(h.endpointConn)
+	}
+	line, err := h.endpointInput.ReadString('\n')
+	if strings.HasPrefix(line, "want ") { // an empty body follows
+		if _, err := h.endpointInput.Discard(2); err != nil {
+			h.t.Fatal(err)
+		}
+	}
+	if err != nil || !strings.HasPrefix(line, prefix) {
+		h.t.Fatalf("the endpoint got %q, %v; want %s", line, err, prefix)
+	}
+}
+
+// endpointSends writes to the router from the endpoint.
+func (h *harness) endpointSends(text string) {
+	h.t.Helper()
+	write(h.t, h.endpointConn, text)
+}
+
+// clientSends writes a message of the client.
+func (h *harness) clientSends(words ...string) {
+	h.t.Helper()
+	write(h.t, h.client, message(words...))
+}
+
+// request sends a request of the client, with further fields.
+func (h *harness) request(tag, moreFields string) {
+	h.t.Helper()
+	h.clientSends("ASK", tag, "clip", "txn="+id("t", tag)+",limit=60000,item="+id("o", tag)+",n=0,shard=1"+moreFields)
+}
+
+// expectAnswer reads the client's next answer, as its tag, status, fields and body.
+func (h *harness) expectAnswer(want string) {
+	h.t.Helper()
+	lines := readLines(h.t, h.clientIn, 9)
+	if got := lines[2] + " " + lines[4] + " " + lines[6] + " " + lines[8]; got != want {
+		h.t.Fatalf("answered %q, want %q", got, want)
+	}
+}
+
+// newClient connects a further client.
+func (h *harness) newClient() net.Conn {
+	h.t.Helper()
+	client := dial(h.t, h.client.RemoteAddr())
+	h.t.Cleanup(func() { closeAll(h.t, client) })
+	return client
+}
+
+// requestOver sends a request of a further client.
+func (h *harness) requestOver(client net.Conn, tag string) {
+	h.t.Helper()
+	write(h.t, client, message("ASK", "1", "clip", "txn="+id("t", tag)+",limit=60000,item="+id("o", tag)+",n=0,shard=1"))
+}
+
+// expectAnswerBegins reads the first bytes of a further client's answer.
+func (h *harness) expectAnswerBegins(client net.Conn) {
+	h.t.Helper()
+	if _, err := io.ReadFull(client, make([]byte, 10)); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+// awaitCallForShard waits until a call waits for the shard, which is blocked and has taken all others: a request, or an attempt's end.
+func (h *harness) awaitCallForShard() {
+	h.t.Helper()
+	waitFor(h.t, "a call to wait for the shard", func() bool { return len(h.router.Shards()[0].calls.Ready()) > 0 })
+}
+
+// awaitClientRead waits until the server has handed on all that the client sent: its reader answers these one after the other.
+func (h *harness) awaitClientRead() {
+	h.t.Helper()
+	for _, tag := range []string{"98", "99"} {
+		h.clientSends("STATUS", tag)
+		h.expectAnswer(tag + " serving  ")
+	}
+}
+
+// awaitConnections waits until no more than so many clients are connected, whatever waits for the shard.
+func (h *harness) awaitConnections(most int) {
+	h.t.Helper()
+	waitFor(h.t, "a client's leaving to be seen", func() bool { return h.server.ConnCount() <= most })
+}
+
+// id is a short name as an id of 16 digits, in the letters that those have.
+func id(name, tag string) string {
+	letters := strings.NewReplacer("t", "a", "o", "b")
+	return letters.Replace(name) + strings.Repeat("0", 15-len(tag)) + tag
+}
+
+// message encodes a client's message.
+func message(words ...string) string {
+	out := redcon.AppendArray(nil, len(words))
+	for _, w := range words {
+		out = redcon.AppendBulkString(out, w)
+	}
+	return string(out)
+}
+
+func receive[T any](t *testing.T, from <-chan T) (value T) {
+	t.Helper()
+	select {
+	case value = <-from:
+	case <-time.After(testTimeout):
+		t.Fatal("nothing came")
+	}
+	return value
+}
+
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("timed out waiting for " + what)
+		}
+	}
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+func serve(t *testing.T, server *downstream.Server, l net.Listener) {
+	if err := server.Serve(l); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("serve: %v", err)
+	}
+}
+
+func dial(t *testing.T, address net.Addr) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", address.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	setDeadline(t, conn, testTimeout)
+	return conn
+}
+
+// accept takes a connection, which is closed at the test's end.
+func accept(t *testing.T, l net.Listener) net.Conn {
+	t.Helper()
+	conn, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	setDeadline(t, conn, testTimeout)
+	t.Cleanup(func() { closeAll(t, conn) })
+	return conn
+}
+
+func setDeadline(t *testing.T, conn net.Conn, after time.Duration) {
+	t.Helper()
+	if err := conn.SetDeadline(time.Now().Add(after)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func write(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// readLines reads so many lines, without their ends.
+func readLines(t *testing.T, in *bufio.Reader, n int) (lines []string) {
+	t.Helper()
+	for range n {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, strings.TrimSpace(line))
+	}
+	return lines
+}
+
+// closeAll closes what may be closed already.
+func closeAll(t *testing.T, closers ...io.Closer) {
+	t.Helper()
+	for _, c := range closers {
+		if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+			t.Error(err)
+		}
+	}
+}
--- a/internal/dispatch/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -10,8 +10,6 @@
 	"testing"
 	"time"
 
-	"github.com/tidwall/redcon"
-
 	"tallyproxy/internal/bufpool"
 	"tallyproxy/internal/config"
 	"tallyproxy/internal/discovery"
@@ -21,234 +19,230 @@
 	"tallyproxy/routing"
 )
 
-// box answers every request at once, and counts them.
-type box struct {
+// cacheNode answers every request at once, and counts them.
+type cacheNode struct {
 	net.Listener
-	asked, fills atomic.Int64 // requests; those that name the other box as source
+	requests, fillsFromP0 atomic.Int64
 }
 
-func newBox(t *testing.T) *box {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	b := &box{Listener: l}
-	t.Cleanup(func() { l.Close() })
+func newCacheNode(t *testing.T) *cacheNode {
+	t.Helper()
+	n := &cacheNode{Listener: listen(t)}
+	t.Cleanup(func() { closeAll(t, n) })
 	go func() {
 		for {
-			nc, err := l.Accept()
+			conn, err := n.Accept()
 			if err != nil {
 				return
 			}
-			go func() {
-				defer nc.Close()
-				for in := bufio.NewReader(nc); ; {
-					line, err := in.ReadString('\n')
-					if err != nil {
-						return
-					}
-					if words := strings.Fields(line); len(words) == 4 && words[0] == "want" {
-						b.asked.Add(1)
-						if strings.Contains(words[2], ",from=p0") {
-							b.fills.Add(1)
-						}
-						fmt.Fprintf(nc, "%s data n=local 2\r\nok\r\n", words[1])
-					}
-				}
-			}()
+			go n.answer(conn)
 		}
 	}()
-	return b
+	return n
 }
 
-// cores is a router of several shards with the real module, two boxes and two parents, and a client on each shard.
-type cores struct {
+// answer serves one connection until its end.
+func (n *cacheNode) answer(conn net.Conn) {
+	defer func() { _ = conn.Close() }() // whatever the other side did, the test looks at what was answered
+	for in := bufio.NewReader(conn); ; {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return
+		}
+		words := strings.Fields(line)
+		if len(words) != 4 || words[0] != "want" {
+			continue
+		}
+		n.requests.Add(1)
+		if strings.Contains(words[2], ",from=p0") {
+			n.fillsFromP0.Add(1)
+		}
+		if _, err := fmt.Fprintf(conn, "%s data n=local 2\r\nok\r\n", words[1]); err != nil {
+			return
+		}
+	}
+}
+
+// shardedRouter is a router of several shards with the real policy, two edges and two parents, and a client on each shard.
+type shardedRouter struct {
 	*Router
-	boxes   []*box
-	parents []*box
-	clients []net.Conn
-	in      []*bufio.Reader
-	n       int
+	t        *testing.T
+	edges    []*cacheNode
+	parents  []*cacheNode
+	clients  []net.Conn
+	clientIn []*bufio.Reader
+	sent     int
 }
 
-func newCores(t *testing.T, shards int) *cores {
-	s := policy.Settings{
-		Zone: 1, ZoneDirectors: 1, ParentKind: 1, OriginKind: 2, CanCancel: true, MaxAttempts: 8, TransferKBPerSecond: 1000, FillLinkKBPerSecond: 1e6,
-		PurgeRetention: 6 * policy.Second, ReportsCacheStatus: true, ConnectTimeout: policy.Second, KeepAliveTimeout: 30 * policy.Second, MaxConcurrentStreams: 100,
+func newShardedRouter(t *testing.T, shards int) *shardedRouter {
+	t.Helper()
+	settings := policy.Settings{
+		Zone: 1, ZoneDirectors: 1, ParentKind: 1, OriginKind: 2, CanCancel: true, MaxAttempts: 8,
+		TransferKBPerSecond: 1000, FillLinkKBPerSecond: 1e6, PurgeRetention: 6 * policy.Second, ReportsCacheStatus: true,
+		ConnectTimeout: policy.Second, KeepAliveTimeout: 30 * policy.Second, MaxConcurrentStreams: 100,
 		ContentTypes: []*policy.ContentType{{LatencyObjective: policy.Second, Timeout: 10 * policy.Second, PriorityWeight: 1}},
 	}
-	m := routing.Timeouts(s)
-	p := bufpool.New(64)
-	fleet := upstream.New(p, m, 64)
-	c := &cores{Router: New(routing.New(s, routing.Options{}), m, fleet, shards)}
+	timeouts := routing.Timeouts(settings)
+	buffers := bufpool.New(64)
+	pool := upstream.New(buffers, timeouts, 64)
+	r := &shardedRouter{Router: New(routing.New(settings, routing.Options{}), timeouts, pool, shards), t: t}
 	for range 2 {
-		c.boxes, c.parents = append(c.boxes, newBox(t)), append(c.parents, newBox(t))
-	}
-	c.Apply([]discovery.Event{{HasEndpoints: true, Snapshot: true, Endpoints: []discovery.Endpoint{
-		c.node("e0", 1, 0, c.boxes[0], policy.Ready), c.node("e1", 1, 0, c.boxes[1], policy.Ready),
-		c.node("p0", 0, 1, c.parents[0], policy.Ready), c.node("p1", 0, 1, c.parents[1], policy.Ready),
-	}}})
-	go c.Run()
-	var sinks []downstream.Handler
-	for _, s := range c.Shards() {
-		sinks = append(sinks, s)
+		r.edges, r.parents = append(r.edges, newCacheNode(t)), append(r.parents, newCacheNode(t))
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	r.update(true, r.edge(0, policy.Ready), r.edge(1, policy.Ready), r.parent(0, policy.Ready), r.parent(1, policy.Ready))
+	go r.Run()
+	var handlers []downstream.Handler
+	for _, s := range r.Shards() {
+		handlers = append(handlers, s)
 	}
-	server := downstream.New(sinks, config.Site{Types: []string{"clip"}, Settings: s}, p, 64, m)
-	go server.Serve(l)
+	listener := listen(t)
+	server := downstream.New(handlers, config.Site{Types: []string{"clip"}, Settings: settings}, buffers, 64, timeouts)
+	go serve(t, server, listener)
 	for i := range shards { // each goes to the next shard
-		nc, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		nc.SetDeadline(time.Now().Add(20 * time.Second))
-		c.clients, c.in = append(c.clients, nc), append(c.in, bufio.NewReader(nc))
+		client := dial(t, listener.Addr())
+		setDeadline(t, client, 2*testTimeout)
+		r.clients, r.clientIn = append(r.clients, client), append(r.clientIn, bufio.NewReader(client))
 		for server.ConnCount() <= i {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	t.Cleanup(func() {
-		for _, nc := range c.clients {
-			nc.Close()
+		for _, client := range r.clients {
+			closeAll(t, client)
 		}
-		l.Close()
-		fleet.Close()
-		c.Stop()
+		closeAll(t, listener)
+		pool.Close()
+		r.Stop()
 	})
-	return c
+	return r
 }
 
-func (c *cores) node(id string, zone, kind int, b *box, s policy.EndpointState) discovery.Endpoint {
-	return discovery.Endpoint{Endpoint: policy.Endpoint{ID: id, Zone: zone, Kind: kind, State: s}, Address: b.Addr().String()}
+// update brings a list of endpoints, or with complete false of changed ones alone.
+func (r *shardedRouter) update(complete bool, endpoints ...discovery.Endpoint) {
+	r.Apply([]discovery.Event{{HasEndpoints: true, Snapshot: complete, Endpoints: endpoints}})
 }
 
-func (c *cores) ask(client int) {
-	c.n++
-	out := redcon.AppendArray(nil, 4)
-	for _, w := range []string{"ASK", fmt.Sprint(c.n), "clip", fmt.Sprintf("txn=%016x,limit=9000,item=%016x,n=0,shard=0", c.n, c.n)} {
-		out = redcon.AppendBulkString(out, w)
+func (r *shardedRouter) edge(i int, state policy.EndpointState) discovery.Endpoint {
+	return discovery.Endpoint{
+		Endpoint: policy.Endpoint{ID: fmt.Sprint("e", i), Zone: 1, Kind: 0, State: state}, Address: r.edges[i].Addr().String(),
 	}
-	c.clients[client].Write(out)
 }
 
-// answered reads an answer's word.
-func (c *cores) answered(t *testing.T, client int) string {
-	t.Helper()
-	var lines []string
-	for range 9 { // *4 and four words
-		line, err := c.in[client].ReadString('\n')
-		if err != nil {
-			t.Fatal(err)
-		}
-		lines = append(lines, strings.TrimSpace(line))
+func (r *shardedRouter) parent(i int, state policy.EndpointState) discovery.Endpoint {
+	return discovery.Endpoint{
+		Endpoint: policy.Endpoint{ID: fmt.Sprint("p", i), Zone: 0, Kind: 1, State: state}, Address: r.parents[i].Addr().String(),
 	}
-	return lines[4]
 }
 
-// A drain is heeded on every core from the call that brings it, also by the one that is busy just then; it counts as in force
-// once that one has shown that it took it.
-func TestDrainWithABusyCore(t *testing.T) {
-	c := newCores(t, 4)
-	for i := range 40 { // connections are up, both boxes are used
-		c.ask(i % 4)
-		if word := c.answered(t, i%4); word != "200" {
-			t.Fatalf("answered %s", word)
+// fillsFromP0 counts the requests that named the first parent as their source.
+func (r *shardedRouter) fillsFromP0() int64 {
+	return r.edges[0].fillsFromP0.Load() + r.edges[1].fillsFromP0.Load()
+}
+
+func (r *shardedRouter) send(client int) {
+	r.t.Helper()
+	r.sent++
+	fields := fmt.Sprintf("txn=%016x,limit=9000,item=%016x,n=0,shard=0", r.sent, r.sent)
+	write(r.t, r.clients[client], message("ASK", fmt.Sprint(r.sent), "clip", fields))
+}
+
+// readStatus reads an answer, and returns its status.
+func (r *shardedRouter) readStatus(client int) string {
+	r.t.Helper()
+	return readLines(r.t, r.clientIn[client], 9)[4] // *4 and four words
+}
+
+// TestDrainWithABusyShard checks that a drain is applied by every shard from the call that brings it, also by one that is busy just
+// then, and that it counts as applied only once that one has acknowledged it.
+func TestDrainWithABusyShard(t *testing.T) {
+	r := newShardedRouter(t, 4)
+	for i := range 40 { // connections are up, both edges are used
+		r.send(i % 4)
+		if status := r.readStatus(i % 4); status != "200" {
+			t.Fatalf("answered %s", status)
 		}
 	}
-	if c.boxes[0].asked.Load() == 0 || c.boxes[0].fills.Load()+c.boxes[1].fills.Load() == 0 {
-		t.Fatal("a box or a parent has no share")
+	if r.edges[0].requests.Load() == 0 || r.fillsFromP0() == 0 {
+		t.Fatal("an edge or a parent has no share")
 	}
 	busy, goOn := make(chan struct{}), make(chan struct{})
-	c.Shards()[1].calls.PutUnbounded(func() { close(busy); <-goOn })
+	r.Shards()[1].calls.PutUnbounded(func() { close(busy); <-goOn })
 	<-busy
 	for range 10 {
-		c.ask(1) // they wait for the busy core
+		r.send(1) // they wait for the busy shard
 	}
-	c.Apply([]discovery.Event{{HasEndpoints: true, Endpoints: []discovery.Endpoint{
-		c.node("e0", 1, 0, c.boxes[0], policy.Draining), c.node("p0", 0, 1, c.parents[0], policy.Draining),
-	}}})
-	asked, fills := c.boxes[0].asked.Load(), c.boxes[0].fills.Load()+c.boxes[1].fills.Load()
+	r.update(false, r.edge(0, policy.Draining), r.parent(0, policy.Draining))
+	requests, fills := r.edges[0].requests.Load(), r.fillsFromP0()
 	for i := range 60 {
 		client := []int{0, 2, 3}[i%3]
-		c.ask(client)
-		if word := c.answered(t, client); word != "200" {
-			t.Fatalf("answered %s", word)
+		r.send(client)
+		if status := r.readStatus(client); status != "200" {
+			t.Fatalf("answered %s", status)
 		}
 	}
-	if told, inForce := c.Epochs(); inForce >= told {
-		t.Errorf("event %d is in force at %d while a core has not taken it", told, inForce)
+	if latest, applied := r.Epochs(); applied >= latest {
+		t.Errorf("event %d is applied at %d while a shard has not acknowledged it", latest, applied)
 	}
 	close(goOn)
 	for range 10 {
-		if word := c.answered(t, 1); word != "200" {
-			t.Fatalf("answered %s", word)
+		if status := r.readStatus(1); status != "200" {
+			t.Fatalf("answered %s", status)
 		}
 	}
-	if n := c.boxes[0].asked.Load(); n != asked {
-		t.Errorf("%d more reached the box after its drain", n-asked)
+	if n := r.edges[0].requests.Load(); n != requests {
+		t.Errorf("%d more reached the edge after its drain", n-requests)
 	}
-	if n := c.boxes[0].fills.Load() + c.boxes[1].fills.Load(); n != fills {
+	if n := r.fillsFromP0(); n != fills {
 		t.Errorf("%d more named the source after its drain", n-fills)
 	}
-	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if told, inForce := c.Epochs(); inForce == told {
-			break
-		}
-		if time.Now().After(until) {
-			t.Fatal("it never came into force")
-		}
-	}
+	waitFor(t, "the drain to be applied", func() bool {
+		latest, applied := r.Epochs()
+		return applied == latest
+	})
 }
 
-// The list turned over and over while all cores serve: nothing is lost, and what is drained last gets nothing more.
-func TestListTurnedOver(t *testing.T) {
-	c := newCores(t, 4)
+// TestEndpointUpdatesUnderLoad changes an endpoint's state over and over while all shards serve: nothing is lost.
+func TestEndpointUpdatesUnderLoad(t *testing.T) {
+	r := newShardedRouter(t, 4)
 	stop := make(chan struct{})
-	turned := make(chan int)
+	updates := make(chan int)
 	go func() {
 		n := 0
 		for ; ; n++ {
 			select {
 			case <-stop:
-				turned <- n
+				updates <- n
 				return
 			default:
 			}
-			c.Apply([]discovery.Event{{HasEndpoints: true, Endpoints: []discovery.Endpoint{
-				c.node("e0", 1, 0, c.boxes[0], []policy.EndpointState{policy.Draining, policy.Ready}[n%2]),
-			}}})
-			for told, inForce := c.Epochs(); inForce < told; told, inForce = c.Epochs() { // the next as soon as all cores have taken it
+			r.update(false, r.edge(0, []policy.EndpointState{policy.Draining, policy.Ready}[n%2]))
+			for latest, applied := r.Epochs(); applied < latest; latest, applied = r.Epochs() { // the next once all shards have it
 				runtime.Gosched()
 			}
 		}
 	}()
 	for i := range 400 {
-		c.ask(i % 4)
-		if word := c.answered(t, i%4); word != "200" {
-			t.Fatalf("download %d: answered %s", i, word)
+		r.send(i % 4)
+		if status := r.readStatus(i % 4); status != "200" {
+			t.Fatalf("request %d: answered %s", i, status)
 		}
 	}
 	close(stop)
-	if n := <-turned; n < 100 {
-		t.Errorf("the list turned over %d times only", n)
+	if n := <-updates; n < 100 {
+		t.Errorf("the endpoint was updated %d times only", n)
 	}
 }
 
-// The list tells of nodes anew, as they are, while pulls go out to them: what a pull needs of a node is read while the module is at rest.
-func TestListedWhilePulling(t *testing.T) {
-	c := newCores(t, 2)
+// TestUnchangedUpdatesWhileSending brings the same endpoints over and over while requests go out to them: what an attempt needs of an
+// endpoint is read while no shard asks the policy, as the race detector sees.
+func TestUnchangedUpdatesWhileSending(t *testing.T) {
+	r := newShardedRouter(t, 2)
 	done := make(chan struct{})
-	var asked atomic.Int64
+	var answered atomic.Int64
 	go func() {
 		defer close(done)
-		for n := 0; n < 2000 || asked.Load() < 10; n++ { // the lists alone may be told before ten downloads are through
-			c.Apply([]discovery.Event{{HasEndpoints: true, Endpoints: []discovery.Endpoint{
-				c.node("e0", 1, 0, c.boxes[0], policy.Ready), c.node("p0", 0, 1, c.parents[0], policy.Ready),
-				c.node("e1", 1, 0, c.boxes[1], policy.Ready), c.node("p1", 0, 1, c.parents[1], policy.Ready),
-			}}})
+		for n := 0; n < 2000 || answered.Load() < 10; n++ { // the updates alone may be through before ten requests are
+			r.update(false, r.edge(0, policy.Ready), r.parent(0, policy.Ready), r.edge(1, policy.Ready), r.parent(1, policy.Ready))
 		}
 	}()
 	for i := 0; ; i++ {
@@ -256,9 +250,9 @@
 		case <-done:
 			return
 		default:
-			c.ask(i % 2)
-			c.answered(t, i%2)
-			asked.Add(1)
+			r.send(i % 2)
+			r.readStatus(i % 2)
+			answered.Add(1)
 		}
 	}
 }
