--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -134,7 +134,7 @@
 	buffers := bufpool.New(64)
 	pool := upstream.New(buffers, timeouts, 8)
 	site := config.Site{
-		Types: []string{"clip"}, Settings: policy.Settings{ContentTypes: []*policy.ContentType{{Timeout: 60 * policy.Second}}},
+		TypeNames: []string{"clip"}, Settings: policy.Settings{ContentTypes: []*policy.ContentType{{Timeout: 60 * policy.Second}}},
 	}
 	h.endpoint = listen(t)
 	h.router = New(h.policy, timeouts, pool, 1)
--- a/internal/dispatch/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -96,7 +96,7 @@
 		handlers = append(handlers, s)
 	}
 	listener := listen(t)
-	server := downstream.New(handlers, config.Site{Types: []string{"clip"}, Settings: settings}, buffers, 64, timeouts)
+	server := downstream.New(handlers, config.Site{TypeNames: []string{"clip"}, Settings: settings}, buffers, 64, timeouts)
 	go serve(t, server, listener)
 	for i := range shards { // each goes to the next shard
 		client := dial(t, listener.Addr())
