--- a/internal/experiment/work.go
+++ b/internal/experiment/work.go
@@ -50,10 +50,10 @@
 
 // site draws one, and what is asked for.
 func (w *Work) site(r *rand.Rand, depots, boxes, parents, jobs int) (maintenance.Site, []maintenance.Job) {
-	s := maintenance.Site{WarmUp: [3]d.Micros{10 * d.Second, 20 * d.Second, 0}, MostOut: 0.34, Reserve: 0.1, Tries: 400, Exact: 7}
+	s := maintenance.Site{WarmUp: [3]d.Micros{10 * d.Second, 20 * d.Second, 0}, MaxUnavailable: 0.34, Reserve: 0.1, LocalSearchMoves: 400, ExactLimit: 7}
 	of, names := map[string]float64{}, []string{}
 	add := func(kind maintenance.Kind, name, depot string, capacity float64) {
-		s.Machines = append(s.Machines, maintenance.Machine{Name: name, Kind: kind, Depot: depot, Capacity: capacity})
+		s.Machines = append(s.Machines, maintenance.Machine{Name: name, Kind: kind, Location: depot, Capacity: capacity})
 		of[depot] += capacity
 		names = append(names, name)
 	}
@@ -62,23 +62,23 @@
 		if i >= 2*depots { // two each at the least, the rest unequally
 			depot = int(float64(depots) * math.Pow(r.Float64(), 1.5))
 		}
-		add(maintenance.Box, fmt.Sprint("box-", i), fmt.Sprint("depot-", depot), float64(4+r.IntN(4)))
+		add(maintenance.CacheNode, fmt.Sprint("box-", i), fmt.Sprint("depot-", depot), float64(4+r.IntN(4)))
 	}
 	for i := range parents {
 		add(maintenance.Parent, fmt.Sprint("parent-", i), fmt.Sprint("hub-", i%3), 10)
 	}
 	for i, part := range []float64{1, 0.4, 1} { // the day's end, the night, the morning
-		slot := maintenance.Slot{From: d.Micros(i) * 3600 * d.Second, Of: map[string]float64{}}
+		slot := maintenance.Slot{Start: d.Micros(i) * 3600 * d.Second, Demand: map[string]float64{}}
 		for name, all := range of {
-			slot.Of[name] = all * w.Demand * part
+			slot.Demand[name] = all * w.Demand * part
 		}
 		s.Demand = append(s.Demand, slot)
 	}
 	var all []maintenance.Job
 	for i, k := range r.Perm(len(names))[:min(jobs, len(names))] {
-		j := maintenance.Job{ID: fmt.Sprint("job-", i), Machines: []string{names[k]}, Takes: d.Micros(300+r.IntN(900)) * d.Second}
+		j := maintenance.Job{ID: fmt.Sprint("job-", i), Machines: []string{names[k]}, Duration: d.Micros(300+r.IntN(900)) * d.Second}
 		if r.IntN(4) == 0 {
-			j.DoneBy = j.Takes + d.Micros(r.IntN(7200))*d.Second
+			j.Deadline = j.Duration + d.Micros(r.IntN(7200))*d.Second
 		}
 		all = append(all, j)
 	}
@@ -90,12 +90,12 @@
 	const wait = 60 * d.Second
 	at, depots := map[string]d.Micros{}, map[string]string{}
 	for _, m := range s.Machines {
-		depots[m.Name] = m.Depot
+		depots[m.Name] = m.Location
 	}
 	for _, j := range jobs {
 		depot := depots[j.Machines[0]]
-		end := at[depot] + j.Takes
-		at[depot], done, late = end+wait, max(done, end), late+bit(j.DoneBy > 0 && end > j.DoneBy)
+		end := at[depot] + j.Duration
+		at[depot], done, late = end+wait, max(done, end), late+bit(j.Deadline > 0 && end > j.Deadline)
 	}
 	return done, late
 }
@@ -110,42 +110,42 @@
 	for range w.Schedules {
 		s, jobs := w.site(r, w.Depots, w.Boxes, w.Parents, w.Jobs)
 		begun := time.Now()
-		plan := maintenance.Make(s, jobs, w.Seed)
+		plan := maintenance.MakePlan(s, jobs, w.Seed)
 		out.PlanMS = max(out.PlanMS, float64(time.Since(begun).Microseconds())/1000)
 		out.Schedules++
-		out.Unplaced += len(plan.Never)
-		out.Over += bit(len(maintenance.Check(s, jobs, plan)) > 0)
-		for _, p := range plan.Places {
-			late += bit(p.Late > 0)
+		out.Unplaced += len(plan.Infeasible)
+		out.Over += bit(len(maintenance.Violations(s, jobs, plan)) > 0)
+		for _, p := range plan.Placements {
+			late += bit(p.Tardiness > 0)
 		}
 		byHand, lates := hand(s, jobs)
 		lateHand += lates
-		out.done, out.hand = out.done+float64(plan.Done), out.hand+float64(byHand)
+		out.done, out.hand = out.done+float64(plan.Makespan), out.hand+float64(byHand)
 		one := s
-		one.Tries = 0 // the order in which they were asked for, which is a random one
+		one.LocalSearchMoves = 0 // the order in which they were asked for, which is a random one
 		shuffled := make([]maintenance.Job, len(jobs))
 		for i, j := range jobs {
-			j.DoneBy, j.NotBefore = 0, 0
+			j.Deadline, j.NotBefore = 0, 0
 			shuffled[i] = j
 		}
-		random += float64(maintenance.InOrder(one, shuffled).Done)
+		random += float64(maintenance.PlanInOrder(one, shuffled).Makespan)
 	}
 	out.Done, out.Random = share(out.done, out.hand), share(random, out.done)
 	out.Late = share(float64(late), max(1, float64(lateHand)))
 	same := 0
 	for range w.Small {
 		s, jobs := w.site(r, 1, 5, 6, 7)
-		exact := maintenance.Make(s, jobs, w.Seed)
-		out.ExactLooked += exact.Looked
-		s.Exact = 0
-		fast := maintenance.Make(s, jobs, w.Seed)
-		out.Over += bit(len(maintenance.Check(s, jobs, exact))+len(maintenance.Check(s, jobs, fast)) > 0)
+		exact := maintenance.MakePlan(s, jobs, w.Seed)
+		out.ExactLooked += exact.OrdersTried
+		s.ExactLimit = 0
+		fast := maintenance.MakePlan(s, jobs, w.Seed)
+		out.Over += bit(len(maintenance.Violations(s, jobs, exact))+len(maintenance.Violations(s, jobs, fast)) > 0)
 		gap := 0.0
-		if exact.Done > 0 {
-			gap = float64(fast.Done+fast.Late)/float64(exact.Done+exact.Late) - 1
+		if exact.Makespan > 0 {
+			gap = float64(fast.Makespan+fast.Tardiness)/float64(exact.Makespan+exact.Tardiness) - 1
 		}
 		out.Gap, out.GapMost = out.Gap+gap/float64(w.Small), max(out.GapMost, share(gap, 1))
-		same += bit(fast.Done == exact.Done && fast.Late == exact.Late)
+		same += bit(fast.Makespan == exact.Makespan && fast.Tardiness == exact.Tardiness)
 	}
 	out.Gap, out.GapNone = share(out.Gap, 1), share(float64(same), float64(w.Small))
 	return out, nil
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -17,7 +17,7 @@
 type Kind int
 
 const (
-	Box Kind = iota
+	CacheNode Kind = iota
 	Parent
 	Director
 )
@@ -28,57 +28,57 @@
 
 // Machine is one that serves.
 type Machine struct {
-	Name     string
-	Kind     Kind
-	Depot    string   // of a box or director: its location; of a parent: its hub
-	Capacity float64  // what it bears when warm; of a director: what its clients ask for that it can take
-	Out      bool     // gone, or not answering, unasked: a fact that the plan starts from
-	Warms    d.Micros // how long it still warms up at the plan's start; its room counts as gone for so long
+	Name        string
+	Kind        Kind
+	Location    string   // of a box or director: its location; of a parent: its hub
+	Capacity    float64  // what it bears when warm; of a director: what its clients ask for that it can take
+	Unavailable bool     // gone, or not answering, unasked: a fact that the plan starts from
+	WarmingFor  d.Micros // how long it still warms up at the plan's start; its room counts as gone for so long
 }
 
 // Job is work that is asked for.
 type Job struct {
 	ID        string
 	Machines  []string // out together
-	Takes     d.Micros
+	Duration  d.Micros
 	NotBefore d.Micros // on the plan's clock
-	DoneBy    d.Micros // 0 for no such wish
-	Begun     bool     // its machines are out already, and it takes so much longer: a fact
+	Deadline  d.Micros // 0 for no such wish
+	Started   bool     // its machines are out already, and it takes so much longer: a fact
 }
 
 // Slot is what is asked for from a time on, until the next slot's.
 type Slot struct {
-	From d.Micros
-	Of   map[string]float64 // by depot, of boxes and directors; by hub, of parents
+	Start  d.Micros
+	Demand map[string]float64 // by depot, of boxes and directors; by hub, of parents
 }
 
 // Site is what the plan is for.
 type Site struct {
-	Machines []Machine
-	Demand   []Slot      // by time; the first from the start
-	WarmUp   [3]d.Micros // by kind: how long one that comes back is no help
-	Reserve  float64     // part of what is there that must be left over beside the demand
-	MostOut  float64     // part of a group's machines that may be out or warming together, at least one
-	Tries    int         // orders that the fast planner looks at
-	Exact    int         // jobs up to which all orders are looked at, by bounds
+	Machines         []Machine
+	Demand           []Slot      // by time; the first from the start
+	WarmUp           [3]d.Micros // by kind: how long one that comes back is no help
+	Reserve          float64     // part of what is there that must be left over beside the demand
+	MaxUnavailable   float64     // part of a group's machines that may be out or warming together, at least one
+	LocalSearchMoves int         // orders that the fast planner looks at
+	ExactLimit       int         // jobs up to which all orders are looked at, by bounds
 }
 
-// Place is a job's place in the order.
-type Place struct {
+// Placement is a job's place in the order.
+type Placement struct {
 	Job        string
-	Begin, End d.Micros // out from, and to; it warms up afterwards
-	Why        string   // one sentence
-	Late       d.Micros // after the time by which it was to be done
+	Start, End d.Micros // out from, and to; it warms up afterwards
+	Reason     string   // one sentence
+	Tardiness  d.Micros // after the time by which it was to be done
 }
 
 // Plan is an order.
 type Plan struct {
-	Places []Place // by their beginnings
-	Done   d.Micros
-	Late   d.Micros
-	Never  map[string]string // jobs that can't be done at all, and what would be needed
-	Exact  bool              // there is none better
-	Looked int               // orders that were looked at
+	Placements  []Placement // by their beginnings
+	Makespan    d.Micros
+	Tardiness   d.Micros
+	Infeasible  map[string]string // jobs that can't be done at all, and what would be needed
+	Optimal     bool              // there is none better
+	OrdersTried int               // orders that were looked at
 }
 
 // group is machines of one kind in one depot or hub: what bears its demand together.
@@ -116,24 +116,24 @@
 	p := &planner{s: s, of: map[string]int{}, where: map[string]Machine{}, jobs: map[string]*Job{}}
 	index := map[string]int{}
 	for _, m := range s.Machines {
-		key := fmt.Sprint(m.Kind, " ", m.Depot)
+		key := fmt.Sprint(m.Kind, " ", m.Location)
 		i, ok := index[key]
 		if !ok {
 			i = len(p.groups)
 			index[key] = i
-			p.groups = append(p.groups, &group{name: m.Depot, kind: m.Kind})
+			p.groups = append(p.groups, &group{name: m.Location, kind: m.Kind})
 		}
 		g := p.groups[i]
 		g.all, g.count, p.of[m.Name], p.where[m.Name] = g.all+m.Capacity, g.count+1, i, m
 		switch {
-		case m.Out:
+		case m.Unavailable:
 			g.outNow, g.fewer, g.gone = g.outNow+m.Capacity, g.fewer+1, append(g.gone, m.Name)
-		case m.Warms > 0:
-			g.warming = append(g.warming, span{0, m.Warms, m.Capacity, 1, m.Name, 0})
+		case m.WarmingFor > 0:
+			g.warming = append(g.warming, span{0, m.WarmingFor, m.Capacity, 1, m.Name, 0})
 		}
 	}
 	for _, slot := range s.Demand {
-		p.steps = append(p.steps, slot.From)
+		p.steps = append(p.steps, slot.Start)
 	}
 	return p
 }
@@ -141,8 +141,8 @@
 // demand is the most that is asked of a group between two times.
 func (p *planner) demand(g *group, from, to d.Micros) (most float64) {
 	for i, slot := range p.s.Demand {
-		if slot.From < to && (i+1 == len(p.s.Demand) || p.s.Demand[i+1].From > from) {
-			most = max(most, slot.Of[g.name])
+		if slot.Start < to && (i+1 == len(p.s.Demand) || p.s.Demand[i+1].Start > from) {
+			most = max(most, slot.Demand[g.name])
 		}
 	}
 	return most
@@ -153,7 +153,7 @@
 	need := map[int]span{}
 	for _, name := range j.Machines {
 		m, known := p.where[name]
-		if !known || m.Out && !j.Begun {
+		if !known || m.Unavailable && !j.Started {
 			continue // it is out already: its room is gone anyway
 		}
 		s := need[p.of[name]]
@@ -170,7 +170,7 @@
 }
 
 // mostOut is how many of a group may be out or warming together.
-func (p *planner) mostOut(g *group) int { return max(1, int(p.s.MostOut*float64(g.count))) }
+func (p *planner) mostOut(g *group) int { return max(1, int(p.s.MaxUnavailable*float64(g.count))) }
 
 // fits says whether a span may be added to those of a group, and if not why, and when something changes next.
 func (p *planner) fits(g *group, there []span, add span) (why string, again d.Micros) {
@@ -212,8 +212,8 @@
 				return "waits for " + p.others(g, with) + ": " + why, next
 			}
 			for i, slot := range p.s.Demand {
-				if slot.From > at && (g.all-room)*(1-p.s.Reserve) >= slot.Of[g.name] {
-					return "waits for a quieter time: " + why, p.s.Demand[i].From
+				if slot.Start > at && (g.all-room)*(1-p.s.Reserve) >= slot.Demand[g.name] {
+					return "waits for a quieter time: " + why, p.s.Demand[i].Start
 				}
 			}
 			return why, math.MaxInt64
@@ -238,14 +238,14 @@
 }
 
 func plural(k Kind) string {
-	if k == Box {
+	if k == CacheNode {
 		return "boxes"
 	}
 	return k.String() + "s"
 }
 
 // add gives a job the earliest place that its groups allow, given those that have theirs; false where there is none.
-func (p *planner) add(there [][]span, j *Job) (Place, bool) {
+func (p *planner) add(there [][]span, j *Job) (Placement, bool) {
 	at, why := j.NotBefore, "it can begin at once"
 	if j.NotBefore > 0 {
 		why = "not before the time that was asked for"
@@ -256,17 +256,17 @@
 		order = append(order, i)
 	}
 	slices.Sort(order)
-	if j.Begun {
+	if j.Started {
 		at, why = 0, "it is out already"
 	}
-	for tries := 0; !j.Begun && tries < 10_000; tries++ {
+	for tries := 0; !j.Started && tries < 10_000; tries++ {
 		moved := false
 		for _, i := range order {
 			g := p.groups[i]
-			s := p.when(need[i], g, at, at+j.Takes)
+			s := p.when(need[i], g, at, at+j.Duration)
 			if w, next := p.fits(g, there[i], s); w != "" {
 				if next <= at || next == math.MaxInt64 {
-					return Place{Job: j.ID, Why: w}, false
+					return Placement{Job: j.ID, Reason: w}, false
 				}
 				at, why, moved = next, w, true
 				break
@@ -277,11 +277,11 @@
 		}
 	}
 	for _, i := range order {
-		there[i] = append(there[i], p.when(need[i], p.groups[i], at, at+j.Takes))
+		there[i] = append(there[i], p.when(need[i], p.groups[i], at, at+j.Duration))
 	}
-	place := Place{Job: j.ID, Begin: at, End: at + j.Takes, Why: why}
-	if j.DoneBy > 0 {
-		place.Late = max(0, place.End-j.DoneBy)
+	place := Placement{Job: j.ID, Start: at, End: at + j.Duration, Reason: why}
+	if j.Deadline > 0 {
+		place.Tardiness = max(0, place.End-j.Deadline)
 	}
 	return place, true
 }
@@ -295,34 +295,34 @@
 	return there
 }
 
-// Make makes an order for some jobs. Up to Exact of them it looks at every order but for those that can't be better; beyond, at some:
+// MakePlan makes an order for some jobs. Up to Exact of them it looks at every order but for those that can't be better; beyond, at some:
 // by what is due, what takes longest, what takes most room, and others by chance.
-func Make(s Site, jobs []Job, seed uint64) (plan Plan) {
+func MakePlan(s Site, jobs []Job, seed uint64) (plan Plan) {
 	p := newPlanner(&s)
-	plan.Never = map[string]string{}
+	plan.Infeasible = map[string]string{}
 	var facts, open []*Job
 	for i := range jobs {
 		j := &jobs[i]
 		p.jobs[j.ID] = j
 		switch why := p.never(j); {
 		case why != "":
-			plan.Never[j.ID] = why
-		case j.Begun:
+			plan.Infeasible[j.ID] = why
+		case j.Started:
 			facts = append(facts, j)
 		default:
 			open = append(open, j)
 		}
 	}
 	base := p.begin()
-	var fixed []Place
+	var fixed []Placement
 	for _, j := range facts {
 		place, _ := p.add(base, j)
 		fixed = append(fixed, place)
 	}
 	best := score{late: math.MaxInt64}
-	var found []Place
+	var found []Placement
 	try := func(order []*Job) {
-		plan.Looked++
+		plan.OrdersTried++
 		there, places, sc := clone(base), slices.Clone(fixed), score{}
 		for _, j := range order {
 			place, ok := p.add(there, j)
@@ -336,23 +336,23 @@
 			best, found = sc, places
 		}
 	}
-	if plan.Exact = len(open) <= s.Exact; plan.Exact {
-		p.search(base, fixed, open, score{}, &best, &found, &plan.Looked)
+	if plan.Optimal = len(open) <= s.ExactLimit; plan.Optimal {
+		p.search(base, fixed, open, score{}, &best, &found, &plan.OrdersTried)
 	} else {
 		for _, by := range []func(a, b *Job) int{
 			func(a, b *Job) int {
-				return cmp.Or(cmp.Compare(due(a), due(b)), cmp.Compare(b.Takes, a.Takes), cmp.Compare(a.ID, b.ID))
+				return cmp.Or(cmp.Compare(due(a), due(b)), cmp.Compare(b.Duration, a.Duration), cmp.Compare(a.ID, b.ID))
 			},
-			func(a, b *Job) int { return cmp.Or(cmp.Compare(b.Takes, a.Takes), cmp.Compare(a.ID, b.ID)) },
+			func(a, b *Job) int { return cmp.Or(cmp.Compare(b.Duration, a.Duration), cmp.Compare(a.ID, b.ID)) },
 			func(a, b *Job) int {
-				return cmp.Or(cmp.Compare(p.room(b)*float64(b.Takes), p.room(a)*float64(a.Takes)), cmp.Compare(a.ID, b.ID))
+				return cmp.Or(cmp.Compare(p.room(b)*float64(b.Duration), p.room(a)*float64(a.Duration)), cmp.Compare(a.ID, b.ID))
 			},
 		} {
 			order := slices.Clone(open)
 			slices.SortFunc(order, by)
 			try(order)
 		}
-		p.improve(open, seed, s.Tries, try, func() []Place { return found })
+		p.improve(open, seed, s.LocalSearchMoves, try, func() []Placement { return found })
 	}
 	if found == nil && len(open)+len(fixed) > 0 {
 		// With what is gone unasked some find no place at all as things are: those that do, in order; the others wait.
@@ -362,19 +362,19 @@
 			if place, ok := p.add(there, j); ok {
 				found = append(found, place)
 			} else {
-				plan.Never[j.ID] = "as things are: " + place.Why
+				plan.Infeasible[j.ID] = "as things are: " + place.Reason
 			}
 		}
 	}
-	slices.SortStableFunc(found, func(a, b Place) int { return cmp.Or(cmp.Compare(a.Begin, b.Begin), cmp.Compare(a.Job, b.Job)) })
-	for plan.Places = found; len(found) > 0; found = found[1:] {
-		plan.Done, plan.Late = max(plan.Done, found[0].End), plan.Late+found[0].Late
+	slices.SortStableFunc(found, func(a, b Placement) int { return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.Job, b.Job)) })
+	for plan.Placements = found; len(found) > 0; found = found[1:] {
+		plan.Makespan, plan.Tardiness = max(plan.Makespan, found[0].End), plan.Tardiness+found[0].Tardiness
 	}
 	return plan
 }
 
-// InOrder gives each job the earliest place that those before it leave, in the order in which they come.
-func InOrder(s Site, jobs []Job) (plan Plan) {
+// PlanInOrder gives each job the earliest place that those before it leave, in the order in which they come.
+func PlanInOrder(s Site, jobs []Job) (plan Plan) {
 	p := newPlanner(&s)
 	there := p.begin()
 	for i := range jobs {
@@ -383,7 +383,7 @@
 			continue
 		}
 		if place, ok := p.add(there, &jobs[i]); ok {
-			plan.Places, plan.Done = append(plan.Places, place), max(plan.Done, place.End)
+			plan.Placements, plan.Makespan = append(plan.Placements, place), max(plan.Makespan, place.End)
 		}
 	}
 	return plan
@@ -392,7 +392,7 @@
 // never says why a job can't be done at any time, even alone with all others in their places, and what would be needed; empty where
 // it can.
 func (p *planner) never(j *Job) string {
-	if j.Begun {
+	if j.Started {
 		return ""
 	}
 	var unknown []string
@@ -404,7 +404,7 @@
 	if len(unknown) > 0 {
 		return "there is no " + strings.Join(unknown, ", ")
 	}
-	if len(j.Machines) == 0 || j.Takes <= 0 {
+	if len(j.Machines) == 0 || j.Duration <= 0 {
 		return "it names no machine, or takes no time"
 	}
 	need := p.need(j)
@@ -418,8 +418,8 @@
 		}
 		least := math.Inf(1)
 		for _, slot := range p.s.Demand {
-			if slot.Of[g.name] < least {
-				least = slot.Of[g.name]
+			if slot.Demand[g.name] < least {
+				least = slot.Demand[g.name]
 			}
 		}
 		if short := least - (g.all-s.room)*(1-p.s.Reserve); len(p.s.Demand) > 0 && short > 1e-9 {
@@ -433,8 +433,8 @@
 // score is how good an order is: late as little as can be, then done early, then each early.
 type score struct{ late, done, sum d.Micros }
 
-func (s *score) take(p Place) {
-	s.late, s.done, s.sum = s.late+p.Late, max(s.done, p.End), s.sum+p.End
+func (s *score) take(p Placement) {
+	s.late, s.done, s.sum = s.late+p.Tardiness, max(s.done, p.End), s.sum+p.End
 }
 
 func (s score) less(o score) bool {
@@ -442,7 +442,7 @@
 }
 
 // search looks at all orders of what is left, but where what stands is already no better than the best.
-func (p *planner) search(there [][]span, places []Place, left []*Job, sc score, best *score, found *[]Place, looked *int) {
+func (p *planner) search(there [][]span, places []Placement, left []*Job, sc score, best *score, found *[]Placement, looked *int) {
 	if len(left) == 0 {
 		if *looked++; sc.less(*best) {
 			*best, *found = sc, slices.Clone(places)
@@ -451,10 +451,10 @@
 	}
 	bound := sc
 	for _, j := range left { // none ends before it could alone
-		end := j.NotBefore + j.Takes
+		end := j.NotBefore + j.Duration
 		bound.done, bound.sum = max(bound.done, end), bound.sum+end
-		if j.DoneBy > 0 {
-			bound.late += max(0, end-j.DoneBy)
+		if j.Deadline > 0 {
+			bound.late += max(0, end-j.Deadline)
 		}
 	}
 	if !bound.less(*best) {
@@ -473,7 +473,7 @@
 }
 
 // improve tries orders near the best so far: one job moved elsewhere.
-func (p *planner) improve(open []*Job, seed uint64, tries int, try func([]*Job), best func() []Place) {
+func (p *planner) improve(open []*Job, seed uint64, tries int, try func([]*Job), best func() []Placement) {
 	r := multiply{uint32(seed), uint32(seed>>32) | 1}
 	byID := map[string]*Job{}
 	for _, j := range open {
@@ -504,10 +504,10 @@
 }
 
 func due(j *Job) d.Micros {
-	if j.DoneBy == 0 {
+	if j.Deadline == 0 {
 		return math.MaxInt64
 	}
-	return j.DoneBy
+	return j.Deadline
 }
 
 func clone(there [][]span) [][]span {
@@ -518,8 +518,8 @@
 	return out
 }
 
-// Check says where a plan breaks what it is to keep, looked at by itself: every time at which something changes, every group.
-func Check(s Site, jobs []Job, plan Plan) (broken []string) {
+// Violations says where a plan breaks what it is to keep, looked at by itself: every time at which something changes, every group.
+func Violations(s Site, jobs []Job, plan Plan) (broken []string) {
 	p := newPlanner(&s)
 	byID := map[string]*Job{}
 	for i := range jobs {
@@ -527,14 +527,14 @@
 	}
 	there := p.begin()
 	begun := map[int]bool{} // groups in which a fact stands that nobody planned
-	for _, place := range plan.Places {
+	for _, place := range plan.Placements {
 		j := byID[place.Job]
 		for i, sp := range p.need(j) {
-			there[i] = append(there[i], p.when(sp, p.groups[i], place.Begin, place.End))
-			begun[i] = begun[i] || j.Begun
+			there[i] = append(there[i], p.when(sp, p.groups[i], place.Start, place.End))
+			begun[i] = begun[i] || j.Started
 		}
-		if !j.Begun && place.Begin < j.NotBefore {
-			broken = append(broken, fmt.Sprintf("%s begins %v before its time", j.ID, j.NotBefore-place.Begin))
+		if !j.Started && place.Start < j.NotBefore {
+			broken = append(broken, fmt.Sprintf("%s begins %v before its time", j.ID, j.NotBefore-place.Start))
 		}
 	}
 	for i, g := range p.groups {
