--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -89,11 +89,11 @@
 }
 
 // decide asks the policy, and when to ask it again.
-func (r *Router) decide(req *request, ask func(now policy.Micros) policy.Decision) (d decision) {
+func (r *Router) decide(req *request, call func(now policy.Micros) policy.Decision) (d decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d.at = r.Now() // under the lock, so that the policy's clock never goes back
-	d.Decision = ask(d.at)
+	d.Decision = call(d.at)
 	switch d.Action {
 	case policy.Reject, policy.Fail:
 		return d
