--- /dev/null
+++ b/internal/dispatch/attempt.go
@@ -0,0 +1,138 @@
+package dispatch
+
+import (
+	"errors"
+	"time"
+
+	"tallyproxy/internal/upstream"
+	"tallyproxy/policy"
+)
+
+// attempt is one try of a request at an endpoint. Its shard's goroutine owns it.
+type attempt struct {
+	*upstream.Attempt
+	deadline policy.Micros
+	ended    bool
+}
+
+// send starts an attempt as the policy decided.
+func (s *Shard) send(req *request, d decision) {
+	s.router.sent.Add(1)
+	number := len(req.attempts)
+	var earlier []*upstream.Attempt
+	for _, a := range req.attempts {
+		earlier = append(earlier, a.Attempt)
+	}
+	a := &attempt{deadline: d.at + d.Timeout}
+	req.attempts = append(req.attempts, a)
+	if d.target == nil { // the list has just lost it
+		a.Attempt = &upstream.Attempt{}
+		s.calls.PutUnbounded(func() { s.attemptEnded(req, number, policy.Withdrawn, upstream.Response{}) })
+		return
+	}
+	a.Attempt = d.target.byShard[s.number].Send(s.upstreamRequest(req, d), func(response upstream.Response, err error) {
+		s.calls.PutUnbounded(func() { s.attemptEnded(req, number, resultOf(response, err), response) })
+	}, earlier...)
+}
+
+// upstreamRequest puts together what an attempt asks of its endpoint.
+func (s *Shard) upstreamRequest(req *request, d decision) upstream.Request {
+	message := &req.message
+	out := upstream.Request{
+		ID: message.TransactionID, ContentType: message.TypeName, Object: req.Object, Part: req.Part,
+		Timeout: d.Timeout.Duration(), IdempotencyKey: message.IdempotencyKey, CacheRank: d.CacheRank, MaxAge: d.MaxAge.Duration(),
+		Coalesce: d.Coalesce, OnlyIfCached: d.OnlyIfCached, Revalidate: d.Revalidate, ClientTag: message.IfNoneMatch,
+		Body: message.Body, Superseded: s.supersededCheck(req, d),
+	}
+	if d.Source != d.Endpoint {
+		out.SourceID = d.sourceID
+		if d.fillSource != nil {
+			out.Source = d.fillSource.byShard[s.number]
+		}
+	}
+	return out
+}
+
+// supersededCheck returns a function that reports, just before an attempt is written, that its decision no longer holds: its client
+// has left, it is too late to begin, or a purge has come since and the decision is too old to be written all the same.
+func (s *Shard) supersededCheck(req *request, d decision) func() bool {
+	conn, tag, purges := req.conn, req.tag, d.purges
+	decidedAt, bounded, notAfter := s.router.timeAt(d.at), d.NotAfter > 0, s.router.timeAt(d.NotAfter)
+	maxAge := s.router.timeouts.MaxDecisionAge
+	return func() bool {
+		now := time.Now()
+		return !conn.IsPending(tag) || bounded && !now.Before(notAfter) ||
+			maxAge > 0 && s.router.purges.Load() != purges && now.Sub(decidedAt) > maxAge.Duration()
+	}
+}
+
+// attemptEnded takes an attempt's result: it answers the client where that succeeded, and has the policy decide what comes next.
+func (s *Shard) attemptEnded(req *request, number int, result policy.Result, response upstream.Response) {
+	a := req.attempts[number]
+	if a.ended {
+		response.Body.Free()
+		return
+	}
+	a.ended = true
+	if result == policy.Withdrawn {
+		s.router.withdrawn.Add(1)
+	}
+	defer recoverPanic(req)
+	defer s.releaseID(req)
+	if !req.Done && result == policy.Succeeded {
+		s.router.succeeded.Add(1)
+		req.conn.Succeed(req.tag, response.Body, response.Status == upstream.StatusUnchanged)
+		s.finish(req)
+	} else {
+		response.Body.Free()
+	}
+	if !req.Done && !req.conn.IsPending(req.tag) {
+		s.finish(req)
+	}
+	outcome := policy.Outcome{
+		Attempt: number, Result: result, CacheStatus: cacheStatuses[response.CacheStatus], Final: req.Done,
+	}
+	s.execute(req, s.router.decide(req, func(now policy.Micros) policy.Decision {
+		return s.router.policy.AttemptDone(now, &req.Request, outcome)
+	}))
+}
+
+// results gives the result that each of an endpoint's responses stands for.
+var results = map[upstream.Status]policy.Result{
+	upstream.StatusData: policy.Succeeded, upstream.StatusUnchanged: policy.Succeeded, upstream.StatusAbsent: policy.CacheMiss,
+	upstream.StatusFull: policy.Rejected, upstream.StatusFailed: policy.Failed, upstream.StatusMoot: policy.NotSent,
+}
+
+// cacheStatuses gives the status that each note on an endpoint's response stands for.
+var cacheStatuses = map[string]policy.CacheStatus{
+	"local": policy.Hit, "pulled": policy.Filled, "pulled_far": policy.FilledByOrigin,
+	"rode": policy.Coalesced, "expired": policy.Stale, "turned_away": policy.SourceRejected,
+	"cut_off": policy.SourceUnavailable, "not_there": policy.SourceMiss, "no_place": policy.CacheFull,
+	"far_fault": policy.OriginFailed,
+}
+
+// resultOf returns an attempt's result from its response or error. One that was not wholly written never ran; any other may have.
+func resultOf(response upstream.Response, err error) policy.Result {
+	if err == nil {
+		return results[response.Status]
+	}
+	failure := (*upstream.Error)(nil)
+	if !errors.As(err, &failure) {
+		return policy.ConnectionLost
+	}
+	written := failure.Stage >= upstream.WhollyWritten
+	switch {
+	case !written && errors.Is(err, upstream.ErrWithdrawn):
+		return policy.Withdrawn
+	case !written && errors.Is(err, upstream.ErrConnectionLimit): // which says nothing about the endpoint
+		return policy.NotSent
+	case !written && failure.Cancelled:
+		return policy.NotSent
+	case failure.Cancelled:
+		return policy.Cancelled
+	case !written:
+		return policy.ConnectFailed
+	default:
+		return policy.ConnectionLost
+	}
+}
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -20,7 +20,7 @@
 
 // site has a type of content that is split into parts, and one whose requests carry an idempotency key and have none.
 var site = config.Site{
-	Types: []string{"segment", "cover"},
+	TypeNames: []string{"segment", "cover"},
 	Settings: policy.Settings{ContentTypes: []*policy.ContentType{
 		{Timeout: 2 * policy.Second}, {Timeout: 2 * policy.Second, RetrySafety: policy.IdempotentWithKey, Unsplit: true},
 	}},
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -61,7 +61,7 @@
 		handlers: handlers, contentTypes: map[string]*policy.ContentType{}, pool: pool, timeouts: timeouts,
 		conns: map[*Conn]struct{}{}, connEnded: make(chan struct{}, 1),
 	}
-	for i, name := range site.Types {
+	for i, name := range site.TypeNames {
 		s.contentTypes[name] = site.ContentTypes[i]
 	}
 	s.SetMaxConns(maxConns)
