--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,62 +1,42 @@
-// Package config is the one place where configuration is read, checked and given defaults. Its errors name the
-// faulty key.
+// Package config is the one place where configuration is read, checked and given defaults: the platform's JSON (Config), the
+// operator's Starlark script (Operator) and a fleet's inventory, a Starlark script too (Inventory). A file is taken whole or
+// refused with an error that names the faulty key, and in scripts the line. Nothing here keeps state: every function may be
+// called from any goroutine.
 package config
 
 import (
+	"crypto/sha256"
+	"encoding/hex"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
 	"net"
 	"os"
 	"reflect"
 	"strconv"
 )
 
-// Config is what a director is told at its start.
+// Config is the platform's configuration of one director.
 type Config struct {
-	Name        string          `json:"name"`
-	Listen      string          `json:"listen"`
-	Seed        string          `json:"seed"`
-	Channel     string          `json:"channel"`
-	Bootstrap   json.RawMessage `json:"known"`
-	Limits      Limits          `json:"limits"`
-	RawSettings json.RawMessage `json:"settings"`
-	Site        Site            `json:"-"`
-	Digest      string          `json:"-"` // of the file's bytes
+	Name        string          `json:"name"`     // of the director; $NODE_NAME where the file has none
+	Listen      string          `json:"listen"`   // address and port for clients; $NODE_LISTEN where the file has none
+	Seed        string          `json:"seed"`     // of random choices, up to 16 hex digits; empty for 0
+	Channel     string          `json:"channel"`  // address and port of the command channel
+	Bootstrap   json.RawMessage `json:"known"`    // commands of the channel that are known at the start, in its own format
+	Limits      Limits          `json:"limits"`   // of the machine
+	RawSettings json.RawMessage `json:"settings"` // the text that Site is read from
+	Site        Site            `json:"-"`        // RawSettings, parsed and checked
+	Digest      string          `json:"-"`        // of the file's bytes
 }
 
-// Limits are those of the machine.
-type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+// Digest returns the SHA-256 of a file's text in hex digits.
+func Digest(raw []byte) string {
+	sum := sha256.Sum256(raw)
+	return hex.EncodeToString(sum[:])
 }
 
-// MaxProcs is how many cores the program may be busy on at a time.
-func (l Limits) MaxProcs() int { return int(math.Ceil(l.Cores)) }
-
-// own is how many descriptors are kept for the director itself: standard input, output and error, two of the runtime's poller
-// and two of its control group's limits, the listener, a connection that was accepted beyond the limit, two of the command
-// channel's, a file that is read again; and as many for what is closed and not yet given back, the operator's socket and talk.
-func (l Limits) own() int { return max(12, l.Sockets/8) }
-
-// MaxClientConnections is how many connections of clients are held at most; usual ones hold a third of the descriptors.
-func (l Limits) MaxClientConnections() int { return min(l.Sockets/2, (l.Sockets-l.own())*4/7) }
-
-// MaxNodeConnections is how many connections to nodes are held at most, but for a quarter more where a node has no other (Firsts of back). With
-// clients' and the director's own they stay within the limit, however many nodes there are.
-func (l Limits) MaxNodeConnections() int {
-	return (l.Sockets - l.own() - l.MaxClientConnections()) * 4 / 5
-}
-
-// MemoryLimit is what Go's runtime may use, in bytes; the rest is for what it does not count.
-func (l Limits) MemoryLimit() int64 { return int64(l.MemoryMB) << 20 * 3 / 4 }
-
-// MaxBuffers is how many buffers of a size may be out together.
-func (l Limits) MaxBuffers(size int) int { return int(l.MemoryLimit() / 2 / int64(size)) }
-
-// Load reads the file that NODE_CONFIG names.
+// Load reads and checks the file that the environment variable NODE_CONFIG names. Errors of the text are of type KeyError,
+// or of the JSON syntax.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -68,107 +48,67 @@
 	}
 	c := Config{
 		Digest: Digest(raw), Name: getenv("NODE_NAME"), Listen: getenv("NODE_LISTEN"),
-		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
+		Limits: Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets},
 	}
 	return c, c.parse(raw)
 }
 
-// Reload gives the configuration that was read again for a director that runs on c. What can't change while requests go
-// on must be as it was; the seed is for a start alone.
+// Reload returns what a director that runs on c goes on with once next was read: next, but with the seed of the start. It
+// returns c and an error that wraps ErrNeedsRestart where next changes what can't change while requests are open.
 func (c Config) Reload(next Config) (Config, error) {
 	next.Seed, next.Site.Seed = c.Seed, c.Site.Seed
-	for _, a := range []struct {
+	for _, fixed := range []struct {
 		key  string
 		same bool
 	}{
 		{"name", next.Name == c.Name}, {"listen", next.Listen == c.Listen},
 		{"settings", reflect.DeepEqual(next.Site, c.Site)},
 	} {
-		if !a.same {
-			return c, fmt.Errorf("%s: a change needs a restart", a.key)
+		if !fixed.same {
+			return c, keyErrorf(fixed.key, "a change %w", ErrNeedsRestart)
 		}
 	}
 	return next, nil
 }
 
+// parse reads a file's text over the defaults that c holds, and checks it.
 func (c *Config) parse(raw []byte) error {
 	if err := unmarshal(raw, c); err != nil {
 		return err
 	}
-	for _, a := range []struct{ key, value string }{{"listen", c.Listen}, {"channel", c.Channel}} {
-		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return fmt.Errorf("%s: %q is no address and port", a.key, a.value)
+	for _, address := range []struct{ key, value string }{{"listen", c.Listen}, {"channel", c.Channel}} {
+		if _, _, err := net.SplitHostPort(address.value); err != nil {
+			return keyErrorf(address.key, "%q is no address and port", address.value)
 		}
 	}
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil && c.Seed != "" {
-		return fmt.Errorf("seed: %q is not 16 hex digits", c.Seed)
+		return keyErrorf("seed", "%q is not 16 hex digits", c.Seed)
 	}
-	switch {
-	case c.Limits.Cores <= 0:
-		return fmt.Errorf("limits.cores: %v is not above 0", c.Limits.Cores)
-	case c.Limits.MemoryMB < 32:
-		return fmt.Errorf("limits.memory_mb: %d is under 32", c.Limits.MemoryMB)
-	case c.Limits.Sockets < 64:
-		return fmt.Errorf("limits.sockets: %d is under 64", c.Limits.Sockets)
-	case len(c.RawSettings) == 0:
-		return errors.New("settings: missing")
-	case len(c.Bootstrap) == 0:
-		return errors.New("known: missing")
+	if err := c.Limits.check(); err != nil {
+		return err
 	}
-	if c.Site, err = ParseSite(c.RawSettings); err != nil {
-		return fmt.Errorf("settings: %w", err)
+	if len(c.RawSettings) == 0 {
+		return &KeyError{"settings", ErrMissing}
 	}
-	c.Site.Seed = seed
-	return c.Site.check()
-}
-
-// check says what sockets can't do without.
-func (s Site) check() error {
-	if err := s.shape(); err != nil {
-		return err
+	if len(c.Bootstrap) == 0 {
+		return &KeyError{"known", ErrMissing}
 	}
-	for i, name := range s.TypeNames {
-		if name == "" {
-			return fmt.Errorf("settings: lanes[%d].name: missing", i)
-		}
-		if s.Settings.ContentTypes[i].Timeout <= 0 {
-			return fmt.Errorf("settings: lanes[%d].hard-limit: not above 0", i)
-		}
+	if c.Site, err = ParseSite(c.RawSettings); err != nil {
+		return &KeyError{"settings", err}
 	}
-	switch {
-	case len(s.TypeNames) == 0:
-		return errors.New("settings: lanes: missing")
-	case s.Zone < 0 || s.Zone >= len(s.ZoneNames):
-		return fmt.Errorf("settings: zone: %d is not in zones", s.Zone)
-	case s.OriginKind < 0 || s.OriginKind >= len(s.KindNames):
-		return fmt.Errorf("settings: specifics.origin-kind: %d is not in machine-types", s.OriginKind)
-	case s.ConnectTimeout <= 0:
-		return errors.New("settings: limits.connect-timeout: not above 0")
-	case s.KeepAliveTimeout <= 0:
-		return errors.New("settings: limits.keepalive: not above 0")
-	case s.MaxAttempts <= 0:
-		return errors.New("settings: limits.try-limit: not above 0")
-	case s.PurgeRetention <= 0:
-		return errors.New("settings: specifics.gone-everywhere: not above 0")
+	c.Site.Seed = seed
+	if err := c.Site.check(); err != nil {
+		return &KeyError{"settings", err}
 	}
 	return nil
 }
 
-// shape says whether the settings are of one shape, old or new: a configuration that is half moved would hash by
-// sizes while it learns from notes that are not there, or the other way round.
-func (s Site) shape() error {
-	weights, ok := weightsShape[s.Weights]
-	if !ok {
-		return fmt.Errorf("settings: weights: %q is not silent, nominal or rough", s.Weights)
-	}
-	notes, ok := notesShape[s.NoteLevel]
-	if !ok {
-		return fmt.Errorf("settings: specifics.note-level: %q is not all, hit or silent", s.NoteLevel)
+// unmarshal decodes JSON; a value of the wrong type is a KeyError.
+func unmarshal(raw []byte, to any) error {
+	err := json.Unmarshal(raw, to)
+	if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) && wrong.Field != "" {
+		return keyErrorf(wrong.Field, "a %s can't be used here", wrong.Value)
 	}
-	if weights != notes {
-		return fmt.Errorf("settings: specifics.note-level: %q is of the %s shape, but weights %q of the %s one",
-			s.NoteLevel, notes, s.Weights, weights)
-	}
-	return nil
+	return err
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,7 +18,9 @@
   "limits":{"cancel":true,"try-limit":3,"connect-timeout":400,"keepalive":30000,"max-streams":100},
   "specifics":{"origin-kind":2,"shield-kind":1,"gone-everywhere":6000,"max-age":[500]}}}`
 
+// load loads a platform's file of the text given, in an environment with a name.
 func load(t *testing.T, text string) (Config, error) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -26,6 +28,7 @@
 	return Load(func(key string) string { return map[string]string{"NODE_CONFIG": path, "NODE_NAME": "env"}[key] })
 }
 
+// A file is read with its defaults; what it lacks of name and address comes from the environment.
 func TestLoad(t *testing.T) {
 	c, err := load(t, good)
 	if err != nil {
@@ -43,6 +46,7 @@
 	}
 }
 
+// What may change while a director runs is taken over; of the rest, nothing is.
 func TestReload(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"channel", "127.0.0.2:8500", "127.0.0.3:8500", ""},
@@ -84,6 +88,7 @@
 	}
 }
 
+// Every error names the faulty key.
 func TestFaultsNameTheirKey(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"not JSON", `{"name"`, `"name"`, "invalid character"},
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -315,16 +315,16 @@
 		t.Fatal(err)
 	}
 	for i := range got.Agents {
-		if line := got.Agents[i].at.Line; line != int32(3+i) {
+		if line := got.Agents[i].position.Line; line != int32(3+i) {
 			t.Errorf("agent %d in line %d", i, line)
 		}
-		got.Agents[i].at = AgentEntry{}.at
+		got.Agents[i].position = AgentEntry{}.position
 	}
 	for i := range got.Directors {
-		if line := got.Directors[i].at.Line; line != int32(5+i) {
+		if line := got.Directors[i].position.Line; line != int32(5+i) {
 			t.Errorf("director %d in line %d", i, line)
 		}
-		got.Directors[i].at = DirectorEntry{}.at
+		got.Directors[i].position = DirectorEntry{}.position
 	}
 	want := &Inventory{
 		Path: "f.star", LeaseDuration: 20 * policy.Second, AuthorityDir: "keys", GossipKeyFile: "talk.key",
--- a/internal/config/inventory.go
+++ b/internal/config/inventory.go
@@ -8,42 +8,50 @@
 	"slices"
 	"time"
 
-	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 
 	"tallyproxy/policy"
 )
 
 // Inventory is what a fleet is made of: agents, each on a machine, and the directors that they look after. It is a Starlark
-// script beside the operator's file, read by the tool and by every agent.
+// script beside the operator's files, read by the tool and by every agent.
 type Inventory struct {
-	Path          string
-	LeaseDuration policy.Micros // of the right to change
-	AuthorityDir  string        // folder with the authority's certificate and the list of those revoked
-	GossipKeyFile string        // file of the key with which agents find out who of them is there; empty for not at all
-	Agents        []AgentEntry
-	Directors     []DirectorEntry
+	Path          string          // of the script
+	LeaseDuration policy.Micros   // fleet(lease): of the right to change the fleet
+	AuthorityDir  string          // fleet(authority): directory with the authority's certificate and the list of revoked ones
+	GossipKeyFile string          // fleet(talk_key): path of the key that agents share for gossip; empty for no gossip
+	Agents        []AgentEntry    // in the script's order; one at least
+	Directors     []DirectorEntry // in the script's order
 }
 
-// AgentEntry is one agent.
+// AgentEntry is one agent of an inventory.
 type AgentEntry struct {
-	Name, Address, Depot string
-	GossipAddress        string // address for that, TCP and UDP over IPv4
-	AllowNonLoopback     bool   // may listen beyond loopback
-	at                   syntax.Position
+	Name             string // unique
+	Address          string // address and port for the tool and other agents
+	Depot            string // location, for the order of changes
+	GossipAddress    string // IPv4 address and port, for TCP and UDP; empty for no gossip
+	AllowNonLoopback bool   // the addresses may lie beyond loopback
+	position         syntax.Position
 }
 
-// DirectorEntry is one director.
+// DirectorEntry is one director of an inventory.
 type DirectorEntry struct {
-	Name, Agent  string
-	PlatformFile string   // the platform's file
-	SettingsFile string   // the operator's, which changes are about
-	StatusSocket string   // where it tells how it is
+	Name         string   // unique
+	Agent        string   // name of the agent that looks after it
+	PlatformFile string   // path of the platform's file
+	SettingsFile string   // path of the operator's script, which changes replace
+	StatusSocket string   // path of the socket of its status report
 	Command      []string // that starts it; empty where something else does
-	PIDFile      string   // where its process is found then
-	at           syntax.Position
+	PIDFile      string   // path of the file with its process ID; needed where there is no command
+	position     syntax.Position
 }
 
+const (
+	defaultLease = 3 * policy.Second
+	minLease     = time.Second
+	maxLease     = 10 * time.Minute
+)
+
 // Agent is the entry of a name; nil for none.
 func (i *Inventory) Agent(name string) *AgentEntry {
 	for n := range i.Agents {
@@ -54,25 +62,25 @@
 	return nil
 }
 
-// AgentNames are all agents, as the file has them.
+// AgentNames are the names of all agents, in the script's order.
 func (i *Inventory) AgentNames() (names []string) {
-	for _, a := range i.Agents {
-		names = append(names, a.Name)
+	for _, agent := range i.Agents {
+		names = append(names, agent.Name)
 	}
 	return names
 }
 
-// DirectorsOf are the directors of an agent.
-func (i *Inventory) DirectorsOf(agent string) (all []DirectorEntry) {
-	for _, d := range i.Directors {
-		if d.Agent == agent {
-			all = append(all, d)
+// DirectorsOf are the directors that an agent looks after, in the script's order.
+func (i *Inventory) DirectorsOf(agent string) (directors []DirectorEntry) {
+	for _, director := range i.Directors {
+		if director.Agent == agent {
+			directors = append(directors, director)
 		}
 	}
-	return all
+	return directors
 }
 
-// LoadInventory reads it whole or not at all; errors name file, line and key.
+// LoadInventory reads the script at path, whole or not at all. Errors are those of ParseInventory and of the file system.
 func LoadInventory(path string) (*Inventory, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -81,97 +89,146 @@
 	return ParseInventory(path, raw)
 }
 
-// ParseInventory reads a script; the path is for its errors.
+// ParseInventory runs a script; path is for its errors, which are of type ScriptError where they have a place in the text.
 func ParseInventory(path string, raw []byte) (*Inventory, error) {
-	inv := &Inventory{Path: path, LeaseDuration: 3 * policy.Second}
-	if len(raw) > largestFile {
-		return nil, fmt.Errorf("%s: over %d bytes", path, largestFile)
-	}
-	var agents []*AgentEntry
-	var directors []*DirectorEntry
-	err := runScript(path, raw, map[string]section{
-		"fleet": {keys: []key{
-			timed("lease", &inv.LeaseDuration, time.Second, 10*time.Minute), text("authority", &inv.AuthorityDir),
-			text("talk_key", &inv.GossipKeyFile),
-		}},
-		"agent": {many: func(name string, at syntax.Position) ([]key, error) {
-			if slices.ContainsFunc(agents, func(a *AgentEntry) bool { return a.Name == name }) {
-				return nil, fmt.Errorf("agent %q: there before", name)
-			}
-			a := &AgentEntry{Name: name, at: at}
-			agents = append(agents, a)
-			return []key{text("address", &a.Address), text("depot", &a.Depot), socket("talk", &a.GossipAddress), truth("beyond_loopback", &a.AllowNonLoopback)}, nil
-		}},
-		"director": {many: func(name string, at syntax.Position) ([]key, error) {
-			if slices.ContainsFunc(directors, func(d *DirectorEntry) bool { return d.Name == name }) {
-				return nil, fmt.Errorf("director %q: there before", name)
-			}
-			d := &DirectorEntry{Name: name, at: at}
-			directors = append(directors, d)
-			return []key{
-				text("agent", &d.Agent), text("config", &d.PlatformFile), text("settings", &d.SettingsFile), text("socket", &d.StatusSocket),
-				words("command", &d.Command), text("pidfile", &d.PIDFile),
-			}, nil
-		}},
-	})
-	if err != nil {
+	inventory := &Inventory{Path: path, LeaseDuration: defaultLease}
+	var entries inventoryEntries
+	if err := runScript(path, raw, entries.sections(inventory)); err != nil {
 		return nil, err
 	}
-	addresses := map[string]string{}
-	for _, a := range agents {
-		host, _, err := net.SplitHostPort(a.Address)
-		ip := net.ParseIP(host)
-		switch {
-		case err != nil || ip == nil:
-			return nil, fault{a.at, fmt.Errorf("agent.address: %q of %s is no address and port", a.Address, a.Name)}
-		case !ip.IsLoopback() && !a.AllowNonLoopback:
-			return nil, fault{a.at, fmt.Errorf("agent.address: %s of %s lies beyond loopback, and beyond_loopback does not say so", a.Address, a.Name)}
-		case (a.GossipAddress == "") != (inv.GossipKeyFile == ""):
-			return nil, fault{a.at, fmt.Errorf("agent.talk: of %s and fleet.talk_key, only one is given", a.Name)}
-		case a.GossipAddress != "" && !a.AllowNonLoopback && !netip.MustParseAddrPort(a.GossipAddress).Addr().IsLoopback():
-			return nil, fault{a.at, fmt.Errorf("agent.talk: %s of %s lies beyond loopback, and beyond_loopback does not say so", a.GossipAddress, a.Name)}
-		case addresses[a.Address] != "":
-			return nil, fault{a.at, fmt.Errorf("agent.address: %s is that of %s too", a.Address, addresses[a.Address])}
-		}
-		addresses[a.Address] = a.Name
-		inv.Agents = append(inv.Agents, *a)
-	}
-	files := map[string]string{}
-	for _, d := range directors {
-		for _, x := range []struct{ key, value string }{
-			{"agent", d.Agent}, {"config", d.PlatformFile}, {"settings", d.SettingsFile}, {"socket", d.StatusSocket},
-		} {
-			if x.value == "" {
-				return nil, fault{d.at, fmt.Errorf("director.%s: missing for %s", x.key, d.Name)}
-			}
-			if x.key != "agent" && files[x.value] != "" {
-				return nil, fault{d.at, fmt.Errorf("director.%s: %s is that of %s too", x.key, x.value, files[x.value])}
-			}
-			if x.key != "agent" {
-				files[x.value] = d.Name
-			}
-		}
-		if inv.Agent(d.Agent) == nil {
-			return nil, fault{d.at, fmt.Errorf("director.agent: there is no agent %q", d.Agent)}
-		}
-		if len(d.Command) == 0 && d.PIDFile == "" {
-			return nil, fault{d.at, fmt.Errorf("director.command: neither it nor a pidfile for %s", d.Name)}
+	if err := inventory.addAgents(entries.agents); err != nil {
+		return nil, err
+	}
+	if err := inventory.addDirectors(entries.directors); err != nil {
+		return nil, err
+	}
+	if len(inventory.Agents) == 0 {
+		return nil, fmt.Errorf("%s: %w", path, keyErrorf("agent", "there is none"))
+	}
+	return inventory, nil
+}
+
+// inventoryEntries are the entries of a script that is being run, not checked yet.
+type inventoryEntries struct {
+	agents    []*AgentEntry
+	directors []*DirectorEntry
+}
+
+// sections are the functions of an inventory's script.
+func (e *inventoryEntries) sections(inventory *Inventory) map[string]section {
+	return map[string]section{
+		"fleet": {settings: []setting{
+			durationSetting("lease", &inventory.LeaseDuration, minLease, maxLease),
+			textSetting("authority", &inventory.AuthorityDir),
+			textSetting("talk_key", &inventory.GossipKeyFile),
+		}},
+		"agent":    {newEntry: e.newAgent},
+		"director": {newEntry: e.newDirector},
+	}
+}
+
+// newAgent begins an agent and gives its settings.
+func (e *inventoryEntries) newAgent(name string, position syntax.Position) ([]setting, error) {
+	if slices.ContainsFunc(e.agents, func(a *AgentEntry) bool { return a.Name == name }) {
+		return nil, fmt.Errorf("agent %q: there before", name)
+	}
+	agent := &AgentEntry{Name: name, position: position}
+	e.agents = append(e.agents, agent)
+	return []setting{
+		textSetting("address", &agent.Address),
+		textSetting("depot", &agent.Depot),
+		addressSetting("talk", &agent.GossipAddress),
+		booleanSetting("beyond_loopback", &agent.AllowNonLoopback),
+	}, nil
+}
+
+// newDirector begins a director and gives its settings.
+func (e *inventoryEntries) newDirector(name string, position syntax.Position) ([]setting, error) {
+	if slices.ContainsFunc(e.directors, func(d *DirectorEntry) bool { return d.Name == name }) {
+		return nil, fmt.Errorf("director %q: there before", name)
+	}
+	director := &DirectorEntry{Name: name, position: position}
+	e.directors = append(e.directors, director)
+	return []setting{
+		textSetting("agent", &director.Agent),
+		textSetting("config", &director.PlatformFile),
+		textSetting("settings", &director.SettingsFile),
+		textSetting("socket", &director.StatusSocket),
+		textListSetting("command", &director.Command),
+		textSetting("pidfile", &director.PIDFile),
+	}, nil
+}
+
+// addAgents checks agents and takes them in.
+func (i *Inventory) addAgents(agents []*AgentEntry) error {
+	owners := map[string]string{} // names of agents by address
+	for _, agent := range agents {
+		if err := i.checkAgent(agent, owners[agent.Address]); err != nil {
+			return &ScriptError{agent.position, err}
 		}
-		inv.Directors = append(inv.Directors, *d)
+		owners[agent.Address] = agent.Name
+		i.Agents = append(i.Agents, *agent)
 	}
-	if len(inv.Agents) == 0 {
-		return nil, fmt.Errorf("%s: agent: there is none", path)
+	return nil
+}
+
+// checkAgent checks one agent; owner is the agent before it with the same address, empty for none.
+func (i *Inventory) checkAgent(agent *AgentEntry, owner string) error {
+	host, _, err := net.SplitHostPort(agent.Address)
+	ip := net.ParseIP(host)
+	switch {
+	case err != nil || ip == nil:
+		return keyErrorf("agent.address", "%q of %s is no address and port", agent.Address, agent.Name)
+	case !ip.IsLoopback() && !agent.AllowNonLoopback:
+		return keyErrorf("agent.address", "%s of %s lies beyond loopback, and beyond_loopback does not say so", agent.Address, agent.Name)
+	case (agent.GossipAddress == "") != (i.GossipKeyFile == ""):
+		return keyErrorf("agent.talk", "of %s and fleet.talk_key, only one is given", agent.Name)
+	case agent.GossipAddress != "" && !agent.AllowNonLoopback && !isLoopback(agent.GossipAddress):
+		return keyErrorf("agent.talk", "%s of %s lies beyond loopback, and beyond_loopback does not say so", agent.GossipAddress, agent.Name)
+	case owner != "":
+		return keyErrorf("agent.address", "%s is that of %s too", agent.Address, owner)
+	}
+	return nil
+}
+
+// isLoopback says whether an address with a port, which must be valid, lies on the loopback network.
+func isLoopback(address string) bool { return netip.MustParseAddrPort(address).Addr().IsLoopback() }
+
+// addDirectors checks directors and takes them in. The agents must be there before.
+func (i *Inventory) addDirectors(directors []*DirectorEntry) error {
+	owners := map[string]string{} // names of directors by the paths of their files
+	for _, director := range directors {
+		if err := i.checkDirector(director, owners); err != nil {
+			return &ScriptError{director.position, err}
+		}
+		i.Directors = append(i.Directors, *director)
 	}
-	return inv, nil
+	return nil
 }
 
-func truth(name string, to *bool) key {
-	return key{name, func(v starlark.Value) error {
-		b, ok := v.(starlark.Bool)
-		if !ok {
-			return fmt.Errorf("%v is neither True nor False", v)
+// checkDirector checks one director and books its files in owners.
+func (i *Inventory) checkDirector(director *DirectorEntry, owners map[string]string) error {
+	if director.Agent == "" {
+		return keyErrorf("director.agent", "missing for %s", director.Name)
+	}
+	for _, file := range []struct{ key, path string }{
+		{"director.config", director.PlatformFile},
+		{"director.settings", director.SettingsFile},
+		{"director.socket", director.StatusSocket},
+	} {
+		if file.path == "" {
+			return keyErrorf(file.key, "missing for %s", director.Name)
 		}
-		*to = bool(b)
-		return nil
-	}}
+		if owner := owners[file.path]; owner != "" {
+			return keyErrorf(file.key, "%s is that of %s too", file.path, owner)
+		}
+		owners[file.path] = director.Name
+	}
+	if i.Agent(director.Agent) == nil {
+		return keyErrorf("director.agent", "there is no agent %q", director.Agent)
+	}
+	if len(director.Command) == 0 && director.PIDFile == "" {
+		return keyErrorf("director.command", "neither it nor a pidfile for %s", director.Name)
+	}
+	return nil
 }
--- a/internal/config/inventory_test.go
+++ b/internal/config/inventory_test.go
@@ -17,6 +17,7 @@
                  command = ["bin/tallyproxy"])
 `
 
+// A script is read whole; a faulty one is refused with its line and key, and nothing of it is kept.
 func TestInventory(t *testing.T) {
 	inv, err := ParseInventory("fleet.star", []byte(inventory))
 	if err != nil {
--- a/internal/config/descriptors_test.go
+++ b/internal/config/limits_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// What a director holds at the most fits under its limit, with a connection to each of 200 nodes wanted and clients that fill
-// all they may: the parts for clients and nodes, a quarter more for first ones, and what it needs for itself. Usual clients have
-// the third that the platform gives them.
+// All descriptors that a director may have open fit under its limit, with a connection to each of 200 nodes and as many clients as are
+// let in: those of clients and of nodes, a quarter more for first connections, and its own. Usual clients have the third of the
+// descriptors that the platform promises.
 func TestDescriptorsFit(t *testing.T) {
 	const own = 12 // three standard files, four of the runtime, the listener, one accepted beyond, two of the channel, a file
 	for sockets := 64; sockets <= 4096; sockets++ {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -11,7 +11,9 @@
 	"tallyproxy/overload"
 )
 
+// operator loads a script of the text given.
 func operator(t *testing.T, text string) (Operator, error) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "director.star")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -19,6 +21,7 @@
 	return LoadOperator(path)
 }
 
+// A script sets what it names; the rest, and everything without a script, has its default. The delivered script says the defaults.
 func TestOperator(t *testing.T) {
 	plain := func(o Operator) Operator { o.Digest = ""; return o }
 	o, err := LoadOperator("")
@@ -47,26 +50,28 @@
 	}
 }
 
-func TestShards(t *testing.T) {
+// A director has as many shards as the script asks for and the platform allows, one at least; only a change of that number needs a
+// restart.
+func TestShardCount(t *testing.T) {
 	for _, c := range []struct {
-		asked   int
+		wanted  int
 		allowed float64
 		want    int
 	}{{0, 4, 1}, {1, 4, 1}, {4, 4, 4}, {4, 3.2, 4}, {8, 2, 2}, {8, 0.3, 1}} {
-		if got := (Operator{Cores: c.asked}).ShardCount(Limits{Cores: c.allowed}); got != c.want {
-			t.Errorf("%d asked, %v allowed: %d, want %d", c.asked, c.allowed, got, c.want)
+		if got := (Operator{Cores: c.wanted}).ShardCount(Limits{Cores: c.allowed}); got != c.want {
+			t.Errorf("%d wanted, %v allowed: %d, want %d", c.wanted, c.allowed, got, c.want)
 		}
 	}
-	two := Limits{Cores: 2}
-	if err := (Operator{Cores: 2}).CheckReload(Operator{Cores: 1}, two, two); err == nil || !strings.Contains(err.Error(), "machine.cores") {
+	twoCores := Limits{Cores: 2}
+	if err := (Operator{Cores: 2}).CheckReload(Operator{Cores: 1}, twoCores, twoCores); err == nil || !strings.Contains(err.Error(), "machine.cores") {
 		t.Errorf("a reload that changes the cores: %v", err)
 	}
-	if err := (Operator{Cores: 2}).CheckReload(Operator{Cores: 3}, two, two); err != nil {
+	if err := (Operator{Cores: 2}).CheckReload(Operator{Cores: 3}, twoCores, twoCores); err != nil {
 		t.Errorf("one that does not: %v", err)
 	}
 }
 
-// What directors need to talk with each other: refused with its key where it is faulty, or where the platform does not permit it.
+// The settings of gossip are refused with their key where they are faulty, and where the platform does not permit gossip.
 func TestPeers(t *testing.T) {
 	dir := t.TempDir()
 	good, short := filepath.Join(dir, "key"), filepath.Join(dir, "short")
--- /dev/null
+++ b/internal/config/peers.go
@@ -0,0 +1,68 @@
+package config
+
+import (
+	"encoding/hex"
+	"fmt"
+	"os"
+	"strings"
+
+	"go.starlark.net/starlark"
+)
+
+// Peers is how a director gossips with other directors.
+type Peers struct {
+	Listen    string   // IPv4 address and port, for TCP and UDP
+	Advertise string   // address and port at which others reach Listen; empty where that is Listen itself
+	Seeds     []string // addresses and ports of directors to join through
+	Fleet     string   // name of the fleet; directors of another fleet are ignored
+	Delegates int      // directors of a location that poll the command channel for the rest; 0: each polls for itself
+	KeyFile   string   // path of the file with the key that all directors share
+	SharedKey []byte   // the key: 32 bytes, for AES-256
+}
+
+const (
+	defaultDelegates = 3
+	maxDelegates     = 100
+	sharedKeyBytes   = 32
+)
+
+// settings are the arguments of peers(...).
+func (p *Peers) settings() []setting {
+	return []setting{
+		addressSetting("listen", &p.Listen),
+		addressSetting("advertise", &p.Advertise),
+		textSetting("fleet", &p.Fleet),
+		integerSetting("followers", &p.Delegates, 0, maxDelegates),
+		addressListSetting("seeds", &p.Seeds),
+		{"key", func(value starlark.Value) (err error) {
+			if err = textSetting("key", &p.KeyFile).set(value); err == nil {
+				p.SharedKey, err = ReadKey(p.KeyFile)
+			}
+			return err
+		}},
+	}
+}
+
+// check names the first setting that can't be left out.
+func (p *Peers) check() error {
+	switch {
+	case p.Listen == "":
+		return &KeyError{"peers.listen", ErrMissing}
+	case p.KeyFile == "":
+		return &KeyError{"peers.key", ErrMissing}
+	}
+	return nil
+}
+
+// ReadKey reads a key that members of a gossip network share: a file of 64 hex digits. The error names the path.
+func ReadKey(path string) ([]byte, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	key, err := hex.DecodeString(strings.TrimSpace(string(raw)))
+	if err != nil || len(key) != sharedKeyBytes {
+		return nil, fmt.Errorf("%s: not %d hex digits", path, 2*sharedKeyBytes)
+	}
+	return key, nil
+}
--- a/internal/status/report.go
+++ b/internal/status/report.go
@@ -13,9 +13,9 @@
 // Report is a director's status at one moment. Its JSON is read by tools and agents of other releases: a key that is
 // there keeps its name and meaning.
 type Report struct {
-	Name     string    `json:"name"` // of the director
-	PID      int       `json:"pid"`
-	Started  time.Time `json:"started"`
+	Name     string    `json:"name"`     // of the director
+	PID      int       `json:"pid"`      // of its process
+	Started  time.Time `json:"started"`  // when the process began to serve
 	Stopping bool      `json:"stopping"` // the signal to stop has come
 
 	SettingsDigest string   `json:"settings"` // config.Digest of the operator's script that is in use; of no bytes without a script
@@ -36,7 +36,7 @@
 	DedupRecords  int              `json:"keys_held"` // idempotency keys that are remembered
 	DedupRejected int              `json:"keys_full"` // requests since the start whose key found no room
 
-	Overload   overload.Report        `json:"storm"`
+	Overload   overload.Report        `json:"storm"`            // state of the overload controller
 	NodeViews  []routing.EndpointView `json:"beliefs"`          // the routing state of every known node, by ID
 	Membership *membership.Report     `json:"peers,omitempty"`  // view of the other directors; nil without gossip
 	Relay      *relays.Report         `json:"follow,omitempty"` // role in polling the command channel; nil without gossip
