--- a/Makefile
+++ b/Makefile
@@ -24,5 +24,5 @@
 
 fuzz:
 	go test -fuzz FuzzParser -fuzztime 30s ./internal/downstream
-	go test -fuzz FuzzReader -fuzztime 30s ./internal/upstream
+	go test -fuzz FuzzParser -fuzztime 30s ./internal/upstream
 	go test -fuzz FuzzRead -fuzztime 30s ./internal/discovery
--- /dev/null
+++ b/internal/upstream/attempt_test.go
@@ -0,0 +1,211 @@
+package upstream
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"syscall"
+	"testing"
+	"time"
+
+	"tallyproxy/internal/bufpool"
+	"tallyproxy/policy"
+)
+
+func TestStageOfFailedAttempt(t *testing.T) {
+	cases := []struct {
+		name string
+		do   func(*nodeConn)
+		want string
+	}{
+		{"closed without a response", func(*nodeConn) {}, "wholly written"},
+		{"closed within a response", func(n *nodeConn) { n.write("a1 data - 9\r\nxyz") }, "response started"},
+		{"closed within another's", func(n *nodeConn) { n.write("a2 data - 9\r\nxyz") }, "wholly written"},
+		{"malformed", func(n *nodeConn) { n.write("rubbish\r\n") }, "wholly written"},
+		{"unchanged without a tag", func(n *nodeConn) { n.write("a1 unchanged - 0\r\n\r\n") }, "response started"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t, testTimeouts, 8)
+			_, outcomes := f.send("a1")
+			n := f.accept()
+			n.expect("want a1")
+			c.do(n)
+			n.close()
+			expectOutcome(t, outcomes, c.want)
+		})
+	}
+	t.Run("refused", func(t *testing.T) {
+		f := newFixture(t, testTimeouts, 8)
+		if err := f.listener.Close(); err != nil {
+			t.Fatal(err)
+		}
+		_, outcomes := f.send("a1")
+		expectOutcome(t, outcomes, "not connected")
+	})
+	t.Run("connect timeout", func(t *testing.T) {
+		timeouts := testTimeouts
+		timeouts.Connect = 1 // a microsecond
+		f := newFixture(t, timeouts, 8)
+		_, outcomes := f.send("a1")
+		expectOutcome(t, outcomes, "not connected")
+	})
+	t.Run("connection limit", func(t *testing.T) {
+		f := newFixture(t, testTimeouts, 1)
+		_, a1 := f.send("a1")
+		n := f.accept()
+		n.expect("want a1")
+		_, a2 := f.send("a2") // it shares the connection
+		n.expect("want a2")
+		_, a3 := f.send("a3")
+		n.expect("want a3")
+		_, a4 := f.send("a4") // the connection carries the most that it may
+		expectOutcome(t, a4, "not connected")
+		other := f.pool.NewEndpoint(f.listener.Addr().String()) // each endpoint may have a first connection
+		_, a5 := sendTo(other, testRequest("a5"))
+		n2 := f.accept()
+		n2.expect("want a5")
+		n2.close()
+		expectOutcome(t, a5, "wholly written")
+		n.write("a1 moot - 0\r\n\r\na2 moot - 0\r\n\r\na3 moot - 0\r\n\r\n")
+		for _, outcomes := range []chan outcome{a1, a2, a3} {
+			expectOutcome(t, outcomes, "moot 0")
+		}
+	})
+	t.Run("endpoint that reads nothing", func(t *testing.T) {
+		const requests = 1000 // more than the sockets between them hold
+		timeouts := testTimeouts
+		timeouts.Connect, timeouts.PreferredStreams, timeouts.MaxStreams = policy.Second/4, requests, requests
+		f := newFixture(t, timeouts, 1)
+		body := bufpool.New(1).NewBody(0)
+		body.Append(make([]byte, 48_000))
+		outcomes := make(chan outcome, requests)
+		for i := range requests {
+			f.endpoint.Send(Request{ID: fmt.Sprint(i), Body: body}, func(response Response, err error) { outcomes <- outcome{response, err} })
+		}
+		count := map[Stage]int{}
+		for range requests {
+			failure := (*Error)(nil)
+			if o := <-outcomes; !errors.As(o.err, &failure) {
+				t.Fatal(o.err)
+			}
+			count[failure.Stage]++
+		}
+		if count[WhollyWritten] == 0 || count[PartlyWritten] > 1 || count[NothingWritten] == 0 || len(count) > 3 {
+			t.Errorf("ended as %v", count)
+		}
+	})
+}
+
+func TestCancel(t *testing.T) {
+	f := newFixture(t, testTimeouts, 8)
+	a, outcomes := f.send("a1")
+	n := f.accept()
+	n.expect("want a1")
+	a.Cancel(false)
+	a.Cancel(true)
+	n.expect("never_mind a1")
+	expectOutcome(t, outcomes, "wholly written, cancelled")
+	_, retry := f.send("a1") // a late response to the first must not be taken for its own
+	n2 := f.accept()
+	n2.expect("want a1")
+	n.write("a1 data - 3\r\nxyz\r\n")
+	n2.write("a1 failed - 0\r\n\r\n")
+	expectOutcome(t, retry, "failed 0")
+	if len(outcomes) != 0 {
+		t.Error("an attempt ended twice")
+	}
+}
+
+// An unresponsive endpoint must not go on with a request that is retried elsewhere: its connection is reset.
+func TestCancelWithConfirmation(t *testing.T) {
+	timeouts := testTimeouts
+	timeouts.PreferredStreams = 3
+	f := newFixture(t, timeouts, 8)
+	a, outcomes := f.send("a1")
+	_, other := f.send("a2")
+	n := f.accept()
+	n.expect("want a1")
+	n.expect("want a2")
+	a.Cancel(true)
+	expectOutcome(t, outcomes, "wholly written, cancelled")
+	expectOutcome(t, other, "wholly written")
+	if _, err := n.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("not reset: %v", err)
+	}
+	a, outcomes = f.send("a3")
+	n = f.accept()
+	n.expect("want a3")
+	_, other = f.send("a4")
+	n.expect("want a4")
+	_, open := f.send("b1")
+	n.expect("want b1")
+	n.write("a4 full - 0\r\n\r\n")
+	expectOutcome(t, other, "full 0")
+	a.Cancel(true) // one request was answered on the connection since, and one is open
+	n.expect("never_mind a3")
+	n.expect("there a3")
+	if len(outcomes) != 0 {
+		t.Error("ended before the probe was answered")
+	}
+	n.write("a3 well - 0\r\n\r\n")
+	expectOutcome(t, outcomes, "wholly written, cancelled")
+	f.pool.timeouts.CancelConfirm = 1000
+	a, outcomes = f.send("a5")
+	n.expect("want a5")
+	_, other = f.send("a6")
+	n.expect("want a6")
+	n.write("a6 full - 0\r\n\r\n")
+	expectOutcome(t, other, "full 0")
+	a.Cancel(true) // this time the probe is not answered
+	expectOutcome(t, outcomes, "wholly written, cancelled")
+	expectOutcome(t, open, "wholly written")
+	n.expect("never_mind a5")
+	n.expect("there a5")
+	if _, err := n.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("not reset: %v", err)
+	}
+}
+
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
+	timeouts := testTimeouts
+	timeouts.Connect = policy.Second / 4 // unresponsive from then on
+	timeouts.PreferredStreams, timeouts.MaxStreams = 9, 9
+	f := newFixture(t, timeouts, 8)
+	a, outcomes := f.send("a1")
+	n := f.accept()
+	n.expect("want a1")
+	eventually(t, "never unresponsive", func() bool {
+		f.endpoint.mu.Lock()
+		defer f.endpoint.mu.Unlock()
+		return time.Since(a.sentAt) > timeouts.Connect.Duration()
+	})
+	a.Cancel(false)
+	expectOutcome(t, outcomes, "wholly written, cancelled")
+	_, a2 := f.send("a2")
+	n2 := f.accept()
+	n2.expect("want a2")
+	n2.write("a2 absent - 0\r\n\r\n")
+	expectOutcome(t, a2, "absent 0")
+	n.expect("never_mind a1")
+	if _, err := n.in.ReadByte(); err != io.EOF {
+		t.Errorf("the unresponsive connection was not closed: %v", err)
+	}
+}
+
+// A retry uses none of the connections of the attempts before it: what comes twice there is not its response.
+func TestDuplicateResponse(t *testing.T) {
+	f := newFixture(t, testTimeouts, 8)
+	first, outcomes := f.send("a1")
+	n := f.accept()
+	n.expect("want a1")
+	n.write("a1 absent - 0\r\n\r\n")
+	expectOutcome(t, outcomes, "absent 0")
+	retryDone := func(response Response, err error) { outcomes <- outcome{response, err} } // the same channel: a second end of the first shows
+	f.endpoint.Send(testRequest("a1"), retryDone, first)
+	other := f.accept()
+	other.expect("want a1")
+	n.write("a1 absent - 0\r\n\r\n")
+	other.write("a1 full - 0\r\n\r\n")
+	expectOutcome(t, outcomes, "full 0")
+}
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -15,61 +15,61 @@
 	body.Append([]byte("from=x"))
 	base := Request{ID: "s1-77", ContentType: "clip", Object: "film/7", Part: 3, Timeout: 1500 * time.Millisecond}
 	with := func(change func(*Request)) Request {
-		w := base
-		change(&w)
-		return w
+		request := base
+		change(&request)
+		return request
 	}
 	cases := []struct {
-		name string
-		want Request
-		out  string
+		name    string
+		request Request
+		want    string
 	}{
 		{"base", base, "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500 0\r\n\r\n"},
 		{"zero", Request{}, "want  sort=,asset=,slice=0,patience=1 0\r\n\r\n"},
-		{"key", with(func(w *Request) { w.IdempotencyKey = "k9" }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,op=k9 0\r\n\r\n"},
-		{"from", with(func(w *Request) { w.SourceID = "parent-2" }),
+		{"key", with(func(r *Request) { r.IdempotencyKey = "k9" }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,op=k9 0\r\n\r\n"},
+		{"from", with(func(r *Request) { r.SourceID = "parent-2" }),
 			"want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,from=parent-2 0\r\n\r\n"},
-		{"rank", with(func(w *Request) { w.CacheRank = 2 }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,rank=2 0\r\n\r\n"},
-		{"oldest", with(func(w *Request) { w.MaxAge = 2500 * time.Microsecond }),
+		{"rank", with(func(r *Request) { r.CacheRank = 2 }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,rank=2 0\r\n\r\n"},
+		{"oldest", with(func(r *Request) { r.MaxAge = 2500 * time.Microsecond }),
 			"want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,oldest=2 0\r\n\r\n"},
-		{"join", with(func(w *Request) { w.Coalesce = true }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,mode=join 0\r\n\r\n"},
-		{"held", with(func(w *Request) { w.OnlyIfCached = true }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,mode=held 0\r\n\r\n"},
-		{"renew", with(func(w *Request) { w.Revalidate = true }),
+		{"join", with(func(r *Request) { r.Coalesce = true }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,mode=join 0\r\n\r\n"},
+		{"held", with(func(r *Request) { r.OnlyIfCached = true }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,mode=held 0\r\n\r\n"},
+		{"renew", with(func(r *Request) { r.Revalidate = true }),
 			"want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,mode=renew 0\r\n\r\n"},
-		{"join and renew", with(func(w *Request) { w.Coalesce, w.Revalidate = true, true }),
+		{"join and renew", with(func(r *Request) { r.Coalesce, r.Revalidate = true, true }),
 			"want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,mode=join+renew 0\r\n\r\n"},
-		{"seen", with(func(w *Request) { w.ClientTag = "v1" }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,seen=v1 0\r\n\r\n"},
-		{"body", with(func(w *Request) { w.Body = body }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500 6\r\nfrom=x\r\n"},
-		{"all", with(func(w *Request) {
-			w.IdempotencyKey, w.SourceID, w.CacheRank, w.MaxAge, w.ClientTag, w.Body = "k9", "origin", 12, time.Minute, "0a-1", body
-			w.Coalesce, w.OnlyIfCached, w.Revalidate = true, true, true
+		{"seen", with(func(r *Request) { r.ClientTag = "v1" }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,seen=v1 0\r\n\r\n"},
+		{"body", with(func(r *Request) { r.Body = body }), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500 6\r\nfrom=x\r\n"},
+		{"all", with(func(r *Request) {
+			r.IdempotencyKey, r.SourceID, r.CacheRank, r.MaxAge, r.ClientTag, r.Body = "k9", "origin", 12, time.Minute, "0a-1", body
+			r.Coalesce, r.OnlyIfCached, r.Revalidate = true, true, true
 		}), "want s1-77 sort=clip,asset=film/7,slice=3,patience=1500,op=k9,from=origin,rank=12,oldest=60000,mode=join+held+renew,seen=0a-1 6\r\n" +
 			"from=x\r\n"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := string(appendRequest([]byte("+"), &c.want)); got != "+"+c.out {
-				t.Errorf("got %q, want %q", got, "+"+c.out)
+			if got := string(appendRequest([]byte("+"), &c.request)); got != "+"+c.want {
+				t.Errorf("got %q, want %q", got, "+"+c.want)
 			}
 		})
 	}
 	if got := string(appendCancel([]byte("+"), "s1-77")); got != "+never_mind s1-77\r\n" {
-		t.Errorf("a request given up: %q", got)
+		t.Errorf("cancelling: %q", got)
 	}
 	if got := string(appendProbe([]byte("+"), "s1-77")); got != "+there s1-77\r\n" {
-		t.Errorf("a node asked whether it is there: %q", got)
+		t.Errorf("probe: %q", got)
 	}
 	if got := string(appendProbe(nil, probeID)); got != "there 1\r\n" {
-		t.Errorf("a node asked over a connection of its own: %q", got)
+		t.Errorf("probe over a connection of its own: %q", got)
 	}
 }
 
-func TestGoldenAnswers(t *testing.T) {
+func TestGoldenResponses(t *testing.T) {
 	cases := []struct {
-		in   string
-		word Status
-		note string
-		body string
+		in          string
+		status      Status
+		cacheStatus string
+		body        string
 	}{
 		{"i data - 0\r\n\r\n", StatusData, "", ""},
 		{"i data n=local,born=1764576000123.25,waited=0,ver=9 4\r\n\r\nxy\r\n", StatusData, "local", "\r\nxy"},
@@ -90,18 +90,23 @@
 	}
 	for _, c := range cases {
 		t.Run(c.in, func(t *testing.T) {
-			pool, ended := bufpool.New(4), 0
-			r := parser{buffers: pool, onStart: func(id string) bool { return id == "i" }, onProbeAnswer: func(string) { t.Error("a probe's answer") }}
-			r.onResponse = func(id string, a Response, err error) error {
+			ended := 0
+			p := parser{
+				buffers:       bufpool.New(4),
+				onStart:       func(id string) bool { return id == "i" },
+				onProbeAnswer: func(string) { t.Error("a probe's answer") },
+			}
+			p.onResponse = func(id string, r Response, failure error) error {
 				ended++
-				if body := string(bytes.Join(a.Body.Parts(), nil)); id != "i" || err != nil || a.Status != c.word || a.CacheStatus != c.note || body != c.body {
-					t.Errorf("id %q, word %q, note %q, body %q, %v", id, a.Status, a.CacheStatus, body, err)
+				body := string(bytes.Join(r.Body.Parts(), nil))
+				if id != "i" || failure != nil || r.Status != c.status || r.CacheStatus != c.cacheStatus || body != c.body {
+					t.Errorf("id %q, status %q, cache status %q, body %q, %v", id, r.Status, r.CacheStatus, body, failure)
 				}
-				a.Body.Free()
+				r.Body.Free()
 				return nil
 			}
-			if err := r.parse([]byte(c.in)); err != nil || ended != 1 {
-				t.Errorf("%d answers, %v", ended, err)
+			if err := p.parse([]byte(c.in)); err != nil || ended != 1 {
+				t.Errorf("%d responses, %v", ended, err)
 			}
 		})
 	}
@@ -110,10 +115,14 @@
 func TestGoldenProbeAnswers(t *testing.T) {
 	for _, in := range []string{"1 well\r\n", "1 ill\r\n", "1 well - 0\r\n\r\n", "1 ill n=local 0\r\n\r\n", "1 well x\r\n"} {
 		t.Run(in, func(t *testing.T) {
-			tags := ""
-			r := parser{buffers: bufpool.New(1), onStart: func(string) bool { return false }, onProbeAnswer: func(tag string) { tags += tag }}
-			if err := r.parse([]byte(in)); err != nil || tags != probeID || r.midResponse() {
-				t.Errorf("tags %q, within an answer %v, %v", tags, r.midResponse(), err)
+			ids := ""
+			p := parser{
+				buffers:       bufpool.New(1),
+				onStart:       func(string) bool { return false },
+				onProbeAnswer: func(id string) { ids += id },
+			}
+			if err := p.parse([]byte(in)); err != nil || ids != probeID || p.midResponse() {
+				t.Errorf("ids %q, within a response %v, %v", ids, p.midResponse(), err)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/upstream/pool_test.go
@@ -0,0 +1,140 @@
+package upstream
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+
+	"tallyproxy/internal/bufpool"
+	"tallyproxy/policy"
+)
+
+func TestSharedConnections(t *testing.T) {
+	f := newFixture(t, testTimeouts, 8)
+	_, a1 := f.send("a1")
+	n1 := f.accept()
+	n1.expect("want a1")
+	_, a2 := f.send("a2")
+	n1.expect("want a2")
+	_, a3 := f.send("a3") // the first is shared by two
+	n2 := f.accept()
+	n2.expect("want a3")
+	n1.write("zz data - 2\r\nxx\r\na2 data n=local 3\r\nxyz\r\na2 data - 0\r\n\r\n") // unknown, requested, ended
+	expectOutcome(t, a2, "data 3")
+	_, a4 := f.send("a4")
+	n1.expect("want a4")
+	n1.write("a1 absent - 0\r\n\r\na4 moot - 0\r\n\r\n")
+	n2.write("a3 full - 0\r\n\r\n")
+	expectOutcome(t, a1, "absent 0")
+	expectOutcome(t, a4, "moot 0")
+	expectOutcome(t, a3, "full 0")
+}
+
+func TestConnectionsAreClosed(t *testing.T) {
+	for _, name := range []string{"idle", "the endpoint left"} {
+		t.Run(name, func(t *testing.T) {
+			timeouts := testTimeouts
+			if name == "idle" {
+				timeouts.Idle = policy.Second / 50
+			}
+			f := newFixture(t, timeouts, 8)
+			_, outcomes := f.send("a1")
+			n := f.accept()
+			n.expect("want a1")
+			if name != "idle" {
+				f.endpoint.CloseWhenIdle() // which waits for what is open
+			}
+			n.write("a1 full - 0\r\n\r\n")
+			expectOutcome(t, outcomes, "full 0")
+			if _, err := n.in.ReadByte(); err != io.EOF {
+				t.Errorf("not closed: %v", err)
+			}
+		})
+	}
+}
+
+// However many endpoints there are, no more connections are open than the limit and the reserve for first ones; each endpoint is
+// reached, and idle connections are evicted for it.
+func TestManyEndpointsWithinTheLimit(t *testing.T) {
+	const limit, endpointCount = 20, 200
+	pool := New(bufpool.New(16), testTimeouts, limit)
+	defer pool.Close()
+	var endpoints []*Endpoint
+	for range endpointCount {
+		endpoints = append(endpoints, pool.NewEndpoint(listenAndAnswer(t)))
+	}
+	checkLimit := func() {
+		t.Helper()
+		if n := pool.connections.Load(); n > limit+firstConnectionReserve(limit) {
+			t.Fatalf("%d connections", n)
+		}
+	}
+	for round := range 2 {
+		for i, e := range endpoints {
+			_, outcomes := sendTo(e, testRequest(fmt.Sprint(round, "-", i)))
+			checkLimit()
+			expectOutcome(t, outcomes, "full 0")
+		}
+	}
+	var open []*Attempt // until all connections are in use
+	for i, e := range endpoints {
+		a, outcomes := sendTo(e, testRequest(fmt.Sprint("unanswered", i)))
+		checkLimit()
+		select {
+		case o := <-outcomes:
+			if !errors.Is(o.err, ErrConnectionLimit) {
+				t.Fatal(o.err)
+			}
+		default:
+			open = append(open, a)
+		}
+	}
+	if len(open) < limit {
+		t.Errorf("%d endpoints were reached", len(open))
+	}
+	for _, a := range open {
+		a.Cancel(false)
+	}
+}
+
+// listenAndAnswer starts a node that answers each request but those whose ids start with unanswered, and returns its address.
+func listenAndAnswer(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() {
+		for {
+			netConn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go answerAll(netConn)
+		}
+	}()
+	return listener.Addr().String()
+}
+
+func answerAll(netConn net.Conn) {
+	defer func() { _ = netConn.Close() }()
+	lines := bufio.NewReader(netConn)
+	for {
+		line, err := lines.ReadString('\n')
+		if err != nil {
+			return
+		}
+		words := strings.Fields(line)
+		if len(words) < 2 || words[0] != "want" || strings.HasPrefix(words[1], "unanswered") {
+			continue
+		}
+		if _, err := fmt.Fprintf(netConn, "%s full - 0\r\n\r\n", words[1]); err != nil {
+			return
+		}
+	}
+}
