--- a/internal/authority/golden_test.go
+++ b/internal/authority/golden_test.go
@@ -92,9 +92,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	for name, text := range goldenFiles {
-		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		requireNoError(t, os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600))
 	}
 	return dir
 }
@@ -105,15 +103,13 @@
 	dir := goldenFolder(t)
 	now := time.Date(2026, 12, 1, 18, 0, 0, 0, time.UTC)
 	id, err := Open(dir, filepath.Join(dir, "agent-0.pem"), filepath.Join(dir, "agent-0-key.pem"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	requireNoError(t, err)
 	if id.Name() != "agent-0" {
 		t.Errorf("own name %q", id.Name())
 	}
 	cases := []struct {
 		file, name string
-		of         []Role
+		roles      []Role
 		at         time.Time
 		fault      string
 	}{
@@ -124,13 +120,11 @@
 	}
 	for _, c := range cases {
 		cert, err := LoadCertificate(filepath.Join(dir, c.file))
-		if err != nil {
-			t.Fatal(err)
-		}
-		name, of, err := id.Verify(cert, c.at)
-		if name != c.name || !slices.Equal(of, c.of) || (err == nil) != (c.fault == "") ||
+		requireNoError(t, err)
+		name, roles, err := id.Verify(cert, c.at)
+		if name != c.name || !slices.Equal(roles, c.roles) || (err == nil) != (c.fault == "") ||
 			err != nil && !strings.Contains(err.Error(), c.fault) {
-			t.Errorf("%s at %v: %q, %v, %v", c.file, c.at, name, of, err)
+			t.Errorf("%s at %v: %q, %v, %v", c.file, c.at, name, roles, err)
 		}
 	}
 }
@@ -140,39 +134,29 @@
 func TestGoldenFilesAreWritten(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	if err := Init(dir, "golden", now); err != nil {
-		t.Fatal(err)
-	}
-	if err := Issue(dir, dir, "agent-0", []Role{RoleAgent}, 24*time.Hour, now); err != nil {
-		t.Fatal(err)
-	}
-	if err := Issue(dir, dir, "viewer", []Role{RoleViewer, RoleEditor, RoleKeyAdmin}, 24*time.Hour, now); err != nil {
-		t.Fatal(err)
-	}
-	if err := Issue(dir, dir, "operator", []Role{RoleViewer, RoleEditor, RoleKeyAdmin}, 24*time.Hour, now); err != nil {
-		t.Fatal(err)
-	}
-	left, err := LoadCertificate(filepath.Join(dir, "operator.pem"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := Revoke(dir, []*x509.Certificate{left}, now); err != nil {
-		t.Fatal(err)
-	}
+	requireNoError(t, Init(dir, "golden", now))
+	requireNoError(t, Issue(dir, dir, "agent-0", []Role{RoleAgent}, 24*time.Hour, now))
+	requireNoError(t, Issue(dir, dir, "viewer", []Role{RoleViewer, RoleEditor, RoleKeyAdmin}, 24*time.Hour, now))
+	requireNoError(t, Issue(dir, dir, "operator", []Role{RoleViewer, RoleEditor, RoleKeyAdmin}, 24*time.Hour, now))
+	revoked, err := LoadCertificate(filepath.Join(dir, "operator.pem"))
+	requireNoError(t, err)
+	requireNoError(t, Revoke(dir, []*x509.Certificate{revoked}, now))
+	checkGoldenModes(t, dir)
+	checkGoldenCertificates(t, dir)
+	checkGoldenRevocations(t, dir, revoked)
+}
+
+// checkGoldenModes checks the names, PEM types and modes of the files in a folder.
+func checkGoldenModes(t *testing.T, dir string) {
+	t.Helper()
 	entries, err := os.ReadDir(dir)
-	if err != nil {
-		t.Fatal(err)
-	}
+	requireNoError(t, err)
 	got := map[string]string{}
 	for _, entry := range entries {
 		text, err := os.ReadFile(filepath.Join(dir, entry.Name()))
-		if err != nil {
-			t.Fatal(err)
-		}
+		requireNoError(t, err)
 		info, err := entry.Info()
-		if err != nil {
-			t.Fatal(err)
-		}
+		requireNoError(t, err)
 		block, rest := pem.Decode(text)
 		if block == nil || len(rest) > 0 {
 			t.Fatalf("%s: not one PEM block", entry.Name())
@@ -188,35 +172,41 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("files %v, want %v", got, want)
 	}
+}
+
+// checkGoldenCertificates compares the certificates in a folder with the golden ones.
+func checkGoldenCertificates(t *testing.T, dir string) {
+	t.Helper()
 	golden := goldenFolder(t)
 	for _, name := range []string{"ca.pem", "agent-0.pem", "viewer.pem"} {
 		written, err := LoadCertificate(filepath.Join(dir, name))
-		if err != nil {
-			t.Fatal(err)
-		}
+		requireNoError(t, err)
 		stored, err := LoadCertificate(filepath.Join(golden, name))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if form := certificateForm(written); !reflect.DeepEqual(form, certificateForm(stored)) {
-			t.Errorf("%s: %+v, want %+v", name, form, certificateForm(stored))
+		requireNoError(t, err)
+		if form := formOf(written); !reflect.DeepEqual(form, formOf(stored)) {
+			t.Errorf("%s: %+v, want %+v", name, form, formOf(stored))
 		}
 		if bits := written.SerialNumber.BitLen(); bits < 60 || bits > 120 {
 			t.Errorf("%s: a serial number of %d bits", name, bits)
 		}
 	}
-	list := readGoldenList(t, dir)
-	stored := readGoldenList(t, golden)
+}
+
+// checkGoldenRevocations compares the revocation list in a folder with the golden one, but for the serial number of its one entry.
+func checkGoldenRevocations(t *testing.T, dir string, revoked *x509.Certificate) {
+	t.Helper()
+	list := loadRevocationList(t, dir)
+	stored := loadRevocationList(t, goldenFolder(t))
 	if list.Number.Cmp(stored.Number) != 0 || !list.ThisUpdate.Equal(stored.ThisUpdate) || !list.NextUpdate.Equal(stored.NextUpdate) ||
 		len(list.RevokedCertificateEntries) != 1 || len(stored.RevokedCertificateEntries) != 1 ||
-		list.RevokedCertificateEntries[0].SerialNumber.Cmp(left.SerialNumber) != 0 ||
+		list.RevokedCertificateEntries[0].SerialNumber.Cmp(revoked.SerialNumber) != 0 ||
 		!list.RevokedCertificateEntries[0].RevocationTime.Equal(stored.RevokedCertificateEntries[0].RevocationTime) {
 		t.Errorf("the list %+v, want %+v", list, stored)
 	}
 }
 
-// form is all that a certificate holds but keys, serial numbers, identifiers made from keys and signatures.
-type form struct {
+// certificateForm is all that a certificate holds but keys, serial numbers, identifiers made from keys and signatures.
+type certificateForm struct {
 	Subject, Issuer     string
 	Units, DNSNames     []string
 	NotBefore, NotAfter time.Time
@@ -229,8 +219,9 @@
 	RawPublicKey        int // bytes, which tell the curve
 }
 
-func certificateForm(c *x509.Certificate) form {
-	return form{
+// formOf returns what of a certificate is compared.
+func formOf(c *x509.Certificate) certificateForm {
+	return certificateForm{
 		Subject: c.Subject.String(), Issuer: c.Issuer.String(), Units: c.Subject.OrganizationalUnit, DNSNames: c.DNSNames,
 		NotBefore: c.NotBefore, NotAfter: c.NotAfter, IsCA: c.IsCA, PathLenZero: c.MaxPathLenZero, KeyUsage: c.KeyUsage,
 		ExtKeyUsage: c.ExtKeyUsage, Signature: c.SignatureAlgorithm, PublicKey: c.PublicKeyAlgorithm, Extensions: len(c.Extensions),
@@ -238,15 +229,12 @@
 	}
 }
 
-func readGoldenList(t *testing.T, dir string) *x509.RevocationList {
+// loadRevocationList reads the revocation list in a folder.
+func loadRevocationList(t *testing.T, dir string) *x509.RevocationList {
 	t.Helper()
 	ca, err := LoadCACertificate(dir)
-	if err != nil {
-		t.Fatal(err)
-	}
-	list, err := readList(dir, ca)
-	if err != nil {
-		t.Fatal(err)
-	}
+	requireNoError(t, err)
+	list, err := readRevocationList(dir, ca)
+	requireNoError(t, err)
 	return list
 }
