--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -10,7 +10,7 @@
 
 	"tallyproxy/dedup"
 	"tallyproxy/overload"
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
 // The values in this file were recorded once and are never recorded anew: routers of different versions run side by side during a
@@ -83,20 +83,20 @@
 	for _, weights := range [][]float64{{1, 1, 1, 1, 1}, {1, 2, 4, 0.5, 1}} {
 		s := settings()
 		s.WeightsAreSizes = true
-		b := newBed(s, 0, 1)
-		var rows []d.Endpoint
+		b := newTestRouter(s, 0, 1)
+		var rows []policy.Endpoint
 		for i, w := range weights {
-			rows = append(rows, d.Endpoint{ID: fmt.Sprint("edge-", i), Zone: 1, Weight: w})
+			rows = append(rows, policy.Endpoint{ID: fmt.Sprint("edge-", i), Zone: 1, Weight: w})
 		}
-		b.list(rows...)
+		b.updateEndpoints(rows...)
 		for i := range 20 {
 			object := fmt.Sprint("/object/", i)
 			key := fmt.Sprint(object, " ", weights)
-			nt := &notes{hash: mix(hashOf(object) + uint64(i%3))}
+			nt := &requestState{objectHash: mix(hashOf(object) + uint64(i%3))}
 			var order strings.Builder
-			seen := map[*node]bool{}
+			seen := map[*endpoint]bool{}
 			for range weights {
-				n := b.pick(b.now, &b.edges, nt, 0, func(n *node) bool { return !seen[n] })
+				n := b.pick(b.now, &b.edges, nt, 0, func(n *endpoint) bool { return !seen[n] })
 				seen[n] = true
 				order.WriteString(strings.TrimPrefix(n.ID, "edge-"))
 			}
@@ -137,25 +137,25 @@
 	s := settings()
 	s.Seed, s.ReportsCacheStatus, s.AllowDirect, s.WeightsAreSizes, s.ZoneDirectors, s.TotalDirectors = seed, told, direct, seed%2 == 0, 2, 6
 	s.ContentTypes = append(s.ContentTypes,
-		&d.ContentType{LatencyObjective: 800 * ms, TransferFactor: 1, Timeout: 6 * d.Second, RetrySafety: d.IdempotentWithKey, DedupWindow: d.Second, PriorityWeight: 3, TTL: 9 * d.Second},
-		&d.ContentType{LatencyObjective: 300 * ms, Timeout: 2 * d.Second, RetrySafety: d.NotIdempotent, PriorityWeight: 2, Uncacheable: true},
-		&d.ContentType{LatencyObjective: 500 * ms, Timeout: 4 * d.Second, RetrySafety: d.IdempotentWithKey, DedupScope: d.DedupScopeCell, DedupWindow: 2 * d.Second, PriorityWeight: 1})
+		&policy.ContentType{LatencyObjective: 800 * ms, TransferFactor: 1, Timeout: 6 * policy.Second, RetrySafety: policy.IdempotentWithKey, DedupWindow: policy.Second, PriorityWeight: 3, TTL: 9 * policy.Second},
+		&policy.ContentType{LatencyObjective: 300 * ms, Timeout: 2 * policy.Second, RetrySafety: policy.NotIdempotent, PriorityWeight: 2, Uncacheable: true},
+		&policy.ContentType{LatencyObjective: 500 * ms, Timeout: 4 * policy.Second, RetrySafety: policy.IdempotentWithKey, DedupScope: policy.DedupScopeCell, DedupWindow: 2 * policy.Second, PriorityWeight: 1})
 	if seed%3 == 0 {
 		s.FillLinkKBPerSecond = 0
 	}
-	b := newBed(s, 4, 2)
+	b := newTestRouter(s, 4, 2)
 	o := Options{Overload: overload.DefaultSettings(), Dedup: dedup.Settings{MaxRecords: 60, RetainWindows: 3, FailUnknownRetries: seed%2 == 1}}
 	if seed > 2 {
 		o.Overload.Mode = overload.ModeReserve
 	}
 	b.SetOptions(o)
 	type flight struct {
-		dl   *d.Request
+		dl   *policy.Request
 		pull int
 	}
 	var out []flight
-	var waiting []*d.Request
-	take := func(dl *d.Request, ans d.Decision) {
+	var waiting []*policy.Request
+	take := func(dl *policy.Request, ans policy.Decision) {
 		node, source := "-", "-"
 		if ans.Endpoint != nil {
 			node = ans.Endpoint.ID
@@ -166,29 +166,29 @@
 		fmt.Fprintf(&trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, ans.Action, node, source, ans.CacheRank, ans.MaxAge,
 			ans.Coalesce, ans.OnlyIfCached, ans.Revalidate, ans.Timeout, ans.NotAfter, ans.Attempt, ans.RetryAfter, ans.Unprocessable, b.RecheckAfter(b.now, dl))
 		switch ans.Action {
-		case d.Send:
-			out = append(out, flight{dl, len(dl.PolicyState.(*notes).pulls) - 1})
+		case policy.Send:
+			out = append(out, flight{dl, len(dl.PolicyState.(*requestState).attempts) - 1})
 			pulls++
-		case d.Queue:
+		case policy.Queue:
 			waiting = append(waiting, dl)
-		case d.Reject, d.Fail:
+		case policy.Reject, policy.Fail:
 			dl.Done = true
 		}
 	}
 	for step := range 6000 {
-		b.now += d.Micros(r.IntN(int(12 * ms)))
+		b.now += policy.Micros(r.IntN(int(12 * ms)))
 		if r.IntN(60) == 0 {
-			b.now += d.Micros(r.IntN(int(900 * ms)))
+			b.now += policy.Micros(r.IntN(int(900 * ms)))
 		}
 		switch what := r.IntN(100); {
 		case what < 35:
 			kind := s.ContentTypes[r.IntN(len(s.ContentTypes))]
-			dl := &d.Request{Type: kind, Object: fmt.Sprint("/o/", r.IntN(60)), Part: r.IntN(3), Group: r.IntN(4), IsRetry: r.IntN(8) == 0,
+			dl := &policy.Request{Type: kind, Object: fmt.Sprint("/o/", r.IntN(60)), Part: r.IntN(3), Group: r.IntN(4), IsRetry: r.IntN(8) == 0,
 				ClientHash: uint64(r.IntN(50)), ClientSuspect: r.IntN(20) == 0, ArrivedAt: b.now, Deadline: b.now + kind.Timeout}
 			if r.IntN(2) == 0 {
 				dl.SizeKB = float64(50 + r.IntN(400))
 			}
-			if kind.RetrySafety == d.IdempotentWithKey {
+			if kind.RetrySafety == policy.IdempotentWithKey {
 				dl.IdempotencyKey = fmt.Sprint("key", r.IntN(2000))
 			}
 			take(dl, b.Route(b.now, dl))
@@ -196,47 +196,47 @@
 			i := r.IntN(len(out))
 			f := out[i]
 			out = append(out[:i], out[i+1:]...)
-			ending := d.Succeeded
+			ending := policy.Succeeded
 			if r.IntN(4) == 0 {
-				ending = d.Result(r.IntN(int(d.Withdrawn) + 1))
+				ending = policy.Result(r.IntN(int(policy.Withdrawn) + 1))
 			}
-			filling := d.Unknown
+			filling := policy.Unknown
 			if r.IntN(4) > 0 {
-				filling = d.CacheStatus(r.IntN(int(d.OriginFailed) + 1))
+				filling = policy.CacheStatus(r.IntN(int(policy.OriginFailed) + 1))
 			}
-			if ending == d.Succeeded {
-				if filling > d.Stale {
-					filling = d.Filled
+			if ending == policy.Succeeded {
+				if filling > policy.Stale {
+					filling = policy.Filled
 				}
 				f.dl.Done = true
 			}
-			take(f.dl, b.AttemptDone(b.now, f.dl, d.Outcome{Attempt: f.pull, Result: ending, CacheStatus: filling, Final: f.dl.Done}))
+			take(f.dl, b.AttemptDone(b.now, f.dl, policy.Outcome{Attempt: f.pull, Result: ending, CacheStatus: filling, Final: f.dl.Done}))
 		case what < 90 && len(waiting) > 0:
 			dl := waiting[0]
 			waiting = waiting[1:]
 			take(dl, b.Route(b.now, dl))
 		case what < 96 && len(out) > 0:
 			f := out[r.IntN(len(out))]
-			if ans := b.Route(b.now, f.dl); ans.Action == d.CancelAttempt {
+			if ans := b.Route(b.now, f.dl); ans.Action == policy.CancelAttempt {
 				take(f.dl, ans)
 			}
 		case what < 97:
-			b.Purge(b.now, []string{"", fmt.Sprint("/o/", r.IntN(60))}[r.IntN(2)], r.IntN(5)-1, b.now-d.Micros(r.IntN(int(d.Second))))
+			b.Purge(b.now, []string{"", fmt.Sprint("/o/", r.IntN(60))}[r.IntN(2)], r.IntN(5)-1, b.now-policy.Micros(r.IntN(int(policy.Second))))
 		case what < 98:
 			id, kind, zone := fmt.Sprint("e", r.IntN(5)), 0, 1
 			if r.IntN(3) == 0 {
 				id, kind, zone = fmt.Sprint("p", r.IntN(3)), 1, 0
 			}
-			started := d.Micros(0)
+			started := policy.Micros(0)
 			if r.IntN(2) == 0 {
 				started = b.now
 			}
-			b.list(d.Endpoint{ID: id, Kind: kind, Zone: zone, Cell: r.IntN(3), Weight: float64(1 + r.IntN(3)), State: d.EndpointState(r.IntN(8) / 6), Started: started})
+			b.updateEndpoints(policy.Endpoint{ID: id, Kind: kind, Zone: zone, Cell: r.IntN(3), Weight: float64(1 + r.IntN(3)), State: policy.EndpointState(r.IntN(8) / 6), Started: started})
 		case what < 99:
 			b.ClientConnected(b.now)
 			b.ProbeDone(b.now, fmt.Sprint("e", r.IntN(5)), r.IntN(2) == 0, r.IntN(2) == 0)
 		default:
-			fmt.Fprintln(&trace, step, b.Capacity(b.now), b.WarmCapacity(), b.jam, b.missing, b.trouble, b.gate.most, b.deep.most)
+			fmt.Fprintln(&trace, step, b.Capacity(b.now), b.WarmCapacity(), b.fillLatency, b.missRatio, b.errorRate, b.fillLimiter.limit, b.originLimiter.limit)
 		}
 	}
 	return pulls, sum64(&trace)
@@ -245,7 +245,7 @@
 // TestGoldenMargins checks the times that sockets call for.
 func TestGoldenMargins(t *testing.T) {
 	s := settings()
-	s.AnswerGrace, s.ConnectTimeout, s.KeepAliveTimeout, s.MaxConcurrentStreams = 30*ms, 400*ms, 30*d.Second, 250
+	s.AnswerGrace, s.ConnectTimeout, s.KeepAliveTimeout, s.MaxConcurrentStreams = 30*ms, 400*ms, 30*policy.Second, 250
 	s.PurgePropagation, s.DrainPropagation = 900*ms, 700*ms
 	m := Timeouts(s)
 	got := fmt.Sprint(m.AnswerReserve, m.Connect, m.ReadStall, m.Idle, m.PreferredStreams, m.MaxStreams, m.CancelConfirm, m.RequestRead, m.DownstreamIdle, m.DefaultRetryAfter, m.WriteFlush, m.DrainAccept,
@@ -272,9 +272,9 @@
 
 // TestGoldenNodes checks the words for kinds and states of nodes.
 func TestGoldenNodes(t *testing.T) {
-	b := newBed(settings(), 1, 1)
-	b.list(d.Endpoint{ID: "e1", Zone: 1, State: d.Draining, Started: b.now}, d.Endpoint{ID: "x", Zone: 2})
-	b.now += d.Second
+	b := newTestRouter(settings(), 1, 1)
+	b.updateEndpoints(policy.Endpoint{ID: "e1", Zone: 1, State: policy.Draining, Started: b.now}, policy.Endpoint{ID: "x", Zone: 2})
+	b.now += policy.Second
 	got, err := json.Marshal(b.Endpoints(b.now))
 	if want := `[{"id":"e0","kind":"edge","state":"ready","warm":1,"out":0,"limit":8,"skipped":0,"trial":false,"heard":1},{"id":"e1","kind":"edge","state":"draining","warm":0.28,"out":0,"limit":8,"skipped":0,"trial":false,"heard":1},{"id":"o","kind":"origin","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1},{"id":"p0","kind":"parent","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1},{"id":"x","kind":"other","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1}]`; err != nil || string(got) != want {
 		t.Errorf("%s, %v", got, err)
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -3,80 +3,80 @@
 import (
 	"fmt"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
-const ms d.Micros = 1000
+const ms policy.Micros = 1000
 
-// bed is a module with a fleet: edges e0.. in zone 1, parents p0.. in zone 0, origin o.
-type bed struct {
+// testRouter is a module with a fleet: edges e0.. in zone 1, parents p0.. in zone 0, origin o.
+type testRouter struct {
 	*Router
-	t   *d.ContentType
-	now d.Micros
+	t   *policy.ContentType
+	now policy.Micros
 }
 
-func settings() d.Settings {
-	return d.Settings{
+func settings() policy.Settings {
+	return policy.Settings{
 		Zone: 1, ZoneDirectors: 1, ParentKind: 1, OriginKind: 2, CanCancel: true, MaxAttempts: 6, TransferKBPerSecond: 1000,
-		FillLinkKBPerSecond: 4000, PurgeRetention: 6 * d.Second, MaxRetryAfter: d.Second, CoalesceFills: true,
-		EdgeSlowStart:   d.SlowStart{InitialShare: 0.2, Duration: 10 * d.Second, OverloadFactor: 2.5, OverloadWindow: 2 * d.Second},
-		ParentSlowStart: d.SlowStart{InitialShare: 0.1, Duration: 20 * d.Second, OverloadFactor: 2, OverloadWindow: 2 * d.Second},
-		ContentTypes: []*d.ContentType{{
-			LatencyObjective: 400 * ms, TransferFactor: 2, Timeout: 5 * d.Second, DedupWindow: 3 * d.Second, PriorityWeight: 1,
+		FillLinkKBPerSecond: 4000, PurgeRetention: 6 * policy.Second, MaxRetryAfter: policy.Second, CoalesceFills: true,
+		EdgeSlowStart:   policy.SlowStart{InitialShare: 0.2, Duration: 10 * policy.Second, OverloadFactor: 2.5, OverloadWindow: 2 * policy.Second},
+		ParentSlowStart: policy.SlowStart{InitialShare: 0.1, Duration: 20 * policy.Second, OverloadFactor: 2, OverloadWindow: 2 * policy.Second},
+		ContentTypes: []*policy.ContentType{{
+			LatencyObjective: 400 * ms, TransferFactor: 2, Timeout: 5 * policy.Second, DedupWindow: 3 * policy.Second, PriorityWeight: 1,
 		}},
 	}
 }
 
-func newBed(s d.Settings, edges, parents int) *bed {
-	b := &bed{Router: New(s, Options{}), t: s.ContentTypes[0], now: 100 * d.Second}
-	var rows []d.Endpoint
+func newTestRouter(s policy.Settings, edges, parents int) *testRouter {
+	b := &testRouter{Router: New(s, Options{}), t: s.ContentTypes[0], now: 100 * policy.Second}
+	var rows []policy.Endpoint
 	for i := range edges {
-		rows = append(rows, d.Endpoint{ID: fmt.Sprint("e", i), Zone: 1})
+		rows = append(rows, policy.Endpoint{ID: fmt.Sprint("e", i), Zone: 1})
 	}
 	for i := range parents {
-		rows = append(rows, d.Endpoint{ID: fmt.Sprint("p", i), Kind: 1})
+		rows = append(rows, policy.Endpoint{ID: fmt.Sprint("p", i), Kind: 1})
 	}
-	b.UpdateEndpoints(b.now, append(rows, d.Endpoint{ID: "o", Kind: 2}), true)
+	b.UpdateEndpoints(b.now, append(rows, policy.Endpoint{ID: "o", Kind: 2}), true)
 	return b
 }
 
-func (b *bed) list(rows ...d.Endpoint) { b.UpdateEndpoints(b.now, rows, false) }
+func (b *testRouter) updateEndpoints(rows ...policy.Endpoint) { b.UpdateEndpoints(b.now, rows, false) }
 
-func (b *bed) download(object string) *d.Request {
-	return &d.Request{Type: b.t, Object: object, Group: 7, SizeKB: 200, ArrivedAt: b.now, Deadline: b.now + 3*d.Second}
+func (b *testRouter) request(object string) *policy.Request {
+	return &policy.Request{Type: b.t, Object: object, Group: 7, SizeKB: 200, ArrivedAt: b.now, Deadline: b.now + 3*policy.Second}
 }
 
-// ask asks where a new download for the object goes.
-func (b *bed) ask(object string) (*d.Request, d.Decision) {
-	dl := b.download(object)
+// route asks where a new download for the object goes.
+func (b *testRouter) route(object string) (*policy.Request, policy.Decision) {
+	dl := b.request(object)
 	return dl, b.Route(b.now, dl)
 }
 
-// end reports the end of the download's latest pull after a while.
-func (b *bed) end(dl *d.Request, after d.Micros, ending d.Result, filling d.CacheStatus) d.Decision {
+// finish reports the end of the download's latest pull after a while.
+func (b *testRouter) finish(dl *policy.Request, after policy.Micros, ending policy.Result, filling policy.CacheStatus) policy.Decision {
 	b.now += after
-	last := len(dl.PolicyState.(*notes).pulls) - 1
-	dl.Done = dl.Done || ending == d.Succeeded
-	return b.AttemptDone(b.now, dl, d.Outcome{Attempt: last, Result: ending, CacheStatus: filling, Final: dl.Done})
+	last := len(dl.PolicyState.(*requestState).attempts) - 1
+	dl.Done = dl.Done || ending == policy.Succeeded
+	return b.AttemptDone(b.now, dl, policy.Outcome{Attempt: last, Result: ending, CacheStatus: filling, Final: dl.Done})
 }
 
 // serve asks for n objects one after another and has each fulfilled.
-func (b *bed) serve(n int, after d.Micros, filling d.CacheStatus) {
+func (b *testRouter) serve(n int, after policy.Micros, filling policy.CacheStatus) {
 	for i := range n {
-		if dl, ans := b.ask(fmt.Sprint("s", i)); ans.Action == d.Send {
-			b.end(dl, after, d.Succeeded, filling)
+		if dl, ans := b.route(fmt.Sprint("s", i)); ans.Action == policy.Send {
+			b.finish(dl, after, policy.Succeeded, filling)
 		}
 	}
 }
 
 // objects gives n whose home edge is the node, by asking while all is well.
-func (b *bed) objects(home string, n int) (found []string) {
+func (b *testRouter) objects(home string, n int) (found []string) {
 	for i := 0; len(found) < n; i++ {
-		dl, ans := b.ask(fmt.Sprint("/o/", i))
+		dl, ans := b.route(fmt.Sprint("/o/", i))
 		if ans.Endpoint.ID == home {
 			found = append(found, dl.Object)
 		}
-		b.end(dl, ms, d.Succeeded, d.Hit)
+		b.finish(dl, ms, policy.Succeeded, policy.Hit)
 	}
 	return found
 }
--- a/routing/logic.go
+++ b/routing/logic.go
@@ -19,157 +19,157 @@
 
 	"tallyproxy/dedup"
 	"tallyproxy/overload"
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
 const (
-	middleRank    = 2
-	skipParent    = 10 * d.Second // the design page's figure
-	furtherPulls  = 2             // beyond the first, while no overload is seen
-	strikes       = 3             // bad ends in a row that count as a node's failure
-	overloadShare = 0.1           // share of pulls turned away or late from which overload is seen
-	budgetPart    = 0.4           // part of a warming node's budget that the directors together use
-	checks        = 2             // how often within its target time an unanswered pull is looked at
-	asksAtMost    = 2             // edges asked for what they hold before a fill
-	askEdge       = 0             // while fills are jammed, first ask the edge for what it holds,
-	fillHeld      = 1             // then let it fill from what the parent holds,
-	fillAll       = 2             // then from the origin too
-	memory        = 100           // pulls over which running means look back, about
-	slowPart      = 0.75          // a hit that takes more of its target time is slow
-	firstLimit    = 8             // pulls out at an edge before anything is known of it
-	leastLimit    = 0.1           // what limits fall to at the least
-	cut           = 0.3           // what a slow pull takes off a limit,
-	deepCut       = 0.5           // a late fill off the origin's
-	lateFill      = 2             // what a fill counts for, in target times, that was late or refused
-	growBy        = 0.25          // what a limit gains by a pull that took no time
-	holdPart      = 0.3           // a held download should need no more than this of what time it has left
-	jamPart       = 0.7           // fills that take more of their target times on average are jammed
-	slowParent    = 0.9           // and a parent whose fills take so much is slow
-	slowMemory    = 16            // fills over which that looks back, about
-
-	stillComing = 6 * d.Second / 10 // the protocol's figures: clients go on coming after the signal to stop,
-	stopWithin  = 3 * d.Second      // which ends the process after this, or the longest expiry if that is less,
-	stopSlack   = 7 * d.Second / 10 // and so long more at the soonest;
-	leftBehind  = d.Second / 10     // no pull begins so long after its client has left;
-	owedWithin  = 3 * d.Second      // and whoever sends what is no message is owed an end within this
+	defaultCacheRank     = 2
+	parentEjectionTime   = 10 * policy.Second // the design page's figure
+	maxRetries           = 2             // beyond the first, while no overload is seen
+	failureThreshold     = 3             // bad ends in a row that count as a node's failure
+	overloadErrorRate    = 0.1           // share of pulls turned away or late from which overload is seen
+	slowStartBudgetShare = 0.4           // part of a warming node's budget that the directors together use
+	checksPerObjective   = 2             // how often within its target time an unanswered pull is looked at
+	maxEdgesAsked        = 2             // edges asked for what they hold before a fill
+	askEdgeCache         = 0             // while fills are jammed, first ask the edge for what it holds,
+	fillFromParentCache  = 1             // then let it fill from what the parent holds,
+	fillFromOrigin       = 2             // then from the origin too
+	meanMemory           = 100           // pulls over which running means look back, about
+	slowHitRatio         = 0.75          // a hit that takes more of its target time is slow
+	initialConcurrency   = 8             // pulls out at an edge before anything is known of it
+	minConcurrency       = 0.1           // what limits fall to at the least
+	concurrencyDecrease  = 0.3           // what a slow pull takes off a limit,
+	originDecrease       = 0.5           // a late fill off the origin's
+	lateFillRatio        = 2             // what a fill counts for, in target times, that was late or refused
+	concurrencyIncrease  = 0.25          // what a limit gains by a pull that took no time
+	queuedWorkRatio      = 0.3           // a held download should need no more than this of what time it has left
+	congestionThreshold  = 0.7           // fills that take more of their target times on average are jammed
+	slowParentRatio      = 0.9           // and a parent whose fills take so much is slow
+	slowMemory           = 16            // fills over which that looks back, about
+
+	clientsComeAfterStop = 6 * policy.Second / 10 // the protocol's figures: clients go on coming after the signal to stop,
+	stopKillsAfter       = 3 * policy.Second      // which ends the process after this, or the longest expiry if that is less,
+	stopSlackTime        = 7 * policy.Second / 10 // and so long more at the soonest;
+	staleAttemptLimit    = policy.Second / 10     // no pull begins so long after its client has left;
+	malformedAnswerLimit = 3 * policy.Second      // and whoever sends what is no message is owed an end within this
 )
 
-// mean is a running mean that starts with what it sees first.
-type mean struct{ value, seen float64 }
-
-func (m *mean) learn(value float64) {
-	m.seen = min(m.seen+1, memory)
-	m.value += (value - m.value) / m.seen
-}
-
-// node is one entry of the list, kept until the list says it is gone.
-type node struct {
-	d.Endpoint
-	hash      uint64
-	since     d.Micros // its start, as far as known; 0 for long ago
-	down      d.Micros // when it was last found not to take connections; 0 once it is known what came of it
-	bad       int      // bad ends in a row
-	skipped   d.Micros // when the last skip began, or a connection broke: what was sent before tells nothing new
-	skipUntil d.Micros // not used before this
-	skipFor   d.Micros // how long the last skip was
-	trial     bool     // back from a skip: one pull at a time until one ends well
-	trying    bool     // that pull is out
-	heard     d.Micros // when the last answer came
-	unheard   int      // pulls found unanswered since then
-	limit     limit    // for pulls to it
-	slow      float64  // what fills through it take of their target times, lately
-	level     float64  // cold work sent in this half of the window that counts
-	turn      d.Micros // which half
-}
-
-// limit says how many pulls may be out somewhere. A slow one cuts it, a quick one raises it while it is in
+// runningMean is a running mean that starts with what it sees first.
+type runningMean struct{ value, count float64 }
+
+func (m *runningMean) add(value float64) {
+	m.count = min(m.count+1, meanMemory)
+	m.value += (value - m.value) / m.count
+}
+
+// endpoint is one entry of the list, kept until the list says it is gone.
+type endpoint struct {
+	policy.Endpoint
+	hash                uint64
+	startedAt           policy.Micros         // its start, as far as known; 0 for long ago
+	connectFailedAt     policy.Micros         // when it was last found not to take connections; 0 once it is known what came of it
+	consecutiveFailures int              // bad ends in a row
+	ejectedAt           policy.Micros         // when the last skip began, or a connection broke: what was sent before tells nothing new
+	ejectedUntil        policy.Micros         // not used before this
+	ejectionTime        policy.Micros         // how long the last skip was
+	halfOpen            bool             // back from a skip: one pull at a time until one ends well
+	probing             bool             // that pull is out
+	lastAnswerAt        policy.Micros         // when the last answer came
+	unanswered          int              // pulls found unanswered since then
+	concurrency         concurrencyLimit // for pulls to it
+	fillLatency         float64          // what fills through it take of their target times, lately
+	windowWork          float64          // cold work sent in this half of the window that counts
+	window              policy.Micros         // which half
+}
+
+// concurrencyLimit says how many pulls may be out somewhere. A slow one cuts it, a quick one raises it while it is in
 // use, so it settles where few are slow, however little a director sees. Below one pull it is the part of the
 // objects that may go, by a hash that all share.
-type limit struct {
-	most, least float64
-	out         int
+type concurrencyLimit struct {
+	limit, floor float64
+	inFlight     int
 }
 
-// lets says whether one more may go out that may use a part of the limit.
-func (m *limit) lets(part, object float64) bool {
-	return float64(m.out) < max(1, m.most)*part && object < m.most
+// Allow says whether one more may go out that may use a part of the limit.
+func (m *concurrencyLimit) Allow(part, object float64) bool {
+	return float64(m.inFlight) < max(1, m.limit)*part && object < m.limit
 }
 
-// ended takes a pull that took a part of its target time: over slow it cuts the limit, by one pull at most.
-func (m *limit) ended(part, slow, cut, grow float64) {
+// Observe takes a pull that took a part of its target time: over slow it cuts the limit, by one pull at most.
+func (m *concurrencyLimit) Observe(part, slow, cut, grow float64) {
 	if part > slow {
-		m.most = max(leastLimit, m.least, m.most-min(1, m.most*cut))
-	} else if float64(m.out+1) > m.most*(1-cut) {
-		m.most += grow * (1 - part/slow)
-	}
-}
-
-// pull is one try of a download.
-type pull struct {
-	edge, source *node
-	sent, target d.Micros
-	work         float64
-	light        bool // the edge was far from its limit
-	ask          bool // for what the edge holds, no more
-	held         bool // filled from what the source holds, no more
-	fill         bool // counted at the gate for fills
-	deep         bool // and among those that may reach the origin
-	straight     bool // to a parent, past the caches
-	slow         bool // counted as a late fill
-	blameless    bool // the edge: the source failed it
-	over         bool
-	cancelled    bool
-	trial        *node
+		m.limit = max(minConcurrency, m.floor, m.limit-min(1, m.limit*cut))
+	} else if float64(m.inFlight+1) > m.limit*(1-cut) {
+		m.limit += grow * (1 - part/slow)
+	}
+}
+
+// attempt is one try of a download.
+type attempt struct {
+	endpoint, source  *endpoint
+	sentAt, objective policy.Micros
+	work              float64
+	lightlyLoaded     bool // the edge was far from its limit
+	cacheOnly         bool // for what the edge holds, no more
+	sourceCacheOnly   bool // filled from what the source holds, no more
+	countedAsFill     bool // counted at the gate for fills
+	mayReachOrigin    bool // and among those that may reach the origin
+	direct            bool // to a parent, past the caches
+	countedLate       bool // counted as a late fill
+	excused           bool // the edge: the source failed it
+	done              bool
+	cancelled         bool
+	probed            *endpoint
 }
 
 type tier struct {
-	ready  []*node // by id
-	warm   d.SlowStart
-	weight float64 // of the ready nodes, together
+	ready       []*endpoint // by id
+	slowStart   policy.SlowStart
+	totalWeight float64 // of the ready nodes, together
 }
 
-type notes struct { // what the module keeps of a download; they go with it
-	hash            uint64
-	pulls           []*pull
-	ran             *pull    // the first pull that may have run, also of the client's earlier tries
-	errs            []*pull  // ended with an error that names no cause
-	looked          d.Micros // when the last pull was looked at, or sent
-	tries, recalled int      // pulls that were more than a question for what is held; that were never written
-	asked           int      // edges that lack it
-	stage           int      // while fills are jammed: askEdge, fillHeld, fillAll
-	ask             overload.Admission
+type requestState struct { // what the module keeps of a download; they go with it
+	objectHash              uint64
+	attempts                []*attempt
+	mayHaveRun              *attempt   // the first pull that may have run, also of the client's earlier tries
+	unexplainedErrors       []*attempt // ended with an error that names no cause
+	checkedAt               policy.Micros   // when the last pull was looked at, or sent
+	fullAttempts, withdrawn int        // pulls that were more than a question for what is held; that were never written
+	edgesAsked              int        // edges that lack it
+	fillStage               int        // while fills are jammed: askEdge, fillHeld, fillAll
+	admission               overload.Admission
 }
 
 // Router is one instance.
 type Router struct {
-	s       d.Settings
-	part    float64                  // of the location's link in, in transfers at full pace
-	works   map[*d.ContentType]*mean // sending time, µs; a row a type: told by sizes, else learned from hits
-	nodes   map[string]*node         // emptied by the list
-	edges   tier                     // the location's ready caches
-	parents tier                     // all ready parents
-	origin  *node
-	purges  map[purgeKey]d.Micros // when; emptied once no older copy can be left
-	costs   mean                  // of downloads
-	missing float64               // share of pulls that were not hits
-	jam     float64               // part of target times that fills take, lately
-	jamSeen float64               // over how many fills, about: fewer where several directors see a part each
-	gate    limit                 // for fills, while they are jammed
-	deep    limit                 // for those of them that may reach the origin
-	grow    float64               // what these two gain by a fill that took no time
-	gated   d.Micros              // when a fill was last late, or held back by the gate; 0 while it is open
-	trouble float64               // share of pulls turned away or late
-	storm   *overload.Controller
-	keys    *dedup.Table
-	held    func(now d.Micros, all bool) float64
+	settings          policy.Settings
+	linkShare         float64                         // of the location's link in, in transfers at full pace
+	sendingTimes      map[*policy.ContentType]*runningMean // sending time, µs; a row a type: told by sizes, else learned from hits
+	endpoints         map[string]*endpoint            // emptied by the list
+	edges             tier                            // the location's ready caches
+	parents           tier                            // all ready parents
+	origin            *endpoint
+	purges            map[purgeKey]policy.Micros // when; emptied once no older copy can be left
+	averageCost       runningMean           // of downloads
+	missRatio         float64               // share of pulls that were not hits
+	fillLatency       float64               // part of target times that fills take, lately
+	fillLatencyMemory float64               // over how many fills, about: fewer where several directors see a part each
+	fillLimiter       concurrencyLimit      // for fills, while they are jammed
+	originLimiter     concurrencyLimit      // for those of them that may reach the origin
+	fillIncrease      float64               // what these two gain by a fill that took no time
+	congestedAt       policy.Micros              // when a fill was last late, or held back by the gate; 0 while it is open
+	errorRate         float64               // share of pulls turned away or late
+	overload          *overload.Controller
+	dedup             *dedup.Table
+	quotaShare        func(now policy.Micros, all bool) float64
 }
 
 type Options struct { // the operator's, for the modules that this one asks
 	Overload         overload.Settings
 	Dedup            dedup.Settings
-	OnOverloadReport func(now d.Micros, r overload.Report) // hears how storms go, where given
+	OnOverloadReport func(now policy.Micros, r overload.Report) // hears how storms go, where given
 	// Held is the part of what its zone's directors share, or all do, that it may use now, over the settings'.
-	QuotaShare func(now d.Micros, all bool) float64
+	QuotaShare func(now policy.Micros, all bool) float64
 }
 
 type purgeKey struct {
@@ -178,43 +178,43 @@
 }
 
 // New makes an instance.
-func New(s d.Settings, o Options) *Router {
+func New(s policy.Settings, o Options) *Router {
 	l := &Router{
-		s: s, works: map[*d.ContentType]*mean{}, nodes: map[string]*node{},
-		purges: map[purgeKey]d.Micros{}, missing: 0.5, keys: dedup.New(dedup.Settings{}),
+		settings: s, sendingTimes: map[*policy.ContentType]*runningMean{}, endpoints: map[string]*endpoint{},
+		purges: map[purgeKey]policy.Micros{}, missRatio: 0.5, dedup: dedup.New(dedup.Settings{}),
 	}
 	l.SetOptions(o)
-	l.edges.warm, l.parents.warm = s.EdgeSlowStart, s.ParentSlowStart
-	l.part = s.FillLinkKBPerSecond / max(s.TransferKBPerSecond, 1) / float64(max(1, s.ZoneDirectors))
-	l.jamSeen = max(4, firstLimit/float64(max(1, s.ZoneDirectors)))
-	l.gate.most = max(1, l.part+2*math.Sqrt(l.part)) // its part of the link, with room for chance
-	l.deep.most = max(1, l.part)
-	l.deep.least = math.Floor(l.part / 4)
-	if l.grow = growBy; !s.ReportsCacheStatus { // what had other causes cuts them too, a dead parent's refusals for one
-		l.grow *= 2
+	l.edges.slowStart, l.parents.slowStart = s.EdgeSlowStart, s.ParentSlowStart
+	l.linkShare = s.FillLinkKBPerSecond / max(s.TransferKBPerSecond, 1) / float64(max(1, s.ZoneDirectors))
+	l.fillLatencyMemory = max(4, initialConcurrency/float64(max(1, s.ZoneDirectors)))
+	l.fillLimiter.limit = max(1, l.linkShare+2*math.Sqrt(l.linkShare)) // its part of the link, with room for chance
+	l.originLimiter.limit = max(1, l.linkShare)
+	l.originLimiter.floor = math.Floor(l.linkShare / 4)
+	if l.fillIncrease = concurrencyIncrease; !s.ReportsCacheStatus { // what had other causes cuts them too, a dead parent's refusals for one
+		l.fillIncrease *= 2
 	}
 	for _, t := range s.ContentTypes {
-		l.works[t] = &mean{value: float64(t.LatencyObjective) / (1 + t.TransferFactor)}
+		l.sendingTimes[t] = &runningMean{value: float64(t.LatencyObjective) / (1 + t.TransferFactor)}
 	}
 	return l
 }
 
 // SetOptions takes the operator's options anew. A storm under way is noticed anew; marks of keys stay.
 func (l *Router) SetOptions(o Options) {
-	l.storm = overload.New(o.Overload, l.s.MaxRetryAfter, l.s.Seed, l, o.OnOverloadReport)
-	l.keys.SetSettings(o.Dedup)
-	if l.held = o.QuotaShare; o.QuotaShare == nil {
-		l.held = func(d.Micros, bool) float64 { return 1 }
+	l.overload = overload.New(o.Overload, l.settings.MaxRetryAfter, l.settings.Seed, l, o.OnOverloadReport)
+	l.dedup.SetSettings(o.Dedup)
+	if l.quotaShare = o.QuotaShare; o.QuotaShare == nil {
+		l.quotaShare = func(policy.Micros, bool) float64 { return 1 }
 	}
 }
 
 // Timeouts are what sockets call for, from the settings. Where few share a connection, few end with it.
-func Timeouts(s d.Settings) d.Timeouts {
-	m := d.Timeouts{
+func Timeouts(s policy.Settings) policy.Timeouts {
+	m := policy.Timeouts{
 		AnswerReserve: 2 * s.AnswerGrace, Connect: s.ConnectTimeout, Idle: s.KeepAliveTimeout / 16, ReadStall: s.ConnectTimeout / 2,
-		PreferredStreams: max(1, s.MaxConcurrentStreams/100), MaxStreams: max(1, s.MaxConcurrentStreams), DrainAccept: stillComing + stillComing/3,
+		PreferredStreams: max(1, s.MaxConcurrentStreams/100), MaxStreams: max(1, s.MaxConcurrentStreams), DrainAccept: clientsComeAfterStop + clientsComeAfterStop/3,
 		LongPoll: s.PurgeRetention / 5, PollRetry: s.ConnectTimeout / 4, CancelConfirm: s.ConnectTimeout / 4,
-		MaxDecisionAge: min(s.ConnectTimeout/8, leftBehind/2), RequestRead: 2 * owedWithin / 3, DownstreamIdle: s.KeepAliveTimeout / 6,
+		MaxDecisionAge: min(s.ConnectTimeout/8, staleAttemptLimit/2), RequestRead: 2 * malformedAnswerLimit / 3, DownstreamIdle: s.KeepAliveTimeout / 6,
 		DefaultRetryAfter: min(s.MaxRetryAfter, s.ConnectTimeout),
 	}
 	long := s.ConnectTimeout // and what a jump that goes unnoticed may cost
@@ -223,52 +223,52 @@
 	for _, t := range s.ContentTypes {
 		m.WriteFlush = max(m.WriteFlush, t.Timeout)
 	}
-	m.DrainDeadline = min(m.WriteFlush, stopWithin) + stopSlack/2
+	m.DrainDeadline = min(m.WriteFlush, stopKillsAfter) + stopSlackTime/2
 	return m
 }
 
 // UpdateEndpoints takes the list of nodes. One that started anew is a new node; what is out there stays with the old.
-func (l *Router) UpdateEndpoints(now d.Micros, rows []d.Endpoint, complete bool) {
-	old := l.nodes
+func (l *Router) UpdateEndpoints(now policy.Micros, rows []policy.Endpoint, complete bool) {
+	old := l.endpoints
 	if complete {
-		l.nodes = make(map[string]*node, len(rows))
+		l.endpoints = make(map[string]*endpoint, len(rows))
 	}
 	for _, row := range rows {
-		if row.State == d.Removed {
-			delete(l.nodes, row.ID)
+		if row.State == policy.Removed {
+			delete(l.endpoints, row.ID)
 			continue
 		}
 		n := old[row.ID]
 		if n == nil || n.Started != row.Started {
-			n = &node{hash: hashOf(row.ID), since: row.Started, heard: now}
-			n.limit.most = max(2, firstLimit/float64(max(1, l.s.ZoneDirectors)))
+			n = &endpoint{hash: hashOf(row.ID), startedAt: row.Started, lastAnswerAt: now}
+			n.concurrency.limit = max(2, initialConcurrency/float64(max(1, l.settings.ZoneDirectors)))
 		}
-		n.Endpoint, l.nodes[row.ID] = row, n
-		if n.Weight = max(n.Weight, 1e-3); !l.s.WeightsAreSizes { // a size of none would divide by zero
+		n.Endpoint, l.endpoints[row.ID] = row, n
+		if n.Weight = max(n.Weight, 1e-3); !l.settings.WeightsAreSizes { // a size of none would divide by zero
 			n.Weight = 1 // and one that the settings don't vouch for is not used
 		}
 	}
 	l.edges.ready, l.parents.ready, l.origin = nil, nil, nil
-	l.edges.weight, l.parents.weight = 0, 0
-	for _, id := range slices.Sorted(maps.Keys(l.nodes)) {
-		switch n := l.nodes[id]; {
-		case n.State != d.Ready:
-		case n.Kind == l.s.OriginKind:
+	l.edges.totalWeight, l.parents.totalWeight = 0, 0
+	for _, id := range slices.Sorted(maps.Keys(l.endpoints)) {
+		switch n := l.endpoints[id]; {
+		case n.State != policy.Ready:
+		case n.Kind == l.settings.OriginKind:
 			l.origin = n
-		case n.Kind == l.s.ParentKind:
-			l.parents.ready, l.parents.weight = append(l.parents.ready, n), l.parents.weight+n.Weight
-		case n.Zone == l.s.Zone:
-			l.edges.ready, l.edges.weight = append(l.edges.ready, n), l.edges.weight+n.Weight
+		case n.Kind == l.settings.ParentKind:
+			l.parents.ready, l.parents.totalWeight = append(l.parents.ready, n), l.parents.totalWeight+n.Weight
+		case n.Zone == l.settings.Zone:
+			l.edges.ready, l.edges.totalWeight = append(l.edges.ready, n), l.edges.totalWeight+n.Weight
 		}
 	}
 }
 
 // Purge takes a purge. It binds from now on, for later pulls of downloads in hand too.
-func (l *Router) Purge(now d.Micros, object string, group int, at d.Micros) {
-	maps.DeleteFunc(l.purges, func(_ purgeKey, t d.Micros) bool { return t+l.s.PurgeRetention < now })
+func (l *Router) Purge(now policy.Micros, object string, group int, at policy.Micros) {
+	maps.DeleteFunc(l.purges, func(_ purgeKey, t policy.Micros) bool { return t+l.settings.PurgeRetention < now })
 	key := purgeKey{object, group}
 	if object != "" {
-		key.group = d.AllGroups
+		key.group = policy.AllGroups
 	}
 	if l.purges[key] = max(l.purges[key], at); at == 0 {
 		delete(l.purges, key)
@@ -276,168 +276,170 @@
 }
 
 // Route says where to send a download, or not yet, or never.
-func (l *Router) Route(now d.Micros, dl *d.Request) d.Decision {
+func (l *Router) Route(now policy.Micros, dl *policy.Request) policy.Decision {
 	if dl.Done {
-		return d.Decision{}
+		return policy.Decision{}
 	}
-	nt, _ := dl.PolicyState.(*notes)
+	nt, _ := dl.PolicyState.(*requestState)
 	if nt == nil {
-		nt = &notes{hash: mix(hashOf(dl.Object) + uint64(dl.Part))} // each part is kept and filled on its own
+		nt = &requestState{objectHash: mix(hashOf(dl.Object) + uint64(dl.Part))} // each part is kept and filled on its own
 		dl.PolicyState = nt
-		l.costs.learn(l.cost(dl))
-		if row := l.works[dl.Type]; dl.SizeKB > 0 && l.s.TransferKBPerSecond > 0 {
-			row.learn(l.work(dl))
+		l.averageCost.add(l.cost(dl))
+		if row := l.sendingTimes[dl.Type]; dl.SizeKB > 0 && l.settings.TransferKBPerSecond > 0 {
+			row.add(l.sendingTime(dl))
 		}
-		nt.ask = overload.Admission{
-			ClientHash: dl.ClientHash, ObjectHash: nt.hash, Work: l.work(dl), RelativeCost: 1 / l.room(dl), IsRetry: dl.IsRetry,
+		nt.admission = overload.Admission{
+			ClientHash: dl.ClientHash, ObjectHash: nt.objectHash, Work: l.sendingTime(dl), RelativeCost: 1 / l.limitShare(dl), IsRetry: dl.IsRetry,
 		}
-		stranger := dl.IsRetry && dl.IdempotencyKey != "" && l.keys.RejectsUnknownKey(dl.Type.Timeout, dl.Type.DedupWindow)
-		if m := l.keys.Lookup(now, dl.IdempotencyKey, dl.Type.DedupWindow); m != nil {
-			nt.ran = &pull{edge: &node{Endpoint: d.Endpoint{Zone: m.Zone, Cell: m.Cell}}, sent: m.FirstAttemptAt, over: true}
+		stranger := dl.IsRetry && dl.IdempotencyKey != "" && l.dedup.RejectsUnknownKey(dl.Type.Timeout, dl.Type.DedupWindow)
+		if m := l.dedup.Lookup(now, dl.IdempotencyKey, dl.Type.DedupWindow); m != nil {
+			nt.mayHaveRun = &attempt{endpoint: &endpoint{Endpoint: policy.Endpoint{Zone: m.Zone, Cell: m.Cell}}, sentAt: m.FirstAttemptAt, done: true}
 		} else if stranger {
-			return d.Decision{Action: d.Fail}
+			return policy.Decision{Action: policy.Fail}
 		}
-		if !l.storm.Admit(now, &nt.ask) {
-			return l.giveUp(now, dl, nt)
+		if !l.overload.Admit(now, &nt.admission) {
+			return l.reject(now, dl, nt)
 		}
 	}
-	if p := nt.last(); p != nil && !p.over {
-		return l.look(now, dl, nt, p)
+	if p := nt.lastAttempt(); p != nil && !p.done {
+		return l.checkAttempt(now, dl, nt, p)
 	}
-	return l.place(now, dl, nt)
+	return l.chooseEndpoint(now, dl, nt)
 }
 
 // RecheckAfter says when to ask Where again: for a pull that is out, to see whether its node is silent; held, soon.
-func (l *Router) RecheckAfter(now d.Micros, dl *d.Request) d.Micros {
-	nt, _ := dl.PolicyState.(*notes)
+func (l *Router) RecheckAfter(now policy.Micros, dl *policy.Request) policy.Micros {
+	nt, _ := dl.PolicyState.(*requestState)
 	if nt == nil || dl.Done {
 		return 0
 	}
-	if p := nt.last(); p != nil && !p.over {
-		if p.cancelled || !l.s.CanCancel || dl.Type.RetrySafety == d.NotIdempotent {
+	if p := nt.lastAttempt(); p != nil && !p.done {
+		if p.cancelled || !l.settings.CanCancel || dl.Type.RetrySafety == policy.NotIdempotent {
 			return 0
 		}
-		return max(1, nt.looked+p.target/checks-now)
+		return max(1, nt.checkedAt+p.objective/checksPerObjective-now)
 	}
-	return max(1, min(l.poll(dl), dl.Deadline-now))
+	return max(1, min(l.pollInterval(dl), dl.Deadline-now))
 }
 
-// poll is how often a held download is looked at.
-func (l *Router) poll(dl *d.Request) d.Micros { return dl.Type.LatencyObjective / 20 }
+// pollInterval is how often a held download is looked at.
+func (l *Router) pollInterval(dl *policy.Request) policy.Micros { return dl.Type.LatencyObjective / 20 }
 
 // AttemptDone says what to do after a pull's end.
-func (l *Router) AttemptDone(now d.Micros, dl *d.Request, out d.Outcome) d.Decision {
-	nt, _ := dl.PolicyState.(*notes)
-	if nt == nil || out.Attempt >= len(nt.pulls) {
-		return d.Decision{}
+func (l *Router) AttemptDone(now policy.Micros, dl *policy.Request, out policy.Outcome) policy.Decision {
+	nt, _ := dl.PolicyState.(*requestState)
+	if nt == nil || out.Attempt >= len(nt.attempts) {
+		return policy.Decision{}
 	}
-	p := nt.pulls[out.Attempt]
-	p.over = true
+	p := nt.attempts[out.Attempt]
+	p.done = true
 	l.learn(now, dl, nt, p, out)
-	ran := out.Result != d.Rejected && out.Result != d.ConnectFailed && out.Result != d.NotSent &&
-		out.Result != d.CacheMiss && out.Result != d.Withdrawn
-	if out.Result == d.Withdrawn { // as if it had not been decided
-		p.blameless = true
-		nt.tries -= bit(!p.ask && !p.held)
-		nt.recalled++
+	ran := out.Result != policy.Rejected && out.Result != policy.ConnectFailed && out.Result != policy.NotSent &&
+		out.Result != policy.CacheMiss && out.Result != policy.Withdrawn
+	if out.Result == policy.Withdrawn { // as if it had not been decided
+		p.excused = true
+		nt.fullAttempts -= bit(!p.cacheOnly && !p.sourceCacheOnly)
+		nt.withdrawn++
 	}
 	if !ran && dl.IdempotencyKey != "" {
-		l.keys.AttemptNotRun(dl.IdempotencyKey, p.sent)
+		l.dedup.AttemptNotRun(dl.IdempotencyKey, p.sentAt)
 	}
-	if out.Result == d.Succeeded {
-		l.storm.Completed(now, &nt.ask, now > dl.ArrivedAt+p.target)
+	if out.Result == policy.Succeeded {
+		l.overload.Completed(now, &nt.admission, now > dl.ArrivedAt+p.objective)
 	}
 	if dl.Done || out.Final {
-		return d.Decision{}
+		return policy.Decision{}
 	}
-	if ran && nt.ran == nil {
-		nt.ran = p
+	if ran && nt.mayHaveRun == nil {
+		nt.mayHaveRun = p
 	}
-	if out.Result == d.CacheMiss && (p.ask || p.held) {
-		if nt.asked += bit(p.ask); !p.ask || nt.asked >= asksAtMost || l.gated == 0 || nt.stage != askEdge {
-			nt.stage++
+	if out.Result == policy.CacheMiss && (p.cacheOnly || p.sourceCacheOnly) {
+		if nt.edgesAsked += bit(p.cacheOnly); !p.cacheOnly || nt.edgesAsked >= maxEdgesAsked || l.congestedAt == 0 || nt.fillStage != askEdgeCache {
+			nt.fillStage++
 		}
-		return l.place(now, dl, nt)
+		return l.chooseEndpoint(now, dl, nt)
 	}
-	overloaded := l.trouble > overloadShare && !p.cancelled && out.Result != d.Withdrawn
-	agreed := len(nt.errs) > bit(!dl.ClientSuspect)
-	if nt.tries > furtherPulls || agreed || len(nt.pulls)-nt.recalled >= l.s.MaxAttempts || overloaded {
-		ans := l.giveUp(now, dl, nt)
+	overloaded := l.errorRate > overloadErrorRate && !p.cancelled && out.Result != policy.Withdrawn
+	agreed := len(nt.unexplainedErrors) > bit(!dl.ClientSuspect)
+	if nt.fullAttempts > maxRetries || agreed || len(nt.attempts)-nt.withdrawn >= l.settings.MaxAttempts || overloaded {
+		ans := l.reject(now, dl, nt)
 		ans.Unprocessable = agreed
 		return ans
 	}
-	return l.place(now, dl, nt)
+	return l.chooseEndpoint(now, dl, nt)
 }
 
-// place chooses edge and source and words the pull.
-func (l *Router) place(now d.Micros, dl *d.Request, nt *notes) d.Decision {
-	if dl.Deadline <= now || !l.keys.CanRecord(dl.IdempotencyKey) {
-		return l.giveUp(now, dl, nt)
+// chooseEndpoint chooses edge and source and words the pull.
+func (l *Router) chooseEndpoint(now policy.Micros, dl *policy.Request, nt *requestState) policy.Decision {
+	if dl.Deadline <= now || !l.dedup.CanRecord(dl.IdempotencyKey) {
+		return l.reject(now, dl, nt)
 	}
-	p := &pull{sent: now, target: l.target(dl), work: l.work(dl)}
-	load, room := l.works[dl.Type].value, l.room(dl)
+	p := &attempt{sentAt: now, objective: l.latencyObjective(dl), work: l.sendingTime(dl)}
+	load, room := l.sendingTimes[dl.Type].value, l.limitShare(dl)
 	// while less than a fill may reach the origin, a part of the objects may, the less of those that cost much
-	deep := unit(nt.hash) / (room * room * room)
-	allowed := func(n *node) bool { return !nt.tried(n) && mayRun(now, dl, nt, n) }
-	takes := func(n *node) bool { return n.limit.lets((1+room)/2, unit(mix(nt.hash^n.hash))) && allowed(n) }
-	if nt.asked > 0 && nt.stage == askEdge {
-		p.edge = l.pick(now, &l.edges, nt, load, func(n *node) bool { return takes(n) && !nt.lacks(n) })
-		if p.edge == nil {
-			nt.stage++
+	deep := unit(nt.objectHash) / (room * room * room)
+	allowed := func(n *endpoint) bool { return !nt.tried(n) && mayRunAgain(now, dl, nt, n) }
+	takes := func(n *endpoint) bool {
+		return n.concurrency.Allow((1+room)/2, unit(mix(nt.objectHash^n.hash))) && allowed(n)
+	}
+	if nt.edgesAsked > 0 && nt.fillStage == askEdgeCache {
+		p.endpoint = l.pick(now, &l.edges, nt, load, func(n *endpoint) bool { return takes(n) && !nt.isKnownToLack(n) })
+		if p.endpoint == nil {
+			nt.fillStage++
 		}
 	}
-	if p.edge == nil {
-		p.edge = l.pick(now, &l.edges, nt, load, takes)
+	if p.endpoint == nil {
+		p.endpoint = l.pick(now, &l.edges, nt, load, takes)
 	}
-	if p.edge == nil && l.s.AllowDirect && l.pick(now, &l.edges, nt, load, allowed) == nil {
-		p.edge = l.pick(now, &l.parents, nt, load, allowed) // no cache here can take it, full or not
-		p.straight = p.edge != nil
+	if p.endpoint == nil && l.settings.AllowDirect && l.pick(now, &l.edges, nt, load, allowed) == nil {
+		p.endpoint = l.pick(now, &l.parents, nt, load, allowed) // no cache here can take it, full or not
+		p.direct = p.endpoint != nil
 	}
-	if p.edge != nil && (p.straight || l.gated > 0 && !dl.Type.Uncacheable) {
-		if p.straight {
-			nt.stage = fillAll
-		} else if warmth(now, p.edge, l.s.EdgeSlowStart) < 1 {
-			nt.stage = max(nt.stage, fillHeld)
+	if p.endpoint != nil && (p.direct || l.congestedAt > 0 && !dl.Type.Uncacheable) {
+		if p.direct {
+			nt.fillStage = fillFromOrigin
+		} else if slowStartShare(now, p.endpoint, l.settings.EdgeSlowStart) < 1 {
+			nt.fillStage = max(nt.fillStage, fillFromParentCache)
 		}
-		full := !l.gate.lets(room, 0) || nt.stage == fillAll && !l.deep.lets(1, deep)
-		if full && nt.stage != askEdge && l.gated > 0 {
-			l.gated = now
+		full := !l.fillLimiter.Allow(room, 0) || nt.fillStage == fillFromOrigin && !l.originLimiter.Allow(1, deep)
+		if full && nt.fillStage != askEdgeCache && l.congestedAt > 0 {
+			l.congestedAt = now
 		}
 		switch {
-		case nt.stage == askEdge:
-			p.ask = true
+		case nt.fillStage == askEdgeCache:
+			p.cacheOnly = true
 		case full:
-			p.edge = nil
+			p.endpoint = nil
 		default:
-			p.fill, p.held, p.deep = true, nt.stage == fillHeld, nt.stage == fillAll
+			p.countedAsFill, p.sourceCacheOnly, p.mayReachOrigin = true, nt.fillStage == fillFromParentCache, nt.fillStage == fillFromOrigin
 		}
 	}
-	if p.edge != nil && p.edge.trial && !p.fill && !p.straight && !dl.Type.Uncacheable {
-		p.ask = true // a question tells soonest whether the node is back
+	if p.endpoint != nil && p.endpoint.halfOpen && !p.countedAsFill && !p.direct && !dl.Type.Uncacheable {
+		p.cacheOnly = true // a question tells soonest whether the node is back
 	}
-	if p.edge == nil {
-		return l.hold(now, dl, nt, p, allowed)
+	if p.endpoint == nil {
+		return l.queue(now, dl, nt, p, allowed)
 	}
-	ans := d.Decision{
-		Action: d.Send, CacheRank: middleRank, MaxAge: l.oldest(now, dl), Coalesce: l.s.CoalesceFills,
-		OnlyIfCached: p.held, Revalidate: dl.Type.TTL > 0, Timeout: dl.Deadline - now, NotAfter: dl.Deadline,
+	ans := policy.Decision{
+		Action: policy.Send, CacheRank: defaultCacheRank, MaxAge: l.maxAge(now, dl), Coalesce: l.settings.CoalesceFills,
+		OnlyIfCached: p.sourceCacheOnly, Revalidate: dl.Type.TTL > 0, Timeout: dl.Deadline - now, NotAfter: dl.Deadline,
 	}
-	if nt.ran != nil && dl.Type.RetrySafety == d.IdempotentWithKey { // its mark may be gone before this is written
-		ans.NotAfter = min(ans.NotAfter, nt.ran.sent+dl.Type.DedupWindow)
+	if nt.mayHaveRun != nil && dl.Type.RetrySafety == policy.IdempotentWithKey { // its mark may be gone before this is written
+		ans.NotAfter = min(ans.NotAfter, nt.mayHaveRun.sentAt+dl.Type.DedupWindow)
 	}
 	switch {
 	case dl.Type.Uncacheable:
 		p.source, ans.CacheRank, ans.Coalesce, ans.Revalidate, ans.MaxAge = l.origin, 0, false, false, 0
-	case p.straight:
+	case p.direct:
 		p.source = l.origin
-	case !p.ask:
-		if !p.fill && warmth(now, p.edge, l.s.EdgeSlowStart) >= 1 {
-			load *= l.missing
-		}
-		p.source = l.pick(now, &l.parents, nt, load, func(n *node) bool { return !nt.failed(n) })
-		if p.source == nil && p.held { // no parent is left to ask: a fill from the origin
-			if p.held, p.deep, nt.stage = false, true, fillAll; !l.deep.lets(math.Inf(1), deep) {
-				return l.hold(now, dl, nt, p, allowed)
+	case !p.cacheOnly:
+		if !p.countedAsFill && slowStartShare(now, p.endpoint, l.settings.EdgeSlowStart) >= 1 {
+			load *= l.missRatio
+		}
+		p.source = l.pick(now, &l.parents, nt, load, func(n *endpoint) bool { return !nt.failed(n) })
+		if p.source == nil && p.sourceCacheOnly { // no parent is left to ask: a fill from the origin
+			if p.sourceCacheOnly, p.mayReachOrigin, nt.fillStage = false, true, fillFromOrigin; !l.originLimiter.Allow(math.Inf(1), deep) {
+				return l.queue(now, dl, nt, p, allowed)
 			}
 		}
 		if p.source == nil {
@@ -445,38 +447,38 @@
 		}
 	}
 	if p.source == nil {
-		p.source = p.edge
+		p.source = p.endpoint
 	}
 	l.send(now, nt, p, load)
-	l.keys.RecordAttempt(now, dl.IdempotencyKey, dl.Type.DedupWindow, p.edge.Zone, p.edge.Cell)
-	ans.Endpoint, ans.Source = &p.edge.Endpoint, &p.source.Endpoint
+	l.dedup.RecordAttempt(now, dl.IdempotencyKey, dl.Type.DedupWindow, p.endpoint.Zone, p.endpoint.Cell)
+	ans.Endpoint, ans.Source = &p.endpoint.Endpoint, &p.source.Endpoint
 	return ans
 }
 
-// hold has a download wait that finds no room, as long as it can still be in time.
-func (l *Router) hold(now d.Micros, dl *d.Request, nt *notes, p *pull, allowed func(*node) bool) d.Decision {
+// queue has a download wait that finds no room, as long as it can still be in time.
+func (l *Router) queue(now policy.Micros, dl *policy.Request, nt *requestState, p *attempt, allowed func(*endpoint) bool) policy.Decision {
 	soon := len(l.edges.ready) == 0 || slices.ContainsFunc(l.edges.ready, allowed)
-	late := now-dl.ArrivedAt+d.Micros(p.work/holdPart) >= p.target || now+l.poll(dl) >= dl.Deadline
-	if soon && (!dl.IsRetry || nt.ask.OnTime()) && !late {
-		return d.Decision{Action: d.Queue}
+	late := now-dl.ArrivedAt+policy.Micros(p.work/queuedWorkRatio) >= p.objective || now+l.pollInterval(dl) >= dl.Deadline
+	if soon && (!dl.IsRetry || nt.admission.OnTime()) && !late {
+		return policy.Decision{Action: policy.Queue}
 	}
-	return l.giveUp(now, dl, nt)
+	return l.reject(now, dl, nt)
 }
 
 // send counts a pull that goes out.
-func (l *Router) send(now d.Micros, nt *notes, p *pull, load float64) {
-	for _, n := range []*node{p.edge, p.source} {
-		if n.trial && !n.trying && p.trial == nil {
-			n.trying, p.trial = true, n
+func (l *Router) send(now policy.Micros, nt *requestState, p *attempt, load float64) {
+	for _, n := range []*endpoint{p.endpoint, p.source} {
+		if n.halfOpen && !n.probing && p.probed == nil {
+			n.probing, p.probed = true, n
 		}
-		n.level += load
+		n.windowWork += load
 	}
-	l.gate.out += bit(p.fill)
-	l.deep.out += bit(p.deep)
-	nt.tries += bit(!p.ask && !p.held)
-	p.light = float64(p.edge.limit.out) < p.edge.limit.most/2
-	p.edge.limit.out++
-	nt.pulls, nt.looked = append(nt.pulls, p), now
+	l.fillLimiter.inFlight += bit(p.countedAsFill)
+	l.originLimiter.inFlight += bit(p.mayReachOrigin)
+	nt.fullAttempts += bit(!p.cacheOnly && !p.sourceCacheOnly)
+	p.lightlyLoaded = float64(p.endpoint.concurrency.inFlight) < p.endpoint.concurrency.limit/2
+	p.endpoint.concurrency.inFlight++
+	nt.attempts, nt.checkedAt = append(nt.attempts, p), now
 }
 
 // pick takes the ready node that ranks first for the object: the rendezvous hash of object and node, weighted
@@ -487,16 +489,16 @@
 // A warming node takes the share of its objects that it can do, chosen by a hash that all directors
 // share, so they agree without a message. Guards against a cold node pushed over, and spreads the misses
 // of an empty one. Could harm where one object is most of a node's load.
-func (l *Router) pick(now d.Micros, t *tier, nt *notes, work float64, allowed func(*node) bool) *node {
-	var best *node
+func (l *Router) pick(now policy.Micros, t *tier, nt *requestState, work float64, allowed func(*endpoint) bool) *endpoint {
+	var best *endpoint
 	bestRank := math.Inf(1)
 	for _, n := range t.ready {
-		h := mix(nt.hash ^ n.hash)
+		h := mix(nt.objectHash ^ n.hash)
 		rank := -math.Log(float64(h>>11+1)/(1<<53)) / n.Weight // the lower the better; by h where sizes are alike
-		if rank > bestRank || !allowed(n) || n.skipUntil > now || n.trial && n.trying {
+		if rank > bestRank || !allowed(n) || n.ejectedUntil > now || n.halfOpen && n.probing {
 			continue
 		}
-		if w := warmth(now, n, t.warm); w < 1 && (unit(h) > w || !l.fits(now, t, n, work)) {
+		if w := slowStartShare(now, n, t.slowStart); w < 1 && (unit(h) > w || !l.fitsSlowStartBudget(now, t, n, work)) {
 			continue
 		}
 		best, bestRank = n, rank
@@ -504,343 +506,343 @@
 	return best
 }
 
-// warmth is the share of its capacity that a node can do at the least.
-func warmth(now d.Micros, n *node, w d.SlowStart) float64 {
-	age := now - n.since
-	if n.since == 0 || age >= w.Duration {
+// slowStartShare is the share of its capacity that a node can do at the least.
+func slowStartShare(now policy.Micros, n *endpoint, w policy.SlowStart) float64 {
+	age := now - n.startedAt
+	if n.startedAt == 0 || age >= w.Duration {
 		return 1
 	}
 	return w.InitialShare + (1-w.InitialShare)*float64(max(0, age))/float64(w.Duration)
 }
 
-// fits keeps a warming node's budget: what this director may send it in half of the window that counts, a
+// fitsSlowStartBudget keeps a warming node's budget: what this director may send it in half of the window that counts, a
 // part of what it bears by the link in, which carries what caches miss or parents give; untold, by its size.
 // No pull goes beyond it, nor the first: hundreds of directors may make theirs at once. Where a part is less
 // than a pull, which of them makes one is by chance, drawn anew each half.
-func (l *Router) fits(now d.Micros, t *tier, n *node, work float64) bool {
-	each, held := l.part*n.Weight/t.weight, l.held(now, false)
+func (l *Router) fitsSlowStartBudget(now policy.Micros, t *tier, n *endpoint, work float64) bool {
+	each, held := l.linkShare*n.Weight/t.totalWeight, l.quotaShare(now, false)
 	switch {
-	case l.part == 0 && l.s.WeightsAreSizes && t == &l.parents:
-		each, held = n.Weight/float64(max(1, l.s.TotalDirectors)), l.held(now, true)
-	case l.part == 0 && l.s.WeightsAreSizes:
-		each = n.Weight / float64(max(1, l.s.ZoneDirectors))
+	case l.linkShare == 0 && l.settings.WeightsAreSizes && t == &l.parents:
+		each, held = n.Weight/float64(max(1, l.settings.TotalDirectors)), l.quotaShare(now, true)
+	case l.linkShare == 0 && l.settings.WeightsAreSizes:
+		each = n.Weight / float64(max(1, l.settings.ZoneDirectors))
 	case t == &l.edges:
-		each /= l.missing
+		each /= l.missRatio
 	}
-	half := max(1, t.warm.OverloadWindow/2)
-	if turn := now / half; n.turn != turn {
-		n.turn, n.level = turn, 0
+	half := max(1, t.slowStart.OverloadWindow/2)
+	if turn := now / half; n.window != turn {
+		n.window, n.windowWork = turn, 0
 	}
-	allowance := each * held * warmth(now, n, t.warm) * t.warm.OverloadFactor * budgetPart * float64(half)
-	return n.level+work <= allowance+work*unit(n.hash^l.s.Seed^mix(uint64(n.turn)))
+	allowance := each * held * slowStartShare(now, n, t.slowStart) * t.slowStart.OverloadFactor * slowStartBudgetShare * float64(half)
+	return n.windowWork+work <= allowance+work*unit(n.hash^l.settings.Seed^mix(uint64(n.window)))
 }
 
-// look sees to a pull that is still out. When its edge has answered nobody since it was sent, or when
+// checkAttempt sees to a pull that is still out. When its edge has answered nobody since it was sent, or when
 // the edge has but nothing came through the source since, and other pulls found the same, that node is
 // taken for silent and the download goes elsewhere; a source only where answers tell how fills went, since
 // few fills go through one from here, and slow is not silent. Guards against machines that vanish without a
 // reset; helps with any that hang. Could harm where a node's few answers are all long ones.
-func (l *Router) look(now d.Micros, dl *d.Request, nt *notes, p *pull) d.Decision {
-	if p.cancelled || now < nt.looked+p.target/checks {
-		return d.Decision{}
+func (l *Router) checkAttempt(now policy.Micros, dl *policy.Request, nt *requestState, p *attempt) policy.Decision {
+	if p.cancelled || now < nt.checkedAt+p.objective/checksPerObjective {
+		return policy.Decision{}
 	}
-	nt.looked = now
-	n := p.edge
-	if p.blameless = n.heard >= p.sent; p.blameless { // also by the question that went before
+	nt.checkedAt = now
+	n := p.endpoint
+	if p.excused = n.lastAnswerAt >= p.sentAt; p.excused { // also by the question that went before
 		n = p.source
-		if !p.slow && !p.ask && now >= p.sent+p.target { // a miss, and late: no need to wait for its end
-			p.slow = true
-			l.filled(now, p, lateFill, p.deep)
+		if !p.countedLate && !p.cacheOnly && now >= p.sentAt+p.objective { // a miss, and late: no need to wait for its end
+			p.countedLate = true
+			l.observeFill(now, p, lateFillRatio, p.mayReachOrigin)
 		}
 	}
-	if n.heard >= p.sent || n == l.origin || n != p.edge && !l.s.ReportsCacheStatus {
-		return d.Decision{}
+	if n.lastAnswerAt >= p.sentAt || n == l.origin || n != p.endpoint && !l.settings.ReportsCacheStatus {
+		return policy.Decision{}
 	}
-	if n.unheard++; n.unheard < strikes {
-		return d.Decision{}
+	if n.unanswered++; n.unanswered < failureThreshold {
+		return policy.Decision{}
 	}
-	l.skip(now, n, p, d.Second)
+	l.eject(now, n, p, policy.Second)
 	p.cancelled = true
-	return d.Decision{Action: d.CancelAttempt, Attempt: len(nt.pulls) - 1}
+	return policy.Decision{Action: policy.CancelAttempt, Attempt: len(nt.attempts) - 1}
 }
 
 // learn takes a pull's end into what is known of its nodes. An error that names no cause is held against its
 // node once another does what was asked; two nodes that err are taken to agree. Guards against clients that
 // ask for what no node can use. Could harm where two nodes err on what a third would do.
-func (l *Router) learn(now d.Micros, dl *d.Request, nt *notes, p *pull, out d.Outcome) {
-	e, s, took := p.edge, p.source, now-p.sent
-	e.limit.out--
-	l.gate.out -= bit(p.fill)
-	l.deep.out -= bit(p.deep)
-	if l.gated > 0 && l.gated+skipParent < now {
-		l.gated = 0
-	}
-	if p.trial != nil {
-		p.trial.trying = false
-	}
-	step(&l.trouble, out.Result == d.Rejected || out.Result == d.TimedOut ||
-		out.Result == d.Succeeded && took > p.target)
-	if out.Result == d.Failed && out.CacheStatus == d.Unknown && l.s.ReportsCacheStatus {
-		nt.errs = append(nt.errs, p)
-		e.heard, e.unheard = now, 0
+func (l *Router) learn(now policy.Micros, dl *policy.Request, nt *requestState, p *attempt, out policy.Outcome) {
+	e, s, took := p.endpoint, p.source, now-p.sentAt
+	e.concurrency.inFlight--
+	l.fillLimiter.inFlight -= bit(p.countedAsFill)
+	l.originLimiter.inFlight -= bit(p.mayReachOrigin)
+	if l.congestedAt > 0 && l.congestedAt+parentEjectionTime < now {
+		l.congestedAt = 0
+	}
+	if p.probed != nil {
+		p.probed.probing = false
+	}
+	observeShare(&l.errorRate, out.Result == policy.Rejected || out.Result == policy.TimedOut ||
+		out.Result == policy.Succeeded && took > p.objective)
+	if out.Result == policy.Failed && out.CacheStatus == policy.Unknown && l.settings.ReportsCacheStatus {
+		nt.unexplainedErrors = append(nt.unexplainedErrors, p)
+		e.lastAnswerAt, e.unanswered = now, 0
 		return
 	}
-	if out.Result == d.Succeeded || out.Result == d.CacheMiss {
-		for _, q := range nt.errs {
-			if q.edge.sign(q) >= strikes {
-				l.skip(now, q.edge, q, d.Second)
+	if out.Result == policy.Succeeded || out.Result == policy.CacheMiss {
+		for _, q := range nt.unexplainedErrors {
+			if q.endpoint.recordFailure(q) >= failureThreshold {
+				l.eject(now, q.endpoint, q, policy.Second)
 			}
 		}
-		nt.errs = nil
+		nt.unexplainedErrors = nil
 	}
 	switch out.Result {
-	case d.Succeeded:
-		e.good(now, p, out.CacheStatus == d.Hit || out.CacheStatus == d.Stale)
-		part := float64(took) / float64(p.target)
-		if out.CacheStatus != d.Unknown { // where answers tell nothing the share of misses stays as it was
-			step(&l.missing, out.CacheStatus > d.Hit && out.CacheStatus != d.Stale)
+	case policy.Succeeded:
+		e.recordSuccess(now, p, out.CacheStatus == policy.Hit || out.CacheStatus == policy.Stale)
+		part := float64(took) / float64(p.objective)
+		if out.CacheStatus != policy.Unknown { // where answers tell nothing the share of misses stays as it was
+			observeShare(&l.missRatio, out.CacheStatus > policy.Hit && out.CacheStatus != policy.Stale)
 		}
-		if dl.SizeKB == 0 && p.light && (out.CacheStatus == d.Hit || dl.Type.Uncacheable) { // which is never a hit
-			l.works[dl.Type].learn(float64(took))
+		if dl.SizeKB == 0 && p.lightlyLoaded && (out.CacheStatus == policy.Hit || dl.Type.Uncacheable) { // which is never a hit
+			l.sendingTimes[dl.Type].add(float64(took))
 		}
 		switch out.CacheStatus {
-		case d.Hit, d.Unknown:
-			e.limit.ended(part, slowPart, cut, growBy)
-			if out.CacheStatus == d.Unknown && s != e { // it may have been a fill: the source is cleared, the jam learns
-				s.good(now, p, false)
-				if !p.slow {
-					l.filled(now, p, part, p.deep)
+		case policy.Hit, policy.Unknown:
+			e.concurrency.Observe(part, slowHitRatio, concurrencyDecrease, concurrencyIncrease)
+			if out.CacheStatus == policy.Unknown && s != e { // it may have been a fill: the source is cleared, the jam learns
+				s.recordSuccess(now, p, false)
+				if !p.countedLate {
+					l.observeFill(now, p, part, p.mayReachOrigin)
 				}
 			}
-		case d.Filled, d.FilledByOrigin:
-			s.good(now, p, true)
-			if !p.slow {
-				l.filled(now, p, part, p.deep || out.CacheStatus == d.FilledByOrigin)
+		case policy.Filled, policy.FilledByOrigin:
+			s.recordSuccess(now, p, true)
+			if !p.countedLate {
+				l.observeFill(now, p, part, p.mayReachOrigin || out.CacheStatus == policy.FilledByOrigin)
 			}
 		}
-	case d.CacheMiss:
-		e.good(now, p, false)
-	case d.ConnectFailed, d.ConnectionLost:
-		if out.Result == d.ConnectFailed && e.State == d.Ready {
-			e.down, e.trial = now, true
+	case policy.CacheMiss:
+		e.recordSuccess(now, p, false)
+	case policy.ConnectFailed, policy.ConnectionLost:
+		if out.Result == policy.ConnectFailed && e.State == policy.Ready {
+			e.connectFailedAt, e.halfOpen = now, true
 		}
-		if n := e.sign(p); n >= strikes && out.Result == d.ConnectFailed || n >= strikes*strikes {
-			l.skip(now, e, p, d.Second)
-		} else if out.Result == d.ConnectionLost { // the connection's fault as yet, told once: there again, but once
-			p.blameless, e.skipped = p == nt.pulls[0] || nt.pulls[len(nt.pulls)-2].edge != e, now
+		if n := e.recordFailure(p); n >= failureThreshold && out.Result == policy.ConnectFailed || n >= failureThreshold*failureThreshold {
+			l.eject(now, e, p, policy.Second)
+		} else if out.Result == policy.ConnectionLost { // the connection's fault as yet, told once: there again, but once
+			p.excused, e.ejectedAt = p == nt.attempts[0] || nt.attempts[len(nt.attempts)-2].endpoint != e, now
 		}
-	case d.Rejected, d.Failed, d.TimedOut:
-		if s != e && out.CacheStatus != d.CacheFull && !p.slow {
-			l.filled(now, p, lateFill, p.deep)
+	case policy.Rejected, policy.Failed, policy.TimedOut:
+		if s != e && out.CacheStatus != policy.CacheFull && !p.countedLate {
+			l.observeFill(now, p, lateFillRatio, p.mayReachOrigin)
 		}
-		if out.Result != d.TimedOut {
-			e.heard, e.unheard = now, 0
+		if out.Result != policy.TimedOut {
+			e.lastAnswerAt, e.unanswered = now, 0
 		}
-		if out.CacheStatus >= d.SourceRejected && out.CacheStatus != d.CacheFull {
-			p.blameless = true
-			if out.CacheStatus == d.SourceRejected || out.CacheStatus == d.SourceUnavailable {
-				s.strike(l, now, p)
+		if out.CacheStatus >= policy.SourceRejected && out.CacheStatus != policy.CacheFull {
+			p.excused = true
+			if out.CacheStatus == policy.SourceRejected || out.CacheStatus == policy.SourceUnavailable {
+				s.recordSourceFailure(l, now, p)
 			}
 			return
 		}
-		if n := e.sign(p); n >= strikes && out.Result != d.Rejected || n >= strikes*strikes {
-			l.skip(now, e, p, d.Second)
+		if n := e.recordFailure(p); n >= failureThreshold && out.Result != policy.Rejected || n >= failureThreshold*failureThreshold {
+			l.eject(now, e, p, policy.Second)
 		}
-		if s != e && !l.s.ReportsCacheStatus {
-			s.strike(l, now, p)
+		if s != e && !l.settings.ReportsCacheStatus {
+			s.recordSourceFailure(l, now, p)
 		}
 	}
 }
 
-// good clears a node of what was held against it. One that did not take connections may have started anew
+// recordSuccess clears a node of what was held against it. One that did not take connections may have started anew
 // before the list tells: unless it holds what it is asked for, it is warming from now on. Guards against
 // pushing over what restarts in numbers. Could harm where connections fail for another reason, until a hit.
-func (n *node) good(now d.Micros, p *pull, holds bool) {
-	if n.down > 0 && holds {
-		n.down = 0
-	} else if n.down > 0 && p.sent >= n.down {
-		n.down, n.since = 0, now
+func (n *endpoint) recordSuccess(now policy.Micros, p *attempt, holds bool) {
+	if n.connectFailedAt > 0 && holds {
+		n.connectFailedAt = 0
+	} else if n.connectFailedAt > 0 && p.sentAt >= n.connectFailedAt {
+		n.connectFailedAt, n.startedAt = 0, now
 	}
-	n.heard, n.unheard, n.bad, n.trial, n.skipFor = now, 0, 0, false, 0
+	n.lastAnswerAt, n.unanswered, n.consecutiveFailures, n.halfOpen, n.ejectionTime = now, 0, 0, false, 0
 }
 
-// filled watches how fast fills are. Once they are jammed the home is asked first for what it holds, and
+// observeFill watches how fast fills are. Once they are jammed the home is asked first for what it holds, and
 // misses pass the gate's limit; those that may reach the origin pass its own. Guards against a location's
 // link or the origin jammed by fills that all end late, are dropped and must be made again; helps whatever
 // made them slow. Could harm where few are slow for long: then misses wait that need not.
 //
 // A parent whose fills are late, and twice as slow as another's, is skipped: the design page's skip where
 // answers tell that a source is slow, told here by how long fills through it take.
-func (l *Router) filled(now d.Micros, p *pull, part float64, deep bool) {
-	if l.jam += (part - l.jam) / l.jamSeen; l.jam > jamPart {
-		l.gated = now
+func (l *Router) observeFill(now policy.Micros, p *attempt, part float64, deep bool) {
+	if l.fillLatency += (part - l.fillLatency) / l.fillLatencyMemory; l.fillLatency > congestionThreshold {
+		l.congestedAt = now
 	}
 	if deep {
-		l.deep.ended(part, 1, deepCut, l.grow)
+		l.originLimiter.Observe(part, 1, originDecrease, l.fillIncrease)
 	}
-	if p.fill && (part <= 1 || !deep && now > p.sent+p.target) { // a refusal says nothing of the link
-		l.gate.ended(part, 1, cut, l.grow)
+	if p.countedAsFill && (part <= 1 || !deep && now > p.sentAt+p.objective) { // a refusal says nothing of the link
+		l.fillLimiter.Observe(part, 1, concurrencyDecrease, l.fillIncrease)
 	}
 	s := p.source
-	s.slow += (part - s.slow) / slowMemory
-	faster := func(n *node) bool { return n.slow < s.slow/2 && n.skipUntil <= now && !n.trial }
-	if s.slow > slowParent && slices.ContainsFunc(l.parents.ready, faster) {
-		l.skip(now, s, p, skipParent)
-		s.slow = slowParent / 2
+	s.fillLatency += (part - s.fillLatency) / slowMemory
+	faster := func(n *endpoint) bool { return n.fillLatency < s.fillLatency/2 && n.ejectedUntil <= now && !n.halfOpen }
+	if s.fillLatency > slowParentRatio && slices.ContainsFunc(l.parents.ready, faster) {
+		l.eject(now, s, p, parentEjectionTime)
+		s.fillLatency = slowParentRatio / 2
 	}
 }
 
 // ProbeDone takes what came of a question after another's hint: as a pull that did not reach the node, or
 // word that it may be tried; one that may be full is tried with a pull at a time. Guards against learning
 // alone what others know; a false hint costs a question.
-func (l *Router) ProbeDone(now d.Micros, id string, well, full bool) {
-	if n := l.nodes[id]; n != nil && well {
-		n.skipUntil, n.trial = min(n.skipUntil, now), n.trial || full
-	} else if n != nil && n.State == d.Ready {
-		n.down, n.trial = now, true
+func (l *Router) ProbeDone(now policy.Micros, id string, well, full bool) {
+	if n := l.endpoints[id]; n != nil && well {
+		n.ejectedUntil, n.halfOpen = min(n.ejectedUntil, now), n.halfOpen || full
+	} else if n != nil && n.State == policy.Ready {
+		n.connectFailedAt, n.halfOpen = now, true
 	}
 }
 
-// strike counts a fill that a source failed or was slow with; some in a row and it is skipped. Where answers
+// recordSourceFailure counts a fill that a source failed or was slow with; some in a row and it is skipped. Where answers
 // don't tell whose fault it was, every answer through it clears it, and when no other parent is left either
 // the trouble lies behind them: all are used again. Guards against dead and slow parents, and against giving
 // up what parents hold while the origin fails. Could harm while all parents are dead but still listed.
-func (n *node) strike(l *Router, now d.Micros, p *pull) {
-	if n.sign(p) < strikes {
+func (n *endpoint) recordSourceFailure(l *Router, now policy.Micros, p *attempt) {
+	if n.recordFailure(p) < failureThreshold {
 		return
 	}
-	usable := func(o *node) bool { return o != n && o.skipUntil <= now }
-	if l.s.ReportsCacheStatus || slices.ContainsFunc(l.parents.ready, usable) {
-		l.skip(now, n, p, skipParent)
+	usable := func(o *endpoint) bool { return o != n && o.ejectedUntil <= now }
+	if l.settings.ReportsCacheStatus || slices.ContainsFunc(l.parents.ready, usable) {
+		l.eject(now, n, p, parentEjectionTime)
 		return
 	}
 	for _, o := range l.parents.ready {
-		o.bad, o.skipUntil, o.trial = 0, 0, false
+		o.consecutiveFailures, o.ejectedUntil, o.halfOpen = 0, 0, false
 	}
 }
 
-// sign counts a bad end and says how many there were in a row. A trial after a skip tells enough.
-func (n *node) sign(p *pull) int {
-	if n.bad += bit(p.sent >= n.skipped); p.trial == n {
-		n.bad = strikes * strikes
+// recordFailure counts a bad end and says how many there were in a row. A trial after a skip tells enough.
+func (n *endpoint) recordFailure(p *attempt) int {
+	if n.consecutiveFailures += bit(p.sentAt >= n.ejectedAt); p.probed == n {
+		n.consecutiveFailures = failureThreshold * failureThreshold
 	}
-	return n.bad
+	return n.consecutiveFailures
 }
 
-// skip leaves a node alone for a while, twice as long each time, then lets one pull try it.
-func (l *Router) skip(now d.Micros, n *node, p *pull, least d.Micros) {
-	if n == l.origin || n.skipUntil > now || p.sent < n.skipped {
+// eject leaves a node alone for a while, twice as long each time, then lets one pull try it.
+func (l *Router) eject(now policy.Micros, n *endpoint, p *attempt, least policy.Micros) {
+	if n == l.origin || n.ejectedUntil > now || p.sentAt < n.ejectedAt {
 		return
 	}
-	n.skipFor = min(max(least, 2*n.skipFor), skipParent)
-	n.skipped, n.skipUntil, n.trial, n.bad = now, now+n.skipFor, true, 0
+	n.ejectionTime = min(max(least, 2*n.ejectionTime), parentEjectionTime)
+	n.ejectedAt, n.ejectedUntil, n.halfOpen, n.consecutiveFailures = now, now+n.ejectionTime, true, 0
 }
 
-// room is the part of the gate that a download may use: all of it, or the less the more work it costs for
+// limitShare is the part of the gate that a download may use: all of it, or the less the more work it costs for
 // its benefit than most; of an edge's limit no less than half. Guards against a few long downloads that make
 // many short ones late; acts only where limits are reached. Could harm a content type that is all long.
-func (l *Router) room(dl *d.Request) float64 { return min(1, l.costs.value/l.cost(dl)) }
+func (l *Router) limitShare(dl *policy.Request) float64 { return min(1, l.averageCost.value/l.cost(dl)) }
 
 // cost is a download's sending time for a unit of its benefit.
-func (l *Router) cost(dl *d.Request) float64 {
-	return max(1, l.work(dl)) / max(dl.Type.PriorityWeight, 1e-9)
+func (l *Router) cost(dl *policy.Request) float64 {
+	return max(1, l.sendingTime(dl)) / max(dl.Type.PriorityWeight, 1e-9)
 }
 
-// giveUp ends a download at once: with a throttling reply where a new try is harmless, else abandoned. When
+// reject ends a download at once: with a throttling reply where a new try is harmless, else abandoned. When
 // to come back is asked of the guard against storms; a key's window must not pass until then.
-func (l *Router) giveUp(now d.Micros, dl *d.Request, nt *notes) d.Decision {
-	back := l.storm.RetryAfter(now, &nt.ask, min(l.s.MaxRetryAfter, dl.Type.LatencyObjective))
-	if t := dl.Type; nt.ran != nil && (t.RetrySafety == d.NotIdempotent || t.RetrySafety == d.IdempotentWithKey &&
-		(t.DedupScope != d.DedupScopeAll || dl.IdempotencyKey != "" && now+back >= nt.ran.sent+t.DedupWindow)) {
-		return d.Decision{Action: d.Fail}
+func (l *Router) reject(now policy.Micros, dl *policy.Request, nt *requestState) policy.Decision {
+	back := l.overload.RetryAfter(now, &nt.admission, min(l.settings.MaxRetryAfter, dl.Type.LatencyObjective))
+	if t := dl.Type; nt.mayHaveRun != nil && (t.RetrySafety == policy.NotIdempotent || t.RetrySafety == policy.IdempotentWithKey &&
+		(t.DedupScope != policy.DedupScopeAll || dl.IdempotencyKey != "" && now+back >= nt.mayHaveRun.sentAt+t.DedupWindow)) {
+		return policy.Decision{Action: policy.Fail}
 	}
-	return d.Decision{Action: d.Reject, RetryAfter: back}
+	return policy.Decision{Action: policy.Reject, RetryAfter: back}
 }
 
 // ClientConnected says that a client has connected.
-func (l *Router) ClientConnected(now d.Micros) { l.storm.ClientConnected(now) }
+func (l *Router) ClientConnected(now policy.Micros) { l.overload.ClientConnected(now) }
 
 // OverloadReport tells how storms go.
-func (l *Router) OverloadReport(now d.Micros) overload.Report { return l.storm.Report(now) }
+func (l *Router) OverloadReport(now policy.Micros) overload.Report { return l.overload.Report(now) }
 
 // Capacity is this director's part of what the location's ready caches can do, in transfers at full pace.
-func (l *Router) Capacity(at d.Micros) (able float64) {
+func (l *Router) Capacity(at policy.Micros) (able float64) {
 	for _, n := range l.edges.ready {
-		if n.skipUntil <= at {
-			able += warmth(at, n, l.s.EdgeSlowStart) * n.Weight
+		if n.ejectedUntil <= at {
+			able += slowStartShare(at, n, l.settings.EdgeSlowStart) * n.Weight
 		}
 	}
-	return able * l.held(at, false) * l.WarmCapacity() / max(l.edges.weight, 1e-3)
+	return able * l.quotaShare(at, false) * l.WarmCapacity() / max(l.edges.totalWeight, 1e-3)
 }
 
 // WarmCapacity is what they can do when warm: what the link in carries over what they miss; untold, their sizes.
 func (l *Router) WarmCapacity() float64 {
-	if l.part == 0 && l.s.WeightsAreSizes {
-		return l.edges.weight / float64(max(1, l.s.ZoneDirectors))
+	if l.linkShare == 0 && l.settings.WeightsAreSizes {
+		return l.edges.totalWeight / float64(max(1, l.settings.ZoneDirectors))
 	}
-	return l.part / max(l.missing, 1.0/memory)
+	return l.linkShare / max(l.missRatio, 1.0/meanMemory)
 }
 
-// mayRun says whether rule 2 allows a pull to a node after what may have run.
-func mayRun(now d.Micros, dl *d.Request, nt *notes, n *node) bool {
-	switch t, ran := dl.Type, nt.ran; {
-	case ran == nil || t.RetrySafety == d.Idempotent:
+// mayRunAgain says whether rule 2 allows a pull to a node after what may have run.
+func mayRunAgain(now policy.Micros, dl *policy.Request, nt *requestState, n *endpoint) bool {
+	switch t, ran := dl.Type, nt.mayHaveRun; {
+	case ran == nil || t.RetrySafety == policy.Idempotent:
 		return true
-	case t.RetrySafety == d.NotIdempotent || now >= ran.sent+t.DedupWindow:
+	case t.RetrySafety == policy.NotIdempotent || now >= ran.sentAt+t.DedupWindow:
 		return false
-	case t.DedupScope == d.DedupScopeZone:
-		return n.Zone == ran.edge.Zone
+	case t.DedupScope == policy.DedupScopeZone:
+		return n.Zone == ran.endpoint.Zone
 	default:
-		return t.DedupScope == d.DedupScopeAll || n.Cell == ran.edge.Cell
+		return t.DedupScope == policy.DedupScopeAll || n.Cell == ran.endpoint.Cell
 	}
 }
 
-// oldest is the greatest age of a copy that may answer now; 0 for the content type's fresh time.
-func (l *Router) oldest(now d.Micros, dl *d.Request) d.Micros {
-	at := max(l.purges[purgeKey{dl.Object, d.AllGroups}], l.purges[purgeKey{"", dl.Group}], l.purges[purgeKey{"", d.AllGroups}])
-	if age := max(1, now-at); at > 0 && at+l.s.PurgeRetention >= now && (dl.Type.TTL == 0 || age < dl.Type.TTL) {
+// maxAge is the greatest age of a copy that may answer now; 0 for the content type's fresh time.
+func (l *Router) maxAge(now policy.Micros, dl *policy.Request) policy.Micros {
+	at := max(l.purges[purgeKey{dl.Object, policy.AllGroups}], l.purges[purgeKey{"", dl.Group}], l.purges[purgeKey{"", policy.AllGroups}])
+	if age := max(1, now-at); at > 0 && at+l.settings.PurgeRetention >= now && (dl.Type.TTL == 0 || age < dl.Type.TTL) {
 		return age
 	}
 	return 0
 }
 
-// work is a download's sending time at full pace.
-func (l *Router) work(dl *d.Request) float64 {
-	if dl.SizeKB > 0 && l.s.TransferKBPerSecond > 0 {
-		return dl.SizeKB / l.s.TransferKBPerSecond * float64(d.Second)
+// sendingTime is a download's sending time at full pace.
+func (l *Router) sendingTime(dl *policy.Request) float64 {
+	if dl.SizeKB > 0 && l.settings.TransferKBPerSecond > 0 {
+		return dl.SizeKB / l.settings.TransferKBPerSecond * float64(policy.Second)
 	}
-	return l.works[dl.Type].value
+	return l.sendingTimes[dl.Type].value
 }
 
-// target is the time within which a download earns its full benefit.
-func (l *Router) target(dl *d.Request) d.Micros {
-	return min(dl.Type.LatencyObjective+d.Micros(dl.Type.TransferFactor*l.work(dl)), max(dl.Type.Timeout, 1))
+// latencyObjective is the time within which a download earns its full benefit.
+func (l *Router) latencyObjective(dl *policy.Request) policy.Micros {
+	return min(dl.Type.LatencyObjective+policy.Micros(dl.Type.TransferFactor*l.sendingTime(dl)), max(dl.Type.Timeout, 1))
 }
 
-func (nt *notes) last() *pull {
-	if len(nt.pulls) == 0 {
+func (nt *requestState) lastAttempt() *attempt {
+	if len(nt.attempts) == 0 {
 		return nil
 	}
-	return nt.pulls[len(nt.pulls)-1]
+	return nt.attempts[len(nt.attempts)-1]
 }
 
-func (nt *notes) tried(n *node) bool {
-	return slices.ContainsFunc(nt.pulls, func(p *pull) bool {
-		return p.edge == n && !p.ask && !p.held && !p.blameless
+func (nt *requestState) tried(n *endpoint) bool {
+	return slices.ContainsFunc(nt.attempts, func(p *attempt) bool {
+		return p.endpoint == n && !p.cacheOnly && !p.sourceCacheOnly && !p.excused
 	})
 }
 
-func (nt *notes) lacks(n *node) bool {
-	return slices.ContainsFunc(nt.pulls, func(p *pull) bool { return p.edge == n && p.ask })
+func (nt *requestState) isKnownToLack(n *endpoint) bool {
+	return slices.ContainsFunc(nt.attempts, func(p *attempt) bool { return p.endpoint == n && p.cacheOnly })
 }
 
-func (nt *notes) failed(n *node) bool {
-	return slices.ContainsFunc(nt.pulls, func(p *pull) bool { return p.source == n && !p.held })
+func (nt *requestState) failed(n *endpoint) bool {
+	return slices.ContainsFunc(nt.attempts, func(p *attempt) bool { return p.source == n && !p.sourceCacheOnly })
 }
 
-// step moves a running share towards an event.
-func step(share *float64, on bool) {
-	*share += (float64(bit(on)) - *share) / memory
+// observeShare moves a running share towards an event.
+func observeShare(share *float64, on bool) {
+	*share += (float64(bit(on)) - *share) / meanMemory
 }
 
 func bit(on bool) int {
--- a/routing/rare_test.go
+++ b/routing/rare_test.go
@@ -5,7 +5,7 @@
 	"math"
 	"testing"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
 // Rule 4 under the sum: directors that know nothing of one another, all alike and all asked at once for more than fits, keep what
@@ -16,15 +16,15 @@
 			t.Run(fmt.Sprint(directors, " directors, one asked ", busy, " times as much"), func(t *testing.T) {
 				s := settings()
 				s.ZoneDirectors = directors
-				var beds []*bed
+				var beds []*testRouter
 				for i := range directors {
 					s.Seed = mix(uint64(i))
-					b := newBed(s, 3, 1)
-					b.list(d.Endpoint{ID: "e9", Zone: 1, Started: b.now})
+					b := newTestRouter(s, 3, 1)
+					b.updateEndpoints(policy.Endpoint{ID: "e9", Zone: 1, Started: b.now})
 					beds = append(beds, b)
 				}
 				begun, number := beds[0].now, 0
-				var sent []d.Micros
+				var sent []policy.Micros
 				for beds[0].now < begun+s.EdgeSlowStart.Duration {
 					for i, b := range beds {
 						times := 1
@@ -33,21 +33,21 @@
 						}
 						for range times * max(1, 240/directors) {
 							number++
-							b.missing = 0.5
-							dl, ans := b.ask(fmt.Sprint(number))
-							if ans.Action != d.Send {
+							b.missRatio = 0.5
+							dl, ans := b.route(fmt.Sprint(number))
+							if ans.Action != policy.Send {
 								continue
 							}
 							if ans.Endpoint.ID == "e9" {
 								sent = append(sent, b.now)
 							}
-							b.end(dl, 0, d.Succeeded, d.Hit)
+							b.finish(dl, 0, policy.Succeeded, policy.Hit)
 						}
 						b.now += 100 * ms
 					}
 				}
-				bears := func(at d.Micros) float64 { // of the link's four transfers; half of pulls miss; 0.2 s of work each
-					return s.EdgeSlowStart.OverloadFactor * 4 / 4 / 0.5 * warmth(at, beds[0].nodes["e9"], s.EdgeSlowStart) / 0.2 * 2
+				bears := func(at policy.Micros) float64 { // of the link's four transfers; half of pulls miss; 0.2 s of work each
+					return s.EdgeSlowStart.OverloadFactor * 4 / 4 / 0.5 * slowStartShare(at, beds[0].endpoints["e9"], s.EdgeSlowStart) / 0.2 * 2
 				}
 				all := 0.0
 				for i, at := range sent {
@@ -74,25 +74,25 @@
 func TestNoPullBeginsTooLate(t *testing.T) {
 	cases := []struct {
 		name   string
-		repeat d.RetrySafety
-		window d.Micros
-		before d.Micros // of the second pull, after the first was sent
+		repeat policy.RetrySafety
+		window policy.Micros
+		before policy.Micros // of the second pull, after the first was sent
 	}{
-		{"retriable", d.Idempotent, d.Second, 3 * d.Second},
-		{"deduped, a short window", d.IdempotentWithKey, d.Second, d.Second},
-		{"deduped, a long window", d.IdempotentWithKey, 9 * d.Second, 3 * d.Second},
+		{"retriable", policy.Idempotent, policy.Second, 3 * policy.Second},
+		{"deduped, a short window", policy.IdempotentWithKey, policy.Second, policy.Second},
+		{"deduped, a long window", policy.IdempotentWithKey, 9 * policy.Second, 3 * policy.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBed(settings(), 3, 1)
+			b := newTestRouter(settings(), 3, 1)
 			b.t.RetrySafety, b.t.DedupWindow = c.repeat, c.window
 			begun := b.now
-			dl, first := b.ask("a")
-			if first.Action != d.Send || first.NotAfter != dl.Deadline {
+			dl, first := b.route("a")
+			if first.Action != policy.Send || first.NotAfter != dl.Deadline {
 				t.Fatalf("first %+v", first)
 			}
-			again := b.end(dl, 10*ms, d.Failed, d.CacheFull)
-			if again.Action != d.Send || again.NotAfter != begun+c.before {
+			again := b.finish(dl, 10*ms, policy.Failed, policy.CacheFull)
+			if again.Action != policy.Send || again.NotAfter != begun+c.before {
 				t.Errorf("again %+v, want it before %d", again, begun+c.before)
 			}
 		})
@@ -102,14 +102,14 @@
 // The protocol's figures hold with any settings: what was taken is answered before the process may be killed, and clients that send
 // what is no message have their end in time.
 func TestMarginsOfAnyCustomer(t *testing.T) {
-	for _, connect := range []d.Micros{20 * ms, 400 * ms, 5 * d.Second} {
-		for _, expiry := range []d.Micros{500 * ms, 1500 * ms, 30 * d.Second} {
+	for _, connect := range []policy.Micros{20 * ms, 400 * ms, 5 * policy.Second} {
+		for _, expiry := range []policy.Micros{500 * ms, 1500 * ms, 30 * policy.Second} {
 			s := settings()
-			s.ConnectTimeout, s.KeepAliveTimeout, s.MaxConcurrentStreams = connect, 30*d.Second, 100
+			s.ConnectTimeout, s.KeepAliveTimeout, s.MaxConcurrentStreams = connect, 30*policy.Second, 100
 			s.ContentTypes[0].Timeout = expiry
 			m := Timeouts(s)
-			if m.DrainAccept <= 600*ms || m.DrainAccept > d.Second || m.DrainDeadline > min(expiry, 3*d.Second)+500*ms || m.MaxDecisionAge > 50*ms ||
-				m.RequestRead+m.RequestRead/8 > 3*d.Second || m.RequestRead < d.Second { // it is looked for eight times in that time
+			if m.DrainAccept <= 600*ms || m.DrainAccept > policy.Second || m.DrainDeadline > min(expiry, 3*policy.Second)+500*ms || m.MaxDecisionAge > 50*ms ||
+				m.RequestRead+m.RequestRead/8 > 3*policy.Second || m.RequestRead < policy.Second { // it is looked for eight times in that time
 				t.Errorf("connect %d, expiry %d: linger %d, stop %d, late %d, silent %d", connect, expiry, m.DrainAccept, m.DrainDeadline, m.MaxDecisionAge, m.RequestRead)
 			}
 		}
@@ -120,18 +120,18 @@
 // towards the attempts nor, while pulls are late, as one that may not be followed.
 func TestRecalledAgainAndAgain(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
-		b := newBed(settings(), 3, 1)
-		dl, ans := b.ask("a")
+		b := newTestRouter(settings(), 3, 1)
+		dl, ans := b.route("a")
 		if overloaded {
-			b.trouble = 1
+			b.errorRate = 1
 		}
-		for i := range 4 * b.s.MaxAttempts {
-			if ans.Action != d.Send {
+		for i := range 4 * b.settings.MaxAttempts {
+			if ans.Action != policy.Send {
 				t.Fatalf("overloaded %v: after %d recalls %+v", overloaded, i, ans)
 			}
-			ans = b.end(dl, ms, d.Withdrawn, d.Unknown)
+			ans = b.finish(dl, ms, policy.Withdrawn, policy.Unknown)
 		}
-		if ans = b.end(dl, ms, d.Succeeded, d.Hit); ans.Action != d.None {
+		if ans = b.finish(dl, ms, policy.Succeeded, policy.Hit); ans.Action != policy.None {
 			t.Errorf("overloaded %v: in the end %+v", overloaded, ans)
 		}
 	}
@@ -143,49 +143,49 @@
 	for _, c := range []struct {
 		name        string
 		passThrough bool
-		filling     d.CacheStatus
+		filling     policy.CacheStatus
 		learned     bool
 	}{
-		{"what passes through", true, d.FilledByOrigin, true},
-		{"what passes through, untold", true, d.Unknown, true},
-		{"a hit", false, d.Hit, true},
-		{"a fill", false, d.FilledByOrigin, false},
+		{"what passes through", true, policy.FilledByOrigin, true},
+		{"what passes through, untold", true, policy.Unknown, true},
+		{"a hit", false, policy.Hit, true},
+		{"a fill", false, policy.FilledByOrigin, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.ReportsCacheStatus = c.filling != d.Unknown
+			s.ReportsCacheStatus = c.filling != policy.Unknown
 			s.ContentTypes[0].Uncacheable = c.passThrough
-			b := newBed(s, 3, 1)
-			ask := func(object string) (*d.Request, d.Decision) {
-				dl := b.download(object)
+			b := newTestRouter(s, 3, 1)
+			ask := func(object string) (*policy.Request, policy.Decision) {
+				dl := b.request(object)
 				dl.SizeKB = 0
 				return dl, b.Route(b.now, dl)
 			}
 			sent := func() (n int) { // to a cold node in a window
-				b.missing = 0.5
-				b.list(d.Endpoint{ID: "e9", Zone: 1, Started: b.now})
+				b.missRatio = 0.5
+				b.updateEndpoints(policy.Endpoint{ID: "e9", Zone: 1, Started: b.now})
 				for until := b.now + s.EdgeSlowStart.OverloadWindow; b.now < until; b.now += 50 * ms {
 					for i := range 20 {
 						dl, ans := ask(fmt.Sprint("cold", b.now, " ", i))
-						if ans.Action == d.Send && ans.Endpoint.ID == "e9" {
+						if ans.Action == policy.Send && ans.Endpoint.ID == "e9" {
 							n++
 						}
-						if ans.Action == d.Send {
+						if ans.Action == policy.Send {
 							dl.Done = true // its client has left
-							b.end(dl, 0, d.NotSent, d.Unknown)
+							b.finish(dl, 0, policy.NotSent, policy.Unknown)
 						}
 					}
 				}
-				b.list(d.Endpoint{ID: "e9", State: d.Removed})
+				b.updateEndpoints(policy.Endpoint{ID: "e9", State: policy.Removed})
 				return n
 			}
 			before := sent()
 			for i := range 200 {
 				dl, ans := ask(fmt.Sprint(i))
-				if ans.Action != d.Send {
+				if ans.Action != policy.Send {
 					t.Fatalf("%+v", ans)
 				}
-				b.end(dl, s.ContentTypes[0].LatencyObjective/20, d.Succeeded, c.filling)
+				b.finish(dl, s.ContentTypes[0].LatencyObjective/20, policy.Succeeded, c.filling)
 			}
 			if after := sent(); (after > 3*before) != c.learned {
 				t.Errorf("a cold node had %d in a window, %d before anything was known", after, before)
--- a/routing/view.go
+++ b/routing/view.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
 // EndpointView is what the module believes of one node, for those who look after the director.
@@ -21,25 +21,25 @@
 }
 
 // Endpoints tells of all nodes of the list, by id.
-func (l *Router) Endpoints(now d.Micros) (views []EndpointView) {
+func (l *Router) Endpoints(now policy.Micros) (views []EndpointView) {
 	states := [...]string{"ready", "draining", "gone"}
-	for _, id := range slices.Sorted(maps.Keys(l.nodes)) {
-		n := l.nodes[id]
-		v := EndpointView{ID: id, Kind: "other", State: states[n.State], SlowStartShare: 1, InFlight: n.limit.out, HalfOpen: n.trial}
+	for _, id := range slices.Sorted(maps.Keys(l.endpoints)) {
+		n := l.endpoints[id]
+		v := EndpointView{ID: id, Kind: "other", State: states[n.State], SlowStartShare: 1, InFlight: n.concurrency.inFlight, HalfOpen: n.halfOpen}
 		switch {
-		case n.Kind == l.s.OriginKind:
+		case n.Kind == l.settings.OriginKind:
 			v.Kind = "origin"
-		case n.Kind == l.s.ParentKind:
-			v.Kind, v.SlowStartShare = "parent", warmth(now, n, l.s.ParentSlowStart)
-		case n.Zone == l.s.Zone:
-			v.Kind, v.SlowStartShare, v.Limit = "edge", warmth(now, n, l.s.EdgeSlowStart), n.limit.most
+		case n.Kind == l.settings.ParentKind:
+			v.Kind, v.SlowStartShare = "parent", slowStartShare(now, n, l.settings.ParentSlowStart)
+		case n.Zone == l.settings.Zone:
+			v.Kind, v.SlowStartShare, v.Limit = "edge", slowStartShare(now, n, l.settings.EdgeSlowStart), n.concurrency.limit
 		}
-		v.LastAnswer = float64(now-n.heard) / float64(d.Second)
-		v.EjectedFor = max(0, float64(n.skipUntil-now)/float64(d.Second))
+		v.LastAnswer = float64(now-n.lastAnswerAt) / float64(policy.Second)
+		v.EjectedFor = max(0, float64(n.ejectedUntil-now)/float64(policy.Second))
 		views = append(views, v)
 	}
 	return views
 }
 
 // DedupCounts is how many marks of deduped downloads are held, and how many downloads found no room so far.
-func (l *Router) DedupCounts() (held, full int) { return l.keys.Counts() }
+func (l *Router) DedupCounts() (held, full int) { return l.dedup.Counts() }
