--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"tallyproxy/dedup"
+	"tallyproxy/internal/hash"
 	"tallyproxy/overload"
 	"tallyproxy/policy"
 )
@@ -30,8 +31,8 @@
 		{"ä", 0x9f520a0861a56b8a, 0xbcfcbcb3295f1745, 0.73823146223128},
 		{"a much longer name of an object, with spaces", 0x90e72f0bddc5d21b, 0x1684f64a8253e419, 0.08796634024686467},
 	} {
-		if got := hashOf(c.text); got != c.hash || mix(got) != c.mixed || unit(got) != c.unit {
-			t.Errorf("{%q, %#x, %#x, %v},", c.text, got, mix(got), unit(got))
+		if got := hash.String(c.text); got != c.hash || hash.Mix(got) != c.mixed || hash.Unit(got) != c.unit {
+			t.Errorf("{%q, %#x, %#x, %v},", c.text, got, hash.Mix(got), hash.Unit(got))
 		}
 	}
 }
@@ -92,11 +93,11 @@
 		for i := range 20 {
 			object := fmt.Sprint("/object/", i)
 			key := fmt.Sprint(object, " ", weights)
-			nt := &requestState{objectHash: mix(hashOf(object) + uint64(i%3))}
+			nt := &requestState{objectHash: hash.Mix(hash.String(object) + uint64(i%3))}
 			var order strings.Builder
 			seen := map[*endpoint]bool{}
 			for range weights {
-				n := b.pick(b.now, &b.edges, nt, 0, func(n *endpoint) bool { return !seen[n] })
+				n := b.pick(b.now, &b.edges, nt.objectHash, 0, func(n *endpoint) bool { return !seen[n] })
 				seen[n] = true
 				order.WriteString(strings.TrimPrefix(n.ID, "edge-"))
 			}
--- a/routing/logic_test.go
+++ b/routing/logic_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"tallyproxy/internal/boolean"
 	"tallyproxy/policy"
 )
 
@@ -536,7 +537,7 @@
 	cases := []struct {
 		name    string
 		other   policy.Micros // what fills through the other parent take
-		trial   bool     // the other is back from a skip and not yet tried
+		trial   bool          // the other is back from a skip and not yet tried
 		skipped bool
 	}{{"alone", 100 * ms, false, true}, {"both slow", 900 * ms, false, false}, {"the other gone", 0, true, false}}
 	for _, c := range cases {
@@ -761,7 +762,7 @@
 				b.Route(b.now, dl)
 				b.finish(dl, 0, policy.CacheMiss, policy.Unknown)
 				ans := b.finish(dl, 0, policy.CacheMiss, policy.Unknown)
-				went += bit(ans.Action == policy.Send)
+				went += boolean.Int(ans.Action == policy.Send)
 				dl.Done = true
 				if ans.Action == policy.Send {
 					b.finish(dl, 0, policy.Succeeded, policy.Filled)
@@ -805,7 +806,7 @@
 		b.congestedAt, b.fillLimiter.inFlight, b.originLimiter.inFlight, b.originLimiter.limit = b.now, 0, 0, 0.25
 		dl, _ := b.route(fmt.Sprint("x", i))
 		ans := b.finish(dl, 0, policy.CacheMiss, policy.Unknown)
-		if went += bit(ans.Action == policy.Send); ans.Action == policy.Send && (ans.Source.ID != "o" || ans.OnlyIfCached || b.originLimiter.inFlight != 1) {
+		if went += boolean.Int(ans.Action == policy.Send); ans.Action == policy.Send && (ans.Source.ID != "o" || ans.OnlyIfCached || b.originLimiter.inFlight != 1) {
 			t.Fatalf("%+v, %d counted", ans, b.originLimiter.inFlight)
 		}
 		dl.Done = true
--- /dev/null
+++ b/routing/placement.go
@@ -0,0 +1,170 @@
+package routing
+
+import (
+	"math"
+
+	"tallyproxy/internal/boolean"
+	"tallyproxy/internal/hash"
+	"tallyproxy/policy"
+)
+
+// defaultCacheRank is the rank at which caches keep copies: the middle one.
+const defaultCacheRank = 2
+
+// placement is one choice of endpoint and source for a request. It lives for one call of chooseEndpoint.
+type placement struct {
+	router       *Router
+	now          policy.Micros
+	request      *policy.Request
+	state        *requestState
+	attempt      *attempt
+	work         float64 // what the attempt counts for in slow start, in microseconds of sending time
+	limitShare   float64 // share of the limits that the request may use
+	originObject float64 // the object's hash from 0 to 1, and more for costly requests, for the origin limiter
+}
+
+// chooseEndpoint chooses endpoint and source for an attempt and decides to send it, to queue the request, or to end it.
+func (r *Router) chooseEndpoint(now policy.Micros, request *policy.Request, state *requestState) policy.Decision {
+	if request.Deadline <= now || !r.dedup.CanRecord(request.IdempotencyKey) {
+		return r.reject(now, request, state)
+	}
+	p := r.newPlacement(now, request, state)
+	p.chooseEdge()
+	p.admitFill()
+	a := p.attempt
+	if a.endpoint == nil {
+		return r.queueOrReject(&p)
+	}
+	if a.endpoint.halfOpen && !a.countedAsFill && !a.direct && !request.Type.Uncacheable {
+		a.cacheOnly = true // a question tells soonest whether the endpoint is back
+	}
+	decision := p.decision()
+	if !p.chooseSource(&decision) {
+		return r.queueOrReject(&p)
+	}
+	p.send()
+	decision.Endpoint, decision.Source = &a.endpoint.Endpoint, &a.source.Endpoint
+	return decision
+}
+
+// newPlacement begins a choice. While the origin limiter's limit is below 1, a share of the objects may be filled from the origin, and a
+// smaller share of those that are costly.
+func (r *Router) newPlacement(now policy.Micros, request *policy.Request, state *requestState) placement {
+	share := r.limitShare(request)
+	return placement{
+		router: r, now: now, request: request, state: state,
+		attempt:      &attempt{sentAt: now, objective: r.latencyObjective(request), sendingTime: r.sendingTime(request)},
+		work:         r.sendingTimes[request.Type].value,
+		limitShare:   share,
+		originObject: hash.Unit(state.objectHash) / (share * share * share),
+	}
+}
+
+// allowed reports whether an endpoint may run an attempt of the request at all.
+func (p *placement) allowed(e *endpoint) bool {
+	return !p.state.tried(e) && mayRunAgain(p.now, p.request, p.state, e)
+}
+
+// hasRoom reports whether an edge cache is allowed and its concurrency limit has room.
+func (p *placement) hasRoom(e *endpoint) bool {
+	return e.concurrency.Allow((1+p.limitShare)/2, hash.Unit(pairHash(p.state.objectHash, e))) && p.allowed(e)
+}
+
+// hasRoomUnasked is hasRoom for edge caches that were not asked for what they hold.
+func (p *placement) hasRoomUnasked(e *endpoint) bool { return p.hasRoom(e) && !p.state.wasAsked(e) }
+
+func (p *placement) pickEdge(allowed func(*endpoint) bool) *endpoint {
+	return p.router.pick(p.now, &p.router.edges, p.state.objectHash, p.work, allowed)
+}
+
+// chooseEdge chooses the edge cache: while fills are congested first one that was not asked yet, else the first with room. Where no edge
+// cache can take the request, with room or not, a parent may.
+func (p *placement) chooseEdge() {
+	r, a, state := p.router, p.attempt, p.state
+	if state.edgesAsked > 0 && state.fillStage == askEdgeCache {
+		if a.endpoint = p.pickEdge(p.hasRoomUnasked); a.endpoint == nil {
+			state.fillStage++
+		}
+	}
+	if a.endpoint == nil {
+		a.endpoint = p.pickEdge(p.hasRoom)
+	}
+	if a.endpoint == nil && r.settings.AllowDirect && p.pickEdge(p.allowed) == nil {
+		a.endpoint = r.pick(p.now, &r.parents, state.objectHash, p.work, p.allowed)
+		a.direct = a.endpoint != nil
+	}
+}
+
+// decision is the decision to send the attempt, without endpoint and source.
+func (p *placement) decision() policy.Decision {
+	request, contentType := p.request, p.request.Type
+	decision := policy.Decision{
+		Action: policy.Send, CacheRank: defaultCacheRank, MaxAge: p.router.maxAge(p.now, request),
+		Coalesce: p.router.settings.CoalesceFills, OnlyIfCached: p.attempt.sourceCacheOnly, Revalidate: contentType.TTL > 0,
+		Timeout: request.Deadline - p.now, NotAfter: request.Deadline,
+	}
+	if first := p.state.mayHaveRun; first != nil && contentType.RetrySafety == policy.IdempotentWithKey {
+		// endpoints may forget the key before the attempt is written
+		decision.NotAfter = min(decision.NotAfter, first.sentAt+contentType.DedupWindow)
+	}
+	return decision
+}
+
+// chooseSource chooses where a miss is filled from and adapts the decision to it. It reports false where the origin limiter has no room.
+func (p *placement) chooseSource(decision *policy.Decision) bool {
+	r, a := p.router, p.attempt
+	switch {
+	case p.request.Type.Uncacheable:
+		a.source = r.origin
+		decision.CacheRank, decision.Coalesce, decision.Revalidate, decision.MaxAge = 0, false, false, 0
+	case a.direct:
+		a.source = r.origin
+	case !a.cacheOnly:
+		if !p.chooseParent(decision) {
+			return false
+		}
+	}
+	if a.source == nil {
+		a.source = a.endpoint
+	}
+	return true
+}
+
+// chooseParent chooses the parent that a miss is filled through; where none is left, the origin. It reports false where that would pass
+// the origin limiter.
+func (p *placement) chooseParent(decision *policy.Decision) bool {
+	r, a, state := p.router, p.attempt, p.state
+	if !a.countedAsFill && slowStartShare(p.now, a.endpoint, r.settings.EdgeSlowStart) >= 1 {
+		p.work *= r.missRatio // a hit does not reach the parent
+	}
+	a.source = r.pick(p.now, &r.parents, state.objectHash, p.work, func(e *endpoint) bool { return !state.wasSource(e) })
+	if a.source != nil {
+		return true
+	}
+	if a.sourceCacheOnly {
+		a.sourceCacheOnly, a.mayReachOrigin, state.fillStage = false, true, fillFromOrigin
+		if !r.originLimiter.Allow(math.Inf(1), p.originObject) {
+			return false
+		}
+	}
+	a.source, decision.OnlyIfCached = r.origin, false
+	return true
+}
+
+// send counts the attempt as sent.
+func (p *placement) send() {
+	r, a, state := p.router, p.attempt, p.state
+	for _, e := range []*endpoint{a.endpoint, a.source} {
+		if e.halfOpen && !e.probing && a.probed == nil {
+			e.probing, a.probed = true, e
+		}
+		e.windowWork += p.work
+	}
+	r.fillLimiter.inFlight += boolean.Int(a.countedAsFill)
+	r.originLimiter.inFlight += boolean.Int(a.mayReachOrigin)
+	state.fullAttempts += boolean.Int(!a.cacheOnly && !a.sourceCacheOnly)
+	a.lightlyLoaded = float64(a.endpoint.concurrency.inFlight) < a.endpoint.concurrency.limit/2
+	a.endpoint.concurrency.inFlight++
+	state.attempts, state.checkedAt = append(state.attempts, a), p.now
+	r.dedup.RecordAttempt(p.now, p.request.IdempotencyKey, p.request.Type.DedupWindow, a.endpoint.Zone, a.endpoint.Cell)
+}
--- a/routing/rare_test.go
+++ b/routing/rare_test.go
@@ -5,6 +5,7 @@
 	"math"
 	"testing"
 
+	"tallyproxy/internal/hash"
 	"tallyproxy/policy"
 )
 
@@ -18,7 +19,7 @@
 				s.ZoneDirectors = directors
 				var beds []*testRouter
 				for i := range directors {
-					s.Seed = mix(uint64(i))
+					s.Seed = hash.Mix(uint64(i))
 					b := newTestRouter(s, 3, 1)
 					b.updateEndpoints(policy.Endpoint{ID: "e9", Zone: 1, Started: b.now})
 					beds = append(beds, b)
--- a/routing/storm_test.go
+++ b/routing/storm_test.go
@@ -14,7 +14,7 @@
 	cases := []struct {
 		name   string
 		ending policy.Result // of the first try's pull
-		lost   bool     // the first answer never came: the client gave up
+		lost   bool          // the first answer never came: the client gave up
 		after  policy.Micros
 		scope  policy.DedupScope
 		want   policy.Action
--- a/routing/view.go
+++ b/routing/view.go
@@ -7,39 +7,46 @@
 	"tallyproxy/policy"
 )
 
-// EndpointView is what the module believes of one node, for those who look after the director.
+// EndpointView is what the router believes of one endpoint, for the operators. The state socket encodes it as JSON under the names in the
+// tags, which other versions of the tools read.
 type EndpointView struct {
-	ID             string  `json:"id"`
-	Kind           string  `json:"kind"` // "edge", "parent" or "origin"; "other" for caches of other locations
-	State          string  `json:"state"`
-	SlowStartShare float64 `json:"warm"`    // part of its capacity, at the least
-	InFlight       int     `json:"out"`     // pulls out at it
-	Limit          float64 `json:"limit"`   // pulls that may be, at an edge
-	EjectedFor     float64 `json:"skipped"` // seconds for which it is not used yet
-	HalfOpen       bool    `json:"trial"`   // back from that, and asked one question at a time
-	LastAnswer     float64 `json:"heard"`   // seconds since it last answered
+	ID             string  `json:"id"`      // of the endpoint list
+	Kind           string  `json:"kind"`    // "edge", "parent" or "origin"; "other" for caches of other zones
+	State          string  `json:"state"`   // "ready" or "draining"
+	SlowStartShare float64 `json:"warm"`    // share of its capacity that it can do at the least
+	InFlight       int     `json:"out"`     // attempts in flight
+	Limit          float64 `json:"limit"`   // concurrency limit of an edge cache
+	EjectedFor     float64 `json:"skipped"` // seconds until its ejection ends
+	HalfOpen       bool    `json:"trial"`   // back from an ejection, one attempt at a time
+	LastAnswer     float64 `json:"heard"`   // seconds since its last answer
 }
 
-// Endpoints tells of all nodes of the list, by id.
-func (l *Router) Endpoints(now policy.Micros) (views []EndpointView) {
-	states := [...]string{"ready", "draining", "gone"}
-	for _, id := range slices.Sorted(maps.Keys(l.endpoints)) {
-		n := l.endpoints[id]
-		v := EndpointView{ID: id, Kind: "other", State: states[n.State], SlowStartShare: 1, InFlight: n.concurrency.inFlight, HalfOpen: n.halfOpen}
-		switch {
-		case n.Kind == l.settings.OriginKind:
-			v.Kind = "origin"
-		case n.Kind == l.settings.ParentKind:
-			v.Kind, v.SlowStartShare = "parent", slowStartShare(now, n, l.settings.ParentSlowStart)
-		case n.Zone == l.settings.Zone:
-			v.Kind, v.SlowStartShare, v.Limit = "edge", slowStartShare(now, n, l.settings.EdgeSlowStart), n.concurrency.limit
-		}
-		v.LastAnswer = float64(now-n.lastAnswerAt) / float64(policy.Second)
-		v.EjectedFor = max(0, float64(n.ejectedUntil-now)/float64(policy.Second))
-		views = append(views, v)
+var stateNames = [...]string{policy.Ready: "ready", policy.Draining: "draining", policy.Removed: "gone"}
+
+// Endpoints describes all endpoints of the list, in the order of their IDs.
+func (r *Router) Endpoints(now policy.Micros) (views []EndpointView) {
+	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
+		views = append(views, r.view(now, r.endpoints[id]))
 	}
 	return views
 }
 
-// DedupCounts is how many marks of deduped downloads are held, and how many downloads found no room so far.
-func (l *Router) DedupCounts() (held, full int) { return l.dedup.Counts() }
+func (r *Router) view(now policy.Micros, e *endpoint) EndpointView {
+	v := EndpointView{
+		ID: e.ID, Kind: "other", State: stateNames[e.State], SlowStartShare: 1, InFlight: e.concurrency.inFlight, HalfOpen: e.halfOpen,
+		EjectedFor: max(0, float64(e.ejectedUntil-now)/float64(policy.Second)),
+		LastAnswer: float64(now-e.lastAnswerAt) / float64(policy.Second),
+	}
+	switch {
+	case e.Kind == r.settings.OriginKind:
+		v.Kind = "origin"
+	case e.Kind == r.settings.ParentKind:
+		v.Kind, v.SlowStartShare = "parent", slowStartShare(now, e, r.settings.ParentSlowStart)
+	case e.Zone == r.settings.Zone:
+		v.Kind, v.SlowStartShare, v.Limit = "edge", slowStartShare(now, e, r.settings.EdgeSlowStart), e.concurrency.limit
+	}
+	return v
+}
+
+// DedupCounts is how many dedup records are held, and how many requests found the table full so far.
+func (r *Router) DedupCounts() (records, rejected int) { return r.dedup.Counts() }
