--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -93,11 +93,11 @@
 		for i := range 20 {
 			object := fmt.Sprint("/object/", i)
 			key := fmt.Sprint(object, " ", weights)
-			nt := &requestState{objectHash: hash.Mix(hash.String(object) + uint64(i%3))}
+			state := &requestState{objectHash: hash.Mix(hash.String(object) + uint64(i%3))}
 			var order strings.Builder
 			seen := map[*endpoint]bool{}
 			for range weights {
-				n := b.pick(b.now, &b.edges, nt.objectHash, 0, func(n *endpoint) bool { return !seen[n] })
+				n := b.pick(b.now, &b.edges, state.objectHash, 0, func(n *endpoint) bool { return !seen[n] })
 				seen[n] = true
 				order.WriteString(strings.TrimPrefix(n.ID, "edge-"))
 			}
@@ -111,11 +111,11 @@
 // TestGoldenDecisions plays a drawn history against the module and compares a hash of every decision, in its order.
 func TestGoldenDecisions(t *testing.T) {
 	for _, c := range []struct {
-		seed   uint64
-		told   bool
-		direct bool
-		pulls  int
-		want   uint64
+		seed     uint64
+		reported bool
+		direct   bool
+		attempts int
+		want     uint64
 	}{
 		{1, false, false, 921, 0xb4b7986d983c5426},
 		{2, true, false, 939, 0xbde08a9f4ca6048f},
@@ -124,19 +124,19 @@
 		{5, true, true, 1500, 0x41b4d9549f287acf},
 		{6, true, false, 1067, 0xdb5cb4a7ce79ea4b},
 	} {
-		pulls, hash := playDrawn(c.seed, c.told, c.direct)
-		if pulls != c.pulls || hash != c.want {
-			t.Errorf("{%d, %v, %v, %d, %#x},", c.seed, c.told, c.direct, pulls, hash)
+		attempts, hash := playDrawn(c.seed, c.reported, c.direct)
+		if attempts != c.attempts || hash != c.want {
+			t.Errorf("{%d, %v, %v, %d, %#x},", c.seed, c.reported, c.direct, attempts, hash)
 		}
 	}
 }
 
 // playDrawn plays a history that depends on the seed alone.
-func playDrawn(seed uint64, told, direct bool) (pulls int, hash uint64) {
+func playDrawn(seed uint64, reported, direct bool) (attempts int, hash uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	var trace strings.Builder
 	s := settings()
-	s.Seed, s.ReportsCacheStatus, s.AllowDirect, s.WeightsAreSizes, s.ZoneDirectors, s.TotalDirectors = seed, told, direct, seed%2 == 0, 2, 6
+	s.Seed, s.ReportsCacheStatus, s.AllowDirect, s.WeightsAreSizes, s.ZoneDirectors, s.TotalDirectors = seed, reported, direct, seed%2 == 0, 2, 6
 	s.ContentTypes = append(s.ContentTypes,
 		&policy.ContentType{LatencyObjective: 800 * ms, TransferFactor: 1, Timeout: 6 * policy.Second, RetrySafety: policy.IdempotentWithKey, DedupWindow: policy.Second, PriorityWeight: 3, TTL: 9 * policy.Second},
 		&policy.ContentType{LatencyObjective: 300 * ms, Timeout: 2 * policy.Second, RetrySafety: policy.NotIdempotent, PriorityWeight: 2, Uncacheable: true},
@@ -151,29 +151,29 @@
 	}
 	b.SetOptions(o)
 	type flight struct {
-		dl   *policy.Request
-		pull int
+		request *policy.Request
+		pull    int
 	}
 	var out []flight
 	var waiting []*policy.Request
-	take := func(dl *policy.Request, ans policy.Decision) {
+	take := func(request *policy.Request, decision policy.Decision) {
 		node, source := "-", "-"
-		if ans.Endpoint != nil {
-			node = ans.Endpoint.ID
+		if decision.Endpoint != nil {
+			node = decision.Endpoint.ID
 		}
-		if ans.Source != nil {
-			source = ans.Source.ID
+		if decision.Source != nil {
+			source = decision.Source.ID
 		}
-		fmt.Fprintf(&trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, ans.Action, node, source, ans.CacheRank, ans.MaxAge,
-			ans.Coalesce, ans.OnlyIfCached, ans.Revalidate, ans.Timeout, ans.NotAfter, ans.Attempt, ans.RetryAfter, ans.Unprocessable, b.RecheckAfter(b.now, dl))
-		switch ans.Action {
+		fmt.Fprintf(&trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, decision.Action, node, source, decision.CacheRank, decision.MaxAge,
+			decision.Coalesce, decision.OnlyIfCached, decision.Revalidate, decision.Timeout, decision.NotAfter, decision.Attempt, decision.RetryAfter, decision.Unprocessable, b.RecheckAfter(b.now, request))
+		switch decision.Action {
 		case policy.Send:
-			out = append(out, flight{dl, len(dl.PolicyState.(*requestState).attempts) - 1})
-			pulls++
+			out = append(out, flight{request, len(request.PolicyState.(*requestState).attempts) - 1})
+			attempts++
 		case policy.Queue:
-			waiting = append(waiting, dl)
+			waiting = append(waiting, request)
 		case policy.Reject, policy.Fail:
-			dl.Done = true
+			request.Done = true
 		}
 	}
 	for step := range 6000 {
@@ -184,42 +184,42 @@
 		switch what := r.IntN(100); {
 		case what < 35:
 			kind := s.ContentTypes[r.IntN(len(s.ContentTypes))]
-			dl := &policy.Request{Type: kind, Object: fmt.Sprint("/o/", r.IntN(60)), Part: r.IntN(3), Group: r.IntN(4), IsRetry: r.IntN(8) == 0,
+			request := &policy.Request{Type: kind, Object: fmt.Sprint("/o/", r.IntN(60)), Part: r.IntN(3), Group: r.IntN(4), IsRetry: r.IntN(8) == 0,
 				ClientHash: uint64(r.IntN(50)), ClientSuspect: r.IntN(20) == 0, ArrivedAt: b.now, Deadline: b.now + kind.Timeout}
 			if r.IntN(2) == 0 {
-				dl.SizeKB = float64(50 + r.IntN(400))
+				request.SizeKB = float64(50 + r.IntN(400))
 			}
 			if kind.RetrySafety == policy.IdempotentWithKey {
-				dl.IdempotencyKey = fmt.Sprint("key", r.IntN(2000))
+				request.IdempotencyKey = fmt.Sprint("key", r.IntN(2000))
 			}
-			take(dl, b.Route(b.now, dl))
+			take(request, b.Route(b.now, request))
 		case what < 80 && len(out) > 0:
 			i := r.IntN(len(out))
 			f := out[i]
 			out = append(out[:i], out[i+1:]...)
-			ending := policy.Succeeded
+			result := policy.Succeeded
 			if r.IntN(4) == 0 {
-				ending = policy.Result(r.IntN(int(policy.Withdrawn) + 1))
+				result = policy.Result(r.IntN(int(policy.Withdrawn) + 1))
 			}
-			filling := policy.Unknown
+			status := policy.Unknown
 			if r.IntN(4) > 0 {
-				filling = policy.CacheStatus(r.IntN(int(policy.OriginFailed) + 1))
+				status = policy.CacheStatus(r.IntN(int(policy.OriginFailed) + 1))
 			}
-			if ending == policy.Succeeded {
-				if filling > policy.Stale {
-					filling = policy.Filled
+			if result == policy.Succeeded {
+				if status > policy.Stale {
+					status = policy.Filled
 				}
-				f.dl.Done = true
+				f.request.Done = true
 			}
-			take(f.dl, b.AttemptDone(b.now, f.dl, policy.Outcome{Attempt: f.pull, Result: ending, CacheStatus: filling, Final: f.dl.Done}))
+			take(f.request, b.AttemptDone(b.now, f.request, policy.Outcome{Attempt: f.pull, Result: result, CacheStatus: status, Final: f.request.Done}))
 		case what < 90 && len(waiting) > 0:
-			dl := waiting[0]
+			request := waiting[0]
 			waiting = waiting[1:]
-			take(dl, b.Route(b.now, dl))
+			take(request, b.Route(b.now, request))
 		case what < 96 && len(out) > 0:
 			f := out[r.IntN(len(out))]
-			if ans := b.Route(b.now, f.dl); ans.Action == policy.CancelAttempt {
-				take(f.dl, ans)
+			if decision := b.Route(b.now, f.request); decision.Action == policy.CancelAttempt {
+				take(f.request, decision)
 			}
 		case what < 97:
 			b.Purge(b.now, []string{"", fmt.Sprint("/o/", r.IntN(60))}[r.IntN(2)], r.IntN(5)-1, b.now-policy.Micros(r.IntN(int(policy.Second))))
@@ -240,7 +240,7 @@
 			fmt.Fprintln(&trace, step, b.Capacity(b.now), b.WarmCapacity(), b.fillLatency, b.missRatio, b.errorRate, b.fillLimiter.limit, b.originLimiter.limit)
 		}
 	}
-	return pulls, sum64(&trace)
+	return attempts, sum64(&trace)
 }
 
 // TestGoldenMargins checks the times that sockets call for.
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -48,23 +48,23 @@
 
 // route asks where a new download for the object goes.
 func (b *testRouter) route(object string) (*policy.Request, policy.Decision) {
-	dl := b.request(object)
-	return dl, b.Route(b.now, dl)
+	request := b.request(object)
+	return request, b.Route(b.now, request)
 }
 
 // finish reports the end of the download's latest pull after a while.
-func (b *testRouter) finish(dl *policy.Request, after policy.Micros, ending policy.Result, filling policy.CacheStatus) policy.Decision {
+func (b *testRouter) finish(request *policy.Request, after policy.Micros, result policy.Result, status policy.CacheStatus) policy.Decision {
 	b.now += after
-	last := len(dl.PolicyState.(*requestState).attempts) - 1
-	dl.Done = dl.Done || ending == policy.Succeeded
-	return b.AttemptDone(b.now, dl, policy.Outcome{Attempt: last, Result: ending, CacheStatus: filling, Final: dl.Done})
+	last := len(request.PolicyState.(*requestState).attempts) - 1
+	request.Done = request.Done || result == policy.Succeeded
+	return b.AttemptDone(b.now, request, policy.Outcome{Attempt: last, Result: result, CacheStatus: status, Final: request.Done})
 }
 
-// serve asks for n objects one after another and has each fulfilled.
-func (b *testRouter) serve(n int, after policy.Micros, filling policy.CacheStatus) {
+// serve asks for n objects one after another and has each succeeded.
+func (b *testRouter) serve(n int, after policy.Micros, status policy.CacheStatus) {
 	for i := range n {
-		if dl, ans := b.route(fmt.Sprint("s", i)); ans.Action == policy.Send {
-			b.finish(dl, after, policy.Succeeded, filling)
+		if request, decision := b.route(fmt.Sprint("s", i)); decision.Action == policy.Send {
+			b.finish(request, after, policy.Succeeded, status)
 		}
 	}
 }
@@ -72,11 +72,11 @@
 // objects gives n whose home edge is the node, by asking while all is well.
 func (b *testRouter) objects(home string, n int) (found []string) {
 	for i := 0; len(found) < n; i++ {
-		dl, ans := b.route(fmt.Sprint("/o/", i))
-		if ans.Endpoint.ID == home {
-			found = append(found, dl.Object)
+		request, decision := b.route(fmt.Sprint("/o/", i))
+		if decision.Endpoint.ID == home {
+			found = append(found, request.Object)
 		}
-		b.finish(dl, ms, policy.Succeeded, policy.Hit)
+		b.finish(request, ms, policy.Succeeded, policy.Hit)
 	}
 	return found
 }
