--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -214,9 +214,9 @@
 }
 
 // clientSends writes a message of the client.
-func (h *harness) clientSends(words ...string) {
+func (h *harness) clientSends(arguments ...string) {
 	h.t.Helper()
-	write(h.t, h.client, message(words...))
+	write(h.t, h.client, message(arguments...))
 }
 
 // request sends a request of the client, with further fields.
@@ -284,9 +284,9 @@
 }
 
 // message encodes a client's message.
-func message(words ...string) string {
-	out := redcon.AppendArray(nil, len(words))
-	for _, w := range words {
+func message(arguments ...string) string {
+	out := redcon.AppendArray(nil, len(arguments))
+	for _, w := range arguments {
 		out = redcon.AppendBulkString(out, w)
 	}
 	return string(out)
--- a/internal/dispatch/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -49,15 +49,15 @@
 		if err != nil {
 			return
 		}
-		words := strings.Fields(line)
-		if len(words) != 4 || words[0] != "want" {
+		fields := strings.Fields(line)
+		if len(fields) != 4 || fields[0] != "want" {
 			continue
 		}
 		n.requests.Add(1)
-		if strings.Contains(words[2], ",from=p0") {
+		if strings.Contains(fields[2], ",from=p0") {
 			n.fillsFromP0.Add(1)
 		}
-		if _, err := fmt.Fprintf(conn, "%s data n=local 2\r\nok\r\n", words[1]); err != nil {
+		if _, err := fmt.Fprintf(conn, "%s data n=local 2\r\nok\r\n", fields[1]); err != nil {
 			return
 		}
 	}
@@ -149,7 +149,7 @@
 // readStatus reads an answer, and returns its status.
 func (r *shardedRouter) readStatus(client int) string {
 	r.t.Helper()
-	return readLines(r.t, r.clientIn[client], 9)[4] // *4 and four words
+	return readLines(r.t, r.clientIn[client], 9)[4] // *4 and four bulk strings
 }
 
 // TestDrainWithABusyShard checks that a drain is applied by every shard from the call that brings it, also by one that is busy just
--- /dev/null
+++ b/maintenance/maintenance_test.go
@@ -0,0 +1,169 @@
+package maintenance
+
+import (
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	d "tallyproxy/policy"
+)
+
+const minute = 60 * d.Second
+
+// newSite returns a site of one location, with a demand and cache nodes of one size, and of a hub with two parents.
+func newSite(cacheNodes int, demand float64) Site {
+	s := Site{WarmUp: [3]d.Micros{10 * d.Second, 20 * d.Second, 0}, MaxUnavailable: 0.5, LocalSearchMoves: 200, ExactLimit: 7,
+		Demand: []Slot{{0, map[string]float64{"south": demand, "hub": 1}}}}
+	for i := range cacheNodes {
+		s.Machines = append(s.Machines, Machine{Name: fmt.Sprint("node-", i), Location: "south", Capacity: 8})
+	}
+	for i := range 2 {
+		s.Machines = append(s.Machines, Machine{Name: fmt.Sprint("parent-", i), Kind: Parent, Location: "hub", Capacity: 10})
+	}
+	return s
+}
+
+// jobsFor returns a job of a duration for each of some machines.
+func jobsFor(duration d.Micros, machines ...string) (jobs []Job) {
+	for _, m := range machines {
+		jobs = append(jobs, Job{ID: "work on " + m, Machines: []string{m}, Duration: duration})
+	}
+	return jobs
+}
+
+// TestPlans checks placements and their reasons on small sites, with both planners.
+func TestPlans(t *testing.T) {
+	cases := []struct {
+		name       string
+		site       Site
+		jobs       []Job
+		want       []string // each placement's job, start in seconds and beginning of its reason
+		infeasible string   // part of the reason of a job that can't be placed
+	}{
+		{"one", newSite(5, 20), jobsFor(minute, "node-1"), []string{"node-1 0 it can begin at once"}, ""},
+		{"room for two", newSite(5, 20), jobsFor(minute, "node-1", "node-2"), []string{"node-1 0 it can", "node-2 0 it can"}, ""},
+		{"the third waits until a node is back and warm", newSite(5, 20), jobsFor(minute, "node-1", "node-2", "node-3"),
+			[]string{"node-1 0 ", "node-2 0 ", "node-3 70 waits for work on node-1 and work on node-2: 3 of 5 cache nodes in south would be out or warming"}, ""},
+		{"the demand leaves room for one", newSite(5, 32), jobsFor(minute, "node-1", "node-2"),
+			[]string{"node-1 0 ", "node-2 70 waits for work on node-1: 24 of 40 would be left in south for a demand of 32"}, ""},
+		{"one location with two nodes, both asked for", newSite(2, 8), jobsFor(minute, "node-0", "node-1"), []string{"node-0 0 ", "node-1 70 waits for work on node-0"}, ""},
+		{"a parent waits for the other", newSite(2, 1), jobsFor(minute, "parent-0", "parent-1"), []string{"parent-0 0 ", "parent-1 80 waits for work on parent-0"}, ""},
+		{"not before its time", newSite(2, 8), []Job{{ID: "a", Machines: []string{"node-0"}, Duration: minute, NotBefore: minute}}, []string{"a 60 not before"}, ""},
+		{"too much at any time", newSite(3, 23), jobsFor(minute, "node-0"), nil, "16 of 24 would be left in south for a demand of 23 at the quietest; 7 more room"},
+		{"everything at once", newSite(3, 1), []Job{{ID: "all", Machines: []string{"node-0", "node-1", "node-2"}, Duration: minute}}, nil,
+			"all 3 cache nodes in south would be out; another one there is needed"},
+		{"a name that nobody knows", newSite(3, 1), jobsFor(minute, "nonode"), nil, "there is no nonode"},
+		{"no time at all", newSite(3, 1), jobsFor(0, "node-0"), nil, "takes no time"},
+		{"at night", func() Site {
+			s := newSite(3, 20)
+			s.Demand = append(s.Demand, Slot{600 * d.Second, map[string]float64{"south": 10, "hub": 1}})
+			return s
+		}(), jobsFor(minute, "node-0"), []string{"node-0 600 waits for a quieter time"}, ""},
+		{"what is out already is a fact", newSite(3, 8), append(jobsFor(minute, "node-1"), Job{ID: "b", Machines: []string{"node-0"}, Duration: minute, Started: true}),
+			[]string{"b 0 it is out already", "node-1 70 waits for b"}, ""},
+		{"another has failed unasked", func() Site {
+			s := newSite(3, 8)
+			s.Machines[2].Unavailable = true
+			return s
+		}(), jobsFor(minute, "node-0"), nil, "as things are: waits for node-2: 2 of 3 cache nodes"},
+		{"another still warms up", func() Site {
+			s := newSite(2, 8)
+			s.Machines[1].WarmingFor = 5 * d.Second
+			return s
+		}(), jobsFor(minute, "node-0"), []string{"node-0 5 waits for node-1"}, ""},
+		{"one machine for two", newSite(4, 8), []Job{{ID: "a", Machines: []string{"node-0"}, Duration: minute}, {ID: "b", Machines: []string{"node-0"}, Duration: minute}},
+			[]string{"a 0 ", "b 70 waits for a: it is the same machine"}, ""},
+		{"what is due first goes first", newSite(2, 8), []Job{{ID: "a", Machines: []string{"node-0"}, Duration: minute},
+			{ID: "b", Machines: []string{"node-1"}, Duration: minute, Deadline: 70 * d.Second}}, []string{"b 0 ", "a 70 "}, ""},
+	}
+	for _, c := range cases {
+		for _, exactLimit := range []int{7, 0} { // both planners
+			t.Run(fmt.Sprint(c.name, " ", exactLimit), func(t *testing.T) {
+				c.site.ExactLimit = exactLimit
+				plan := MakePlan(c.site, c.jobs, 1)
+				var got []string
+				for _, p := range plan.Placements {
+					got = append(got, fmt.Sprintf("%s %d %s", strings.TrimPrefix(p.Job, "work on "), p.Start/d.Second, p.Reason))
+				}
+				for i := range max(len(got), len(c.want)) {
+					if i >= len(got) || i >= len(c.want) || !strings.HasPrefix(got[i], c.want[i]) {
+						t.Fatalf("got %q, want %q; infeasible %v", got, c.want, plan.Infeasible)
+					}
+				}
+				reasons := ""
+				for _, reason := range plan.Infeasible {
+					reasons += reason
+				}
+				if c.infeasible == "" != (reasons == "") || !strings.Contains(reasons, c.infeasible) {
+					t.Errorf("infeasible: %q, want %q", reasons, c.infeasible)
+				}
+				if violations := Violations(c.site, c.jobs, plan); len(violations) > 0 {
+					t.Error(violations)
+				}
+			})
+		}
+	}
+}
+
+// drawSite draws a site and its jobs.
+func drawSite(t *rapid.T, maxMachines, maxJobs int) (Site, []Job) {
+	s := Site{WarmUp: [3]d.Micros{10 * d.Second, 20 * d.Second, 0}, MaxUnavailable: 0.5, LocalSearchMoves: 60, ExactLimit: 6, Reserve: 0.1}
+	capacity := map[string]float64{}
+	for i := range rapid.IntRange(2, maxMachines).Draw(t, "machines") {
+		m := Machine{Name: fmt.Sprint("m", i), Kind: Kind(rapid.IntRange(0, 1).Draw(t, "kind")), Capacity: float64(rapid.IntRange(4, 9).Draw(t, "capacity"))}
+		m.Location = fmt.Sprint(m.Kind, rapid.IntRange(0, 1).Draw(t, "location"))
+		s.Machines = append(s.Machines, m)
+		capacity[m.Location] += m.Capacity
+	}
+	for i, share := range []float64{0.5, 0.2, 0.6} {
+		slot := Slot{d.Micros(i) * 200 * d.Second, map[string]float64{}}
+		for location, total := range capacity {
+			slot.Demand[location] = total * share
+		}
+		s.Demand = append(s.Demand, slot)
+	}
+	var jobs []Job
+	for i := range rapid.IntRange(1, maxJobs).Draw(t, "jobs") {
+		j := Job{ID: fmt.Sprint("j", i), Duration: d.Micros(rapid.IntRange(10, 90).Draw(t, "duration")) * d.Second}
+		j.Machines = []string{s.Machines[rapid.IntRange(0, len(s.Machines)-1).Draw(t, "machine")].Name}
+		if rapid.IntRange(0, 3).Draw(t, "has deadline") == 0 {
+			j.Deadline = d.Micros(rapid.IntRange(60, 300).Draw(t, "deadline")) * d.Second
+		}
+		jobs = append(jobs, j)
+	}
+	return s, jobs
+}
+
+// TestPlanProperties checks that no plan has violations, that every job has a placement or a reason, that equal arguments give equal
+// plans, and that the exact planner is never worse than the heuristic one.
+func TestPlanProperties(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s, jobs := drawSite(t, 9, 5)
+		exact := MakePlan(s, jobs, 3)
+		s.ExactLimit = 0
+		heuristic := MakePlan(s, jobs, 3)
+		for _, plan := range []Plan{exact, heuristic} {
+			if violations := Violations(s, jobs, plan); len(violations) > 0 {
+				t.Fatal(violations)
+			}
+			if len(plan.Placements)+len(plan.Infeasible) != len(jobs) {
+				t.Fatalf("%d placements and %d infeasible of %d jobs", len(plan.Placements), len(plan.Infeasible), len(jobs))
+			}
+			for _, p := range plan.Placements {
+				if p.Reason == "" {
+					t.Fatalf("%+v has no reason", p)
+				}
+			}
+		}
+		worse := exact.Tardiness > heuristic.Tardiness || exact.Tardiness == heuristic.Tardiness && exact.Makespan > heuristic.Makespan
+		if len(exact.Infeasible) == len(heuristic.Infeasible) && worse {
+			t.Fatalf("exact: makespan %d, tardiness %d; heuristic: %d, %d", exact.Makespan, exact.Tardiness, heuristic.Makespan, heuristic.Tardiness)
+		}
+		if second := MakePlan(s, jobs, 3); !reflect.DeepEqual(second, heuristic) {
+			t.Fatal("equal arguments gave another plan")
+		}
+	})
+}
--- /dev/null
+++ b/maintenance/planner.go
@@ -0,0 +1,335 @@
+package maintenance
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+
+	d "tallyproxy/policy"
+)
+
+const (
+	// tolerance is how far rounding may take the capacity that is left below the demand.
+	tolerance = 1e-9
+
+	// maxPostponements bounds how often a job's start is put off before it is placed where it stands.
+	maxPostponements = 10_000
+
+	never = d.Micros(math.MaxInt64)
+)
+
+// group is the machines of one kind in one location or hub, which bear its demand together.
+type group struct {
+	location string
+	kind     Kind
+	capacity float64 // of all its machines
+	size     int
+	warming  []outage // from the start
+
+	// Machines that are out of service unplanned, all the time:
+	lostCapacity float64
+	lostCount    int
+	lostNames    []string
+}
+
+// outage is capacity of a group that is lost for a time.
+type outage struct {
+	start, end d.Micros
+	returns    d.Micros // when the machines come back; they warm up until end
+	capacity   float64
+	count      int
+	job        string // its ID; of a machine that warms up at the start: its name
+}
+
+// outages holds those of each group, in the groups' order.
+type outages [][]outage
+
+func (o outages) clone() outages {
+	out := make(outages, len(o))
+	for i := range o {
+		out[i] = slices.Clone(o[i])
+	}
+	return out
+}
+
+// planner holds what all orders of a site's jobs share.
+type planner struct {
+	site          *Site
+	groups        []*group
+	groupOf       map[string]int     // by machine name
+	machines      map[string]Machine // by name
+	jobs          map[string]*Job    // by ID
+	demandChanges []d.Micros
+}
+
+func newPlanner(site *Site) *planner {
+	p := &planner{site: site, groupOf: map[string]int{}, machines: map[string]Machine{}, jobs: map[string]*Job{}}
+	type key struct {
+		kind     Kind
+		location string
+	}
+	index := map[key]int{}
+	for _, m := range site.Machines {
+		i, ok := index[key{m.Kind, m.Location}]
+		if !ok {
+			i = len(p.groups)
+			index[key{m.Kind, m.Location}] = i
+			p.groups = append(p.groups, &group{location: m.Location, kind: m.Kind})
+		}
+		p.groups[i].add(m)
+		p.groupOf[m.Name], p.machines[m.Name] = i, m
+	}
+	for _, slot := range site.Demand {
+		p.demandChanges = append(p.demandChanges, slot.Start)
+	}
+	return p
+}
+
+func (g *group) add(m Machine) {
+	g.capacity += m.Capacity
+	g.size++
+	switch {
+	case m.Unavailable:
+		g.lostCapacity += m.Capacity
+		g.lostCount++
+		g.lostNames = append(g.lostNames, m.Name)
+	case m.WarmingFor > 0:
+		g.warming = append(g.warming, outage{end: m.WarmingFor, capacity: m.Capacity, count: 1, job: m.Name})
+	}
+}
+
+// initial returns the outages before any job is placed.
+func (p *planner) initial() outages {
+	planned := make(outages, len(p.groups))
+	for i, g := range p.groups {
+		planned[i] = slices.Clone(g.warming)
+	}
+	return planned
+}
+
+// demand returns the highest demand of a group between two times.
+func (p *planner) demand(g *group, start, end d.Micros) (highest float64) {
+	slots := p.site.Demand
+	for i, slot := range slots {
+		if slot.Start < end && (i+1 == len(slots) || slots[i+1].Start > start) {
+			highest = max(highest, slot.Demand[g.location])
+		}
+	}
+	return highest
+}
+
+// available returns the capacity that may be used where so much is in service.
+func (p *planner) available(inService float64) float64 { return inService * (1 - p.site.Reserve) }
+
+// needs returns what a job takes of each group, without times. Machines that are out unplanned are left out: their capacity is lost
+// anyway.
+func (p *planner) needs(j *Job) map[int]outage {
+	needs := map[int]outage{}
+	for _, name := range j.Machines {
+		m, known := p.machines[name]
+		if !known || m.Unavailable && !j.Started {
+			continue
+		}
+		o := needs[p.groupOf[name]]
+		o.capacity, o.count, o.job = o.capacity+m.Capacity, o.count+1, j.ID
+		needs[p.groupOf[name]] = o
+	}
+	return needs
+}
+
+// capacityOf returns what a job takes of all groups.
+func (p *planner) capacityOf(j *Job) (capacity float64) {
+	for _, o := range p.needs(j) {
+		capacity += o.capacity
+	}
+	return capacity
+}
+
+// during gives an outage its times: out from start until it returns, then warming up.
+func (p *planner) during(o outage, g *group, start, returns d.Micros) outage {
+	o.start, o.returns, o.end = start, returns, returns+p.site.WarmUp[g.kind]
+	return o
+}
+
+// maxUnavailable returns how many machines of a group may be out or warming together.
+func (p *planner) maxUnavailable(g *group) int {
+	return max(1, int(p.site.MaxUnavailable*float64(g.size)))
+}
+
+// schedule gives a job the earliest time that its groups allow beside what is planned, and adds its outages there. It returns false, with
+// the reason, where there is none.
+func (p *planner) schedule(planned outages, j *Job) (Placement, bool) {
+	needs := p.needs(j)
+	order := make([]int, 0, len(needs))
+	for i := range needs {
+		order = append(order, i)
+	}
+	slices.Sort(order)
+	start, reason, ok := p.earliest(planned, j, needs, order)
+	if !ok {
+		return Placement{Job: j.ID, Reason: reason}, false
+	}
+	end := start + j.Duration
+	for _, i := range order {
+		planned[i] = append(planned[i], p.during(needs[i], p.groups[i], start, end))
+	}
+	placement := Placement{Job: j.ID, Start: start, End: end, Reason: reason}
+	if j.Deadline > 0 {
+		placement.Tardiness = max(0, end-j.Deadline)
+	}
+	return placement, true
+}
+
+// earliest returns when a job can start, and why not before. It returns false where it can't.
+func (p *planner) earliest(planned outages, j *Job, needs map[int]outage, order []int) (start d.Micros, reason string, ok bool) {
+	if j.Started {
+		return 0, "it is out already", true
+	}
+	start, reason = j.NotBefore, "it can begin at once"
+	if j.NotBefore > 0 {
+		reason = "not before the time that was asked for"
+	}
+	for range maxPostponements {
+		conflict, retryAt := "", d.Micros(0)
+		for _, i := range order {
+			g := p.groups[i]
+			if conflict, retryAt = p.conflict(g, planned[i], p.during(needs[i], g, start, start+j.Duration)); conflict != "" {
+				break
+			}
+		}
+		if conflict == "" {
+			break
+		}
+		if retryAt <= start || retryAt == never {
+			return 0, conflict, false
+		}
+		start, reason = retryAt, conflict
+	}
+	return start, reason, true
+}
+
+// conflict returns why an outage may not be added to those of a group, and when something changes next. The reason is empty where it
+// may.
+func (p *planner) conflict(g *group, planned []outage, added outage) (reason string, retryAt d.Micros) {
+	for _, o := range planned {
+		if o.start < added.end && added.start < o.end && p.shareMachine(o.job, added.job) {
+			return "waits for " + o.job + ": it is the same machine", o.end
+		}
+	}
+	for _, at := range p.changesDuring(planned, added) {
+		if reason, retryAt = p.conflictAt(g, planned, added, at); reason != "" {
+			return reason, retryAt
+		}
+	}
+	return "", 0
+}
+
+// changesDuring returns the times within an outage at which a group can come to have too little: what is lost grows where outages
+// start, demand where slots do.
+func (p *planner) changesDuring(planned []outage, added outage) []d.Micros {
+	times := []d.Micros{added.start}
+	for _, o := range planned {
+		if o.start > added.start && o.start < added.end {
+			times = append(times, o.start)
+		}
+	}
+	for _, at := range p.demandChanges {
+		if at > added.start && at < added.end {
+			times = append(times, at)
+		}
+	}
+	slices.Sort(times)
+	return times
+}
+
+// conflictAt is conflict at one time.
+func (p *planner) conflictAt(g *group, planned []outage, added outage, at d.Micros) (reason string, retryAt d.Micros) {
+	lost, count := added.capacity+g.lostCapacity, added.count+g.lostCount
+	var with []string
+	next := never
+	for _, o := range planned {
+		if o.start <= at && at < o.end {
+			lost, count = lost+o.capacity, count+o.count
+			with, next = append(with, o.job), min(next, o.end)
+		}
+	}
+	if count > p.maxUnavailable(g) && count > added.count {
+		return fmt.Sprintf("waits for %s: %d of %d %s in %s would be out or warming",
+			g.blockers(with), count, g.size, g.kind.plural(), g.location), next
+	}
+	demand, inService := p.demand(g, at, at+1), g.capacity-lost
+	if p.available(inService) >= demand-tolerance {
+		return "", 0
+	}
+	reason = fmt.Sprintf("%.3g of %.3g would be left in %s for a demand of %.3g", inService, g.capacity, g.location, demand)
+	if len(with) > 0 {
+		return "waits for " + g.blockers(with) + ": " + reason, next
+	}
+	for _, slot := range p.site.Demand {
+		if slot.Start > at && p.available(inService) >= slot.Demand[g.location] {
+			return "waits for a quieter time: " + reason, slot.Start
+		}
+	}
+	return reason, never
+}
+
+// shareMachine reports whether two jobs, by ID, have a machine in common.
+func (p *planner) shareMachine(a, b string) bool {
+	x, y := p.jobs[a], p.jobs[b]
+	return x != nil && y != nil && slices.ContainsFunc(x.Machines, func(m string) bool { return slices.Contains(y.Machines, m) })
+}
+
+// blockers names what a job waits for: these jobs and the group's lost machines.
+func (g *group) blockers(jobs []string) string {
+	all := append(slices.Clone(jobs), g.lostNames...)
+	if slices.Sort(all); len(all) == 0 {
+		return "others"
+	}
+	return strings.Join(slices.Compact(all), " and ")
+}
+
+// infeasible returns why a job can't be done at any time, even with no other placed, and what would be needed; empty where it can.
+func (p *planner) infeasible(j *Job) string {
+	if j.Started {
+		return ""
+	}
+	var unknown []string
+	for _, name := range j.Machines {
+		if _, known := p.machines[name]; !known {
+			unknown = append(unknown, name)
+		}
+	}
+	if len(unknown) > 0 {
+		return "there is no " + strings.Join(unknown, ", ")
+	}
+	if len(j.Machines) == 0 || j.Duration <= 0 {
+		return "it names no machine, or takes no time"
+	}
+	needs := p.needs(j)
+	for i, g := range p.groups {
+		if o, needed := needs[i]; needed {
+			if reason := p.infeasibleIn(g, o); reason != "" {
+				return reason
+			}
+		}
+	}
+	return ""
+}
+
+// infeasibleIn is infeasible for what a job takes of one group.
+func (p *planner) infeasibleIn(g *group, o outage) string {
+	if o.count >= g.size && p.demand(g, 0, never) > 0 && g.size > 0 && g.kind != Director {
+		return fmt.Sprintf("all %d %s in %s would be out; another one there is needed", g.size, g.kind.plural(), g.location)
+	}
+	lowest := math.Inf(1)
+	for _, slot := range p.site.Demand {
+		lowest = min(lowest, slot.Demand[g.location])
+	}
+	inService := g.capacity - o.capacity
+	if short := lowest - p.available(inService); len(p.site.Demand) > 0 && short > tolerance {
+		return fmt.Sprintf("%.3g of %.3g would be left in %s for a demand of %.3g at the quietest; %.3g more room is needed there",
+			inService, g.capacity, g.location, lowest, short/(1-p.site.Reserve))
+	}
+	return ""
+}
--- /dev/null
+++ b/maintenance/violations.go
@@ -0,0 +1,79 @@
+package maintenance
+
+import (
+	"fmt"
+
+	d "tallyproxy/policy"
+)
+
+// checkTolerance is how far rounding may take a group below its demand before that is a violation; it is wider than the planner's.
+const checkTolerance = 1e-6
+
+// Violations returns where a plan breaks the limits that it must keep. It looks for itself at every group and every time at which
+// something changes, and shares no check with the planner.
+func Violations(site Site, jobs []Job, plan Plan) (violations []string) {
+	p := newPlanner(&site)
+	for i := range jobs {
+		p.jobs[jobs[i].ID] = &jobs[i]
+	}
+	planned := p.initial()
+	hasStarted := map[int]bool{} // groups with a job that nobody planned
+	for _, placement := range plan.Placements {
+		j := p.jobs[placement.Job]
+		for i, o := range p.needs(j) {
+			planned[i] = append(planned[i], p.during(o, p.groups[i], placement.Start, placement.End))
+			hasStarted[i] = hasStarted[i] || j.Started
+		}
+		if !j.Started && placement.Start < j.NotBefore {
+			violations = append(violations, fmt.Sprintf("%s begins %v before its time", j.ID, j.NotBefore-placement.Start))
+		}
+	}
+	for i, g := range p.groups {
+		violations = append(violations, p.sharedMachines(planned[i])...)
+		if hasStarted[i] || len(g.warming) > 0 || g.lostCount > 0 {
+			continue // more was lost before than was planned
+		}
+		violations = append(violations, p.shortages(g, planned[i])...)
+	}
+	return violations
+}
+
+// sharedMachines returns the jobs that have a machine out at the same time.
+func (p *planner) sharedMachines(planned []outage) (violations []string) {
+	for k, o := range planned {
+		for _, other := range planned[:k] {
+			x, y := p.jobs[o.job], p.jobs[other.job]
+			if x == nil || y == nil || x.Machines[0] != y.Machines[0] {
+				continue
+			}
+			if o.start < other.returns && other.start < o.returns {
+				violations = append(violations, fmt.Sprintf("%s and %s have one machine at a time", o.job, other.job))
+			}
+		}
+	}
+	return violations
+}
+
+// shortages returns the times at which a group has too many machines out, or too little capacity for its demand.
+func (p *planner) shortages(g *group, planned []outage) (violations []string) {
+	var times []d.Micros
+	for _, o := range planned {
+		times = append(times, o.start)
+	}
+	for _, at := range append(times, p.demandChanges...) {
+		lost, count, most := 0.0, 0, p.maxUnavailable(g)
+		for _, o := range planned {
+			if o.start <= at && at < o.end {
+				lost, count, most = lost+o.capacity, count+o.count, max(most, o.count)
+			}
+		}
+		if lost == 0 {
+			continue // nothing that was planned
+		}
+		if left := p.available(g.capacity - lost); count > most || left < p.demand(g, at, at+1)-checkTolerance {
+			violations = append(violations, fmt.Sprintf("at %d: %d of %d out in %s, %.3g left for %.3g",
+				at, count, g.size, g.location, left, p.demand(g, at, at+1)))
+		}
+	}
+	return violations
+}
