--- a/internal/agent/audit.go
+++ b/internal/agent/audit.go
@@ -13,42 +13,44 @@
 
 var auditBucket = []byte("audit")
 
-const mostRecords = 10_000
+// maxAuditRecords is how many records are kept.
+const maxAuditRecords = 10_000
 
-// AuditRecord is one line of the audit log: who had this agent do what, when. Each carries the hash of the one before.
+// AuditRecord is one record of who had this agent do what. Each has the hash of the one before, so that a changed or a missing record
+// shows. The hash covers the JSON text: names, order and form of the fields are part of the stored chain.
 type AuditRecord struct {
-	Number       int64  `json:"number"`
-	UnixMS       int64  `json:"unix_ms"`
-	Actor        string `json:"who"`
+	Number       int64  `json:"number"`  // from 1, without gaps
+	UnixMS       int64  `json:"unix_ms"` // when, in milliseconds since 1970
+	Actor        string `json:"who"`     // name of the caller's certificate, or of this agent
 	Action       string `json:"what"`
-	PreviousHash string `json:"before"`
-	Hash         string `json:"hash"`
+	PreviousHash string `json:"before"` // Hash of the record before; empty in the first
+	Hash         string `json:"hash"`   // SHA-256 in hex of this record's JSON text with an empty Hash
 }
 
-func (r AuditRecord) sum() string {
+func (r AuditRecord) hash() string {
 	r.Hash = ""
-	text, _ := json.Marshal(r)
+	text, _ := json.Marshal(r) // strings and numbers can't fail
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// AppendAudit adds a record; the oldest go where there are too many.
-func (s *Store) AppendAudit(now time.Time, who, what string) error {
+// AppendAudit appends a record and drops the oldest one beyond maxAuditRecords.
+func (s *Store) AppendAudit(now time.Time, actor, action string) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists(auditBucket)
 		if err != nil {
 			return err
 		}
-		r := AuditRecord{Number: 1, UnixMS: now.UnixMilli(), Actor: who, Action: what}
+		r := AuditRecord{Number: 1, UnixMS: now.UnixMilli(), Actor: actor, Action: action}
 		c := b.Cursor()
 		if _, last := c.Last(); last != nil {
-			var before AuditRecord
-			if err := json.Unmarshal(last, &before); err != nil {
+			var previous AuditRecord
+			if err := json.Unmarshal(last, &previous); err != nil {
 				return fmt.Errorf("audit: %w", ErrCorrupt)
 			}
-			r.Number, r.PreviousHash = before.Number+1, before.Hash
+			r.Number, r.PreviousHash = previous.Number+1, previous.Hash
 		}
-		r.Hash = r.sum()
+		r.Hash = r.hash()
 		text, err := json.Marshal(r)
 		if err != nil {
 			return err
@@ -56,15 +58,15 @@
 		if err := b.Put(binary.BigEndian.AppendUint64(nil, uint64(r.Number)), text); err != nil {
 			return err
 		}
-		if first, _ := c.First(); first != nil && r.Number-int64(binary.BigEndian.Uint64(first)) >= mostRecords {
+		if first, _ := c.First(); first != nil && r.Number-int64(binary.BigEndian.Uint64(first)) >= maxAuditRecords {
 			return b.Delete(first)
 		}
 		return nil
 	})
 }
 
-// Audit gives the records, checked: a gap, a changed record or one that does not follow its predecessor is an error.
-func (s *Store) Audit() (all []AuditRecord, err error) {
+// Audit returns the records, oldest first. It fails where one is missing, was changed, or does not continue the chain of hashes.
+func (s *Store) Audit() (records []AuditRecord, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(auditBucket)
 		if b == nil {
@@ -75,12 +77,17 @@
 			if err := json.Unmarshal(text, &r); err != nil {
 				return fmt.Errorf("audit: a record can't be read: %w", err)
 			}
-			if n := len(all); r.Hash != r.sum() || n > 0 && (r.PreviousHash != all[n-1].Hash || r.Number != all[n-1].Number+1) {
+			if r.Hash != r.hash() || len(records) > 0 && !r.continues(records[len(records)-1]) {
 				return fmt.Errorf("audit: record %d is not what was written", r.Number)
 			}
-			all = append(all, r)
+			records = append(records, r)
 			return nil
 		})
 	})
-	return all, err
+	return records, err
+}
+
+// continues reports whether a record is the next one of the chain.
+func (r AuditRecord) continues(previous AuditRecord) bool {
+	return r.PreviousHash == previous.Hash && r.Number == previous.Number+1
 }
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -1,5 +1,3 @@
-// Package agent looks after the directors of one machine: it keeps prepared and decided changes in a store, puts them in
-// force, reads back what the directors run, and takes up after its own crash. What it decides is in fleet/.
 package agent
 
 import (
@@ -12,36 +10,46 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 
 	"tallyproxy/rollout"
 )
 
+// The state is one value: the CRC-32C of its JSON text, four bytes big-endian, and the text.
 var (
 	stateBucket = []byte("state")
 	stateKey    = []byte("agent")
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ErrCorrupt is of a store whose record is not what was written.
+// lockTimeout is how long a file that another process has open is waited for.
+const lockTimeout = time.Second
+
+var errOtherProcess = errors.New("another agent has it open")
+
+// ErrCorrupt is wrapped by the errors of a store that does not have what was written.
 var ErrCorrupt = errors.New("the record is damaged")
 
-// Store keeps an agent's state in one file. A state that Save has returned for is there after a crash, whole.
+// Store keeps an agent's state and its audit record in one bbolt file. What Save and AppendAudit have returned for is there after a
+// crash, whole. It is safe for concurrent use.
 type Store struct{ db *bbolt.DB }
 
-// OpenStore opens or makes the file; another agent that has it open is an error after a second.
+// OpenStore opens the file or makes it. It fails after a second where another process has the file open, and with ErrCorrupt where the
+// file is damaged.
 func OpenStore(path string) (s *Store, err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // the file is mapped: what was cut off it faults
+	// bbolt maps the file into memory: what is missing of a truncated file is a fault, which must be a panic to be recovered.
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if bad := recover(); bad != nil { // a file that was cut off can fault the library
-			s, err = nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, bad)
+		if cause := recover(); cause != nil {
+			s, err = nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, cause)
 		}
 	}()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, FreelistType: bbolt.FreelistMapType})
-	if errors.Is(err, bbolt.ErrTimeout) {
-		return nil, fmt.Errorf("%s: another agent has it open", path)
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
+	if errors.Is(err, bbolterrors.ErrTimeout) {
+		return nil, fmt.Errorf("%s: %w", path, errOtherProcess)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w: %v", path, ErrCorrupt, err)
+		return nil, fmt.Errorf("%s: %w: %w", path, ErrCorrupt, err)
 	}
 	return &Store{db}, nil
 }
@@ -49,12 +57,12 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Load gives what was saved last; ok is false where nothing was.
-func (s *Store) Load() (state rollout.State, ok bool, err error) {
+// Load returns the state that was saved last; found is false where none was. A state that is not what was saved is ErrCorrupt.
+func (s *Store) Load() (state rollout.State, found bool, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if bad := recover(); bad != nil {
-			err = fmt.Errorf("%w: %v", ErrCorrupt, bad)
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("%w: %v", ErrCorrupt, cause)
 		}
 	}()
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -70,15 +78,15 @@
 			return ErrCorrupt
 		}
 		if err := json.Unmarshal(raw[4:], &state); err != nil {
-			return fmt.Errorf("%w: %v", ErrCorrupt, err)
+			return fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
-		ok = true
+		found = true
 		return nil
 	})
-	return state, ok, err
+	return state, found, err
 }
 
-// Save keeps a state; an error means that the one before is still there.
+// Save stores a state on disk. On an error the state before is still there.
 func (s *Store) Save(state rollout.State) error {
 	text, err := json.Marshal(state)
 	if err != nil {
