--- a/cmd/tallyctl/change.go
+++ b/cmd/tallyctl/change.go
@@ -424,21 +424,3 @@
 	}
 	return b.String()
 }
-
-type checkCommand struct {
-	Script []string `arg:"" optional:"" help:"Operators' scripts to read too."`
-}
-
-// Run reads files.
-func (k *checkCommand) Run(c *command) error {
-	inv, err := c.load()
-	if err != nil {
-		return err
-	}
-	for _, path := range k.Script {
-		if _, err := config.LoadOperator(path); err != nil {
-			return err
-		}
-	}
-	return c.print(inv, func() { fmt.Printf("%d agents, %d directors\n", len(inv.Agents), len(inv.Directors)) })
-}
