--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -18,10 +18,10 @@
 		do   func(*nodeConn)
 		want string
 	}{
-		{"closed without a response", func(*nodeConn) {}, "wholly written"},
+		{"closed without a response", func(*nodeConn) {}, "fully written"},
 		{"closed within a response", func(n *nodeConn) { n.write("a1 data - 9\r\nxyz") }, "response started"},
-		{"closed within another's", func(n *nodeConn) { n.write("a2 data - 9\r\nxyz") }, "wholly written"},
-		{"malformed", func(n *nodeConn) { n.write("rubbish\r\n") }, "wholly written"},
+		{"closed within another's", func(n *nodeConn) { n.write("a2 data - 9\r\nxyz") }, "fully written"},
+		{"malformed", func(n *nodeConn) { n.write("rubbish\r\n") }, "fully written"},
 		{"unchanged without a tag", func(n *nodeConn) { n.write("a1 unchanged - 0\r\n\r\n") }, "response started"},
 	}
 	for _, c := range cases {
@@ -66,7 +66,7 @@
 		n2 := f.accept()
 		n2.expect("want a5")
 		n2.close()
-		expectOutcome(t, a5, "wholly written")
+		expectOutcome(t, a5, "fully written")
 		n.write("a1 moot - 0\r\n\r\na2 moot - 0\r\n\r\na3 moot - 0\r\n\r\n")
 		for _, outcomes := range []chan outcome{a1, a2, a3} {
 			expectOutcome(t, outcomes, "moot 0")
@@ -105,7 +105,7 @@
 	a.Cancel(false)
 	a.Cancel(true)
 	n.expect("never_mind a1")
-	expectOutcome(t, outcomes, "wholly written, cancelled")
+	expectOutcome(t, outcomes, "fully written, cancelled")
 	_, retry := f.send("a1") // a late response to the first must not be taken for its own
 	n2 := f.accept()
 	n2.expect("want a1")
@@ -128,8 +128,8 @@
 	n.expect("want a1")
 	n.expect("want a2")
 	a.Cancel(true)
-	expectOutcome(t, outcomes, "wholly written, cancelled")
-	expectOutcome(t, other, "wholly written")
+	expectOutcome(t, outcomes, "fully written, cancelled")
+	expectOutcome(t, other, "fully written")
 	if _, err := n.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("not reset: %v", err)
 	}
@@ -149,7 +149,7 @@
 		t.Error("ended before the probe was answered")
 	}
 	n.write("a3 well - 0\r\n\r\n")
-	expectOutcome(t, outcomes, "wholly written, cancelled")
+	expectOutcome(t, outcomes, "fully written, cancelled")
 	f.pool.timeouts.CancelConfirm = 1000
 	a, outcomes = f.send("a5")
 	n.expect("want a5")
@@ -158,8 +158,8 @@
 	n.write("a6 full - 0\r\n\r\n")
 	expectOutcome(t, other, "full 0")
 	a.Cancel(true) // this time the probe is not answered
-	expectOutcome(t, outcomes, "wholly written, cancelled")
-	expectOutcome(t, open, "wholly written")
+	expectOutcome(t, outcomes, "fully written, cancelled")
+	expectOutcome(t, open, "fully written")
 	n.expect("never_mind a5")
 	n.expect("there a5")
 	if _, err := n.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
@@ -181,7 +181,7 @@
 		return time.Since(a.sentAt) > timeouts.Connect.Duration()
 	})
 	a.Cancel(false)
-	expectOutcome(t, outcomes, "wholly written, cancelled")
+	expectOutcome(t, outcomes, "fully written, cancelled")
 	_, a2 := f.send("a2")
 	n2 := f.accept()
 	n2.expect("want a2")
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -33,7 +33,7 @@
 	n = f.accept()
 	n.expect("want a1")
 	n.close()
-	expectOutcome(t, outcomes, "wholly written")
+	expectOutcome(t, outcomes, "fully written")
 }
 
 // A connection that is reset while it is dialled says no more of its endpoint than one that is reset when it is open: it is dialled again.
@@ -92,7 +92,7 @@
 func TestStalledResponse(t *testing.T) {
 	cases := []struct{ text, want string }{
 		{"a1 data - 9\r\nxyz", "response started"},
-		{"a1 da", "wholly written"},
+		{"a1 da", "fully written"},
 	}
 	for _, c := range cases {
 		timeouts := testTimeouts
@@ -110,7 +110,7 @@
 		n.expect("want a2")
 		n.write(c.text)
 		expectOutcome(t, a1, c.want)
-		expectOutcome(t, a2, "wholly written")
+		expectOutcome(t, a2, "fully written")
 		if _, err := n.in.ReadByte(); err == nil {
 			t.Error("the connection is still open")
 		}
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -17,7 +17,7 @@
 	ResponseStarted              // the first line of the response was read
 )
 
-var stageNames = [...]string{"not connected", "nothing written", "partly written", "wholly written", "response started"}
+var stageNames = [...]string{"not connected", "nothing written", "partly written", "fully written", "response started"}
 
 // String returns the stage in words.
 func (s Stage) String() string { return stageNames[s] }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -13,9 +13,9 @@
 
 // Request is a request to a node. It must not change once it is sent.
 type Request struct {
-	ID             string // unique among the requests that are open on a connection
-	ContentType    string
-	Object         string
+	ID             string        // unique among the requests that are open on a connection
+	ContentType    string        // the name of the content type
+	Object         string        // the name of the object
 	Part           int           // of the object; the node keeps and fills each part on its own
 	Timeout        time.Duration // how long the node may take; it is sent as at least a millisecond
 	IdempotencyKey string        // the same for all attempts of a request that is idempotent by its key; empty for others
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -48,7 +48,7 @@
 
 // Response is a node's response to a request.
 type Response struct {
-	Status      Status
+	Status      Status        // how the request ended
 	CacheStatus string        // the field n: where the copy came from, or why there is none; empty where not told
 	Body        *bufpool.Body // nil for none; whoever receives the response frees it
 }
