--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -35,8 +35,8 @@
 	if err := os.RemoveAll(dir); err != nil {
 		log.Fatal(err)
 	}
-	spec := fakes.Depot(4, 3)
-	spec.Cold = false
+	spec := fakes.DefaultSpec(4, 3)
+	spec.ColdEdges = false
 	w, err := fakes.New(spec)
 	if err != nil {
 		log.Fatal(err)
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -16,15 +16,15 @@
 )
 
 func main() {
-	spec := fakes.Depot(3, 1)
-	spec.Cold, spec.Parents = false, 1
-	spec.Types = []fakes.Type{{Name: "clip", Aim: 400 * time.Millisecond, Limit: 5 * time.Second, Value: 1,
-		Work: 20 * time.Millisecond, Sigma: 0.5, Share: 1}}
-	spec.Listen = map[string]string{
+	spec := fakes.DefaultSpec(3, 1)
+	spec.ColdEdges, spec.Parents = false, 1
+	spec.ContentTypes = []fakes.ContentType{{Name: "clip", LatencyObjective: 400 * time.Millisecond, Timeout: 5 * time.Second, PriorityWeight: 1,
+		MeanTransfer: 20 * time.Millisecond, Sigma: 0.5, RequestShare: 1}}
+	spec.Addresses = map[string]string{
 		"box-0": "127.0.0.1:9001", "box-1": "127.0.0.1:9002", "box-2": "127.0.0.1:9003", "parent-0": "127.0.0.1:9004",
 		"origin": "127.0.0.1:9005", "channel": "127.0.0.1:8500",
 	}
-	spec.Answered = func(node string, fields map[string]string, answer string) {
+	spec.OnAnswer = func(node string, fields map[string]string, answer string) {
 		words := strings.Fields(answer)
 		slog.Info("answered", "node", node, "asset", fields["asset"], "from", fields["from"], "oldest", fields["oldest"],
 			"word", words[1], "fields", words[2])
@@ -34,16 +34,16 @@
 		slog.Error("failed", "err", err)
 		os.Exit(1)
 	}
-	w.Calls.HandleFunc("/purge", func(_ http.ResponseWriter, r *http.Request) { w.Purge(r.FormValue("id"), 0) })
-	w.Calls.HandleFunc("/kill", func(_ http.ResponseWriter, r *http.Request) {
+	w.ChannelMux.HandleFunc("/purge", func(_ http.ResponseWriter, r *http.Request) { w.Purge(r.FormValue("id"), 0) })
+	w.ChannelMux.HandleFunc("/kill", func(_ http.ResponseWriter, r *http.Request) {
 		if n := w.Node(r.FormValue("name")); n != nil {
-			n.Die()
-			time.AfterFunc(2*time.Second, func() { n.Tell("removed") })
+			n.Kill()
+			time.AfterFunc(2*time.Second, func() { n.Announce("removed") })
 		}
 	})
-	w.Calls.HandleFunc("/start", func(_ http.ResponseWriter, r *http.Request) {
+	w.ChannelMux.HandleFunc("/start", func(_ http.ResponseWriter, r *http.Request) {
 		if n := w.Node(r.FormValue("name")); n != nil {
-			if err := n.Start(); err != nil {
+			if err := n.Restart(); err != nil {
 				slog.Error("not started", "node", n.Name, "err", err)
 			}
 		}
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -67,7 +67,7 @@
 // A dial that nobody answers ends with its timeout though the poll that began it was canceled before: two of them would keep back
 // all later polls.
 func TestDialTimeout(t *testing.T) {
-	listener, err := fakes.Unheard()
+	listener, err := fakes.ListenUnresponsive()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/run_test.go
+++ b/internal/discovery/run_test.go
@@ -114,7 +114,7 @@
 
 // A channel that did not answer even dials is polled soon after it is there again, however many polls hung meanwhile.
 func TestRecoveryFromSilence(t *testing.T) {
-	listener, err := fakes.Unheard()
+	listener, err := fakes.ListenUnresponsive()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/cores.go
+++ b/internal/experiment/cores.go
@@ -133,27 +133,27 @@
 }
 
 func (s *Cores) spec(directors int) (fakes.Spec, error) {
-	spec := fakes.Depot(s.Boxes, directors)
-	spec.Quick, spec.Cold, spec.Link, spec.Objects = true, false, 1e5, 10_000
-	known := map[string]fakes.Type{}
-	for _, t := range spec.Types {
+	spec := fakes.DefaultSpec(s.Boxes, directors)
+	spec.Instant, spec.ColdEdges, spec.LinkCapacity, spec.Objects = true, false, 1e5, 10_000
+	known := map[string]fakes.ContentType{}
+	for _, t := range spec.ContentTypes {
 		known[map[string]string{"thumbnail": "thumbnails", "preview-clip": "clips", "cover-pick": "picks"}[t.Name]] = t
 	}
-	spec.Types = nil
+	spec.ContentTypes = nil
 	sum := 0.0
 	for _, name := range s.Mix {
 		t, ok := known[name]
 		if !ok {
 			return spec, fmt.Errorf("--mix: %q is none of thumbnails, clips, picks", name)
 		}
-		if t.Work = t.Work / 16; t.Name == "cover-pick" { // bytes: about 3 KB, 12 KB, a few
-			t.Work = 16 * time.Microsecond
+		if t.MeanTransfer = t.MeanTransfer / 16; t.Name == "cover-pick" { // bytes: about 3 KB, 12 KB, a few
+			t.MeanTransfer = 16 * time.Microsecond
 		}
-		spec.Types = append(spec.Types, t)
-		sum += t.Share
+		spec.ContentTypes = append(spec.ContentTypes, t)
+		sum += t.RequestShare
 	}
-	for i := range spec.Types {
-		spec.Types[i].Share /= sum
+	for i := range spec.ContentTypes {
+		spec.ContentTypes[i].RequestShare /= sum
 	}
 	return spec, nil
 }
@@ -253,7 +253,7 @@
 		run.DoubleFinal += st.twice
 		run.Wrong += st.wrong
 	}
-	run.Twice = w.Twice()
+	run.Twice = w.RepeatedInstantEffects()
 	run.Rate = math.Round(float64(fulfilled) / s.Seconds.Seconds())
 	ms := func(q float64) float64 { return float64(hist.ValueAtQuantile(q)) / 1000 }
 	run.P50, run.P99, run.P999 = ms(50), ms(99), ms(99.9)
--- a/internal/experiment/cores_test.go
+++ b/internal/experiment/cores_test.go
@@ -84,7 +84,7 @@
 func TestSameOnTwoCores(t *testing.T) {
 	b := newBed(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
 	for _, n := range b.Nodes {
-		n.Do(fakes.Well, 20) // so that both are open together
+		n.SetFault(fakes.FaultNone, 20) // so that both are open together
 	}
 	for round := range 5 {
 		words := make([]string, 2)
@@ -94,7 +94,7 @@
 			c.Rand = rand.New(rand.NewPCG(7, uint64(round))) // the same ids
 			all.Go(func() {
 				defer c.Close()
-				words[i], _, _, _ = c.Ask(t.Context(), b.Object(&b.Types[1], round), 5*time.Second, false, "")
+				words[i], _, _, _ = c.Attempt(t.Context(), b.Object(&b.ContentTypes[1], round), 5*time.Second, false, "")
 			})
 		}
 		all.Wait()
@@ -112,14 +112,14 @@
 		c.Rand = rand.New(rand.NewPCG(rand.Uint64(), 1))
 		all.Go(func() {
 			defer c.Close()
-			c.Ask(t.Context(), b.Object(&b.Types[2], 1), 3*time.Second, false, key)
+			c.Attempt(t.Context(), b.Object(&b.ContentTypes[2], 1), 3*time.Second, false, key)
 		})
 	}
 	all.Wait()
-	if n := b.Effect(key); n != 1 {
+	if n := b.EffectCount(key); n != 1 {
 		t.Errorf("%d effects", n)
 	}
-	if r := b.Broken(); r.Together > 0 {
+	if r := b.Violations(); r.ConcurrentAttempts > 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -128,14 +128,14 @@
 func TestFloodOnOneCore(t *testing.T) {
 	b := newBed(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
 	ctx, leave := context.WithCancel(t.Context())
-	flood := newStream(b.World, b.d.Addr, 32, 0, 1)
+	flood := newStream(b.Cluster, b.d.Addr, 32, 0, 1)
 	var all sync.WaitGroup
 	all.Go(func() { flood.run(ctx, time.Now()) })
 	for i := range 40 {
 		c := b.client()
 		c.Rand = rand.New(rand.NewPCG(uint64(i), 9))
 		begun := time.Now()
-		word, _, _, err := c.Ask(ctx, b.Object(&b.Types[0], i), 3*time.Second, false, "")
+		word, _, _, err := c.Attempt(ctx, b.Object(&b.ContentTypes[0], i), 3*time.Second, false, "")
 		if err != nil || time.Since(begun) > 2*time.Second {
 			t.Errorf("client %d: %s, %v after %v", i, word, err, time.Since(begun))
 		}
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -20,7 +20,7 @@
 
 // Fleet is a fleet on loopback: an authority, an inventory, agents in this process and directors as processes of their own.
 type Fleet struct {
-	World     *fakes.World
+	World     *fakes.Cluster
 	Dir       string
 	Inventory *config.Inventory
 	Keys      string
@@ -36,7 +36,7 @@
 
 // NewFleet writes all that a fleet of so many agents with so many directors each needs into a folder. Argv starts a director.
 // With peers they know each other.
-func NewFleet(w *fakes.World, dir string, agents, each int, argv []string, script string, peers bool) (*Fleet, error) {
+func NewFleet(w *fakes.Cluster, dir string, agents, each int, argv []string, script string, peers bool) (*Fleet, error) {
 	f := &Fleet{World: w, Dir: dir, Keys: filepath.Join(dir, "keys"), agents: map[string]*runningAgent{}}
 	now := time.Now()
 	if err := authority.Init(f.Keys, "lab", now); err != nil {
--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -25,8 +25,8 @@
 )
 
 func newFleet(t *testing.T, agents, each int) (*Fleet, *ctl.Fleet) {
-	spec := fakes.Depot(4, agents*each)
-	spec.Cold = false
+	spec := fakes.DefaultSpec(4, agents*each)
+	spec.ColdEdges = false
 	w, err := fakes.New(spec)
 	if err != nil {
 		t.Fatal(err)
@@ -485,13 +485,13 @@
 	zipf := fakes.NewZipf(200, 1)
 	for i, d := range f.Inventory.Directors {
 		c := &fakes.Client{
-			W: f.World, Targets: []*fakes.Target{{Addr: listenOf(t, d.PlatformFile)}}, Retries: 5, Wait: 50 * time.Millisecond,
+			Cluster: f.World, Targets: []*fakes.Target{{Addr: listenOf(t, d.PlatformFile)}}, MaxRetries: 5, RetryPause: 50 * time.Millisecond,
 			Rand: newRand(uint64(i)), Zipf: zipf,
 		}
-		all.Go(func() { c.Live(ctx, 0, 20*time.Millisecond) })
+		all.Go(func() { c.Run(ctx, 0, 20*time.Millisecond) })
 	}
 	box := f.World.Node("box-0")
-	for end := time.Now().Add(20 * time.Second); box.Asked() < 20; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); box.RequestCount() < 20; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the box has no share")
 		}
@@ -509,16 +509,16 @@
 		t.Fatalf("%+v, %v", r, err)
 	}
 	time.Sleep(time.Second)
-	before := box.Asked()
+	before := box.RequestCount()
 	time.Sleep(time.Second)
-	if n := box.Asked(); n != before {
+	if n := box.RequestCount(); n != before {
 		t.Errorf("%d more reached the box", n-before)
 	}
 	leave()
 	all.Wait()
-	f.World.Clients.Do(func(b *fakes.Book) {
-		if b.Lost+b.Twice+b.Wrong > 0 || len(b.Downloads) == 0 {
-			t.Errorf("%d lost %v, %d twice, of %d", b.Lost, b.LostHow, b.Twice, len(b.Downloads))
+	f.World.Clients.WithLock(func(b *fakes.ClientStats) {
+		if b.Lost+b.Duplicates+b.WrongBodies > 0 || len(b.Requests) == 0 {
+			t.Errorf("%d lost %v, %d twice, of %d", b.Lost, b.LostReasons, b.Duplicates, len(b.Requests))
 		}
 	})
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -17,7 +17,7 @@
 
 // stream is one connection that asks for one download after another, many at a time, and checks what it gets.
 type stream struct {
-	w       *fakes.World
+	w       *fakes.Cluster
 	addr    string
 	depth   int           // asked for together
 	every   time.Duration // between one download and the next; 0: the next as soon as one ends
@@ -38,19 +38,19 @@
 	due    time.Time // when it was to be sent
 }
 
-func newStream(w *fakes.World, addr string, depth int, every time.Duration, seed uint64) *stream {
+func newStream(w *fakes.Cluster, addr string, depth int, every time.Duration, seed uint64) *stream {
 	return &stream{
 		w: w, addr: addr, depth: depth, every: every, rand: rand.New(rand.NewPCG(seed, 3)),
-		zipf: fakes.NewZipf(w.Objects, w.Zipf), open: map[int]asked{}, hist: hdrhistogram.New(1, 10_000_000, 3),
+		zipf: fakes.NewZipf(w.Objects, w.ZipfExponent), open: map[int]asked{}, hist: hdrhistogram.New(1, 10_000_000, 3),
 	}
 }
 
 // ask words the next download, due at a time.
 func (s *stream) ask(due time.Time) {
-	o := s.w.Draw(s.rand, s.zipf)
+	o := s.w.DrawObject(s.rand, s.zipf)
 	s.tag++
-	fields := fmt.Sprintf("txn=%016x,limit=%d,item=%s,n=0,shard=%d", s.rand.Uint64(), o.Type.Limit.Milliseconds(), o.ID, o.Group)
-	if o.Type.Deduped {
+	fields := fmt.Sprintf("txn=%016x,limit=%d,item=%s,n=0,shard=%d", s.rand.Uint64(), o.Type.Timeout.Milliseconds(), o.ID, o.Group)
+	if o.Type.IdempotentWithKey {
 		fields += fmt.Sprintf(",unique=%016x%016x", s.rand.Uint64(), s.rand.Uint64())
 	}
 	s.out = redcon.AppendArray(s.out, 4)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -30,7 +30,7 @@
 func floats(series []int) []float64 {
 	out := make([]float64, len(series))
 	for i, n := range series {
-		out[i] = float64(n) / fakes.Bucket.Seconds()
+		out[i] = float64(n) / fakes.SeriesInterval.Seconds()
 	}
 	return out
 }
@@ -77,7 +77,7 @@
 		for _, l := range of.lines {
 			xy := make(plotter.XYs, len(l.points))
 			for j, v := range l.points {
-				if xy[j].X, xy[j].Y = float64(j)*fakes.Bucket.Seconds(), v; of.at != nil {
+				if xy[j].X, xy[j].Y = float64(j)*fakes.SeriesInterval.Seconds(), v; of.at != nil {
 					xy[j].X = of.at[j]
 				}
 			}
--- a/internal/experiment/start.go
+++ b/internal/experiment/start.go
@@ -166,7 +166,7 @@
 		return run, err
 	}
 	w := r.World
-	w.Limit(s.capacity())
+	w.SetChannelCapacity(s.capacity())
 	begun := w.Now()
 	failed := r.Start(ctx)
 	defer func() {
@@ -188,22 +188,22 @@
 		return e.Event == logevent.GossipReceived || e.Event == logevent.DiscoveryEvents && e.Of["events"] != "0"
 	}
 	box := func(status string) func() {
-		return func() { w.Nodes[0].Tell(status) }
+		return func() { w.Nodes[0].Announce(status) }
 	}
-	away := func(how fakes.Service, back int, then func()) func() {
-		return func() { w.Serve(how, back); then() }
+	away := func(how fakes.ChannelMode, back int, then func()) func() {
+		return func() { w.SetChannelMode(how, back); then() }
 	}
 	back := func() {
-		w.Serve(fakes.Serving, 0)
+		w.SetChannelMode(fakes.ChannelServing, 0)
 		news = append(news, told{time.Now(), listed, &run.List})
 	}
 	phases := []phase{{"start", nil}, {"calm", func() {}}}
 	for _, f := range s.Faults {
 		phases = append(phases, map[string][]phase{
-			"away":  {{"away", away(fakes.Short, 0, box("draining"))}, {"back", back}},
-			"retry": {{"away, come back in 5 s", away(fakes.Short, 5, box("up"))}, {"back", back}},
-			"hangs": {{"hangs", away(fakes.Hanging, 0, box("draining"))}, {"back", back}},
-			"half":  {{"half answers", away(fakes.Halving, 0, box("up"))}, {"back", back}},
+			"away":  {{"away", away(fakes.ChannelUnavailable, 0, box("draining"))}, {"back", back}},
+			"retry": {{"away, come back in 5 s", away(fakes.ChannelUnavailable, 5, box("up"))}, {"back", back}},
+			"hangs": {{"hangs", away(fakes.ChannelHanging, 0, box("draining"))}, {"back", back}},
+			"half":  {{"half answers", away(fakes.ChannelTruncating, 0, box("up"))}, {"back", back}},
 			"event": {{"an event", func() { news = append(news, told{time.Now(), purged, &run.Event}); w.Purge("", 1) }}},
 			"events": {{"an event every 200 ms", func() {
 				for range int(s.Phase / (200 * time.Millisecond)) {
@@ -221,7 +221,7 @@
 			p.do()
 		}
 		fakes.Sleep(ctx, s.Phase-(w.Now()-from))
-		run.Phases = append(run.Phases, measure(p.name, w.Called(), from, w.Now(), n))
+		run.Phases = append(run.Phases, measure(p.name, w.ChannelCalls(), from, w.Now(), n))
 	}
 	run.over()
 	entries := r.History.Entries()
@@ -271,13 +271,13 @@
 }
 
 // capacity is what the list service can do.
-func (s *Start) capacity() fakes.Capacity {
-	c := fakes.Capacity{Most: s.Patience}
+func (s *Start) capacity() fakes.ChannelCapacity {
+	c := fakes.ChannelCapacity{MaxWait: s.Patience}
 	if s.Service > 0 {
-		c.Call = time.Duration(float64(time.Second) / s.Service)
+		c.PerCall = time.Duration(float64(time.Second) / s.Service)
 	}
 	if s.Lines > 0 {
-		c.Line = time.Duration(float64(time.Second) / s.Lines)
+		c.PerEvent = time.Duration(float64(time.Second) / s.Lines)
 	}
 	return c
 }
@@ -290,19 +290,19 @@
 	}
 	o, err := faulttest.Run(ctx, faulttest.Spec{
 		Argv: s.Argv, Alone: alone, Boxes: s.Boxes, Clients: s.Clients, Load: s.Load, After: 3 * s.Phase / 2, Log: s.Log,
-		Early: true, Before: func(r *faulttest.Rig) { r.World.Limit(s.capacity()) },
+		Early: true, Before: func(r *faulttest.Rig) { r.World.SetChannelCapacity(s.capacity()) },
 	}, schedule, nil)
 	return Cold{o.Rules() + o.PartsOver, o.Lost, o.Fallen, bit(o.Unended), o.Asked, o.Share, o.Recovery, o.ColdPeak}, err
 }
 
 // measure counts the calls of a phase.
-func measure(name string, calls []fakes.Call, from, to time.Duration, n int) Phase {
+func measure(name string, calls []fakes.ChannelCall, from, to time.Duration, n int) Phase {
 	p := Phase{Name: name}
 	var at []time.Duration
 	for _, c := range calls {
 		if c.At >= from && c.At < to {
 			at = append(at, c.At)
-			p.Away += bit(c.Turned)
+			p.Away += bit(c.Refused)
 		}
 	}
 	slices.Sort(at)
--- a/internal/experiment/start_test.go
+++ b/internal/experiment/start_test.go
@@ -49,8 +49,8 @@
 func TestStartSimulated(t *testing.T) {
 	calls := map[int]float64{}
 	for _, n := range []int{100, 300} {
-		alone, few := simulateStart(n, true, 5, fakes.Capacity{}, 2*time.Second), simulateStart(n, false, 5, fakes.Capacity{}, 2*time.Second)
-		if again := simulateStart(n, false, 5, fakes.Capacity{}, 2*time.Second); again.Event != few.Event || again.Phases[0] != few.Phases[0] {
+		alone, few := simulateStart(n, true, 5, fakes.ChannelCapacity{}, 2*time.Second), simulateStart(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second)
+		if again := simulateStart(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second); again.Event != few.Event || again.Phases[0] != few.Phases[0] {
 			t.Errorf("played again: %+v, before %+v", again, few)
 		}
 		if few.Unknown+alone.Unknown > 0 || few.Event > 300 || few.List > 3000 {
--- a/internal/experiment/startsim.go
+++ b/internal/experiment/startsim.go
@@ -27,13 +27,13 @@
 	events  startEvents
 	seq     int
 	serving bool
-	able    fakes.Capacity
+	able    fakes.ChannelCapacity
 	busy    d.Micros
 	news    int      // events that the channel has
 	lists   int      // version of its list
 	told    d.Micros // when the last event came
 	waiting map[int]func()
-	calls   []fakes.Call
+	calls   []fakes.ChannelCall
 	rows    []relays.Endpoint // of the version at hand
 	of      int
 	alone   bool
@@ -84,7 +84,7 @@
 const simAtOnce = 4 // as peering sends words on
 
 // newStartSim makes a fleet of so many in locations of about so many.
-func newStartSim(n, location int, alone bool, seed uint64, able fakes.Capacity) *startSim {
+func newStartSim(n, location int, alone bool, seed uint64, able fakes.ChannelCapacity) *startSim {
 	s := &startSim{now: d.Second, r: rand.New(rand.NewPCG(seed, 3)), byName: map[string]int{}, serving: true, able: able, waiting: map[int]func(){},
 		news: 1, lists: 1, alone: alone}
 	settings := d.Settings{ConnectTimeout: 400_000, PurgePropagation: 500_000, PurgeRetention: 6 * d.Second}
@@ -208,7 +208,7 @@
 		return
 	}
 	began := s.now
-	s.calls = append(s.calls, fakes.Call{At: span(s.now)})
+	s.calls = append(s.calls, fakes.ChannelCall{At: span(s.now)})
 	number := len(s.calls) - 1
 	end := func(how backoff.PollResult) {
 		pause, wait := dir.caller.Next(how, 0, 0)
@@ -218,7 +218,7 @@
 	answer := func() {
 		takes, can := s.work(s.news - dir.cursor)
 		if !can {
-			s.calls[number].Turned = true
+			s.calls[number].Refused = true
 			s.after(s.delay(), func() { end(backoff.Unavailable) })
 			return
 		}
@@ -239,7 +239,7 @@
 	s.after(s.delay(), func() {
 		switch {
 		case !s.serving:
-			s.calls[number].Turned = true
+			s.calls[number].Refused = true
 			s.after(s.delay(), func() { end(backoff.Unavailable) })
 		case s.news > dir.cursor:
 			answer()
@@ -260,8 +260,8 @@
 
 // work books an answer with so many events, and says how long it takes; false where the channel turns the call away.
 func (s *startSim) work(lines int) (d.Micros, bool) {
-	takes := micros(s.able.Call) + d.Micros(lines)*micros(s.able.Line)
-	if !s.serving || takes > 0 && max(s.now, s.busy)+takes-s.now > micros(s.able.Most) {
+	takes := micros(s.able.PerCall) + d.Micros(lines)*micros(s.able.PerEvent)
+	if !s.serving || takes > 0 && max(s.now, s.busy)+takes-s.now > micros(s.able.MaxWait) {
 		return 0, false
 	}
 	if takes > 0 {
@@ -303,7 +303,7 @@
 }
 
 // simulateStart plays the phases of a start, as Start.play does with processes.
-func simulateStart(n int, alone bool, seed uint64, able fakes.Capacity, phase time.Duration) StartRun {
+func simulateStart(n int, alone bool, seed uint64, able fakes.ChannelCapacity, phase time.Duration) StartRun {
 	run := StartRun{Directors: n, Alone: alone, Simulated: true}
 	s := newStartSim(n, simLocation, alone, seed, able)
 	know := func(from d.Micros, when func(*simDirector) (d.Micros, bool)) float64 {
--- a/internal/experiment/storm.go
+++ b/internal/experiment/storm.go
@@ -170,16 +170,16 @@
 
 // Play plays it. An error is for what could not be played; broken rules stand in the result.
 func (s *Storm) Play(ctx context.Context) (r Result, err error) {
-	spec := fakes.Depot(s.Boxes, s.Directors)
-	spec.Seed, spec.Cold, spec.ColdParents = s.Seed, s.Day == "storm", s.Day == "storm"
+	spec := fakes.DefaultSpec(s.Boxes, s.Directors)
+	spec.Seed, spec.ColdEdges, spec.ColdParents = s.Seed, s.Day == "storm", s.Day == "storm"
 	w, err := fakes.New(spec)
 	if err != nil {
 		return r, err
 	}
 	defer w.Close()
-	zipf := fakes.NewZipf(spec.Objects, spec.Zipf)
+	zipf := fakes.NewZipf(spec.Objects, spec.ZipfExponent)
 	if s.Day != "storm" {
-		w.Stock()
+		w.PrefillCaches()
 	}
 	folder, err := os.MkdirTemp("", "tallybench")
 	if err != nil {
@@ -226,7 +226,7 @@
 	var all sync.WaitGroup
 	s.crowd(ctx, w, targets, zipf, begin, &all)
 	all.Go(func() { s.troubles(ctx, w, directors, zipf, begin, targets, &all) })
-	for tick := time.NewTicker(fakes.Bucket); ctx.Err() == nil; {
+	for tick := time.NewTicker(fakes.SeriesInterval); ctx.Err() == nil; {
 		select {
 		case <-tick.C:
 			r.Series.Load = append(r.Series.Load, peak(w))
@@ -239,9 +239,9 @@
 	return r, nil
 }
 
-func peak(w *fakes.World) (load float64) {
+func peak(w *fakes.Cluster) (load float64) {
 	for _, n := range w.Nodes {
-		if p, _ := n.Peak(); n.Kind != fakes.Origin {
+		if p, _ := n.PeakLoad(); n.Kind != fakes.Origin {
 			load = max(load, p)
 		}
 	}
@@ -249,14 +249,14 @@
 }
 
 // crowd starts the clients.
-func (s *Storm) crowd(ctx context.Context, w *fakes.World, targets []*fakes.Target, zipf *fakes.Zipf,
+func (s *Storm) crowd(ctx context.Context, w *fakes.Cluster, targets []*fakes.Target, zipf *fakes.Zipf,
 	begin time.Duration, all *sync.WaitGroup) {
 	r := rand.New(rand.NewPCG(s.Seed, 11))
 	mean := 0.0
-	for _, t := range w.Types {
-		mean += t.Share * t.Work.Seconds()
+	for _, t := range w.ContentTypes {
+		mean += t.RequestShare * t.MeanTransfer.Seconds()
 	}
-	rate := s.Load * w.Box * float64(s.Boxes) / mean
+	rate := s.Load * w.CacheCapacity * float64(s.Boxes) / mean
 	think := time.Duration(float64(s.Clients) / rate * float64(time.Second))
 	within := s.Within
 	if s.Day != "storm" {
@@ -264,33 +264,33 @@
 	}
 	for i := range s.Clients {
 		c := s.client(i, w, targets, zipf)
-		if c.Ignores = r.Float64() < s.Ignore; r.Float64() < s.Unmarked {
-			c.Unmarked = true
+		if c.IgnoreRetryAfter = r.Float64() < s.Ignore; r.Float64() < s.Unmarked {
+			c.UnmarkedRetries = true
 		}
 		at := begin + time.Duration(r.Float64()*float64(within))
 		all.Go(func() {
 			if s.Day == "popular" {
 				c.Zipf = fakes.NewZipf(2, 3) // one object is most of what is asked for
 			}
-			c.Live(ctx, at, think)
+			c.Run(ctx, at, think)
 		})
 	}
 	for i := range s.Silent {
 		c := s.client(s.Clients+i, w, targets, zipf)
-		all.Go(func() { c.Sit(ctx) })
+		all.Go(func() { c.Idle(ctx) })
 	}
 }
 
-func (s *Storm) client(i int, w *fakes.World, targets []*fakes.Target, zipf *fakes.Zipf) *fakes.Client {
+func (s *Storm) client(i int, w *fakes.Cluster, targets []*fakes.Target, zipf *fakes.Zipf) *fakes.Client {
 	home := i % len(targets)
 	return &fakes.Client{
-		W: w, Targets: targets, Target: home, From: fmt.Sprintf("127.1.%d.%d", i/250%250, 1+i%250),
-		Retries: s.Retries, Wait: s.Wait, Rand: rand.New(rand.NewPCG(s.Seed, uint64(i)+100)), Zipf: zipf,
+		Cluster: w, Targets: targets, Current: home, LocalAddress: fmt.Sprintf("127.1.%d.%d", i/250%250, 1+i%250),
+		MaxRetries: s.Retries, RetryPause: s.Wait, Rand: rand.New(rand.NewPCG(s.Seed, uint64(i)+100)), Zipf: zipf,
 	}
 }
 
 // troubles plays what goes wrong.
-func (s *Storm) troubles(ctx context.Context, w *fakes.World, directors []*faulttest.Director, zipf *fakes.Zipf,
+func (s *Storm) troubles(ctx context.Context, w *fakes.Cluster, directors []*faulttest.Director, zipf *fakes.Zipf,
 	begin time.Duration, targets []*fakes.Target, all *sync.WaitGroup) {
 	at := func(d time.Duration, do func()) {
 		all.Go(func() {
@@ -304,8 +304,8 @@
 	for _, t := range s.Trouble {
 		switch t {
 		case "drain":
-			at(1500*time.Millisecond, func() { w.Nodes[0].Tell("draining") })
-			at(6*time.Second, func() { w.Nodes[0].Tell("removed"); w.Nodes[0].Die() })
+			at(1500*time.Millisecond, func() { w.Nodes[0].Announce("draining") })
+			at(6*time.Second, func() { w.Nodes[0].Announce("removed"); w.Nodes[0].Kill() })
 		case "purge":
 			for i := range 128 {
 				at(1500*time.Millisecond+time.Duration(i)*10*time.Millisecond, func() { w.Purge("", 2*i) })
@@ -314,7 +314,7 @@
 			stopped := directors[0]
 			at(2*time.Second, func() { stopped.Pause(true) })
 			at(2*time.Second+s.Pause/4, func() {
-				w.Nodes[0].Tell("draining")
+				w.Nodes[0].Announce("draining")
 				for i := range 128 {
 					w.Purge("", 2*i)
 				}
@@ -333,72 +333,72 @@
 				at(time.Duration(i+1)*time.Second, func() { directors[0].Signal(syscall.SIGHUP) })
 			}
 		case "die":
-			at(3*time.Second, func() { w.Nodes[1].Die() })
-			at(6*time.Second, func() { w.Nodes[1].Start() })
+			at(3*time.Second, func() { w.Nodes[1].Kill() })
+			at(6*time.Second, func() { w.Nodes[1].Restart() })
 		case "turnover": // a box that is announced and withdrawn again and again
 			for i := range int(s.Duration / (100 * time.Millisecond)) {
 				status := []string{"draining", "up"}[i%2]
-				at(time.Duration(i+5)*100*time.Millisecond, func() { w.Nodes[3%s.Boxes].Tell(status) })
+				at(time.Duration(i+5)*100*time.Millisecond, func() { w.Nodes[3%s.Boxes].Announce(status) })
 			}
 		case "mute", "spoil", "reset": // one box for two seconds
-			trouble := map[string]fakes.Trouble{"mute": fakes.Mute, "spoil": fakes.Spoils, "reset": fakes.Resets}[t]
+			trouble := map[string]fakes.Fault{"mute": fakes.FaultNoAnswer, "spoil": fakes.FaultMalformed, "reset": fakes.FaultReset}[t]
 			n := map[string]int{"mute": 0, "spoil": 2, "reset": 4}[t] % s.Boxes
-			at(2*time.Second, func() { w.Nodes[n].Do(trouble, 1) })
-			at(4*time.Second, func() { w.Nodes[n].Do(fakes.Well, 1) })
+			at(2*time.Second, func() { w.Nodes[n].SetFault(trouble, 1) })
+			at(4*time.Second, func() { w.Nodes[n].SetFault(fakes.FaultNone, 1) })
 		case "slow":
-			at(2*time.Second, func() { w.Nodes[2%s.Boxes].Do(fakes.Well, 4) })
+			at(2*time.Second, func() { w.Nodes[2%s.Boxes].SetFault(fakes.FaultNone, 4) })
 		case "second":
 			for i := range s.Clients / 2 {
 				c := s.client(s.Clients+s.Silent+i, w, targets, zipf)
-				all.Go(func() { c.Live(ctx, begin+s.Duration/3, s.Duration) })
+				all.Go(func() { c.Run(ctx, begin+s.Duration/3, s.Duration) })
 			}
 		}
 	}
 }
 
 // sum makes the report of the books.
-func (s *Storm) sum(w *fakes.World, begin time.Duration, r *Result) {
+func (s *Storm) sum(w *fakes.Cluster, begin time.Duration, r *Result) {
 	r.Clients, r.SettleMS = s.Clients, -1
-	b := w.Broken()
-	r.EffectsTwice, r.BoxesFallen, r.DrainsBroken, r.Together = b.Effects, b.Fallen, b.Drains, b.Together
+	b := w.Violations()
+	r.EffectsTwice, r.BoxesFallen, r.DrainsBroken, r.Together = b.RepeatedEffects, b.OverloadedNodes, b.DrainedUses, b.ConcurrentAttempts
 	r.PeakLoad = peak(w)
-	w.Clients.Do(func(book *fakes.Book) {
-		r.Lost, r.DoubleFinal, r.Wrong, r.PurgesBroken = book.Lost, book.Twice, book.Wrong, book.Old
-		r.Answered = book.Answered
-		r.KilledTries, r.EarlyTries, r.LostPaused = book.Killed, book.Early, book.Paused
-		r.Series.Asked, r.Series.Advised, r.Series.Served = book.Asked, book.Advised, book.Served
-		if len(book.LostHow) > 0 {
-			r.Book = fmt.Sprint(book.LostHow)
+	w.Clients.WithLock(func(book *fakes.ClientStats) {
+		r.Lost, r.DoubleFinal, r.Wrong, r.PurgesBroken = book.Lost, book.Duplicates, book.WrongBodies, book.StaleCopies
+		r.Answered = book.FirstAnswered
+		r.KilledTries, r.EarlyTries, r.LostPaused = book.LostToKills, book.EarlyRetries, book.LostToPauses
+		r.Series.Asked, r.Series.Advised, r.Series.Served = book.AttemptSeries, book.RetryAfterSeries, book.SuccessSeries
+		if len(book.LostReasons) > 0 {
+			r.Book = fmt.Sprint(book.LostReasons)
 		}
 		const window = time.Second
 		var begun, met []int
 		asked, had, done := 0.0, 0.0, 0.0
 		served := [2][2]int{}
-		for _, dl := range book.Downloads {
+		for _, dl := range book.Requests {
 			r.Asked++
-			r.Tries += dl.Tries
-			asked += dl.Type.Value
-			served[bit(dl.Ignores)][1]++
-			at := int(max(0, dl.Began-begin) / window)
+			r.Tries += dl.Attempts
+			asked += dl.ContentType.PriorityWeight
+			served[bit(dl.IgnoresRetryAfter)][1]++
+			at := int(max(0, dl.StartedAt-begin) / window)
 			for len(begun) <= at {
 				begun, met = append(begun, 0), append(met, 0)
 			}
 			begun[at]++
 			switch {
-			case dl.Fulfilled:
+			case dl.Succeeded:
 				met[at]++
 				r.Fulfilled++
-				if dl.Began+dl.Took < begin+10*time.Second {
-					done += dl.Work
+				if dl.StartedAt+dl.Duration < begin+10*time.Second {
+					done += dl.TransferMicros
 				}
-				served[bit(dl.Ignores)][0]++
-				target := dl.Type.Aim + time.Duration(dl.Type.Stretch*float64(dl.Type.Work))
-				if had += dl.Type.Value; dl.Took > target {
-					had -= 0.9 * dl.Type.Value
+				served[bit(dl.IgnoresRetryAfter)][0]++
+				target := dl.ContentType.LatencyObjective + time.Duration(dl.ContentType.TransferFactor*float64(dl.ContentType.MeanTransfer))
+				if had += dl.ContentType.PriorityWeight; dl.Duration > target {
+					had -= 0.9 * dl.ContentType.PriorityWeight
 				}
-			case dl.Last == "503":
+			case dl.LastStatus == "503":
 				r.Throttled++
-			case dl.Last == "":
+			case dl.LastStatus == "":
 				r.Unanswered++
 			default:
 				r.Abandoned++
@@ -412,7 +412,7 @@
 				r.SettleMS = int64(i) * window.Milliseconds()
 			}
 		}
-		r.Used = share(done, w.Able(begin, begin+10*time.Second))
+		r.Used = share(done, w.EdgeWork(begin, begin+10*time.Second))
 		r.BenefitShare = share(had, asked)
 		r.WastedShare = share(float64(r.Tries-r.Fulfilled), float64(r.Tries))
 		r.HeedersServed = share(float64(served[0][0]), float64(served[0][1]))
--- a/internal/experiment/storm_test.go
+++ b/internal/experiment/storm_test.go
@@ -112,14 +112,14 @@
 
 // bed is a world with one director for single downloads.
 type bed struct {
-	*fakes.World
+	*fakes.Cluster
 	d *faulttest.Director
 	c *fakes.Client
 }
 
 func newBed(t *testing.T, change func(*fakes.Spec), script string) *bed {
-	spec := fakes.Depot(2, 1)
-	spec.Cold, spec.Parents = false, 1
+	spec := fakes.DefaultSpec(2, 1)
+	spec.ColdEdges, spec.Parents = false, 1
 	change(&spec)
 	w, err := fakes.New(spec)
 	if err != nil {
@@ -139,14 +139,14 @@
 			t.Errorf("%v\n%s", err, log.String())
 		}
 	})
-	b := &bed{World: w, d: d}
+	b := &bed{Cluster: w, d: d}
 	b.c = b.client()
 	return b
 }
 
 func (b *bed) client() *fakes.Client {
 	return &fakes.Client{
-		W: b.World, Targets: []*fakes.Target{&b.d.Target}, Retries: 5, Wait: 50 * time.Millisecond,
+		Cluster: b.Cluster, Targets: []*fakes.Target{&b.d.Target}, MaxRetries: 5, RetryPause: 50 * time.Millisecond,
 		Rand: rand.New(rand.NewPCG(1, uint64(b.Now()))), Zipf: fakes.NewZipf(10, 1),
 	}
 }
@@ -154,8 +154,8 @@
 // A cover pick whose pull ran but whose answer was lost: repeated inside its window it has its effect once, repeated after
 // more than 3 s, on another connection, it is given up and has no second effect.
 func TestCoverPickRepeatedLate(t *testing.T) {
-	b := newBed(t, func(s *fakes.Spec) { s.Types[2].Limit = 20 * time.Second }, "")
-	pick := &b.Types[2]
+	b := newBed(t, func(s *fakes.Spec) { s.ContentTypes[2].Timeout = 20 * time.Second }, "")
+	pick := &b.ContentTypes[2]
 	for i, x := range []struct {
 		after time.Duration
 		want  string
@@ -164,20 +164,20 @@
 		ctx, leave := context.WithCancel(t.Context())
 		first := b.client()
 		go func() { // it leaves before the answer, which takes as long as the origin's
-			for b.Effect(key) == 0 && ctx.Err() == nil {
+			for b.EffectCount(key) == 0 && ctx.Err() == nil {
 				time.Sleep(time.Millisecond)
 			}
 			leave()
 		}()
 		first.Connect(ctx)
-		first.Ask(ctx, b.Object(pick, i), 10*time.Second, false, key)
-		if b.Effect(key) != 1 {
-			t.Fatalf("key %d: %d effects of the first try", i, b.Effect(key))
+		first.Attempt(ctx, b.Object(pick, i), 10*time.Second, false, key)
+		if b.EffectCount(key) != 1 {
+			t.Fatalf("key %d: %d effects of the first try", i, b.EffectCount(key))
 		}
 		time.Sleep(x.after)
-		word, _, _, err := b.client().Ask(t.Context(), b.Object(pick, i), 5*time.Second, true, key)
-		if err != nil || word != x.want || b.Effect(key) != 1 {
-			t.Errorf("repeated after %v: %s, %v; %d effects", x.after, word, err, b.Effect(key))
+		word, _, _, err := b.client().Attempt(t.Context(), b.Object(pick, i), 5*time.Second, true, key)
+		if err != nil || word != x.want || b.EffectCount(key) != 1 {
+			t.Errorf("repeated after %v: %s, %v; %d effects", x.after, word, err, b.EffectCount(key))
 		}
 	}
 }
@@ -187,16 +187,16 @@
 func TestUnknownToAllNodes(t *testing.T) {
 	b := newBed(t, func(*fakes.Spec) {}, "")
 	for _, n := range b.Nodes {
-		n.Do(fakes.Errs, 1)
+		n.SetFault(fakes.FaultError, 1)
 	}
 	asked := func() (n int) {
 		for _, x := range b.Nodes {
-			n += x.Asked()
+			n += x.RequestCount()
 		}
 		return n
 	}
 	for i := range 100 {
-		if word, _, _, err := b.c.Ask(t.Context(), b.Object(&b.Types[0], i), time.Second, false, ""); err != nil || word != "503" {
+		if word, _, _, err := b.c.Attempt(t.Context(), b.Object(&b.ContentTypes[0], i), time.Second, false, ""); err != nil || word != "503" {
 			t.Errorf("download %d: %s, %v", i, word, err)
 		}
 	}
@@ -204,10 +204,10 @@
 		t.Errorf("100 downloads cost %d pulls", n)
 	}
 	for _, n := range b.Nodes {
-		n.Do(fakes.Well, 1)
+		n.SetFault(fakes.FaultNone, 1)
 	}
 	time.Sleep(1200 * time.Millisecond) // boxes that erred are asked again
-	if word, _, _, err := b.client().Ask(t.Context(), b.Object(&b.Types[0], 1), 3*time.Second, false, ""); word != "200" {
+	if word, _, _, err := b.client().Attempt(t.Context(), b.Object(&b.ContentTypes[0], 1), 3*time.Second, false, ""); word != "200" {
 		t.Errorf("another client: %s, %v", word, err)
 	}
 }
@@ -216,7 +216,7 @@
 func TestQueueAtSIGTERM(t *testing.T) {
 	b := newBed(t, func(*fakes.Spec) {}, "")
 	for _, n := range b.Nodes { // holds every download, so that places stay taken
-		n.Do(fakes.Well, 30)
+		n.SetFault(fakes.FaultNone, 30)
 	}
 	var all sync.WaitGroup
 	answered := make(chan string, 200)
@@ -224,7 +224,7 @@
 		c := b.client()
 		all.Go(func() {
 			defer c.Close()
-			word, _, _, err := c.Ask(t.Context(), b.Object(&b.Types[1], i), 3*time.Second, false, "")
+			word, _, _, err := c.Attempt(t.Context(), b.Object(&b.ContentTypes[1], i), 3*time.Second, false, "")
 			if err != nil {
 				word = err.Error()
 			}
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -17,55 +17,55 @@
 	"github.com/tidwall/redcon"
 )
 
-// Bucket is the span of the books' time series.
-const Bucket = 100 * time.Millisecond
+// SeriesInterval is the span of the books' time series.
+const SeriesInterval = 100 * time.Millisecond
 
-// Download is what one client had of one download, over its tries.
-type Download struct {
-	Type      *Type
-	Began     time.Duration
-	Took      time.Duration
-	Tries     int
-	Work      float64 // its sending time at full pace, µs
-	Fulfilled bool
-	Ignores   bool   // its client ignores what it is told
-	Last      string // the last answer's word; empty where there was none
+// ClientRequest is what one client had of one download, over its tries.
+type ClientRequest struct {
+	ContentType       *ContentType
+	StartedAt         time.Duration
+	Duration          time.Duration
+	Attempts          int
+	TransferMicros    float64 // its sending time at full pace, µs
+	Succeeded         bool
+	IgnoresRetryAfter bool   // its client ignores what it is told
+	LastStatus        string // the last answer's word; empty where there was none
 }
 
-// Book is what clients had. Its lock guards it.
-type Book struct {
-	mu        sync.Mutex
-	Downloads []Download
-	Answers   map[string]int // by word
-	Answered  int            // downloads whose first try had an answer
-	Lost      int            // tries that were owed an answer and had none
-	Twice     int            // answers beyond the one
-	Wrong     int            // answers with another object's bytes
-	Old       int            // copies older than a purge that was told of
-	Killed    int            // tries that ended with a director that was killed
-	Paused    int            // and whose time ended while theirs was stopped
-	Early     int            // tries before the time that was told
-	LostHow   map[string]int
-	Asked     []int // tries by bucket,
-	Advised   []int // times that were told,
-	Served    []int // and fulfilled
-	Throttled []int
+// ClientStats is what clients had. Its lock guards it.
+type ClientStats struct {
+	mu               sync.Mutex
+	Requests         []ClientRequest
+	AnswersByStatus  map[string]int // by word
+	FirstAnswered    int            // downloads whose first try had an answer
+	Lost             int            // tries that were owed an answer and had none
+	Duplicates       int            // answers beyond the one
+	WrongBodies      int            // answers with another object's bytes
+	StaleCopies      int            // copies older than a purge that was told of
+	LostToKills      int            // tries that ended with a director that was killed
+	LostToPauses     int            // and whose time ended while theirs was stopped
+	EarlyRetries     int            // tries before the time that was told
+	LostReasons      map[string]int
+	AttemptSeries    []int // tries by bucket,
+	RetryAfterSeries []int // times that were told,
+	SuccessSeries    []int // and fulfilled
+	RejectSeries     []int
 }
 
 func count(series *[]int, at time.Duration) {
-	i := int(max(0, at) / Bucket)
+	i := int(max(0, at) / SeriesInterval)
 	for len(*series) <= i {
 		*series = append(*series, 0)
 	}
 	(*series)[i]++
 }
 
-// Do reads or changes the book under its lock.
-func (b *Book) Do(with func(*Book)) {
+// WithLock reads or changes the book under its lock.
+func (b *ClientStats) WithLock(with func(*ClientStats)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.Answers == nil {
-		b.Answers, b.LostHow = map[string]int{}, map[string]int{}
+	if b.AnswersByStatus == nil {
+		b.AnswersByStatus, b.LostReasons = map[string]int{}, map[string]int{}
 	}
 	with(b)
 }
@@ -78,15 +78,15 @@
 	pauses [][2]time.Duration // when it was stopped, and went on; the last may not have ended
 }
 
-// Kill says that it was killed: what it held is no longer owed.
-func (t *Target) Kill(killed bool) {
+// SetKilled says that it was killed: what it held is no longer owed.
+func (t *Target) SetKilled(killed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.killed = killed
 }
 
-// Pause says that it was stopped, or goes on, at a time of the world.
-func (t *Target) Pause(stopped bool, at time.Duration) {
+// SetPaused says that it was stopped, or goes on, at a time of the world.
+func (t *Target) SetPaused(stopped bool, at time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if n := len(t.pauses); stopped {
@@ -96,17 +96,17 @@
 	}
 }
 
-// wakes is how long one that goes on may take to answer what waited: it asks the command channel first.
-const wakes = 100 * time.Millisecond
+// wakeDelay is how long one that goes on may take to answer what waited: it asks the command channel first.
+const wakeDelay = 100 * time.Millisecond
 
 // paused says whether it was stopped at a time, or had only just gone on.
 func (t *Target) paused(at time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.ContainsFunc(t.pauses, func(p [2]time.Duration) bool { return at >= p[0] && at-wakes <= p[1] })
+	return slices.ContainsFunc(t.pauses, func(p [2]time.Duration) bool { return at >= p[0] && at-wakeDelay <= p[1] })
 }
 
-func (t *Target) gone() bool {
+func (t *Target) isKilled() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.killed
@@ -114,27 +114,27 @@
 
 // Client asks one director for downloads, and goes to the next when it is gone.
 type Client struct {
-	W        *World
-	Targets  []*Target
-	Target   int
-	From     string        // its own address, on loopback; empty for any
-	Ignores  bool          // comes back at once or after Wait, whatever it was told
-	Unmarked bool          // does not mark its repeats
-	Retries  int           // at most, for a download
-	Wait     time.Duration // between tries where it has no other time
-	Fresh    bool          // a new connection for every try
-	Rand     *rand.Rand
-	Zipf     *Zipf
+	Cluster          *Cluster
+	Targets          []*Target
+	Current          int
+	LocalAddress     string        // its own address, on loopback; empty for any
+	IgnoreRetryAfter bool          // comes back at once or after Wait, whatever it was told
+	UnmarkedRetries  bool          // does not mark its repeats
+	MaxRetries       int           // at most, for a download
+	RetryPause       time.Duration // between tries where it has no other time
+	FreshConnections bool          // a new connection for every try
+	Rand             *rand.Rand
+	Zipf             *Zipf
 
-	nc     net.Conn
-	in     []byte
-	tag    int
-	buf    [4096]byte
-	used   bool
-	expect time.Time // told not to come before
+	nc        net.Conn
+	in        []byte
+	tag       int
+	buf       [4096]byte
+	used      bool
+	notBefore time.Time // told not to come before
 }
 
-var errOwed = errors.New("an answer was owed")
+var errAnswerOwed = errors.New("an answer was owed")
 
 // Close ends its connection.
 func (c *Client) Close() {
@@ -148,17 +148,17 @@
 func (c *Client) Connect(ctx context.Context) error {
 	for c.nc == nil {
 		d := net.Dialer{Timeout: 3 * time.Second}
-		if c.From != "" {
-			d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(c.From)}
+		if c.LocalAddress != "" {
+			d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(c.LocalAddress)}
 		}
-		t := c.Targets[c.Target]
+		t := c.Targets[c.Current]
 		nc, err := d.DialContext(ctx, "tcp", t.Addr)
 		if err != nil {
 			if ctx.Err() != nil {
 				return err
 			}
 			// Any other: the next one in order would have the clients of seven that were killed all come to the eighth.
-			c.Target = (c.Target + 1 + c.Rand.IntN(max(1, len(c.Targets)-1))) % len(c.Targets)
+			c.Current = (c.Current + 1 + c.Rand.IntN(max(1, len(c.Targets)-1))) % len(c.Targets)
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -172,8 +172,8 @@
 	return nil
 }
 
-// Ask makes one try and gives the answer's word, the time it tells to stay away, and the body.
-func (c *Client) Ask(ctx context.Context, o Object, limit time.Duration, again bool, key string) (word string,
+// Attempt makes one try and gives the answer's word, the time it tells to stay away, and the body.
+func (c *Client) Attempt(ctx context.Context, o Object, limit time.Duration, again bool, key string) (word string,
 	later time.Duration, body string, err error) {
 	for crossed := false; ; crossed = true {
 		if err := c.Connect(ctx); err != nil {
@@ -181,7 +181,7 @@
 		}
 		c.tag++
 		fields := fmt.Sprintf("txn=%016x,limit=%d,item=%s,n=0,shard=%d", c.Rand.Uint64(), max(1, limit.Milliseconds()), o.ID, o.Group)
-		if again && !c.Unmarked {
+		if again && !c.UnmarkedRetries {
 			fields += ",second=1"
 		}
 		if key != "" {
@@ -193,53 +193,53 @@
 		}
 		reused := c.used
 		c.used = true
-		asked := c.W.Now()
-		c.W.Clients.Do(func(b *Book) { count(&b.Asked, asked) })
+		asked := c.Cluster.Now()
+		c.Cluster.Clients.WithLock(func(b *ClientStats) { count(&b.AttemptSeries, asked) })
 		if _, err = c.nc.Write(out); err == nil {
 			word, later, body, err = c.answer(c.tag, limit+100*time.Millisecond)
 		}
 		if err == nil {
-			c.check(o, asked, word, body)
+			c.recordAnswer(o, asked, word, body)
 			return word, later, body, nil
 		}
-		killed, paused := c.Targets[c.Target].gone(), c.Targets[c.Target].paused(asked+limit)
+		killed, paused := c.Targets[c.Current].isKilled(), c.Targets[c.Current].paused(asked+limit)
 		c.Close()
-		if reused && !crossed && !killed && !errors.Is(err, errOwed) {
+		if reused && !crossed && !killed && !errors.Is(err, errAnswerOwed) {
 			continue // it crossed the end of a connection at rest, and is sent once more
 		}
-		c.W.Clients.Do(func(b *Book) {
+		c.Cluster.Clients.WithLock(func(b *ClientStats) {
 			if killed {
-				b.Killed++
-			} else if paused && errors.Is(err, errOwed) {
-				b.Paused++
+				b.LostToKills++
+			} else if paused && errors.Is(err, errAnswerOwed) {
+				b.LostToPauses++
 			} else if ctx.Err() == nil {
 				b.Lost++
-				b.LostHow[fmt.Sprintf("%v reused=%v", err, reused)]++
+				b.LostReasons[fmt.Sprintf("%v reused=%v", err, reused)]++
 			}
 		})
 		return "", 0, "", err
 	}
 }
 
-// check looks at an answer's bytes.
-func (c *Client) check(o Object, asked time.Duration, word, body string) {
-	c.W.Clients.Do(func(b *Book) {
-		b.Answers[word]++
+// recordAnswer looks at an answer's bytes.
+func (c *Client) recordAnswer(o Object, asked time.Duration, word, body string) {
+	c.Cluster.Clients.WithLock(func(b *ClientStats) {
+		b.AnswersByStatus[word]++
 		if word == "503" {
-			count(&b.Throttled, c.W.Now())
+			count(&b.RejectSeries, c.Cluster.Now())
 		}
 		if word != "200" {
 			return
 		}
-		count(&b.Served, c.W.Now())
+		count(&b.SuccessSeries, c.Cluster.Now())
 		var born int64
 		id, rest, _ := strings.Cut(body, "/0 born ")
 		if _, err := fmt.Sscan(rest, &born); err != nil || id != o.ID {
-			b.Wrong++
+			b.WrongBodies++
 			return
 		}
-		if at := c.W.void(o.ID, o.Group, asked); at > 0 && born < c.W.start.Add(at).UnixMilli() {
-			b.Old++
+		if at := c.Cluster.bindingPurge(o.ID, o.Group, asked); at > 0 && born < c.Cluster.startedAt.Add(at).UnixMilli() {
+			b.StaleCopies++
 		}
 	})
 }
@@ -256,7 +256,7 @@
 			n, err := c.nc.Read(c.buf[:])
 			if n == 0 {
 				if timed, ok := err.(net.Error); ok && timed.Timeout() {
-					err = errOwed
+					err = errAnswerOwed
 				} else if err == io.EOF {
 					err = errors.New("closed")
 				} else if err != nil {
@@ -271,7 +271,7 @@
 		word, fields, text := string(words[1]), string(words[2]), string(words[3])
 		c.in = append([]byte(nil), rest...)
 		if got != tag {
-			c.W.Clients.Do(func(b *Book) { b.Twice++ })
+			c.Cluster.Clients.WithLock(func(b *ClientStats) { b.Duplicates++ })
 			continue
 		}
 		if ms, ok := strings.CutPrefix(fields, "later="); ok {
@@ -282,42 +282,42 @@
 	}
 }
 
-// Fetch asks for an object, and again where it is turned away or failed, until its time is up.
-func (c *Client) Fetch(ctx context.Context, o Object) Download {
-	dl := Download{Type: o.Type, Began: c.W.Now(), Ignores: c.Ignores, Work: c.W.work(o.Type, o.ID)}
+// Request asks for an object, and again where it is turned away or failed, until its time is up.
+func (c *Client) Request(ctx context.Context, o Object) ClientRequest {
+	dl := ClientRequest{ContentType: o.Type, StartedAt: c.Cluster.Now(), IgnoresRetryAfter: c.IgnoreRetryAfter, TransferMicros: c.Cluster.transferMicros(o.Type, o.ID)}
 	key := ""
-	if o.Type.Deduped {
+	if o.Type.IdempotentWithKey {
 		key = fmt.Sprintf("%016x%016x", c.Rand.Uint64(), c.Rand.Uint64())
 	}
 	for {
-		left := o.Type.Limit - (c.W.Now() - dl.Began)
-		if left <= 10*time.Millisecond || dl.Tries > c.Retries || ctx.Err() != nil {
+		left := o.Type.Timeout - (c.Cluster.Now() - dl.StartedAt)
+		if left <= 10*time.Millisecond || dl.Attempts > c.MaxRetries || ctx.Err() != nil {
 			break
 		}
-		dl.Tries++
-		if dl.Tries > 1 && time.Until(c.expect) > 5*time.Millisecond {
-			c.W.Clients.Do(func(b *Book) { b.Early++ })
+		dl.Attempts++
+		if dl.Attempts > 1 && time.Until(c.notBefore) > 5*time.Millisecond {
+			c.Cluster.Clients.WithLock(func(b *ClientStats) { b.EarlyRetries++ })
 		}
-		word, later, _, err := c.Ask(ctx, o, left, dl.Tries > 1, key)
-		if dl.Last = word; err != nil {
+		word, later, _, err := c.Attempt(ctx, o, left, dl.Attempts > 1, key)
+		if dl.LastStatus = word; err != nil {
 			word = "gone"
-		} else if dl.Tries == 1 {
-			c.W.Clients.Do(func(b *Book) { b.Answered++ })
+		} else if dl.Attempts == 1 {
+			c.Cluster.Clients.WithLock(func(b *ClientStats) { b.FirstAnswered++ })
 		}
-		if c.Fresh {
+		if c.FreshConnections {
 			c.Close()
 		}
 		if word == "200" {
-			dl.Fulfilled = true
+			dl.Succeeded = true
 			break
 		}
-		wait := c.Wait
-		c.expect = time.Time{}
+		wait := c.RetryPause
+		c.notBefore = time.Time{}
 		if later > 0 {
-			c.expect = time.Now().Add(later)
-			at := c.W.Now() + later
-			c.W.Clients.Do(func(b *Book) { count(&b.Advised, at) })
-			if !c.Ignores {
+			c.notBefore = time.Now().Add(later)
+			at := c.Cluster.Now() + later
+			c.Cluster.Clients.WithLock(func(b *ClientStats) { count(&b.RetryAfterSeries, at) })
+			if !c.IgnoreRetryAfter {
 				wait = later
 			}
 		}
@@ -325,29 +325,29 @@
 			break
 		}
 	}
-	if dl.Took = c.W.Now() - dl.Began; ctx.Err() == nil {
-		c.W.Clients.Do(func(b *Book) { b.Downloads = append(b.Downloads, dl) })
+	if dl.Duration = c.Cluster.Now() - dl.StartedAt; ctx.Err() == nil {
+		c.Cluster.Clients.WithLock(func(b *ClientStats) { b.Requests = append(b.Requests, dl) })
 	}
 	return dl
 }
 
-// Live asks for one object after another until the context ends, with a pause between of so long on average. A client that
+// Run asks for one object after another until the context ends, with a pause between of so long on average. A client that
 // connects at a time asks at once then.
-func (c *Client) Live(ctx context.Context, at, think time.Duration) {
+func (c *Client) Run(ctx context.Context, at, think time.Duration) {
 	defer c.Close()
-	if !Sleep(ctx, at-c.W.Now()) {
+	if !Sleep(ctx, at-c.Cluster.Now()) {
 		return
 	}
 	for ctx.Err() == nil {
-		c.Fetch(ctx, c.W.Draw(c.Rand, c.Zipf))
+		c.Request(ctx, c.Cluster.DrawObject(c.Rand, c.Zipf))
 		if !Sleep(ctx, time.Duration(c.Rand.ExpFloat64()*float64(think))) {
 			return
 		}
 	}
 }
 
-// Sit connects and says nothing, again and again.
-func (c *Client) Sit(ctx context.Context) {
+// Idle connects and says nothing, again and again.
+func (c *Client) Idle(ctx context.Context) {
 	defer c.Close()
 	for ctx.Err() == nil {
 		if c.Connect(ctx) != nil {
--- a/internal/fakes/node.go
+++ b/internal/fakes/node.go
@@ -22,104 +22,104 @@
 
 var kinds = [...]string{"edge", "parent", "origin"}
 
-// Trouble is what a node does wrong.
-type Trouble int
+// Fault is what a node does wrong.
+type Fault int
 
 const (
-	Well   Trouble = iota
-	Mute           // takes everything and says nothing
-	Spoils         // answers what can't be read
-	Resets         // resets the connection under a request
-	Errs           // answers error, without a cause
+	FaultNone      Fault = iota
+	FaultNoAnswer        // takes everything and says nothing
+	FaultMalformed       // answers what can't be read
+	FaultReset           // resets the connection under a request
+	FaultError           // answers error, without a cause
 )
 
 // Node is a cache, a parent or the origin. The world's lock guards it.
 type Node struct {
-	w       *World
-	Kind    Kind
-	Name    string
-	addr    string
-	l       net.Listener // nil while it is dead
-	conns   map[net.Conn]bool
-	began   time.Duration // its start; negative for long ago
-	out     *share
-	copies  map[string]*list.Element
-	order   *list.List // of *copied, the latest used first
-	fills   map[string]*fill
-	held    int // requests in hand
-	slow    float64
-	trouble Trouble
-	drained time.Duration // when the channel told that it drains or is gone; 0 for not
-	fallen  bool
-	load    ledger
-	asked   int
-}
-
-type copied struct {
+	cluster      *Cluster
+	Kind         Kind
+	Name         string
+	addr         string
+	listener     net.Listener // nil while it is dead
+	conns        map[net.Conn]bool
+	startedAt    time.Duration // its start; negative for long ago
+	transfers    *sharedCapacity
+	copies       map[string]*list.Element
+	copyOrder    *list.List // of *copied, the latest used first
+	fills        map[string]*pendingFill
+	inHand       int // requests in hand
+	slowdown     float64
+	fault        Fault
+	drainedAt    time.Duration // when the channel told that it drains or is gone; 0 for not
+	overloaded   bool
+	loadWindow   loadWindow
+	requestCount int
+}
+
+type cachedCopy struct {
 	key  string
 	born time.Time
 }
 
-// fill is one under way; who joins waits for it.
-type fill struct {
-	then []func(born time.Time, note string)
+// pendingFill is one under way; who joins waits for it.
+type pendingFill struct {
+	waiters []func(born time.Time, note string)
 }
 
-// ledger is the work that was sent lately, against what could be done.
-type ledger struct {
-	sent, able [30]float64
-	at         int64
-	peak       float64
-	over       bool
+// loadWindow is the work that was sent lately, against what could be done.
+type loadWindow struct {
+	sent, capacity [30]float64
+	slot           int64
+	peak           float64
+	over           bool
 }
 
-// Add starts a new node and tells of it. A warm one has been there for long.
-func (w *World) Add(kind Kind, name string, cold bool) (*Node, error) {
-	n := &Node{w: w, Kind: kind, Name: name, slow: 1}
+// AddNode starts a new node and tells of it. A warm one has been there for long.
+func (w *Cluster) AddNode(kind Kind, name string, cold bool) (*Node, error) {
+	n := &Node{cluster: w, Kind: kind, Name: name, slowdown: 1}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n.out = &share{w: w, pace: 1, able: n.able}
+	n.transfers = &sharedCapacity{cluster: w, maxRate: 1, capacity: n.capacity}
 	if kind != Edge {
-		n.out.pace = w.FillPace
+		n.transfers.maxRate = w.FillSpeedup
 	}
 	if err := n.start(cold); err != nil {
 		return nil, err
 	}
 	w.Nodes = append(w.Nodes, n)
-	w.list(n, "up")
+	w.publishNode(n, "up")
 	return n, nil
 }
 
-// list tells of a node's state. The caller holds the lock.
-func (w *World) list(n *Node, status string) {
-	zone, since := town(w.TownOf(n.Name)), int64(0)
+// publishNode tells of a node's state. The caller holds the lock.
+func (w *Cluster) publishNode(n *Node, status string) {
+	zone, since := zoneName(w.ZoneOf(n.Name)), int64(0)
 	if n.Kind != Edge {
 		zone = "hub"
 	}
-	if n.began >= 0 {
-		since = w.start.Add(n.began).UnixMilli()
+	if n.startedAt >= 0 {
+		since = w.startedAt.Add(n.startedAt).UnixMilli()
 	}
-	w.tell(map[string]any{"nodes": map[string]any{"snapshot": len(w.events) == 0, "endpoints": []any{map[string]any{
+	w.publish(map[string]any{"nodes": map[string]any{"snapshot": len(w.events) == 0, "endpoints": []any{map[string]any{
 		"name": n.Name, "address": n.addr, "zone": zone, "type": kinds[n.Kind], "status": status, "since_ms": since,
 	}}}})
-	if n.drained = 0; status != "up" {
-		n.drained = w.now()
+	if n.drainedAt = 0; status != "up" {
+		n.drainedAt = w.now()
 	}
 }
 
 func (n *Node) start(cold bool) error {
 	addr := n.addr
 	if addr == "" {
-		addr = n.w.address(n.Name)
+		addr = n.cluster.address(n.Name)
 	}
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	n.l, n.addr, n.conns, n.copies = l, l.Addr().String(), map[net.Conn]bool{}, map[string]*list.Element{}
-	n.order, n.fills, n.held, n.began, n.load = list.New(), map[string]*fill{}, 0, -time.Hour, ledger{peak: n.load.peak}
+	n.listener, n.addr, n.conns, n.copies = l, l.Addr().String(), map[net.Conn]bool{}, map[string]*list.Element{}
+	n.copyOrder, n.fills, n.inHand, n.startedAt, n.loadWindow = list.New(), map[string]*pendingFill{}, 0, -time.Hour, loadWindow{peak: n.loadWindow.peak}
 	if cold {
-		n.began = n.w.now()
+		n.startedAt = n.cluster.now()
 	}
 	go func() {
 		for {
@@ -127,188 +127,188 @@
 			if err != nil {
 				return
 			}
-			n.w.mu.Lock()
-			if n.l != l {
-				n.w.mu.Unlock()
+			n.cluster.mu.Lock()
+			if n.listener != l {
+				n.cluster.mu.Unlock()
 				nc.Close()
 				return
 			}
 			n.conns[nc] = true
-			n.w.mu.Unlock()
+			n.cluster.mu.Unlock()
 			go n.serve(nc)
 		}
 	}()
 	return nil
 }
 
-// warmth is the part of its capacity that it has.
-func (n *Node) warmth(at time.Duration) float64 {
-	from, time := n.w.ColdFrom, n.w.Warm
+// slowStartShare is the part of its capacity that it has.
+func (n *Node) slowStartShare(at time.Duration) float64 {
+	from, time := n.cluster.EdgeInitialShare, n.cluster.EdgeSlowStart
 	if n.Kind == Parent {
-		from, time = n.w.ParentFrom, n.w.ParentWarm
+		from, time = n.cluster.ParentInitialShare, n.cluster.ParentSlowStart
 	}
-	if age := at - n.began; n.Kind != Origin && age < time {
+	if age := at - n.startedAt; n.Kind != Origin && age < time {
 		return from + (1-from)*float64(max(0, age))/float64(time)
 	}
 	return 1
 }
 
-func (n *Node) able(at time.Duration) float64 {
-	return [...]float64{n.w.Box, n.w.Parent, n.w.Origin}[n.Kind] * n.warmth(at) / n.slow
+func (n *Node) capacity(at time.Duration) float64 {
+	return [...]float64{n.cluster.CacheCapacity, n.cluster.ParentCapacity, n.cluster.OriginCapacity}[n.Kind] * n.slowStartShare(at) / n.slowdown
 }
 
-// reached books work that was sent to it, and has it fall over where that was too much for too long.
-func (n *Node) reached(work float64) {
-	now := n.w.now()
-	l, part := &n.load, n.w.Window/time.Duration(len(n.load.sent))
+// recordWork books work that was sent to it, and has it fall over where that was too much for too long.
+func (n *Node) recordWork(work float64) {
+	now := n.cluster.now()
+	l, part := &n.loadWindow, n.cluster.OverloadWindow/time.Duration(len(n.loadWindow.sent))
 	at := int64(now / part)
-	for l.at < at {
-		if at-l.at > int64(len(l.sent)) {
-			l.at = at - int64(len(l.sent))
+	for l.slot < at {
+		if at-l.slot > int64(len(l.sent)) {
+			l.slot = at - int64(len(l.sent))
 		}
-		l.at++
-		l.sent[l.at%int64(len(l.sent))] = 0
-		l.able[l.at%int64(len(l.sent))] = n.able(time.Duration(l.at)*part) * float64(part.Microseconds())
+		l.slot++
+		l.sent[l.slot%int64(len(l.sent))] = 0
+		l.capacity[l.slot%int64(len(l.sent))] = n.capacity(time.Duration(l.slot)*part) * float64(part.Microseconds())
 	}
 	l.sent[at%int64(len(l.sent))] += work
-	if n.Kind == Origin || n.warmth(now) >= 1 {
+	if n.Kind == Origin || n.slowStartShare(now) >= 1 {
 		return
 	}
-	multiple := n.w.Multiple
+	multiple := n.cluster.EdgeOverloadFactor
 	if n.Kind == Parent {
-		multiple = n.w.ParentMultiple
+		multiple = n.cluster.ParentOverloadFactor
 	}
 	sent, able := 0.0, 0.0
 	for i := range l.sent {
 		sent += l.sent[i]
-		if l.able[i] > 0 {
-			able += l.able[i]
+		if l.capacity[i] > 0 {
+			able += l.capacity[i]
 		}
 	}
-	able = max(able, n.able(now)*float64(n.w.Window.Microseconds())) // a window that has only begun
+	able = max(able, n.capacity(now)*float64(n.cluster.OverloadWindow.Microseconds())) // a window that has only begun
 	if load := sent / (multiple * able); load > l.peak {
 		if l.peak = load; load > 1 {
-			n.fallen = true
-			n.die()
+			n.overloaded = true
+			n.kill()
 		}
 	}
 }
 
-// Peak is the most that a cache or parent was sent, over what pushes it over, and whether it fell.
-func (n *Node) Peak() (peak float64, fallen bool) {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	return n.load.peak, n.fallen
+// PeakLoad is the most that a cache or parent was sent, over what pushes it over, and whether it fell.
+func (n *Node) PeakLoad() (peak float64, fallen bool) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	return n.loadWindow.peak, n.overloaded
 }
 
-// Able is the work that the caches of the world could have done between two times, µs.
-func (w *World) Able(from, to time.Duration) (work float64) {
+// EdgeWork is the work that the caches of the world could have done between two times, µs.
+func (w *Cluster) EdgeWork(from, to time.Duration) (work float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for at := from; at < to; at += Bucket {
+	for at := from; at < to; at += SeriesInterval {
 		for _, n := range w.Nodes {
-			if n.Kind == Edge && n.l != nil {
-				work += n.able(at) * float64(Bucket.Microseconds())
+			if n.Kind == Edge && n.listener != nil {
+				work += n.capacity(at) * float64(SeriesInterval.Microseconds())
 			}
 		}
 	}
 	return work
 }
 
-// Asked is how many requests reached it.
-func (n *Node) Asked() int {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	return n.asked
+// RequestCount is how many requests reached it.
+func (n *Node) RequestCount() int {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	return n.requestCount
 }
 
-// Die ends it as the death of a process does; nothing is told.
-func (n *Node) Die() {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	n.die()
+// Kill ends it as the death of a process does; nothing is told.
+func (n *Node) Kill() {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	n.kill()
 }
 
-func (n *Node) die() {
-	if n.l == nil {
+func (n *Node) kill() {
+	if n.listener == nil {
 		return
 	}
-	n.l.Close()
+	n.listener.Close()
 	for nc := range n.conns {
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
 	}
-	n.l = nil
-	n.out.clear()
+	n.listener = nil
+	n.transfers.clear()
 	for key, f := range n.fills {
 		delete(n.fills, key)
-		for _, then := range f.then {
+		for _, then := range f.waiters {
 			then(time.Time{}, "cut_off")
 		}
 	}
 }
 
-// Start brings a dead node back, cold, at its address, and tells of it. One that has fallen over stays down.
-func (n *Node) Start() error {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	if n.fallen || n.l != nil {
+// Restart brings a dead node back, cold, at its address, and tells of it. One that has fallen over stays down.
+func (n *Node) Restart() error {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	if n.overloaded || n.listener != nil {
 		return nil
 	}
 	if err := n.start(true); err != nil {
 		return err
 	}
-	n.w.list(n, "up")
+	n.cluster.publishNode(n, "up")
 	return nil
 }
 
-// Tell tells of its state: "up", "draining" or "removed".
-func (n *Node) Tell(status string) {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	n.w.list(n, status)
+// Announce tells of its state: "up", "draining" or "removed".
+func (n *Node) Announce(status string) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	n.cluster.publishNode(n, status)
 }
 
-// Do has it do wrong from now on, and so many times slower than it could.
-func (n *Node) Do(t Trouble, slower float64) {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
-	n.trouble, n.slow = t, max(1, slower)
+// SetFault has it do wrong from now on, and so many times slower than it could.
+func (n *Node) SetFault(t Fault, slower float64) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	n.fault, n.slowdown = t, max(1, slower)
 }
 
 // request is one that is in hand.
 type request struct {
-	n         *Node
-	nc        net.Conn
-	id        string
-	fields    map[string]string
-	t         *Type
-	jobs      []*job
-	over      bool
-	wait      int // parts that are not done
-	born      time.Time
-	note      string
-	unchanged bool
+	node        *Node
+	connection  net.Conn
+	id          string
+	fields      map[string]string
+	contentType *ContentType
+	transfers   []*transfer
+	ended       bool
+	partsLeft   int // parts that are not done
+	born        time.Time
+	note        string
+	unchanged   bool
 }
 
 func (n *Node) serve(nc net.Conn) {
-	if n.w.Quick {
-		n.quickly(nc)
-		n.w.mu.Lock()
+	if n.cluster.Instant {
+		n.serveInstantly(nc)
+		n.cluster.mu.Lock()
 		delete(n.conns, nc)
-		n.w.mu.Unlock()
+		n.cluster.mu.Unlock()
 		return
 	}
 	out := make(chan []byte, 4096)
 	open := map[string]*request{}
 	defer func() {
 		nc.Close()
-		n.w.mu.Lock()
+		n.cluster.mu.Lock()
 		delete(n.conns, nc)
 		for _, r := range open {
 			r.end()
 		}
-		n.w.mu.Unlock()
+		n.cluster.mu.Unlock()
 		close(out)
 	}()
 	go func() {
@@ -325,45 +325,45 @@
 			return
 		}
 		words := strings.Fields(line)
-		n.w.mu.Lock()
+		n.cluster.mu.Lock()
 		switch {
 		case len(words) == 2 && words[0] == "never_mind":
 			if r := open[words[1]]; r != nil {
 				delete(open, words[1])
 				r.end()
 			}
-		case len(words) == 2 && (words[0] == "there" || words[0] == "busy") && n.trouble != Mute:
-			send(out, fmt.Sprintf("%s well - 0\r\n\r\n", words[1]))
+		case len(words) == 2 && (words[0] == "there" || words[0] == "busy") && n.fault != FaultNoAnswer:
+			sendOrDrop(out, fmt.Sprintf("%s well - 0\r\n\r\n", words[1]))
 		case len(words) == 4 && words[0] == "want":
 			size, _ := strconv.Atoi(words[3])
-			n.w.mu.Unlock()
+			n.cluster.mu.Unlock()
 			if _, err := io.CopyN(io.Discard, in, int64(size)+2); err != nil {
 				return
 			}
-			n.w.mu.Lock()
-			r := &request{n: n, nc: nc, id: words[1], fields: map[string]string{}}
+			n.cluster.mu.Lock()
+			r := &request{node: n, connection: nc, id: words[1], fields: map[string]string{}}
 			for field := range strings.SplitSeq(words[2], ",") {
 				name, value, _ := strings.Cut(field, "=")
 				r.fields[name] = value
 			}
 			open[r.id] = r
-			r.take(func(text string) {
-				if !r.over {
+			r.handle(func(text string) {
+				if !r.ended {
 					delete(open, r.id)
 					r.end()
-					send(out, text)
-					if n.w.Answered != nil {
-						n.w.Answered(n.Name, r.fields, text)
+					sendOrDrop(out, text)
+					if n.cluster.OnAnswer != nil {
+						n.cluster.OnAnswer(n.Name, r.fields, text)
 					}
 				}
 			})
 		}
-		n.w.mu.Unlock()
+		n.cluster.mu.Unlock()
 	}
 }
 
-// send never waits: a director that reads nothing gets nothing.
-func send(out chan []byte, text string) {
+// sendOrDrop never waits: a director that reads nothing gets nothing.
+func sendOrDrop(out chan []byte, text string) {
 	select {
 	case out <- []byte(text):
 	default:
@@ -372,83 +372,83 @@
 
 // end gives a request up, or closes its book.
 func (r *request) end() {
-	if r.over {
+	if r.ended {
 		return
 	}
-	r.over = true
-	r.n.held--
-	if r.n.w.open[r.id]--; r.n.w.open[r.id] == 0 {
-		delete(r.n.w.open, r.id)
+	r.ended = true
+	r.node.inHand--
+	if r.node.cluster.attemptsInFlight[r.id]--; r.node.cluster.attemptsInFlight[r.id] == 0 {
+		delete(r.node.cluster.attemptsInFlight, r.id)
 	}
-	for _, j := range r.jobs {
-		r.n.out.drop(j)
+	for _, j := range r.transfers {
+		r.node.transfers.cancel(j)
 	}
 }
 
-// take does what a request asks for. Answer is called at most once.
-func (r *request) take(answer func(string)) {
-	n, w := r.n, r.n.w
-	n.asked++
-	n.held++
-	if w.open[r.id]++; w.open[r.id] > 1 {
-		time.AfterFunc(crossing, func() { // the other's giving up may still be on its way
+// handle does what a request asks for. Answer is called at most once.
+func (r *request) handle(answer func(string)) {
+	n, w := r.node, r.node.cluster
+	n.requestCount++
+	n.inHand++
+	if w.attemptsInFlight[r.id]++; w.attemptsInFlight[r.id] > 1 {
+		time.AfterFunc(cancelDelay, func() { // the other's giving up may still be on its way
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if !r.over && w.open[r.id] > 1 {
-				w.rules.Together++
+			if !r.ended && w.attemptsInFlight[r.id] > 1 {
+				w.violations.ConcurrentAttempts++
 			}
 		})
 	}
-	source := w.byName(r.fields["from"])
+	source := w.nodeByName(r.fields["from"])
 	for _, of := range []*Node{n, source} {
-		if of != nil && of.drained > 0 && w.now() > w.service.told(of.drained)+drainLimit {
-			w.rules.Drains++
+		if of != nil && of.drainedAt > 0 && w.now() > w.channelState.knownFrom(of.drainedAt)+drainDeadline {
+			w.violations.DrainedUses++
 		}
 	}
-	for i := range w.Types {
-		if w.Types[i].Name == r.fields["sort"] {
-			r.t = &w.Types[i]
+	for i := range w.ContentTypes {
+		if w.ContentTypes[i].Name == r.fields["sort"] {
+			r.contentType = &w.ContentTypes[i]
 		}
 	}
-	if r.t == nil {
+	if r.contentType == nil {
 		answer(r.id + " failed - 0\r\n\r\n")
 		return
 	}
-	work := w.work(r.t, r.fields["asset"])
-	switch n.trouble {
-	case Mute:
+	work := w.transferMicros(r.contentType, r.fields["asset"])
+	switch n.fault {
+	case FaultNoAnswer:
 		return
-	case Spoils:
+	case FaultMalformed:
 		answer("\x00\x01 rubbish\r\n")
 		return
-	case Resets:
-		r.nc.(*net.TCPConn).SetLinger(0)
-		r.nc.Close()
+	case FaultReset:
+		r.connection.(*net.TCPConn).SetLinger(0)
+		r.connection.Close()
 		return
-	case Errs:
+	case FaultError:
 		answer(r.id + " failed - 0\r\n\r\n")
 		return
 	}
-	n.reached(work)
-	if n.l == nil {
+	n.recordWork(work)
+	if n.listener == nil {
 		return
 	}
-	if float64(n.held) > n.able(w.now())*w.Most+1 {
+	if float64(n.inHand) > n.capacity(w.now())*w.MaxQueueFactor+1 {
 		answer(r.id + " full - 0\r\n\r\n")
 		return
 	}
-	if r.t.PassThrough {
+	if r.contentType.Uncacheable {
 		if source == nil || source.Kind != Origin && n.Kind != Origin {
 			answer(r.id + " absent n=not_there 0\r\n\r\n")
 			return
 		}
-		w.origin().out.add(work, func() { // it runs, whether its director still waits or not
-			w.runs(r.fields["op"], r.t)
-			time.AfterFunc(w.OriginTakes, func() {
+		w.origin().transfers.add(work, func() { // it runs, whether its director still waits or not
+			w.recordEffect(r.fields["op"], r.contentType)
+			time.AfterFunc(w.OriginLatency, func() {
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				r.born, r.note = time.Now(), "pulled_far"
-				r.done(answer)
+				r.answerBody(answer)
 			})
 		})
 		return
@@ -458,13 +458,13 @@
 	fresh := func(born time.Time) bool {
 		return !born.IsZero() && (oldest == 0 || time.Since(born) <= time.Duration(oldest)*time.Millisecond)
 	}
-	r.wait = 1
-	r.jobs = append(r.jobs, n.out.add(work, func() { r.part(answer) }))
+	r.partsLeft = 1
+	r.transfers = append(r.transfers, n.transfers.add(work, func() { r.partDone(answer) }))
 	if n.Kind == Origin {
 		r.born, r.note = time.Now(), "local"
 		return
 	}
-	if born := n.copy(key); fresh(born) {
+	if born := n.lookup(key); fresh(born) {
 		r.born, r.note = born, "local"
 		return
 	}
@@ -472,7 +472,7 @@
 		answer(r.id + " absent n=not_there 0\r\n\r\n")
 		return
 	}
-	r.wait++
+	r.partsLeft++
 	got := func(born time.Time, note string) {
 		r.born, r.note = born, note
 		switch {
@@ -481,12 +481,12 @@
 		case born.IsZero():
 			answer(fmt.Sprintf("%s failed n=%s 0\r\n\r\n", r.id, note))
 		default:
-			r.part(answer)
+			r.partDone(answer)
 		}
 	}
 	mode := "+" + r.fields["mode"] + "+"
 	if f := n.fills[key]; f != nil && strings.Contains(mode, "+join+") && !strings.Contains(mode, "+held+") {
-		f.then = append(f.then, func(born time.Time, note string) {
+		f.waiters = append(f.waiters, func(born time.Time, note string) {
 			if note == "pulled" || note == "pulled_far" {
 				note = "rode"
 			}
@@ -497,41 +497,41 @@
 		})
 		return
 	}
-	f := &fill{}
+	f := &pendingFill{}
 	n.fills[key] = f
-	n.fetch(source, key, work, strings.Contains(mode, "+held+"), fresh, func(born time.Time, note string) {
+	n.fill(source, key, work, strings.Contains(mode, "+held+"), fresh, func(born time.Time, note string) {
 		if n.fills[key] == f {
 			delete(n.fills, key)
 		}
-		if !born.IsZero() && n.l != nil {
-			n.keep(key, born)
+		if !born.IsZero() && n.listener != nil {
+			n.store(key, born)
 		}
 		got(born, note)
-		for _, then := range f.then {
+		for _, then := range f.waiters {
 			then(born, note)
 		}
 	})
 }
 
-// part marks a part of a request as done.
-func (r *request) part(answer func(string)) {
-	if r.wait--; r.wait <= 0 {
-		r.done(answer)
+// partDone marks a part of a request as done.
+func (r *request) partDone(answer func(string)) {
+	if r.partsLeft--; r.partsLeft <= 0 {
+		r.answerBody(answer)
 	}
 }
 
-// done answers with the bytes, which tell what they are.
-func (r *request) done(answer func(string)) {
+// answerBody answers with the bytes, which tell what they are.
+func (r *request) answerBody(answer func(string)) {
 	body := fmt.Sprintf("%s/%s born %d", r.fields["asset"], r.fields["slice"], r.born.UnixMilli())
 	answer(fmt.Sprintf("%s data n=%s,ver=%016x,born=%d %d\r\n%s\r\n", r.id, r.note, r.born.UnixMilli(), r.born.UnixMilli(),
 		len(body), body))
 }
 
-// fetch fills a copy from a source, over the location's link.
-func (n *Node) fetch(source *Node, key string, work float64, held bool, fresh func(time.Time) bool,
+// fill fills a copy from a source, over the location's link.
+func (n *Node) fill(source *Node, key string, work float64, held bool, fresh func(time.Time) bool,
 	then func(born time.Time, note string)) {
-	w := n.w
-	if source.l == nil || source.trouble == Mute {
+	w := n.cluster
+	if source.listener == nil || source.fault == FaultNoAnswer {
 		time.AfterFunc(300*time.Millisecond, func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -539,12 +539,12 @@
 		})
 		return
 	}
-	source.reached(work / w.FillPace)
-	if source.l == nil {
+	source.recordWork(work / w.FillSpeedup)
+	if source.listener == nil {
 		then(time.Time{}, "cut_off")
 		return
 	}
-	born, note, parts := source.copy(key), "pulled", 2
+	born, note, parts := source.lookup(key), "pulled", 2
 	over := func() {
 		if parts--; parts == 0 {
 			then(born, note)
@@ -557,79 +557,79 @@
 		}
 		parts++
 		note = "pulled_far"
-		time.AfterFunc(w.OriginTakes, func() {
+		time.AfterFunc(w.OriginLatency, func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.origin().reached(work / w.FillPace)
-			w.origin().out.add(work, func() {
+			w.origin().recordWork(work / w.FillSpeedup)
+			w.origin().transfers.add(work, func() {
 				born = time.Now()
-				source.keep(key, born)
+				source.store(key, born)
 				over()
 			})
 		})
 	} else if source.Kind == Origin {
 		born, note = time.Now(), "pulled_far"
 	}
-	source.out.add(work, over)
-	w.links[w.TownOf(n.Name)].add(work, over)
+	source.transfers.add(work, over)
+	w.links[w.ZoneOf(n.Name)].add(work, over)
 }
 
-// copy is when the copy that is held was given out by the origin; zero for none.
-func (n *Node) copy(key string) time.Time {
+// lookup is when the copy that is held was given out by the origin; zero for none.
+func (n *Node) lookup(key string) time.Time {
 	e := n.copies[key]
 	if e == nil || n.Kind == Origin {
 		return time.Time{}
 	}
 	object, _, _ := strings.Cut(key, "/")
-	if born := e.Value.(*copied).born; n.w.kept(object, born) {
-		n.order.MoveToFront(e)
+	if born := e.Value.(*cachedCopy).born; n.cluster.mayKeep(object, born) {
+		n.copyOrder.MoveToFront(e)
 		return born
 	}
-	n.order.Remove(e)
+	n.copyOrder.Remove(e)
 	delete(n.copies, key)
 	return time.Time{}
 }
 
-func (n *Node) keep(key string, born time.Time) {
+func (n *Node) store(key string, born time.Time) {
 	if e := n.copies[key]; e != nil {
-		e.Value.(*copied).born = born
-		n.order.MoveToFront(e)
+		e.Value.(*cachedCopy).born = born
+		n.copyOrder.MoveToFront(e)
 		return
 	}
-	n.copies[key] = n.order.PushFront(&copied{key, born})
-	if n.order.Len() > n.w.Copies {
-		last := n.order.Back()
-		delete(n.copies, last.Value.(*copied).key)
-		n.order.Remove(last)
+	n.copies[key] = n.copyOrder.PushFront(&cachedCopy{key, born})
+	if n.copyOrder.Len() > n.cluster.CacheEntries {
+		last := n.copyOrder.Back()
+		delete(n.copies, last.Value.(*cachedCopy).key)
+		n.copyOrder.Remove(last)
 	}
 }
 
-// Fill gives a node copies of objects, as if it had been asked for them long ago.
-func (n *Node) Fill(objects ...Object) {
-	n.w.mu.Lock()
-	defer n.w.mu.Unlock()
+// Prefill gives a node copies of objects, as if it had been asked for them long ago.
+func (n *Node) Prefill(objects ...Object) {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
 	for _, o := range objects {
-		n.keep(o.ID+"/0", time.Now())
+		n.store(o.ID+"/0", time.Now())
 	}
 }
 
-// Stock gives the caches and parents what they would hold after a long calm day.
-func (w *World) Stock() {
+// PrefillCaches gives the caches and parents what they would hold after a long calm day.
+func (w *Cluster) PrefillCaches() {
 	for i, n := range w.Nodes {
 		if n.Kind == Origin {
 			continue
 		}
-		for t := range w.Types {
+		for t := range w.ContentTypes {
 			for o := range w.Objects / 2 {
 				if n.Kind == Parent || (o+i)%2 == 0 || o < 64 {
-					n.Fill(w.Object(&w.Types[t], o))
+					n.Prefill(w.Object(&w.ContentTypes[t], o))
 				}
 			}
 		}
 	}
 }
 
-func (w *World) byName(name string) *Node {
+func (w *Cluster) nodeByName(name string) *Node {
 	for _, n := range w.Nodes {
 		if n.Name == name {
 			return n
@@ -638,23 +638,23 @@
 	return nil
 }
 
-func (w *World) origin() *Node { return w.byName("origin") }
+func (w *Cluster) origin() *Node { return w.nodeByName("origin") }
 
-// runs books an effect; a repeat within the window is dropped.
-func (w *World) runs(key string, t *Type) {
+// recordEffect books an effect; a repeat within the window is dropped.
+func (w *Cluster) recordEffect(key string, t *ContentType) {
 	if key == "" {
 		return
 	}
 	e, now := w.effects[key], w.now()
-	if e.times == 0 || now > e.first+t.Window {
+	if e.times == 0 || now > e.first+t.DedupWindow {
 		e.times++
 		e.first = now
 	}
 	w.effects[key] = e
 }
 
-// Effect is how often a key had its effect.
-func (w *World) Effect(key string) int {
+// EffectCount is how often a key had its effect.
+func (w *Cluster) EffectCount(key string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.effects[key].times
--- a/internal/fakes/quick.go
+++ b/internal/fakes/quick.go
@@ -11,14 +11,14 @@
 )
 
 // effects of keys at quick nodes; the stripes keep its lock out of the way.
-type quickEffects struct {
+type instantEffects struct {
 	stripe [64]struct {
 		sync.Mutex
 		times map[string]int
 	}
 }
 
-func (q *quickEffects) add(key string) {
+func (q *instantEffects) add(key string) {
 	s := &q.stripe[key[len(key)-1]%64]
 	s.Lock()
 	defer s.Unlock()
@@ -28,10 +28,10 @@
 	s.times[key]++
 }
 
-// Twice is how many keys had their effect more than once at nodes that keep up.
-func (w *World) Twice() (n int) {
-	for i := range w.quick.stripe {
-		s := &w.quick.stripe[i]
+// RepeatedInstantEffects is how many keys had their effect more than once at nodes that keep up.
+func (w *Cluster) RepeatedInstantEffects() (n int) {
+	for i := range w.instantEffects.stripe {
+		s := &w.instantEffects.stripe[i]
 		s.Lock()
 		for _, times := range s.times {
 			if times > 1 {
@@ -43,15 +43,15 @@
 	return n
 }
 
-// quickly answers at once, whatever is asked: a node that keeps up, for measuring directors. Answers to what has come
+// serveInstantly answers at once, whatever is asked: a node that keeps up, for measuring directors. Answers to what has come
 // together go out together.
-func (n *Node) quickly(nc net.Conn) {
+func (n *Node) serveInstantly(nc net.Conn) {
 	defer nc.Close()
 	in, out := bufio.NewReaderSize(nc, 64<<10), bufio.NewWriterSize(nc, 64<<10)
 	bodies := map[string][]byte{}
-	for i := range n.w.Types {
-		t := &n.w.Types[i]
-		bodies[t.Name] = bytes.Repeat([]byte("0123456789abcdef"), max(1, int(t.Work.Microseconds())/16)) // a byte a µs
+	for i := range n.cluster.ContentTypes {
+		t := &n.cluster.ContentTypes[i]
+		bodies[t.Name] = bytes.Repeat([]byte("0123456789abcdef"), max(1, int(t.MeanTransfer.Microseconds())/16)) // a byte a µs
 	}
 	for {
 		if in.Buffered() == 0 {
@@ -91,7 +91,7 @@
 			out.Write(body)
 			out.WriteString("\r\n")
 			if len(op) > 0 {
-				n.w.quick.add(string(op))
+				n.cluster.instantEffects.add(string(op))
 			}
 			bytes, _ := strconv.Atoi(string(size))
 			if _, err := io.CopyN(io.Discard, in, int64(bytes)+2); err != nil {
--- a/internal/fakes/standin_test.go
+++ b/internal/fakes/standin_test.go
@@ -49,9 +49,9 @@
 	return words[1], words[2], string(text[:size])
 }
 
-func world(t *testing.T, change func(*Spec)) *World {
-	s := Depot(2, 1)
-	s.Cold, s.Parents = false, 1
+func world(t *testing.T, change func(*Spec)) *Cluster {
+	s := DefaultSpec(2, 1)
+	s.ColdEdges, s.Parents = false, 1
 	change(&s)
 	w, err := New(s)
 	if err != nil {
@@ -86,13 +86,13 @@
 			}
 		})
 	}
-	parent.Die()
+	parent.Kill()
 	p.want("dead", "sort=thumbnail,asset=0000000000000009,slice=0,from=parent-0")
 	if word, fields, _ := p.answer(t); word != "failed" || fields != "n=cut_off" {
 		t.Errorf("with its source dead: %s %s", word, fields)
 	}
-	for trouble, want := range map[Trouble]string{Errs: "failed", Spoils: "", Resets: ""} {
-		box.Do(trouble, 1)
+	for trouble, want := range map[Fault]string{FaultError: "failed", FaultMalformed: "", FaultReset: ""} {
+		box.SetFault(trouble, 1)
 		q := dial(t, box)
 		q.want("x", thumb)
 		if word, _, _ := q.answer(t); word != want {
@@ -107,57 +107,57 @@
 	cases := []struct {
 		name  string
 		cold  bool
-		play  func(t *testing.T, w *World)
-		seen  func(b Broken) int
+		play  func(t *testing.T, w *Cluster)
+		seen  func(b Violations) int
 		peak  bool
 		after time.Duration
 	}{
-		{"a cold box pushed over", true, func(t *testing.T, w *World) {
+		{"a cold box pushed over", true, func(t *testing.T, w *Cluster) {
 			p := dial(t, w.Node("box-0"))
 			for i := range 2000 {
 				fmt.Fprintf(p, "want id%d %s 0\r\n\r\n", i, thumb(i))
 			}
-		}, func(b Broken) int { return b.Fallen }, true, 0},
-		{"a box used long after it was drained", false, func(t *testing.T, w *World) {
-			w.Node("box-0").Tell("draining")
-			time.Sleep(drainLimit + 20*time.Millisecond)
+		}, func(b Violations) int { return b.OverloadedNodes }, true, 0},
+		{"a box used long after it was drained", false, func(t *testing.T, w *Cluster) {
+			w.Node("box-0").Announce("draining")
+			time.Sleep(drainDeadline + 20*time.Millisecond)
 			p := dial(t, w.Node("box-0"))
 			p.want("a", thumb(1))
 			p.answer(t)
-		}, func(b Broken) int { return b.Drains }, false, 0},
-		{"a source named long after it was drained", false, func(t *testing.T, w *World) {
-			w.Node("parent-0").Tell("draining")
-			time.Sleep(drainLimit + 20*time.Millisecond)
+		}, func(b Violations) int { return b.DrainedUses }, false, 0},
+		{"a source named long after it was drained", false, func(t *testing.T, w *Cluster) {
+			w.Node("parent-0").Announce("draining")
+			time.Sleep(drainDeadline + 20*time.Millisecond)
 			p := dial(t, w.Node("box-0"))
 			p.want("a", thumb(1))
 			p.answer(t)
-		}, func(b Broken) int { return b.Drains }, false, 0},
-		{"one download at two boxes", false, func(t *testing.T, w *World) {
+		}, func(b Violations) int { return b.DrainedUses }, false, 0},
+		{"one download at two boxes", false, func(t *testing.T, w *Cluster) {
 			for _, name := range []string{"box-0", "box-1"} {
-				w.Node(name).Do(Mute, 1)
+				w.Node(name).SetFault(FaultNoAnswer, 1)
 				dial(t, w.Node(name)).want("same", thumb(1))
 			}
-		}, func(b Broken) int { return b.Together }, false, 0},
-		{"a pick run twice", false, func(t *testing.T, w *World) {
-			w.Types[2].Window = 50 * time.Millisecond
+		}, func(b Violations) int { return b.ConcurrentAttempts }, false, 0},
+		{"a pick run twice", false, func(t *testing.T, w *Cluster) {
+			w.ContentTypes[2].DedupWindow = 50 * time.Millisecond
 			p := dial(t, w.Node("box-0"))
 			for i := range 2 {
 				p.want(fmt.Sprint("p", i), "sort=cover-pick,asset=0000000000000001,slice=0,op=k,from=origin")
 				p.answer(t)
 				time.Sleep(100 * time.Millisecond)
 			}
-		}, func(b Broken) int { return b.Effects }, false, 0},
+		}, func(b Violations) int { return b.RepeatedEffects }, false, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := world(t, func(s *Spec) { s.Cold = c.cold })
+			w := world(t, func(s *Spec) { s.ColdEdges = c.cold })
 			c.play(t, w)
-			for until := time.Now().Add(5 * time.Second); c.seen(w.Broken()) == 0; time.Sleep(5 * time.Millisecond) {
+			for until := time.Now().Add(5 * time.Second); c.seen(w.Violations()) == 0; time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(until) {
-					t.Fatalf("not seen: %+v", w.Broken())
+					t.Fatalf("not seen: %+v", w.Violations())
 				}
 			}
-			if peak, fallen := w.Node("box-0").Peak(); c.peak != fallen || c.peak && peak <= 1 {
+			if peak, fallen := w.Node("box-0").PeakLoad(); c.peak != fallen || c.peak && peak <= 1 {
 				t.Errorf("peak %.2f, fallen %v", peak, fallen)
 			}
 		})
@@ -166,15 +166,15 @@
 
 // What a crowd of transfers divides among itself takes as long as it must.
 func TestShareTakesItsTime(t *testing.T) {
-	w := &World{start: time.Now()}
-	s := &share{w: w, pace: 1, able: func(time.Duration) float64 { return 2 }}
+	w := &Cluster{startedAt: time.Now()}
+	s := &sharedCapacity{cluster: w, maxRate: 1, capacity: func(time.Duration) float64 { return 2 }}
 	ends := make(chan time.Duration, 8)
 	w.mu.Lock()
 	for range 4 { // four of 50 ms on two at a time
 		s.add(50_000, func() { ends <- w.now() })
 	}
 	gone := s.add(1e9, func() { t.Error("dropped, and over all the same") })
-	s.drop(gone)
+	s.cancel(gone)
 	w.mu.Unlock()
 	for range 4 {
 		if took := <-ends; took < 95*time.Millisecond || took > 3*time.Second {
--- a/internal/faulttest/director.go
+++ b/internal/faulttest/director.go
@@ -44,7 +44,7 @@
 
 // NewDirector writes a director's configuration into a folder; Start runs it. Argv starts it, with the path of the
 // operator's script appended where there is one.
-func NewDirector(w *fakes.World, folder, name string, argv []string, script string, l Limits, log io.Writer) (*Director, error) {
+func NewDirector(w *fakes.Cluster, folder, name string, argv []string, script string, l Limits, log io.Writer) (*Director, error) {
 	addr, err := FreeAddress()
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 	}
 	for begun := time.Now(); time.Since(begun) < 10*time.Second && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 		if d.serving() {
-			d.Kill(false)
+			d.SetKilled(false)
 			return nil
 		}
 		select {
@@ -131,17 +131,17 @@
 // Pause stops it where it stands, as a machine's pause does, or has it go on.
 func (d *Director) Pause(stop bool) {
 	if stop {
-		d.Target.Pause(true, d.now())
+		d.Target.SetPaused(true, d.now())
 		d.Signal(syscall.SIGSTOP)
 		return
 	}
 	d.Signal(syscall.SIGCONT)
-	d.Target.Pause(false, d.now())
+	d.Target.SetPaused(false, d.now())
 }
 
 // Murder kills it outright.
 func (d *Director) Murder() {
-	d.Kill(true)
+	d.SetKilled(true)
 	d.Memory()
 	d.Signal(syscall.SIGKILL)
 	d.Wait()
--- a/internal/faulttest/follow_test.go
+++ b/internal/faulttest/follow_test.go
@@ -39,7 +39,7 @@
 	for i := range seven {
 		seven[i] = i
 	}
-	down := func(how fakes.Service) func(*Rig) { return func(r *Rig) { r.World.Serve(how, 0) } }
+	down := func(how fakes.ChannelMode) func(*Rig) { return func(r *Rig) { r.World.SetChannelMode(how, 0) } }
 	cases := []struct {
 		name   string
 		cold   bool
@@ -49,7 +49,7 @@
 		also   func(t *testing.T, o Outcome)
 	}{
 		{"all start cold under load", true, nil, []Fault{{Kind: Purge, At: 1000}}, 40, nil},
-		{"all start cold, and the channel is there four seconds later", true, down(fakes.Short), []Fault{{Kind: Service, At: 0, For: 4000, Rate: 1}},
+		{"all start cold, and the channel is there four seconds later", true, down(fakes.ChannelUnavailable), []Fault{{Kind: Service, At: 0, For: 4000, Rate: 1}},
 			60, func(t *testing.T, o Outcome) { // nobody can vouch for what is in force until then, whatever they answer each other
 				careful := map[int]time.Time{}
 				for _, e := range o.History.Entries() {
--- a/internal/faulttest/outcome.go
+++ b/internal/faulttest/outcome.go
@@ -103,7 +103,7 @@
 	if !spec.Alone && !r.Settled(ctx, toSettle) {
 		o.Unended = true
 	}
-	began, carried, calls := time.Now(), r.carried(), len(r.World.Called())
+	began, carried, calls := time.Now(), r.carried(), len(r.World.ChannelCalls())
 	if !spec.Early {
 		r.Load()
 	}
@@ -129,7 +129,7 @@
 	now := r.carried()
 	o.Packets = math.Round(float64(now[0]-carried[0]) / took / float64(s.Directors))
 	o.Bytes = math.Round(float64(now[1]-carried[1]) / took / float64(s.Directors))
-	o.Calls = math.Round(float64(len(r.World.Called())-calls)/took*10) / 10
+	o.Calls = math.Round(float64(len(r.World.ChannelCalls())-calls)/took*10) / 10
 	o.Hours = took / 3600 * float64(s.Directors)
 	o.Memory = math.Round(r.Memory()*10) / 10
 	if err := r.Close(); err != nil {
@@ -178,33 +178,33 @@
 }
 
 // books takes what the stand-ins wrote down.
-func (o *Outcome) books(w *fakes.World, fault time.Duration) {
-	b := w.Broken()
-	o.Effects, o.Fallen, o.Drains, o.Together = b.Effects, b.Fallen, b.Drains, b.Together
+func (o *Outcome) books(w *fakes.Cluster, fault time.Duration) {
+	b := w.Violations()
+	o.Effects, o.Fallen, o.Drains, o.Together = b.RepeatedEffects, b.OverloadedNodes, b.DrainedUses, b.ConcurrentAttempts
 	for _, n := range w.Nodes {
-		if peak, _ := n.Peak(); n.Kind != fakes.Origin {
+		if peak, _ := n.PeakLoad(); n.Kind != fakes.Origin {
 			o.ColdPeak = max(o.ColdPeak, math.Round(peak*1000)/1000)
 		}
 	}
-	w.Clients.Do(func(b *fakes.Book) {
-		o.Lost, o.Twice, o.Wrong, o.Purges, o.LostPaused = b.Lost, b.Twice, b.Wrong, b.Old, b.Paused
-		if len(b.LostHow) > 0 {
-			o.LostHow = fmt.Sprint(b.LostHow)
+	w.Clients.WithLock(func(b *fakes.ClientStats) {
+		o.Lost, o.Twice, o.Wrong, o.Purges, o.LostPaused = b.Lost, b.Duplicates, b.WrongBodies, b.StaleCopies, b.LostToPauses
+		if len(b.LostReasons) > 0 {
+			o.LostHow = fmt.Sprint(b.LostReasons)
 		}
 		var begun, met []int
 		good := 0
-		for _, dl := range b.Downloads {
+		for _, dl := range b.Requests {
 			o.Asked++
-			good += bit(dl.Fulfilled)
-			if dl.Began < fault {
+			good += bit(dl.Succeeded)
+			if dl.StartedAt < fault {
 				continue
 			}
-			at := int((dl.Began - fault) / fakes.Bucket)
+			at := int((dl.StartedAt - fault) / fakes.SeriesInterval)
 			for len(begun) <= at {
 				begun, met = append(begun, 0), append(met, 0)
 			}
 			begun[at]++
-			met[at] += bit(dl.Fulfilled)
+			met[at] += bit(dl.Succeeded)
 		}
 		if o.Asked > 0 {
 			o.Share = math.Round(float64(good)/float64(o.Asked)*10000) / 10000
@@ -224,7 +224,7 @@
 			}
 		}
 		if below+window < len(begun) {
-			o.Recovery = float64((time.Duration(below+1) * fakes.Bucket).Milliseconds())
+			o.Recovery = float64((time.Duration(below+1) * fakes.SeriesInterval).Milliseconds())
 		}
 	})
 }
--- a/internal/faulttest/rare_test.go
+++ b/internal/faulttest/rare_test.go
@@ -193,18 +193,20 @@
 	argv := program(t)
 	for _, x := range []struct {
 		name string
-		how  func(*fakes.World)
+		how  func(*fakes.Cluster)
 	}{
-		{"up", func(*fakes.World) {}},
-		{"slow", func(w *fakes.World) { w.Limit(fakes.Capacity{Call: 2 * time.Second, Most: time.Hour}) }},
-		{"short", func(w *fakes.World) { w.Serve(fakes.Short, 5) }},
-		{"hanging", func(w *fakes.World) { w.Serve(fakes.Hanging, 0) }},
-		{"breaking off", func(w *fakes.World) { w.Serve(fakes.Halving, 0) }},
-		{"gone", func(w *fakes.World) { w.Cut(true) }},
+		{"up", func(*fakes.Cluster) {}},
+		{"slow", func(w *fakes.Cluster) {
+			w.SetChannelCapacity(fakes.ChannelCapacity{PerCall: 2 * time.Second, MaxWait: time.Hour})
+		}},
+		{"short", func(w *fakes.Cluster) { w.SetChannelMode(fakes.ChannelUnavailable, 5) }},
+		{"hanging", func(w *fakes.Cluster) { w.SetChannelMode(fakes.ChannelHanging, 0) }},
+		{"breaking off", func(w *fakes.Cluster) { w.SetChannelMode(fakes.ChannelTruncating, 0) }},
+		{"gone", func(w *fakes.Cluster) { w.CutSecondPath(true) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s := fakes.Depot(4, 10)
-			s.Sideways = true
+			s := fakes.DefaultSpec(4, 10)
+			s.SecondPath = true
 			w, err := fakes.New(s)
 			if err != nil {
 				t.Fatal(err)
@@ -253,9 +255,9 @@
 // away: clients are served, each node is reached, and once the channel is back its word is heeded in time.
 func TestDescriptorsWhileTheChannelIsAway(t *testing.T) {
 	beside(t)
-	s := fakes.Depot(200, 1)
-	s.Cold, s.Box, s.Link, s.Parent, s.Origin, s.OriginTakes = false, 1000, 1e5, 1e5, 1e5, time.Millisecond
-	s.Types[0].Work = time.Millisecond
+	s := fakes.DefaultSpec(200, 1)
+	s.ColdEdges, s.CacheCapacity, s.LinkCapacity, s.ParentCapacity, s.OriginCapacity, s.OriginLatency = false, 1000, 1e5, 1e5, 1e5, time.Millisecond
+	s.ContentTypes[0].MeanTransfer = time.Millisecond
 	w, err := fakes.New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -274,7 +276,7 @@
 		d.Signal(os.Kill)
 		d.Wait()
 	}()
-	w.Serve(fakes.Hanging, 0)
+	w.SetChannelMode(fakes.ChannelHanging, 0)
 	for range 100 { // rest, and say nothing
 		nc, err := net.Dial("tcp4", d.Addr)
 		if err != nil {
@@ -282,13 +284,13 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 	}
-	c := &fakes.Client{W: w, Targets: []*fakes.Target{&d.Target}, Rand: rand.New(rand.NewPCG(1, 2))}
+	c := &fakes.Client{Cluster: w, Targets: []*fakes.Target{&d.Target}, Rand: rand.New(rand.NewPCG(1, 2))}
 	defer c.Close()
 	number := 0
 	ask := func(times int) (served int) {
 		for range times {
 			number++
-			word, _, _, err := c.Ask(t.Context(), w.Object(&w.Types[0], number), 3*time.Second, false, "")
+			word, _, _, err := c.Attempt(t.Context(), w.Object(&w.ContentTypes[0], number), 3*time.Second, false, "")
 			if err == nil && word == "200" {
 				served++
 			}
@@ -300,29 +302,29 @@
 	}
 	reached := 0
 	for _, n := range w.Nodes {
-		if strings.HasPrefix(n.Name, "box") && n.Asked() > 0 {
+		if strings.HasPrefix(n.Name, "box") && n.RequestCount() > 0 {
 			reached++
 		}
 	}
 	if reached < 180 { // of 200 by 600 objects
 		t.Errorf("%d nodes were reached", reached)
 	}
-	calls := len(w.Called())
-	w.Serve(fakes.Serving, 0)
+	calls := len(w.ChannelCalls())
+	w.SetChannelMode(fakes.ChannelServing, 0)
 	back := time.Now()
 	drains := w.Node("box-7")
-	drains.Tell("draining")
-	for len(w.Called()) < calls+2 { // one that brought it, and the next
+	drains.Announce("draining")
+	for len(w.ChannelCalls()) < calls+2 { // one that brought it, and the next
 		ask(1)
 		if time.Since(back) > 3*time.Second {
-			t.Fatalf("%d calls in 3 s", len(w.Called())-calls)
+			t.Fatalf("%d calls in 3 s", len(w.ChannelCalls())-calls)
 		}
 	}
-	before := drains.Asked()
+	before := drains.RequestCount()
 	if n := ask(400); n < 395 {
 		t.Errorf("%d of 400 were served", n)
 	}
-	if n := drains.Asked(); n != before {
+	if n := drains.RequestCount(); n != before {
 		t.Errorf("%d more reached the node that drains", n-before)
 	}
 	if text := log.String(); strings.Contains(text, "too many open files") || strings.Contains(text, logevent.AcceptFailed) {
--- a/internal/faulttest/rig.go
+++ b/internal/faulttest/rig.go
@@ -64,7 +64,7 @@
 // Rig is a fleet of directors as processes, with relays between them and stand-ins of all else that they talk to.
 type Rig struct {
 	Spec
-	World   *fakes.World
+	World   *fakes.Cluster
 	Net     *Net
 	History *History
 	dir     string
@@ -79,10 +79,10 @@
 
 // New makes a rig with so many directors; Start starts them.
 func New(s Spec, schedule Schedule) (*Rig, error) {
-	spec := fakes.Depot(s.Boxes, schedule.Directors)
-	spec.Towns = schedule.Towns()
-	spec.Sideways = slices.ContainsFunc(schedule.Faults, func(f Fault) bool { return f.Kind == Away })
-	spec.Seed, spec.Cold, spec.ColdParents = schedule.Seed+1, !s.Warm, false
+	spec := fakes.DefaultSpec(s.Boxes, schedule.Directors)
+	spec.Zones = schedule.Towns()
+	spec.SecondPath = slices.ContainsFunc(schedule.Faults, func(f Fault) bool { return f.Kind == Away })
+	spec.Seed, spec.ColdEdges, spec.ColdParents = schedule.Seed+1, !s.Warm, false
 	if s.Change != nil {
 		s.Change(&spec)
 	}
@@ -90,10 +90,10 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Rig{Spec: s, World: w, Net: NewNet(schedule.Seed), History: &History{}, asked: fakes.NewZipf(spec.Objects, spec.Zipf)}
+	r := &Rig{Spec: s, World: w, Net: NewNet(schedule.Seed), History: &History{}, asked: fakes.NewZipf(spec.Objects, spec.ZipfExponent)}
 	r.ctx, r.leave = context.WithCancel(context.Background())
 	if s.Warm {
-		w.Stock()
+		w.PrefillCaches()
 	}
 	if r.dir, err = os.MkdirTemp("", "rig"); err == nil {
 		r.key = filepath.Join(r.dir, "key")
@@ -250,19 +250,19 @@
 		targets = append(targets, &p.Target)
 	}
 	work := 0.0
-	for _, t := range r.World.Types {
-		work += t.Share * t.Work.Seconds()
+	for _, t := range r.World.ContentTypes {
+		work += t.RequestShare * t.MeanTransfer.Seconds()
 	}
-	rate := r.Spec.Load * r.World.Box * float64(r.Boxes) / work
+	rate := r.Spec.Load * r.World.CacheCapacity * float64(r.Boxes) / work
 	think := time.Duration(float64(r.Clients) / rate * float64(time.Second))
 	chance := rand.New(rand.NewPCG(r.World.Seed, 31))
 	for i := range r.Clients {
 		c := &fakes.Client{
-			W: r.World, Targets: targets, Target: i % len(targets), From: fmt.Sprintf("127.1.%d.%d", i/250%250, 1+i%250), Retries: 12,
-			Wait: 100 * time.Millisecond, Rand: rand.New(rand.NewPCG(r.World.Seed, uint64(i)+100)), Zipf: r.asked,
+			Cluster: r.World, Targets: targets, Current: i % len(targets), LocalAddress: fmt.Sprintf("127.1.%d.%d", i/250%250, 1+i%250), MaxRetries: 12,
+			RetryPause: 100 * time.Millisecond, Rand: rand.New(rand.NewPCG(r.World.Seed, uint64(i)+100)), Zipf: r.asked,
 		}
 		at := r.World.Now() + time.Duration(chance.Float64()*float64(time.Second))
-		r.crowd.Go(func() { c.Live(r.ctx, at, think) })
+		r.crowd.Go(func() { c.Run(r.ctx, at, think) })
 	}
 }
 
@@ -351,29 +351,29 @@
 	case Kill:
 		return who(r.kill), who(func(p *Process) { r.again(ctx, p) })
 	case Away:
-		return func() { r.World.Cut(true) }, func() { r.World.Cut(false) }
+		return func() { r.World.CutSecondPath(true) }, func() { r.World.CutSecondPath(false) }
 	case Zone:
 		towns := f.Who
 		lost := func(n *fakes.Node) bool {
-			return n.Kind == fakes.Edge && slices.Contains(towns, r.World.TownOf(n.Name))
+			return n.Kind == fakes.Edge && slices.Contains(towns, r.World.ZoneOf(n.Name))
 		}
 		f.Who = nil // its directors from here on
 		for i, p := range procs {
-			if slices.Contains(towns, r.World.TownOf(p.Name)) {
+			if slices.Contains(towns, r.World.ZoneOf(p.Name)) {
 				f.Who = append(f.Who, i)
 			}
 		}
 		return func() {
 				for _, n := range r.World.Nodes {
 					if lost(n) {
-						n.Die()
+						n.Kill()
 					}
 				}
 				who(r.kill)()
 			}, func() {
 				for _, n := range r.World.Nodes {
 					if lost(n) {
-						n.Start()
+						n.Restart()
 					}
 				}
 				who(func(p *Process) { r.again(ctx, p) })()
@@ -425,8 +425,8 @@
 		return func() {
 			for _, i := range f.Who {
 				if n := r.World.Node(fmt.Sprint("box-", i)); n != nil {
-					n.Die()
-					n.Start()
+					n.Kill()
+					n.Restart()
 				}
 			}
 		}, nil
@@ -438,13 +438,13 @@
 		}, nil
 	case Drain:
 		n := r.World.Node("box-0")
-		return func() { n.Tell("draining") }, func() { n.Tell("up") }
+		return func() { n.Announce("draining") }, func() { n.Announce("up") }
 	case Busy:
 		return func() { busy(ctx, int(f.Rate), span) }, nil
 	case Service:
-		return func() { r.World.Serve(fakes.Service(f.Rate), 0) }, func() { r.World.Serve(fakes.Serving, 0) }
+		return func() { r.World.SetChannelMode(fakes.ChannelMode(f.Rate), 0) }, func() { r.World.SetChannelMode(fakes.ChannelServing, 0) }
 	case Forget:
-		return func() { r.World.Forget(1) }, nil
+		return func() { r.World.RollBackChannel(1) }, nil
 	case Followers:
 		return func() {
 				f.Who = r.chosen(ctx)
@@ -503,7 +503,7 @@
 
 // move has the channel listen elsewhere too, and all directors told so, within a second.
 func (r *Rig) move(ctx context.Context, chance *rand.Rand) {
-	if err := r.World.Move(); err != nil {
+	if err := r.World.MoveChannel(); err != nil {
 		r.History.Did(-1, "failed to move: "+err.Error(), nil)
 		return
 	}
@@ -525,13 +525,13 @@
 	half := r.Boxes / 2
 	for i := range half {
 		old := r.World.Node(fmt.Sprint("box-", i))
-		if _, err := r.World.Add(fakes.Edge, fmt.Sprint("new-", i), true); err != nil {
+		if _, err := r.World.AddNode(fakes.Edge, fmt.Sprint("new-", i), true); err != nil {
 			r.History.Did(-1, "failed to replace: "+err.Error(), nil)
 		}
-		old.Tell("draining")
+		old.Announce("draining")
 		time.AfterFunc(span/2, func() {
-			old.Tell("removed")
-			old.Die()
+			old.Announce("removed")
+			old.Kill()
 		})
 		fakes.Sleep(ctx, span/time.Duration(2*half))
 	}
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -141,7 +141,7 @@
 // A connection that is opened after its attempt was cancelled carries nothing of it. The node's accept queue is full, so that the
 // connection opens late.
 func TestConnectionOpenedAfterCancel(t *testing.T) {
-	listener, err := fakes.Unheard()
+	listener, err := fakes.ListenUnresponsive()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 		}
 		defer func() { _ = netConn.Close() }()
 		_ = netConn.SetDeadline(time.Now().Add(10 * time.Second)) // a connection of the queue may have been closed
-		if netConn.RemoteAddr() == nil || !listener.Ours(netConn) {
+		if netConn.RemoteAddr() == nil || !listener.HoldsQueue(netConn) {
 			n := newNodeConn(t, netConn)
 			n.expect("want a2")
 			n.write("a2 full - 0\r\n\r\n")
