--- a/internal/bufpool/body.go
+++ b/internal/bufpool/body.go
@@ -16,7 +16,7 @@
 // Append copies data to the body's end. It returns false when the pool has no buffer for all of it; the body may then hold a part.
 func (b *Body) Append(data []byte) bool {
 	for len(data) > 0 {
-		if !b.hasRoom() && !b.grow(len(data)) {
+		if !b.hasSpace() && !b.grow(len(data)) {
 			return false
 		}
 		last := len(b.parts) - 1
@@ -29,8 +29,8 @@
 	return true
 }
 
-// hasRoom reports whether the last buffer can take another byte.
-func (b *Body) hasRoom() bool {
+// hasSpace reports whether the last buffer can take another byte.
+func (b *Body) hasSpace() bool {
 	n := len(b.parts)
 	return n > 0 && len(b.parts[n-1]) < cap(b.parts[n-1])
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -120,7 +120,7 @@
 	if !errors.As(err, &failure) {
 		return policy.ConnectionLost
 	}
-	written := failure.Stage >= upstream.WhollyWritten
+	written := failure.Stage >= upstream.FullyWritten
 	switch {
 	case !written && errors.Is(err, upstream.ErrWithdrawn):
 		return policy.Withdrawn
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -28,11 +28,11 @@
 		{"not connected", "", fail(upstream.NotConnected, false), policy.ConnectFailed},
 		{"nothing written", "", fail(upstream.NothingWritten, false), policy.ConnectFailed},
 		{"partly written", "", fail(upstream.PartlyWritten, false), policy.ConnectFailed},
-		{"wholly written", "", fail(upstream.WhollyWritten, false), policy.ConnectionLost},
+		{"wholly written", "", fail(upstream.FullyWritten, false), policy.ConnectionLost},
 		{"response started", "", fail(upstream.ResponseStarted, false), policy.ConnectionLost},
 		{"cancelled, not connected", "", fail(upstream.NotConnected, true), policy.NotSent},
 		{"cancelled, partly written", "", fail(upstream.PartlyWritten, true), policy.NotSent},
-		{"cancelled, wholly written", "", fail(upstream.WhollyWritten, true), policy.Cancelled},
+		{"cancelled, wholly written", "", fail(upstream.FullyWritten, true), policy.Cancelled},
 		{"cancelled, response started", "", fail(upstream.ResponseStarted, true), policy.Cancelled},
 		{"another error", "", errors.New("x"), policy.ConnectionLost},
 	}
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -91,7 +91,7 @@
 			}
 			count[failure.Stage]++
 		}
-		if count[WhollyWritten] == 0 || count[PartlyWritten] > 1 || count[NothingWritten] == 0 || len(count) > 3 {
+		if count[FullyWritten] == 0 || count[PartlyWritten] > 1 || count[NothingWritten] == 0 || len(count) > 3 {
 			t.Errorf("ended as %v", count)
 		}
 	})
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -184,7 +184,7 @@
 // move queues an attempt on another connection, once, when the endpoint closed this one before it had the request. The caller holds
 // the endpoint's lock.
 func (c *conn) move(a *Attempt) bool {
-	if a.stage >= WhollyWritten || a.cancelled || a.moved || c.endpoint.closing || a.withdrawn() {
+	if a.stage >= FullyWritten || a.cancelled || a.moved || c.endpoint.closing || a.withdrawn() {
 		return false
 	}
 	a.moved = true
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -13,7 +13,7 @@
 	NotConnected    Stage = iota // no connection was up
 	NothingWritten               // a connection was up, none of the request's bytes were written
 	PartlyWritten                // some of them were written: the node can't run the request
-	WhollyWritten                // all of them were written: the node may run it
+	FullyWritten                 // all of them were written: the node may run it
 	ResponseStarted              // the first line of the response was read
 )
 
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -25,7 +25,7 @@
 		return &Error{Stage: NothingWritten, Err: err}
 	}
 	if err := p.readProbeAnswer(netConn); err != nil {
-		return &Error{Stage: WhollyWritten, Err: err}
+		return &Error{Stage: FullyWritten, Err: err}
 	}
 	return nil
 }
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -40,7 +40,7 @@
 		if len(b.buffer) > len(small) {
 			c.endpoint.pool.buffers.Put(b.buffer)
 		}
-		c.settleBatch(&b, written, err)
+		c.recordProgress(&b, written, err)
 	}
 }
 
@@ -94,7 +94,7 @@
 		m.attempt = nil
 	default:
 		b.data = appendRequest(b.data, &a.request)
-		a.stage, a.sentAt = WhollyWritten, time.Now() // before the write returns, since the endpoint may act on it before
+		a.stage, a.sentAt = FullyWritten, time.Now() // before the write returns, since the endpoint may act on it before
 	}
 }
 
@@ -171,8 +171,8 @@
 	c.finish(a, Response{}, &Error{NothingWritten, a.cancelled, cause})
 }
 
-// settleBatch notes how far the attempts of a batch came, of which so many bytes were written, and closes the connection after an error.
-func (c *conn) settleBatch(b *batch, written int, err error) {
+// recordProgress notes how far the attempts of a batch came, of which so many bytes were written, and closes the connection after an error.
+func (c *conn) recordProgress(b *batch, written int, err error) {
 	c.endpoint.mu.Lock()
 	defer c.endpoint.mu.Unlock()
 	begin := 0
--- a/internal/upstream/writer_test.go
+++ b/internal/upstream/writer_test.go
@@ -118,7 +118,7 @@
 		f.locked(func() {
 			for _, c := range f.endpoint.conns {
 				for id, a := range c.attempts {
-					if a.stage == WhollyWritten && strings.HasPrefix(id, "s") {
+					if a.stage == FullyWritten && strings.HasPrefix(id, "s") {
 						count++
 					}
 				}
