--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -13,11 +13,11 @@
 	NotConnected    Stage = iota // no connection was up
 	NothingWritten               // a connection was up, none of the request's bytes were written
 	PartlyWritten                // some of them were written: the node can't run the request
-	WhollyWritten                // all of them were written: the node may run it
+	FullyWritten                 // all of them were written: the node may run it
 	ResponseStarted              // the first line of the response was read
 )
 
-var stageNames = [...]string{"not connected", "nothing written", "partly written", "wholly written", "response started"}
+var stageNames = [...]string{"not connected", "nothing written", "partly written", "fully written", "response started"}
 
 // String returns the stage in words.
 func (s Stage) String() string { return stageNames[s] }
