--- a/gossip/store.go
+++ b/gossip/store.go
@@ -1,7 +1,7 @@
 // Package gossip decides which of the command channel's updates directors tell each other, and what a director makes of those that it
 // receives, so that directors which can't reach the channel learn of them through those that can.
 //
-// Updates that restrict (a purge, a drain, the removal of a node) are applied on the word of another director; what lifts a restriction is
+// Updates that restrict (a purge, a drain, the removal of a node) are applied when another director sends them; what lifts a restriction is
 // taken from the own channel alone. The package does no I/O, and each call is given the time. docs/dissemination.md has the argument why an
 // update that comes twice, late, or from a director that is itself behind undoes nothing.
 package gossip
@@ -24,8 +24,8 @@
 
 	updates     map[Update]policy.Micros // all that are known, by key: when the channel published them, by this director's clock
 	remembered  int                      // updates that were ever added
-	unconfirmed map[Update]policy.Micros // those of updates that others sent and the own channel has not told yet: when they were received
-	avoided     map[string]policy.Micros // nodes that drain or are removed by others' word alone: when that was received
+	unconfirmed map[Update]policy.Micros // those of updates that others sent and the own channel has not published yet: when they were received
+	avoided     map[string]policy.Micros // nodes that drain or are removed because of others' updates alone: when that was received
 	received    int                      // new updates from others
 	senders     map[string]senderWindow  // by director
 
@@ -35,7 +35,7 @@
 	recent recentPurges // cache of RecentPurges
 }
 
-// listedNode is a node of the own channel's list, and when the list last told its state.
+// listedNode is a node of the own channel's list, and when the list last gave its state.
 type listedNode struct {
 	NodeState
 	listedAt policy.Micros
--- a/gossip/update.go
+++ b/gossip/update.go
@@ -2,7 +2,7 @@
 
 import "tallyproxy/policy"
 
-// Update is one thing that the command channel told: a purge of an object or a group, or the drain or removal of a node. Directors number
+// Update is one thing that the command channel has published: a purge of an object or a group, or the drain or removal of a node. Directors number
 // the channel's events each on its own, so an update is identified by its content, without Age.
 type Update struct {
 	Object   string        `json:"o,omitempty"` // purge: of this object; empty for a whole group
@@ -11,7 +11,7 @@
 	Node     string        `json:"n,omitempty"` // id of the node that drains, or is removed
 	Started  policy.Micros `json:"s,omitempty"` // which start of the node is meant
 	Removed  bool          `json:"x,omitempty"` // the node is removed; else it drains
-	Age      policy.Micros `json:"a"`           // since the channel told it, as far as its sender knows
+	Age      policy.Micros `json:"a"`           // since the channel published it, as far as its sender knows
 }
 
 // key identifies an update whenever it was received.
--- a/internal/gossipnet/driver.go
+++ b/internal/gossipnet/driver.go
@@ -56,6 +56,7 @@
 // Driver is one director's part in the group of directors. Its methods may be called from any goroutine. Those that say so accept a nil
 // Driver, which stands for a director without peers.
 type Driver struct {
+	// Start sets these before the loops begin; they do not change afterwards.
 	settings   membership.Settings
 	now        func() policy.Micros
 	seeds      []string
@@ -63,6 +64,8 @@
 	broadcasts memberlist.TransmitLimitedQueue // what goes along with memberlist's own gossip; it has a lock of its own
 	outbox     chan envelope                   // read by sendLoop
 	logWriter  *logWriter
+	memberlist *memberlist.Memberlist
+	advertised string // the address at which others reach this director
 
 	reliableSends    chan struct{}            // a slot for each message on its way over a connection
 	quotas           [2]atomic.Pointer[quota] // in force, by membership.Scope
@@ -73,8 +76,6 @@
 	running sync.WaitGroup     // the loops and what they start
 
 	mu              sync.Mutex // of all that follows; never held while memberlist is called
-	memberlist      *memberlist.Memberlist
-	advertised      string // the address at which others reach this director
 	view            *membership.View
 	live            map[string]memberlist.Node // members that have not failed; copies, since memberlist goes on changing its own
 	channelAges     map[string]reportedAge     // of live members
@@ -82,8 +83,8 @@
 	addresses       map[string]string          // of members that did not leave, live or not; bounded by the view
 	loggedStates    map[string]loggedState     // bounded by twice MaxEntries
 	loggedView      loggedView
-	divergentPeer   string    // address of a live member whose view differed when it was last heard; empty for none
-	conflictAt      time.Time // when another process of this name was last heard; zero for none
+	divergentPeer   string    // address of a live member whose last received digest differed; empty for none
+	conflictAt      time.Time // when another process of this name was last seen; zero for none
 	leaving         bool
 	broadcastRounds int // rotate the peers that are chosen
 	snapshotRounds  int
@@ -105,9 +106,7 @@
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
 	advertised := net.JoinHostPort(c.AdvertiseAddr, strconv.Itoa(c.AdvertisePort))
-	d.mu.Lock()
 	d.memberlist, d.advertised = list, advertised
-	d.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
 	d.running.Go(func() { d.tickLoop(ctx) })
@@ -139,13 +138,13 @@
 	return d
 }
 
-// Shutdown ends it without telling the others, as a crash does.
+// Shutdown ends the driver without an announcement, as a crash does.
 func (d *Driver) Shutdown() {
 	d.stopLoops()
 	_ = d.memberlist.Shutdown() // the sockets are gone either way
 }
 
-// Leave tells the others, and ends it. The driver may be nil.
+// Leave announces to the others that this director leaves, and ends the driver. The driver may be nil.
 func (d *Driver) Leave() {
 	if d == nil {
 		return
--- a/internal/gossipnet/memberlistlog.go
+++ b/internal/gossipnet/memberlistlog.go
@@ -13,7 +13,7 @@
 // errorReportInterval is the time between two log lines about memberlist's errors.
 const errorReportInterval = 10 * time.Second
 
-// suspectLine is the line in which memberlist tells that a member did not answer a probe. It has no other way to say so.
+// suspectLine is the line in which memberlist reports that a member did not answer a probe. It has no callback for that.
 var suspectLine = regexp.MustCompile(`Suspect (\S+) has failed`)
 
 // logWriter takes memberlist's log. All lines are logged for debugging; errors are counted, and logged together now and then.
--- a/internal/gossipnet/members.go
+++ b/internal/gossipnet/members.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// observe tells the view the state of a member, and logs what is new. The caller holds the lock.
+// observe passes the state of a member to the view, and logs what is new. The caller holds the lock.
 func (d *Driver) observe(now policy.Micros, n *memberlist.Node, state membership.State) {
 	var meta nodeMeta
 	if json.Unmarshal(n.Meta, &meta) != nil || n.Name == d.settings.Name {
@@ -82,7 +82,7 @@
 	d.logView(now)
 }
 
-// logState logs a member's state where it is new. A member that is first heard of as a suspect is not logged: it has no state to change from.
+// logState logs a member's state where it is new. A member that is first seen as a suspect is not logged: it has no state to change from.
 func (d *Driver) logState(name string, current loggedState) {
 	last, logged := d.loggedStates[name]
 	if logged && last == current || !logged && current.state == membership.Suspected {
@@ -106,7 +106,7 @@
 		"zone_count", d.view.Count(now, membership.ScopeZone), "fleet_count", d.view.Count(now, membership.ScopeFleet))
 }
 
-// suspect takes the name of a member that did not answer a probe, which memberlist tells in its log alone.
+// suspect takes the name of a member that did not answer a probe, which memberlist reports in its log alone.
 func (d *Driver) suspect(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,8 +115,8 @@
 	}
 }
 
-// maxSuspicion is the longest time that memberlist lets a suspect refute. A suspect that has not failed by then has refuted: this director is
-// not told so, and its next probe of that member may be as many probes away as there are members.
+// maxSuspicion is the longest time that memberlist lets a suspect refute. A suspect that has not failed by then has refuted: memberlist does
+// not report that, and its next probe of that member may be as many probes away as there are members.
 func (d *Driver) maxSuspicion() policy.Micros {
 	nodeScale := math.Max(1, math.Log10(float64(max(1, d.memberCount.Load()))))
 	interval := d.settings.ProbeInterval
@@ -161,8 +161,8 @@
 	return d.view.ZonePeers()
 }
 
-// NewestChannelAge is the time since the command channel last answered any of the live members, by what they told; negative where none has
-// told, and for a nil Driver.
+// NewestChannelAge is the time since the command channel last answered any of the live members, by their own reports; negative where none has
+// reported, and for a nil Driver.
 func (d *Driver) NewestChannelAge() policy.Micros {
 	if d == nil {
 		return -1
--- a/membership/hints.go
+++ b/membership/hints.go
@@ -6,7 +6,7 @@
 	"tallyproxy/policy"
 )
 
-// Hint is what a director tells its peers about a cache node: a reason to probe the node once, and no more than that.
+// Hint is what a director sends its peers about a cache node: a reason to probe the node once, and no more than that.
 type Hint struct {
 	Node      string        `json:"Node"` // id in the endpoint list
 	Condition Condition     `json:"What"` // observed by the sender
--- a/membership/report.go
+++ b/membership/report.go
@@ -16,7 +16,7 @@
 	PartitionState string       `json:"standing"`        // most, few or alone
 	Digest         string       `json:"sum"`             // 16 hexadecimal digits, equal for equal views
 	StableFor      int64        `json:"since"`           // µs since the view changed
-	AgreeingPeers  int          `json:"sharing"`         // present peers whose view was the same when last heard
+	AgreeingPeers  int          `json:"sharing"`         // present peers whose last received digest is the same
 	NameConflict   string       `json:"clash,omitempty"` // address of another process under this name
 	ZoneQuota      float64      `json:"zone_part"`       // as a multiple of the fixed quota
 	FleetQuota     float64      `json:"fleet_part"`      // as a multiple of the fixed quota
@@ -29,7 +29,7 @@
 	Incarnation uint64 `json:"born"`  // of the peer's process
 	State       string `json:"state"` // up, suspected, failed or left
 	StateAge    int64  `json:"since"` // µs since the state changed
-	Agrees      bool   `json:"alike"` // it is present, and had the same view when last heard
+	Agrees      bool   `json:"alike"` // it is present, and its last received digest is the same
 }
 
 // Report gives the view as it is now.
--- a/membership/view.go
+++ b/membership/view.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// evict drops the peer that failed or left longest ago, to make room for a new name; false where no peer can be dropped.
+// evict drops the peer that failed or left longest ago, so that a new one fits; false where no peer can be dropped.
 func (v *View) evict(now policy.Micros) bool {
 	var oldest *peer
 	for _, name := range slices.Sorted(maps.Keys(v.absent)) {
