--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -20,7 +20,7 @@
 	Trusted() bool
 	// Resolved returns a channel that is closed once it may act again.
 	Resolved() <-chan struct{}
-	// StaleBy returns how long before it was read at this time something may have come.
+	// StaleBy returns by how much what was read at a time may be older than that, since it lay unread during a stall.
 	StaleBy(read time.Time) time.Duration
 }
 
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -8,14 +8,14 @@
 
 	"pgregory.net/rapid"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
-const minute = 60 * d.Second
+const minute = 60 * policy.Second
 
 // newSite returns a site of one location, with a demand and cache nodes of one size, and of a hub with two parents.
 func newSite(cacheNodes int, demand float64) Site {
-	s := Site{WarmUp: [3]d.Micros{10 * d.Second, 20 * d.Second, 0}, MaxUnavailable: 0.5, LocalSearchMoves: 200, ExactLimit: 7,
+	s := Site{WarmUp: [3]policy.Micros{10 * policy.Second, 20 * policy.Second, 0}, MaxUnavailable: 0.5, LocalSearchMoves: 200, ExactLimit: 7,
 		Demand: []Slot{{0, map[string]float64{"south": demand, "hub": 1}}}}
 	for i := range cacheNodes {
 		s.Machines = append(s.Machines, Machine{Name: fmt.Sprint("node-", i), Location: "south", Capacity: 8})
@@ -27,7 +27,7 @@
 }
 
 // jobsFor returns a job of a duration for each of some machines.
-func jobsFor(duration d.Micros, machines ...string) (jobs []Job) {
+func jobsFor(duration policy.Micros, machines ...string) (jobs []Job) {
 	for _, m := range machines {
 		jobs = append(jobs, Job{ID: "work on " + m, Machines: []string{m}, Duration: duration})
 	}
@@ -59,7 +59,7 @@
 		{"no time at all", newSite(3, 1), jobsFor(0, "node-0"), nil, "takes no time"},
 		{"at night", func() Site {
 			s := newSite(3, 20)
-			s.Demand = append(s.Demand, Slot{600 * d.Second, map[string]float64{"south": 10, "hub": 1}})
+			s.Demand = append(s.Demand, Slot{600 * policy.Second, map[string]float64{"south": 10, "hub": 1}})
 			return s
 		}(), jobsFor(minute, "node-0"), []string{"node-0 600 waits for a quieter time"}, ""},
 		{"what is out already is a fact", newSite(3, 8), append(jobsFor(minute, "node-1"), Job{ID: "b", Machines: []string{"node-0"}, Duration: minute, Started: true}),
@@ -71,13 +71,13 @@
 		}(), jobsFor(minute, "node-0"), nil, "as things are: waits for node-2: 2 of 3 cache nodes"},
 		{"another still warms up", func() Site {
 			s := newSite(2, 8)
-			s.Machines[1].WarmingFor = 5 * d.Second
+			s.Machines[1].WarmingFor = 5 * policy.Second
 			return s
 		}(), jobsFor(minute, "node-0"), []string{"node-0 5 waits for node-1"}, ""},
 		{"one machine for two", newSite(4, 8), []Job{{ID: "a", Machines: []string{"node-0"}, Duration: minute}, {ID: "b", Machines: []string{"node-0"}, Duration: minute}},
 			[]string{"a 0 ", "b 70 waits for a: it is the same machine"}, ""},
 		{"what is due first goes first", newSite(2, 8), []Job{{ID: "a", Machines: []string{"node-0"}, Duration: minute},
-			{ID: "b", Machines: []string{"node-1"}, Duration: minute, Deadline: 70 * d.Second}}, []string{"b 0 ", "a 70 "}, ""},
+			{ID: "b", Machines: []string{"node-1"}, Duration: minute, Deadline: 70 * policy.Second}}, []string{"b 0 ", "a 70 "}, ""},
 	}
 	for _, c := range cases {
 		for _, exactLimit := range []int{7, 0} { // both planners
@@ -86,7 +86,7 @@
 				plan := MakePlan(c.site, c.jobs, 1)
 				var got []string
 				for _, p := range plan.Placements {
-					got = append(got, fmt.Sprintf("%s %d %s", strings.TrimPrefix(p.Job, "work on "), p.Start/d.Second, p.Reason))
+					got = append(got, fmt.Sprintf("%s %d %s", strings.TrimPrefix(p.Job, "work on "), p.Start/policy.Second, p.Reason))
 				}
 				for i := range max(len(got), len(c.want)) {
 					if i >= len(got) || i >= len(c.want) || !strings.HasPrefix(got[i], c.want[i]) {
@@ -110,7 +110,7 @@
 
 // drawSite draws a site and its jobs.
 func drawSite(t *rapid.T, maxMachines, maxJobs int) (Site, []Job) {
-	s := Site{WarmUp: [3]d.Micros{10 * d.Second, 20 * d.Second, 0}, MaxUnavailable: 0.5, LocalSearchMoves: 60, ExactLimit: 6, Reserve: 0.1}
+	s := Site{WarmUp: [3]policy.Micros{10 * policy.Second, 20 * policy.Second, 0}, MaxUnavailable: 0.5, LocalSearchMoves: 60, ExactLimit: 6, Reserve: 0.1}
 	capacity := map[string]float64{}
 	for i := range rapid.IntRange(2, maxMachines).Draw(t, "machines") {
 		m := Machine{Name: fmt.Sprint("m", i), Kind: Kind(rapid.IntRange(0, 1).Draw(t, "kind")), Capacity: float64(rapid.IntRange(4, 9).Draw(t, "capacity"))}
@@ -119,7 +119,7 @@
 		capacity[m.Location] += m.Capacity
 	}
 	for i, share := range []float64{0.5, 0.2, 0.6} {
-		slot := Slot{d.Micros(i) * 200 * d.Second, map[string]float64{}}
+		slot := Slot{policy.Micros(i) * 200 * policy.Second, map[string]float64{}}
 		for location, total := range capacity {
 			slot.Demand[location] = total * share
 		}
@@ -127,10 +127,10 @@
 	}
 	var jobs []Job
 	for i := range rapid.IntRange(1, maxJobs).Draw(t, "jobs") {
-		j := Job{ID: fmt.Sprint("j", i), Duration: d.Micros(rapid.IntRange(10, 90).Draw(t, "duration")) * d.Second}
+		j := Job{ID: fmt.Sprint("j", i), Duration: policy.Micros(rapid.IntRange(10, 90).Draw(t, "duration")) * policy.Second}
 		j.Machines = []string{s.Machines[rapid.IntRange(0, len(s.Machines)-1).Draw(t, "machine")].Name}
 		if rapid.IntRange(0, 3).Draw(t, "has deadline") == 0 {
-			j.Deadline = d.Micros(rapid.IntRange(60, 300).Draw(t, "deadline")) * d.Second
+			j.Deadline = policy.Micros(rapid.IntRange(60, 300).Draw(t, "deadline")) * policy.Second
 		}
 		jobs = append(jobs, j)
 	}
--- a/maintenance/planner.go
+++ b/maintenance/planner.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
 const (
@@ -16,7 +16,7 @@
 	// maxPostponements bounds how often a job's start is put off before it is placed where it stands.
 	maxPostponements = 10_000
 
-	never = d.Micros(math.MaxInt64)
+	never = policy.Micros(math.MaxInt64)
 )
 
 // group is the machines of one kind in one location or hub, which bear its demand together.
@@ -35,8 +35,8 @@
 
 // outage is capacity of a group that is lost for a time.
 type outage struct {
-	start, end d.Micros
-	returns    d.Micros // when the machines come back; they warm up until end
+	start, end policy.Micros
+	returns    policy.Micros // when the machines come back; they warm up until end
 	capacity   float64
 	count      int
 	job        string // its ID; of a machine that warms up at the start: its name
@@ -60,7 +60,7 @@
 	groupOf       map[string]int     // by machine name
 	machines      map[string]Machine // by name
 	jobs          map[string]*Job    // by ID
-	demandChanges []d.Micros
+	demandChanges []policy.Micros
 }
 
 func newPlanner(site *Site) *planner {
@@ -109,7 +109,7 @@
 }
 
 // demand returns the highest demand of a group between two times.
-func (p *planner) demand(g *group, start, end d.Micros) (highest float64) {
+func (p *planner) demand(g *group, start, end policy.Micros) (highest float64) {
 	slots := p.site.Demand
 	for i, slot := range slots {
 		if slot.Start < end && (i+1 == len(slots) || slots[i+1].Start > start) {
@@ -147,7 +147,7 @@
 }
 
 // during gives an outage its times: out from start until it returns, then warming up.
-func (p *planner) during(o outage, g *group, start, returns d.Micros) outage {
+func (p *planner) during(o outage, g *group, start, returns policy.Micros) outage {
 	o.start, o.returns, o.end = start, returns, returns+p.site.WarmUp[g.kind]
 	return o
 }
@@ -182,7 +182,7 @@
 }
 
 // earliest returns when a job can start, and why not before. It returns false where it can't.
-func (p *planner) earliest(planned outages, j *Job, needs map[int]outage, order []int) (start d.Micros, reason string, ok bool) {
+func (p *planner) earliest(planned outages, j *Job, needs map[int]outage, order []int) (start policy.Micros, reason string, ok bool) {
 	if j.Started {
 		return 0, "it is out already", true
 	}
@@ -191,7 +191,7 @@
 		reason = "not before the time that was asked for"
 	}
 	for range maxPostponements {
-		conflict, retryAt := "", d.Micros(0)
+		conflict, retryAt := "", policy.Micros(0)
 		for _, i := range order {
 			g := p.groups[i]
 			if conflict, retryAt = p.conflict(g, planned[i], p.during(needs[i], g, start, start+j.Duration)); conflict != "" {
@@ -211,7 +211,7 @@
 
 // conflict returns why an outage may not be added to those of a group, and when something changes next. The reason is empty where it
 // may.
-func (p *planner) conflict(g *group, planned []outage, added outage) (reason string, retryAt d.Micros) {
+func (p *planner) conflict(g *group, planned []outage, added outage) (reason string, retryAt policy.Micros) {
 	for _, o := range planned {
 		if o.start < added.end && added.start < o.end && p.shareMachine(o.job, added.job) {
 			return "waits for " + o.job + ": it is the same machine", o.end
@@ -227,8 +227,8 @@
 
 // changesDuring returns the times within an outage at which a group can come to have too little: what is lost grows where outages
 // start, demand where slots do.
-func (p *planner) changesDuring(planned []outage, added outage) []d.Micros {
-	times := []d.Micros{added.start}
+func (p *planner) changesDuring(planned []outage, added outage) []policy.Micros {
+	times := []policy.Micros{added.start}
 	for _, o := range planned {
 		if o.start > added.start && o.start < added.end {
 			times = append(times, o.start)
@@ -244,7 +244,7 @@
 }
 
 // conflictAt is conflict at one time.
-func (p *planner) conflictAt(g *group, planned []outage, added outage, at d.Micros) (reason string, retryAt d.Micros) {
+func (p *planner) conflictAt(g *group, planned []outage, added outage, at policy.Micros) (reason string, retryAt policy.Micros) {
 	lost, count := added.capacity+g.lostCapacity, added.count+g.lostCount
 	var with []string
 	next := never
--- a/maintenance/search.go
+++ b/maintenance/search.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"tallyproxy/internal/random"
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
 // MakePlan places a site's jobs. Up to the site's ExactLimit of them it searches all orders; beyond, it tries some: by deadline, by
@@ -72,7 +72,7 @@
 }
 
 // score is how good an order is: first by the least tardiness, then by the earliest end of all, then by that of each.
-type score struct{ tardiness, makespan, sumOfEnds d.Micros }
+type score struct{ tardiness, makespan, sumOfEnds policy.Micros }
 
 func (s *score) add(p Placement) {
 	s.tardiness, s.makespan, s.sumOfEnds = s.tardiness+p.Tardiness, max(s.makespan, p.End), s.sumOfEnds+p.End
@@ -155,7 +155,7 @@
 }
 
 // deadline returns a job's, or the end of time where it has none.
-func deadline(j *Job) d.Micros {
+func deadline(j *Job) policy.Micros {
 	if j.Deadline == 0 {
 		return never
 	}
--- a/maintenance/violations.go
+++ b/maintenance/violations.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
 // checkTolerance is how far rounding may take a group below its demand before that is a violation; it is wider than the planner's.
@@ -56,7 +56,7 @@
 
 // shortages returns the times at which a group has too many machines out, or too little capacity for its demand.
 func (p *planner) shortages(g *group, planned []outage) (violations []string) {
-	var times []d.Micros
+	var times []policy.Micros
 	for _, o := range planned {
 		times = append(times, o.start)
 	}
