--- a/relays/golden_test.go
+++ b/relays/golden_test.go
@@ -6,12 +6,12 @@
 	"slices"
 	"testing"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
-// goldenRows are two rows of a list: one with every field set, one with none but the name.
-var goldenRows = []Endpoint{
-	{ID: "box-1", Address: "10.1.0.9:1", Zone: 1, Kind: 2, Cell: 3, Weight: 4.5, Started: 1764576000123000, State: d.Draining},
+// goldenEndpoints are two endpoints of a list: one with every field set, one with none but the name.
+var goldenEndpoints = []Endpoint{
+	{ID: "box-1", Address: "10.1.0.9:1", Zone: 1, Kind: 2, Cell: 3, Weight: 4.5, Started: 1764576000123000, State: policy.Draining},
 	{ID: "box-2"},
 }
 
@@ -23,7 +23,7 @@
 		value any
 		text  string
 	}{
-		{"rows", goldenRows, `[{"i":"box-1","a":"10.1.0.9:1","z":1,"k":2,"c":3,"w":4.5,"s":1764576000123000,"x":1},` +
+		{"rows", goldenEndpoints, `[{"i":"box-1","a":"10.1.0.9:1","z":1,"k":2,"c":3,"w":4.5,"s":1764576000123000,"x":1},` +
 			`{"i":"box-2","a":"","z":0,"k":0,"w":0}]`},
 		{"no rows", []Endpoint(nil), `null`},
 		{"question", Message{Query: &Query{SentAt: 123456789, PurgeDigest: 18446744073709551615}}, `{"q":{"n":123456789,"w":18446744073709551615}}`},
@@ -31,7 +31,7 @@
 		{"answer", Message{Response: &Response{SentAt: 123456789, Age: -1, ListSum: "5f"}}, `{"a":{"n":123456789,"a":-1,"s":"5f"}}`},
 		{"empty answer", Message{Response: &Response{}}, `{"a":{"n":0,"a":0,"s":""}}`},
 		{"wanted list", Message{WantList: "5f"}, `{"w":"5f"}`},
-		{"list", Message{List: goldenRows[1:]}, `{"l":[{"i":"box-2","a":"","z":0,"k":0,"w":0}]}`},
+		{"list", Message{List: goldenEndpoints[1:]}, `{"l":[{"i":"box-2","a":"","z":0,"k":0,"w":0}]}`},
 		{"empty message", Message{}, `{}`},
 		{"report", Report{Polls: true, Delegate: true, Sources: []string{"n0", "n1"}, AgeMicros: 7_000_000, ListSum: "5f"},
 			`{"calls":true,"chosen":true,"sources":["n0","n1"],"age_us":7000000,"sum":"5f"}`},
@@ -66,7 +66,7 @@
 	}{
 		{"none", nil, "74234e98afe7498fb5daf1f3"},
 		{"empty", []Endpoint{}, "4f53cda18c2baa0c0354bb5f"},
-		{"two", goldenRows, "e9157e6a0a7982f7acf3ce3c"},
+		{"two", goldenEndpoints, "e9157e6a0a7982f7acf3ce3c"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := Sum(c.rows); got != c.want {
@@ -76,15 +76,15 @@
 	}
 }
 
-// The order in which instances come to poll the channel, and the order in which one of them asks the others, are the same in every
+// The order in which instances come to poll the channel, and the order in which one of them queries the others, are the same in every
 // version.
 func TestGoldenOrder(t *testing.T) {
-	b := New(0, settings("n3"))
-	b.SetMembers([]string{"n0", "n1", "n2", "n4", "n5", "n6", "n7"})
-	if want := []string{"n0", "n5", "n7", "n3", "n4", "n6", "n2", "n1"}; !slices.Equal(b.order, want) {
-		t.Errorf("order %q, want %q", b.order, want)
+	relay := New(0, testSettings("n3"))
+	relay.SetMembers([]string{"n0", "n1", "n2", "n4", "n5", "n6", "n7"})
+	if want := []string{"n0", "n5", "n7", "n3", "n4", "n6", "n2", "n1"}; !slices.Equal(relay.order, want) {
+		t.Errorf("order %q, want %q", relay.order, want)
 	}
-	if want := []string{"n7", "n0", "n5", "n4", "n6", "n2"}; !slices.Equal(b.next, want) {
-		t.Errorf("asks %q, want %q", b.next, want)
+	if want := []string{"n7", "n0", "n5", "n4", "n6", "n2"}; !slices.Equal(relay.candidates, want) {
+		t.Errorf("candidates %q, want %q", relay.candidates, want)
 	}
 }
