--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -64,7 +64,7 @@
 	a.cancelled = true
 	c := a.conn
 	if a.stage == NotConnected {
-		c.finish(a, Response{}, &Error{NotConnected, true, errCancelled})
+		c.finish(a, Response{}, cancelledAt(NotConnected))
 		return
 	}
 	a.confirm = confirm
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -23,7 +23,7 @@
 // conn is one connection to an endpoint. The endpoint's lock guards it, except where noted.
 type conn struct {
 	endpoint     *Endpoint
-	netConn      net.Conn            // nil until it is open; set once
+	netConn      net.Conn            // nil until it is open; set once, before the reader and the writer start
 	attempts     map[string]*Attempt // open on it, by the request's id
 	cancelledIDs map[string]bool     // ids cancelled on it, of which a response may still come
 	unconfirmed  []*Attempt          // cancelled, in the order of their probes, of which no answer has come
@@ -164,7 +164,7 @@
 		if byEndpoint && c.move(a) {
 			continue
 		}
-		c.finish(a, Response{}, &Error{a.stage, a.cancelled, err})
+		c.finish(a, Response{}, &Error{Stage: a.stage, Cancelled: a.cancelled, Err: err})
 	}
 	if c.netConn != nil {
 		_ = c.netConn.Close() // what was not written is known, and nothing more is read
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -35,6 +35,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
+// cancelledAt returns the error of an attempt that Cancel ended at a stage.
+func cancelledAt(stage Stage) *Error { return &Error{Stage: stage, Cancelled: true, Err: errCancelled} }
+
 // Causes of an Error that callers tell apart.
 var (
 	// ErrConnectionLimit ends an attempt or a probe for which no connection could be had within the pool's limit.
--- a/internal/upstream/reader.go
+++ b/internal/upstream/reader.go
@@ -126,7 +126,7 @@
 	for i, a := range c.unconfirmed {
 		if a.request.ID == id {
 			c.unconfirmed = append(c.unconfirmed[:i], c.unconfirmed[i+1:]...)
-			c.finish(a, Response{}, &Error{a.stage, true, errCancelled})
+			c.finish(a, Response{}, cancelledAt(a.stage))
 			c.closeIfUnused()
 			return
 		}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -26,7 +26,7 @@
 	OnlyIfCached   bool          // the fill takes what its source has cached, and nothing from further on
 	Revalidate     bool          // an ageing copy serves, and the node renews it afterwards
 	ClientTag      string        // the version tag of the client's copy; empty where it has none
-	Body           *bufpool.Body // the sender's, who frees it once the attempt has ended
+	Body           *bufpool.Body // the sender's, who may free it once the attempt has ended or was cancelled
 
 	Source     *Endpoint   // the endpoint of SourceID, which must not be draining when the request is written; nil where not known
 	Superseded func() bool // reports whether the request must not be written any more; nil for never. Safe for concurrent use
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -101,7 +101,7 @@
 // encodeCancel appends the cancelling of an attempt, with a probe where it needs confirmation. The caller holds the endpoint's lock.
 func (c *conn) encodeCancel(a *Attempt, b *batch) {
 	if a.stage == NothingWritten { // there is nothing to cancel
-		c.finish(a, Response{}, &Error{NothingWritten, true, errCancelled})
+		c.finish(a, Response{}, cancelledAt(NothingWritten))
 		return
 	}
 	if a.finished {
@@ -168,7 +168,7 @@
 		cause = errCancelled
 	}
 	a.stage = NothingWritten
-	c.finish(a, Response{}, &Error{NothingWritten, a.cancelled, cause})
+	c.finish(a, Response{}, &Error{Stage: NothingWritten, Cancelled: a.cancelled, Err: cause})
 }
 
 // recordProgress notes how far the attempts of a batch came, of which so many bytes were written, and closes the connection after an error.
@@ -203,7 +203,7 @@
 		c.retired = true
 	}
 	if !a.confirm {
-		c.finish(a, Response{}, &Error{a.stage, true, errCancelled})
+		c.finish(a, Response{}, cancelledAt(a.stage))
 	}
 }
 
