--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -23,7 +23,7 @@
 // conn is one connection to an endpoint. The endpoint's lock guards it, except where noted.
 type conn struct {
 	endpoint     *Endpoint
-	netConn      net.Conn            // nil until it is open; set once
+	netConn      net.Conn            // nil until it is open; set once, before the reader and the writer start
 	attempts     map[string]*Attempt // open on it, by the request's id
 	cancelledIDs map[string]bool     // ids cancelled on it, of which a response may still come
 	unconfirmed  []*Attempt          // cancelled, in the order of their probes, of which no answer has come
@@ -164,7 +164,7 @@
 		if byEndpoint && c.move(a) {
 			continue
 		}
-		c.finish(a, Response{}, &Error{a.stage, a.cancelled, err})
+		c.finish(a, Response{}, &Error{Stage: a.stage, Cancelled: a.cancelled, Err: err})
 	}
 	if c.netConn != nil {
 		_ = c.netConn.Close() // what was not written is known, and nothing more is read
@@ -184,7 +184,7 @@
 // move queues an attempt on another connection, once, when the endpoint closed this one before it had the request. The caller holds
 // the endpoint's lock.
 func (c *conn) move(a *Attempt) bool {
-	if a.stage >= WhollyWritten || a.cancelled || a.moved || c.endpoint.closing || a.withdrawn() {
+	if a.stage >= FullyWritten || a.cancelled || a.moved || c.endpoint.closing || a.withdrawn() {
 		return false
 	}
 	a.moved = true
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -13,11 +13,11 @@
 	NotConnected    Stage = iota // no connection was up
 	NothingWritten               // a connection was up, none of the request's bytes were written
 	PartlyWritten                // some of them were written: the node can't run the request
-	WhollyWritten                // all of them were written: the node may run it
+	FullyWritten                 // all of them were written: the node may run it
 	ResponseStarted              // the first line of the response was read
 )
 
-var stageNames = [...]string{"not connected", "nothing written", "partly written", "wholly written", "response started"}
+var stageNames = [...]string{"not connected", "nothing written", "partly written", "fully written", "response started"}
 
 // String returns the stage in words.
 func (s Stage) String() string { return stageNames[s] }
@@ -35,6 +35,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
+// cancelledAt returns the error of an attempt that Cancel ended at a stage.
+func cancelledAt(stage Stage) *Error { return &Error{Stage: stage, Cancelled: true, Err: errCancelled} }
+
 // Causes of an Error that callers tell apart.
 var (
 	// ErrConnectionLimit ends an attempt or a probe for which no connection could be had within the pool's limit.
