--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -33,7 +33,7 @@
 	n = f.accept()
 	n.expect("want a1")
 	n.close()
-	expectOutcome(t, outcomes, "wholly written")
+	expectOutcome(t, outcomes, "fully written")
 }
 
 // A connection that is reset while it is dialled says no more of its endpoint than one that is reset when it is open: it is dialled again.
@@ -92,7 +92,7 @@
 func TestStalledResponse(t *testing.T) {
 	cases := []struct{ text, want string }{
 		{"a1 data - 9\r\nxyz", "response started"},
-		{"a1 da", "wholly written"},
+		{"a1 da", "fully written"},
 	}
 	for _, c := range cases {
 		timeouts := testTimeouts
@@ -110,7 +110,7 @@
 		n.expect("want a2")
 		n.write(c.text)
 		expectOutcome(t, a1, c.want)
-		expectOutcome(t, a2, "wholly written")
+		expectOutcome(t, a2, "fully written")
 		if _, err := n.in.ReadByte(); err == nil {
 			t.Error("the connection is still open")
 		}
@@ -141,7 +141,7 @@
 // A connection that is opened after its attempt was cancelled carries nothing of it. The node's accept queue is full, so that the
 // connection opens late.
 func TestConnectionOpenedAfterCancel(t *testing.T) {
-	listener, err := fakes.Unheard()
+	listener, err := fakes.ListenUnresponsive()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 		}
 		defer func() { _ = netConn.Close() }()
 		_ = netConn.SetDeadline(time.Now().Add(10 * time.Second)) // a connection of the queue may have been closed
-		if netConn.RemoteAddr() == nil || !listener.Ours(netConn) {
+		if netConn.RemoteAddr() == nil || !listener.HoldsQueue(netConn) {
 			n := newNodeConn(t, netConn)
 			n.expect("want a2")
 			n.write("a2 full - 0\r\n\r\n")
