--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -19,7 +19,7 @@
 	writerWake chan struct{} // one element: there is something to write, or the phase has changed
 
 	mu              sync.Mutex      // guards what follows, up to the reader's own
-	pending         map[uint64]bool // tags of requests without a response so far, at most maxPendingRequests
+	pending         map[uint64]bool // tags without a response so far: at most maxPendingRequests, and one that is being refused
 	queue           []response      // not taken up by the writer yet
 	queuedBytes     int             // bytes in the queue or being written
 	phase           connPhase
@@ -34,7 +34,7 @@
 
 	// Owned by the reader.
 	received      []receivedRequest // not given to the handler yet
-	receivedSince time.Time         // when the oldest of these was read; zero where deliverWhenRead has not seen any
+	receivedSince time.Time         // when deliverWhenRead first saw one of these; zero before
 }
 
 // receivedRequest is a request that was read and is not given to the handler yet.
