--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -4,370 +4,262 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
-	"math"
 	"math/rand/v2"
 	"net"
-	"slices"
-	"strconv"
-	"strings"
-	"sync"
 	"time"
-
-	"github.com/tidwall/redcon"
 )
 
-// SeriesInterval is the span of the books' time series.
-const SeriesInterval = 100 * time.Millisecond
-
-// ClientRequest is what one client had of one download, over its tries.
-type ClientRequest struct {
-	ContentType       *ContentType
-	StartedAt         time.Duration
-	Duration          time.Duration
-	Attempts          int
-	TransferMicros    float64 // its sending time at full pace, µs
-	Succeeded         bool
-	IgnoresRetryAfter bool   // its client ignores what it is told
-	LastStatus        string // the last answer's word; empty where there was none
-}
-
-// ClientStats is what clients had. Its lock guards it.
-type ClientStats struct {
-	mu               sync.Mutex
-	Requests         []ClientRequest
-	AnswersByStatus  map[string]int // by word
-	FirstAnswered    int            // downloads whose first try had an answer
-	Lost             int            // tries that were owed an answer and had none
-	Duplicates       int            // answers beyond the one
-	WrongBodies      int            // answers with another object's bytes
-	StaleCopies      int            // copies older than a purge that was told of
-	LostToKills      int            // tries that ended with a director that was killed
-	LostToPauses     int            // and whose time ended while theirs was stopped
-	EarlyRetries     int            // tries before the time that was told
-	LostReasons      map[string]int
-	AttemptSeries    []int // tries by bucket,
-	RetryAfterSeries []int // times that were told,
-	SuccessSeries    []int // and fulfilled
-	RejectSeries     []int
-}
-
-func count(series *[]int, at time.Duration) {
-	i := int(max(0, at) / SeriesInterval)
-	for len(*series) <= i {
-		*series = append(*series, 0)
-	}
-	(*series)[i]++
-}
-
-// WithLock reads or changes the book under its lock.
-func (b *ClientStats) WithLock(with func(*ClientStats)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.AnswersByStatus == nil {
-		b.AnswersByStatus, b.LostReasons = map[string]int{}, map[string]int{}
-	}
-	with(b)
-}
-
-// Target is a director as clients see it.
-type Target struct {
-	Addr   string
-	mu     sync.Mutex
-	killed bool
-	pauses [][2]time.Duration // when it was stopped, and went on; the last may not have ended
-}
-
-// SetKilled says that it was killed: what it held is no longer owed.
-func (t *Target) SetKilled(killed bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.killed = killed
-}
-
-// SetPaused says that it was stopped, or goes on, at a time of the world.
-func (t *Target) SetPaused(stopped bool, at time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if n := len(t.pauses); stopped {
-		t.pauses = append(t.pauses, [2]time.Duration{at, math.MaxInt64})
-	} else if n > 0 && t.pauses[n-1][1] == math.MaxInt64 {
-		t.pauses[n-1][1] = at
-	}
-}
-
-// wakeDelay is how long one that goes on may take to answer what waited: it asks the command channel first.
-const wakeDelay = 100 * time.Millisecond
+// Statuses of answers that clients look at.
+const (
+	statusOK       = "200"
+	statusRejected = "503"
+)
 
-// paused says whether it was stopped at a time, or had only just gone on.
-func (t *Target) paused(at time.Duration) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return slices.ContainsFunc(t.pauses, func(p [2]time.Duration) bool { return at >= p[0] && at-wakeDelay <= p[1] })
-}
+const (
+	clientDialTimeout = 3 * time.Second
+	redialPause       = 50 * time.Millisecond  // before the next director is tried
+	answerSlack       = 100 * time.Millisecond // for which a client waits beyond its time
+	minimumAttempt    = 10 * time.Millisecond  // no attempt begins with less time left
+	earlySlack        = 5 * time.Millisecond   // by which a retry may come before its time
+	idleFor           = 2 * time.Second        // of a connection that says nothing
+)
 
-func (t *Target) isKilled() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.killed
-}
+var errAnswerOwed = errors.New("an answer was owed")
 
-// Client asks one director for downloads, and goes to the next when it is gone.
+// Client requests objects of one director, and goes to another when that one is gone. One goroutine uses it.
 type Client struct {
-	Cluster          *Cluster
-	Targets          []*Target
-	Current          int
+	Cluster          *Cluster      // whose statistics it adds to
+	Targets          []*Target     // the directors that it knows
+	Current          int           // index of the director that it uses
 	LocalAddress     string        // its own address, on loopback; empty for any
-	IgnoreRetryAfter bool          // comes back at once or after Wait, whatever it was told
-	UnmarkedRetries  bool          // does not mark its repeats
-	MaxRetries       int           // at most, for a download
-	RetryPause       time.Duration // between tries where it has no other time
-	FreshConnections bool          // a new connection for every try
-	Rand             *rand.Rand
-	Zipf             *Zipf
+	IgnoreRetryAfter bool          // it comes back after RetryPause, whatever it was told
+	UnmarkedRetries  bool          // it does not mark its retries
+	MaxRetries       int           // of one request
+	RetryPause       time.Duration // before a retry that was not told another time
+	FreshConnections bool          // it opens a connection for every attempt
+	Rand             *rand.Rand    // of its own
+	Zipf             *Zipf         // popularity of the objects that it requests
 
-	nc        net.Conn
-	in        []byte
-	tag       int
-	buf       [4096]byte
-	used      bool
-	notBefore time.Time // told not to come before
+	conn      net.Conn
+	unread    []byte // input that is not parsed yet
+	buffer    [4096]byte
+	tag       int       // of the last attempt
+	used      bool      // the connection has carried an attempt
+	notBefore time.Time // the time that it was last told to come back at
 }
 
-var errAnswerOwed = errors.New("an answer was owed")
-
 // Close ends its connection.
 func (c *Client) Close() {
-	if c.nc != nil {
-		c.nc.Close()
-		c.nc = nil
+	if c.conn != nil {
+		closeQuietly(c.conn)
+		c.conn = nil
 	}
 }
 
-// Connect opens a connection where there is none.
+// Connect opens a connection where there is none, to the next director that accepts one. It fails only where the context ends.
 func (c *Client) Connect(ctx context.Context) error {
-	for c.nc == nil {
-		d := net.Dialer{Timeout: 3 * time.Second}
+	for c.conn == nil {
+		dialer := net.Dialer{Timeout: clientDialTimeout}
 		if c.LocalAddress != "" {
-			d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(c.LocalAddress)}
+			dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(c.LocalAddress)}
 		}
-		t := c.Targets[c.Current]
-		nc, err := d.DialContext(ctx, "tcp", t.Addr)
-		if err != nil {
-			if ctx.Err() != nil {
-				return err
-			}
-			// Any other: the next one in order would have the clients of seven that were killed all come to the eighth.
-			c.Current = (c.Current + 1 + c.Rand.IntN(max(1, len(c.Targets)-1))) % len(c.Targets)
-			select {
-			case <-ctx.Done():
-				return ctx.Err()
-			case <-time.After(50 * time.Millisecond):
-			}
+		conn, err := dialer.DialContext(ctx, "tcp", c.Targets[c.Current].Addr)
+		if err == nil {
+			c.conn, c.unread, c.used = conn, nil, false
+			context.AfterFunc(ctx, func() { closeQuietly(conn) })
 			continue
 		}
-		c.nc, c.in, c.used = nc, nil, false
-		context.AfterFunc(ctx, func() { nc.Close() })
+		if ctx.Err() != nil {
+			return err
+		}
+		// Any other director: the next one in order would have the clients of seven that were killed all come to the eighth.
+		c.Current = (c.Current + 1 + c.Rand.IntN(max(1, len(c.Targets)-1))) % len(c.Targets)
+		if !Sleep(ctx, redialPause) {
+			return ctx.Err()
+		}
 	}
 	return nil
 }
 
-// Attempt makes one try and gives the answer's word, the time it tells to stay away, and the body.
-func (c *Client) Attempt(ctx context.Context, o Object, limit time.Duration, again bool, key string) (word string,
-	later time.Duration, body string, err error) {
-	for crossed := false; ; crossed = true {
+// Attempt makes one attempt, which has a time at the most, and returns the answer's status, the time that it tells to stay away, and the
+// body. The key is empty where the content type needs none.
+func (c *Client) Attempt(ctx context.Context, o Object, timeout time.Duration, isRetry bool, key string) (status string,
+	retryAfter time.Duration, body string, err error) {
+	for resent := false; ; resent = true {
 		if err := c.Connect(ctx); err != nil {
 			return "", 0, "", err
 		}
-		c.tag++
-		fields := fmt.Sprintf("txn=%016x,limit=%d,item=%s,n=0,shard=%d", c.Rand.Uint64(), max(1, limit.Milliseconds()), o.ID, o.Group)
-		if again && !c.UnmarkedRetries {
-			fields += ",second=1"
-		}
-		if key != "" {
-			fields += ",unique=" + key
-		}
-		out := redcon.AppendArray(nil, 4)
-		for _, w := range []string{"ASK", strconv.Itoa(c.tag), o.Type.Name, fields} {
-			out = redcon.AppendBulkString(out, w)
-		}
 		reused := c.used
 		c.used = true
-		asked := c.Cluster.Now()
-		c.Cluster.Clients.WithLock(func(b *ClientStats) { count(&b.AttemptSeries, asked) })
-		if _, err = c.nc.Write(out); err == nil {
-			word, later, body, err = c.answer(c.tag, limit+100*time.Millisecond)
-		}
+		answer, sentAt, err := c.roundTrip(o, timeout, isRetry, key)
 		if err == nil {
-			c.recordAnswer(o, asked, word, body)
-			return word, later, body, nil
+			c.recordAnswer(o, sentAt, answer)
+			return answer.status, answer.retryAfter, answer.body, nil
 		}
-		killed, paused := c.Targets[c.Current].isKilled(), c.Targets[c.Current].paused(asked+limit)
+		target := c.Targets[c.Current]
+		killed, paused := target.isKilled(), target.pausedAt(sentAt+timeout)
 		c.Close()
-		if reused && !crossed && !killed && !errors.Is(err, errAnswerOwed) {
-			continue // it crossed the end of a connection at rest, and is sent once more
+		if reused && !resent && !killed && !errors.Is(err, errAnswerOwed) {
+			continue // it crossed the end of a resting connection, and is sent once more
 		}
-		c.Cluster.Clients.WithLock(func(b *ClientStats) {
-			if killed {
-				b.LostToKills++
-			} else if paused && errors.Is(err, errAnswerOwed) {
-				b.LostToPauses++
-			} else if ctx.Err() == nil {
-				b.Lost++
-				b.LostReasons[fmt.Sprintf("%v reused=%v", err, reused)]++
-			}
-		})
+		c.recordLoss(ctx, err, killed, paused, reused)
 		return "", 0, "", err
 	}
 }
 
-// recordAnswer looks at an answer's bytes.
-func (c *Client) recordAnswer(o Object, asked time.Duration, word, body string) {
-	c.Cluster.Clients.WithLock(func(b *ClientStats) {
-		b.AnswersByStatus[word]++
-		if word == "503" {
-			count(&b.RejectSeries, c.Cluster.Now())
+// roundTrip sends a request and waits for its answer.
+func (c *Client) roundTrip(o Object, timeout time.Duration, isRetry bool, key string) (answer clientAnswer, sentAt time.Duration,
+	err error) {
+	c.tag++
+	message := c.requestMessage(o, timeout, isRetry, key)
+	sentAt = c.Cluster.Now()
+	c.Cluster.Clients.WithLock(func(s *ClientStats) { count(&s.AttemptSeries, sentAt) })
+	if _, err = c.conn.Write(message); err == nil {
+		answer, err = c.readAnswer(c.tag, timeout+answerSlack)
+	}
+	return answer, sentAt, err
+}
+
+// recordAnswer counts an answer, and what is wrong with its bytes.
+func (c *Client) recordAnswer(o Object, sentAt time.Duration, answer clientAnswer) {
+	c.Cluster.Clients.WithLock(func(s *ClientStats) {
+		s.AnswersByStatus[answer.status]++
+		if answer.status == statusRejected {
+			count(&s.RejectSeries, c.Cluster.Now())
 		}
-		if word != "200" {
+		if answer.status != statusOK {
 			return
 		}
-		count(&b.SuccessSeries, c.Cluster.Now())
-		var born int64
-		id, rest, _ := strings.Cut(body, "/0 born ")
-		if _, err := fmt.Sscan(rest, &born); err != nil || id != o.ID {
-			b.WrongBodies++
+		count(&s.SuccessSeries, c.Cluster.Now())
+		id, born, ok := parseBody(answer.body)
+		if !ok || id != o.ID {
+			s.WrongBodies++
 			return
 		}
-		if at := c.Cluster.bindingPurge(o.ID, o.Group, asked); at > 0 && born < c.Cluster.startedAt.Add(at).UnixMilli() {
-			b.StaleCopies++
+		if at := c.Cluster.bindingPurge(o.ID, o.Group, sentAt); at > 0 && born < c.Cluster.startedAt.Add(at).UnixMilli() {
+			s.StaleCopies++
 		}
 	})
 }
 
-// answer waits for the answer to a tag.
-func (c *Client) answer(tag int, within time.Duration) (word string, later time.Duration, body string, err error) {
-	c.nc.SetReadDeadline(time.Now().Add(within))
-	for {
-		whole, words, _, rest, err := redcon.ReadNextCommand(c.in, nil)
-		if err != nil {
-			return "", 0, "", err
+// recordLoss counts an attempt that has no answer. One whose client gave up is owed none.
+func (c *Client) recordLoss(ctx context.Context, err error, killed, paused, reused bool) {
+	c.Cluster.Clients.WithLock(func(s *ClientStats) {
+		switch {
+		case killed:
+			s.LostToKills++
+		case paused && errors.Is(err, errAnswerOwed):
+			s.LostToPauses++
+		case ctx.Err() == nil:
+			s.Lost++
+			s.LostReasons[fmt.Sprintf("%v reused=%v", err, reused)]++
 		}
-		if !whole {
-			n, err := c.nc.Read(c.buf[:])
-			if n == 0 {
-				if timed, ok := err.(net.Error); ok && timed.Timeout() {
-					err = errAnswerOwed
-				} else if err == io.EOF {
-					err = errors.New("closed")
-				} else if err != nil {
-					err = errors.New("reset")
-				}
-				return "", 0, "", err
-			}
-			c.in = append(c.in, c.buf[:n]...)
-			continue
-		}
-		got, _ := strconv.Atoi(string(words[0]))
-		word, fields, text := string(words[1]), string(words[2]), string(words[3])
-		c.in = append([]byte(nil), rest...)
-		if got != tag {
-			c.Cluster.Clients.WithLock(func(b *ClientStats) { b.Duplicates++ })
-			continue
-		}
-		if ms, ok := strings.CutPrefix(fields, "later="); ok {
-			n, _ := strconv.Atoi(ms)
-			later = time.Duration(n) * time.Millisecond
-		}
-		return word, later, text, nil
-	}
+	})
 }
 
-// Request asks for an object, and again where it is turned away or failed, until its time is up.
+// Request asks for an object, and again where it is rejected or fails, until it has it, its time is up or its retries are used.
 func (c *Client) Request(ctx context.Context, o Object) ClientRequest {
-	dl := ClientRequest{ContentType: o.Type, StartedAt: c.Cluster.Now(), IgnoresRetryAfter: c.IgnoreRetryAfter, TransferMicros: c.Cluster.transferMicros(o.Type, o.ID)}
+	request := ClientRequest{
+		ContentType:       o.Type,
+		StartedAt:         c.Cluster.Now(),
+		IgnoresRetryAfter: c.IgnoreRetryAfter,
+		TransferMicros:    c.Cluster.transferMicros(o.Type, o.ID),
+	}
 	key := ""
 	if o.Type.IdempotentWithKey {
 		key = fmt.Sprintf("%016x%016x", c.Rand.Uint64(), c.Rand.Uint64())
 	}
 	for {
-		left := o.Type.Timeout - (c.Cluster.Now() - dl.StartedAt)
-		if left <= 10*time.Millisecond || dl.Attempts > c.MaxRetries || ctx.Err() != nil {
+		left := o.Type.Timeout - (c.Cluster.Now() - request.StartedAt)
+		if left <= minimumAttempt || request.Attempts > c.MaxRetries || ctx.Err() != nil {
 			break
 		}
-		dl.Attempts++
-		if dl.Attempts > 1 && time.Until(c.notBefore) > 5*time.Millisecond {
-			c.Cluster.Clients.WithLock(func(b *ClientStats) { b.EarlyRetries++ })
-		}
-		word, later, _, err := c.Attempt(ctx, o, left, dl.Attempts > 1, key)
-		if dl.LastStatus = word; err != nil {
-			word = "gone"
-		} else if dl.Attempts == 1 {
-			c.Cluster.Clients.WithLock(func(b *ClientStats) { b.FirstAnswered++ })
-		}
-		if c.FreshConnections {
-			c.Close()
-		}
-		if word == "200" {
-			dl.Succeeded = true
+		retryAfter := c.attemptOf(ctx, &request, o, left, key)
+		if request.Succeeded {
 			break
 		}
-		wait := c.RetryPause
-		c.notBefore = time.Time{}
-		if later > 0 {
-			c.notBefore = time.Now().Add(later)
-			at := c.Cluster.Now() + later
-			c.Cluster.Clients.WithLock(func(b *ClientStats) { count(&b.RetryAfterSeries, at) })
-			if !c.IgnoreRetryAfter {
-				wait = later
-			}
-		}
-		if wait > 0 && !Sleep(ctx, wait) {
+		if pause := c.pauseBefore(retryAfter); pause > 0 && !Sleep(ctx, pause) {
 			break
 		}
 	}
-	if dl.Duration = c.Cluster.Now() - dl.StartedAt; ctx.Err() == nil {
-		c.Cluster.Clients.WithLock(func(b *ClientStats) { b.Requests = append(b.Requests, dl) })
+	if request.Duration = c.Cluster.Now() - request.StartedAt; ctx.Err() == nil {
+		c.Cluster.Clients.WithLock(func(s *ClientStats) { s.Requests = append(s.Requests, request) })
 	}
-	return dl
+	return request
 }
 
-// Run asks for one object after another until the context ends, with a pause between of so long on average. A client that
-// connects at a time asks at once then.
-func (c *Client) Run(ctx context.Context, at, think time.Duration) {
+// attemptOf makes the next attempt of a request, and returns the time that it was told to stay away; 0 for none.
+func (c *Client) attemptOf(ctx context.Context, request *ClientRequest, o Object, left time.Duration, key string) time.Duration {
+	request.Attempts++
+	isRetry := request.Attempts > 1
+	if isRetry && time.Until(c.notBefore) > earlySlack {
+		c.Cluster.Clients.WithLock(func(s *ClientStats) { s.EarlyRetries++ })
+	}
+	status, retryAfter, _, err := c.Attempt(ctx, o, left, isRetry, key)
+	request.LastStatus = status
+	if err == nil && !isRetry {
+		c.Cluster.Clients.WithLock(func(s *ClientStats) { s.FirstAnswered++ })
+	}
+	if c.FreshConnections {
+		c.Close()
+	}
+	request.Succeeded = err == nil && status == statusOK
+	return retryAfter
+}
+
+// pauseBefore is how long the client waits before a retry, given the time that it was told to stay away; 0 for none.
+func (c *Client) pauseBefore(retryAfter time.Duration) time.Duration {
+	c.notBefore = time.Time{}
+	if retryAfter <= 0 {
+		return c.RetryPause
+	}
+	c.notBefore = time.Now().Add(retryAfter)
+	at := c.Cluster.Now() + retryAfter
+	c.Cluster.Clients.WithLock(func(s *ClientStats) { count(&s.RetryAfterSeries, at) })
+	if c.IgnoreRetryAfter {
+		return c.RetryPause
+	}
+	return retryAfter
+}
+
+// Run requests one object after another until the context ends, from a time since the cluster's start on, with a pause of meanPause on
+// average between them.
+func (c *Client) Run(ctx context.Context, from, meanPause time.Duration) {
 	defer c.Close()
-	if !Sleep(ctx, at-c.Cluster.Now()) {
+	if !Sleep(ctx, from-c.Cluster.Now()) {
 		return
 	}
 	for ctx.Err() == nil {
 		c.Request(ctx, c.Cluster.DrawObject(c.Rand, c.Zipf))
-		if !Sleep(ctx, time.Duration(c.Rand.ExpFloat64()*float64(think))) {
+		if !Sleep(ctx, time.Duration(c.Rand.ExpFloat64()*float64(meanPause))) {
 			return
 		}
 	}
 }
 
-// Idle connects and says nothing, again and again.
+// Idle connects and says nothing, again and again, until the context ends.
 func (c *Client) Idle(ctx context.Context) {
 	defer c.Close()
 	for ctx.Err() == nil {
 		if c.Connect(ctx) != nil {
 			return
 		}
-		c.nc.SetReadDeadline(time.Now().Add(2 * time.Second))
-		c.nc.Read(c.buf[:])
+		if err := c.conn.SetReadDeadline(time.Now().Add(idleFor)); err == nil {
+			_, _ = c.conn.Read(c.buffer[:]) // however it ends, the next connection follows
+		}
 		c.Close()
 	}
 }
 
-// Sleep waits; false when the context ended.
+// Sleep waits; it returns false when the context has ended.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
