--- /dev/null
+++ b/internal/faulttest/golden_test.go
@@ -0,0 +1,102 @@
+package faulttest
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+)
+
+// goldenSchedule has every field set, in a schedule and in a fault.
+var goldenSchedule = Schedule{Seed: 7, Number: 3, Directors: 5, Length: 8000, Faults: []Fault{
+	{Kind: Cut, At: 500, For: 4000, Who: []int{1}, To: []int{0, 2}, Both: true, Groups: [][]int{{0, 1}, {2, 3, 4}}, Rate: 0.25},
+	{Kind: Purge, At: 0},
+}}
+
+// The JSON of schedules is what files of scripted faults hold and what a failed run prints.
+func TestGoldenSchedule(t *testing.T) {
+	const want = `{"seed":7,"number":3,"directors":5,"length_ms":8000,"faults":[{"kind":"cut","at_ms":500,"for_ms":4000,"who":[1],"to":[0,2],"both":true,"groups":[[0,1],[2,3,4]],"rate":0.25},{"kind":"purge","at_ms":0}]}`
+	if got := goldenSchedule.String(); got != want {
+		t.Errorf("encoded as\n%s\nwant\n%s", got, want)
+	}
+	var got Schedule
+	if err := json.Unmarshal([]byte(want), &got); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, goldenSchedule) {
+		t.Errorf("decoded as %+v", got)
+	}
+	if got, want := (Schedule{}).String(), `{"seed":0,"number":0,"directors":0,"length_ms":0,"faults":null}`; got != want {
+		t.Errorf("empty: %s, want %s", got, want)
+	}
+}
+
+// The names of faults stand in schedules and on command lines.
+func TestGoldenKinds(t *testing.T) {
+	want := []string{"cut", "groups", "poor", "flap", "kill", "stop", "term", "restart", "twin", "liar", "cold", "purge", "drain", "busy", "zone", "away",
+		"service", "followers", "move", "roll", "replace", "rubbish", "forget"}
+	if !reflect.DeepEqual(kinds, want) {
+		t.Errorf("%v", kinds)
+	}
+}
+
+// A drawn schedule is the same for the same seed and number in every version.
+func TestGoldenDraw(t *testing.T) {
+	for _, c := range []struct {
+		got  Schedule
+		want string
+	}{
+		{Draw(3, 5, 9, 8000), `{"seed":3,"number":5,"directors":9,"length_ms":8000,"faults":[{"kind":"cold","at_ms":1103,"for_ms":1124,"who":[0,1,2]}]}`},
+		{Draw(7, 0, 5, 5000), `{"seed":7,"number":0,"directors":5,"length_ms":5000,"faults":[{"kind":"kill","at_ms":340,"for_ms":3656,"who":[0,1,3]},{"kind":"stop","at_ms":749,"for_ms":668,"who":[4]},{"kind":"groups","at_ms":1135,"for_ms":3652,"groups":[[2,3],[4,0],[1]]}]}`},
+		{Draw(7, 1, 5, 5000), `{"seed":7,"number":1,"directors":5,"length_ms":5000,"faults":[{"kind":"stop","at_ms":1686,"for_ms":3168,"who":[1,2]},{"kind":"cut","at_ms":2006,"for_ms":314,"who":[2],"to":[1,2,3,4],"both":true}]}`},
+		{Draw(1, 42, 6, 3000), `{"seed":1,"number":42,"directors":6,"length_ms":3000,"faults":[{"kind":"groups","at_ms":778,"for_ms":378,"groups":[[4,1],[0,5],[3,2]]}]}`},
+	} {
+		if c.got.String() != c.want {
+			t.Errorf("drawn\n%v\nwant\n%s", c.got, c.want)
+		}
+	}
+}
+
+// The JSON of an outcome, which --json and journals hold.
+func TestGoldenOutcome(t *testing.T) {
+	outcome := Outcome{
+		Schedule: Schedule{Directors: 2}, Lost: 1, LostHow: "a", LostPaused: 2, Twice: 3, Wrong: 4, Effects: 5, Together: 6, Drains: 7, Purges: 8, Fallen: 9,
+		Crashes: 10, Panics: 11, Why: "b", PartsPeak: [2]float64{1.5, 2.5}, PartsOver: 12, Unended: true, OneView: 13.5, Deaths: []float64{14, 15},
+		Failed: 16, Suspected: 17, ColdPeak: 18.5, Asked: 19, Share: 0.5, Recovery: 20.5, Series: []float64{0.25, 1}, Memory: 21.5, Packets: 22.5,
+		Bytes: 23.5, Hours: 24.5, Clashes: 25, Hints: 26, Words: 27, Lists: 28, Calls: 29.5,
+	}
+	const want = `{"schedule":{"seed":0,"number":0,"directors":2,"length_ms":0,"faults":null},"lost":1,"lost_how":"a","lost_paused":2,"double_final":3,"wrong_bytes":4,"effects_twice":5,"pulls_together":6,"drains_broken":7,"purges_broken":8,"fallen":9,"crashes":10,"panics":11,"why":"b","parts_peak":[1.5,2.5],"parts_over":12,"unended":true,"one_view_ms":13.5,"know_death_ms":[14,15],"wrongly_failed":16,"wrongly_suspected":17,"cold_peak_load":18.5,"asked":19,"fulfilled_share":0.5,"recovery_ms":20.5,"series":[0.25,1],"memory_mb":21.5,"packets_per_s":22.5,"bytes_per_s":23.5,"director_hours":24.5,"name_taken_lines":25,"questions":26,"words_bound":27,"lists_taken":28,"calls_per_s":29.5}`
+	text, err := json.Marshal(outcome)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(text) != want {
+		t.Errorf("encoded as\n%s\nwant\n%s", text, want)
+	}
+	var got Outcome
+	if err := json.Unmarshal([]byte(want), &got); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, outcome) {
+		t.Errorf("decoded as %+v", got)
+	}
+	text, err = json.Marshal(Outcome{History: &History{}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := `{"schedule":{"seed":0,"number":0,"directors":0,"length_ms":0,"faults":null},"lost":0,"lost_paused":0,"double_final":0,"wrong_bytes":0,"effects_twice":0,"pulls_together":0,"drains_broken":0,"purges_broken":0,"fallen":0,"crashes":0,"panics":0,"parts_peak":[0,0],"parts_over":0,"unended":false,"one_view_ms":0,"know_death_ms":null,"wrongly_failed":0,"wrongly_suspected":0,"cold_peak_load":0,"asked":0,"fulfilled_share":0,"recovery_ms":0,"series":null,"memory_mb":0,"packets_per_s":0,"bytes_per_s":0,"director_hours":0,"name_taken_lines":0,"questions":0,"words_bound":0,"lists_taken":0,"calls_per_s":0}`; string(text) != want {
+		t.Errorf("empty encoded as\n%s\nwant\n%s", text, want)
+	}
+}
+
+// The names under which broken rules are reported, and their order.
+func TestGoldenBroken(t *testing.T) {
+	outcome := Outcome{Lost: 1, Twice: 2, Wrong: 3, Effects: 4, Together: 5, Drains: 6, Purges: 7, Fallen: 8, Crashes: 9, Panics: 10, PartsOver: 11, Unended: true}
+	want := []string{"lost 1", "double_final 2", "wrong_bytes 3", "effects_twice 4", "pulls_together 5", "drains_broken 6", "purges_broken 7", "fallen 8",
+		"crashes 9", "panics 10", "parts_over 11", "unended 1"}
+	if got := outcome.Broken(); !reflect.DeepEqual(got, want) {
+		t.Errorf("%q", got)
+	}
+	if got := outcome.Rules(); got != 46 {
+		t.Errorf("%d", got)
+	}
+}
