--- a/example/ask/main.go
+++ b/example/ask/main.go
@@ -23,9 +23,11 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	defer nc.Close()
+	defer func() { _ = nc.Close() }() // nothing of it is buffered
 	begun := time.Now()
-	nc.SetDeadline(begun.Add(5 * time.Second))
+	if err := nc.SetDeadline(begun.Add(5 * time.Second)); err != nil {
+		log.Fatal(err)
+	}
 	fields := fmt.Sprintf("txn=%016x,limit=3000,item=%s,n=0,shard=0", rand.Uint64(), flag.Arg(0))
 	out := redcon.AppendArray(nil, 4)
 	for _, word := range []string{"ASK", "1", *kind, fields} {
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -25,9 +25,9 @@
 		"origin": "127.0.0.1:9005", "channel": "127.0.0.1:8500",
 	}
 	spec.OnAnswer = func(node string, fields map[string]string, answer string) {
-		words := strings.Fields(answer)
+		head := strings.Fields(answer)
 		slog.Info("answered", "node", node, "asset", fields["asset"], "from", fields["from"], "oldest", fields["oldest"],
-			"word", words[1], "fields", words[2])
+			"status", head[1], "fields", head[2])
 	}
 	w, err := fakes.New(spec)
 	if err != nil {
--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -21,6 +21,7 @@
 // Role is what a certificate allows its owner to do. Certificates hold it as an organizational unit.
 type Role string
 
+// The roles, by the words that certificates hold.
 const (
 	RoleAgent    Role = "agent"  // an agent: may ask and probe others
 	RoleViewer   Role = "see"    // an operator who may read the state of the fleet
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clip := c.Site.Settings.ContentTypes[0]
+	clip := c.Site.ContentTypes[0]
 	if c.Name != "n3" || c.Site.Seed != 0x8c1f30d27a5be964 || c.Site.ConnectTimeout != 400_000 || c.Site.MaxConcurrentStreams != 100 ||
 		clip.RetrySafety != policy.IdempotentWithKey || clip.DedupScope != policy.DedupScopeCell || clip.TTL != 500_000 ||
 		c.Site.TypeNames[0] != "clip" || c.Limits.MaxClientConnections() != 256 || c.Limits.MaxNodeConnections() != 153 {
--- a/internal/upstream/fixture_test.go
+++ b/internal/upstream/fixture_test.go
@@ -161,7 +161,7 @@
 // write writes a text.
 func (n *nodeConn) write(text string) {
 	n.t.Helper()
-	if _, err := n.Conn.Write([]byte(text)); err != nil {
+	if _, err := n.Write([]byte(text)); err != nil {
 		n.t.Fatal(err)
 	}
 }
