--- a/internal/agent/audit.go
+++ b/internal/agent/audit.go
@@ -22,9 +22,9 @@
 	Number       int64  `json:"number"`  // from 1, without gaps
 	UnixMS       int64  `json:"unix_ms"` // when, in milliseconds since 1970
 	Actor        string `json:"who"`     // name of the caller's certificate, or of this agent
-	Action       string `json:"what"`
-	PreviousHash string `json:"before"` // Hash of the record before; empty in the first
-	Hash         string `json:"hash"`   // SHA-256 in hex of this record's JSON text with an empty Hash
+	Action       string `json:"what"`    // what was done, to which change, with what result
+	PreviousHash string `json:"before"`  // Hash of the record before; empty in the first
+	Hash         string `json:"hash"`    // SHA-256 in hex of this record's JSON text with an empty Hash
 }
 
 func (r AuditRecord) hash() string {
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -83,15 +83,8 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := OpenStore(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() {
-		if err := s.Close(); err != nil {
-			t.Error(err)
-		}
-	}()
+	s := openStore(t, path)
+	defer closeStore(t, s)
 	checkGoldenStore(t, s)
 	if err := s.AppendAudit(time.UnixMilli(1_700_000_000_003), "op", "prepare c2 open ok=true"); err != nil {
 		t.Fatal(err)
@@ -104,15 +97,8 @@
 
 // What is written now is what earlier versions read.
 func TestGoldenStoreWritten(t *testing.T) {
-	s, err := OpenStore(filepath.Join(t.TempDir(), "agent.db"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() {
-		if err := s.Close(); err != nil {
-			t.Error(err)
-		}
-	}()
+	s := openStore(t, filepath.Join(t.TempDir(), "agent.db"))
+	defer closeStore(t, s)
 	if err := s.Save(goldenState()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -54,9 +54,9 @@
 	if err != nil {
 		return nil, status.Error(codes.Unauthenticated, err.Error())
 	}
-	if say, ok := req.(*fleetpb.SayRequest); ok {
-		holder := say.GetBallot().GetHolder()
-		if rollout.MessageType(say.GetVerb()) != rollout.Query && holder != "" && !strings.HasPrefix(holder, name+"/") {
+	if message, ok := req.(*fleetpb.SayRequest); ok {
+		holder := message.GetBallot().GetHolder()
+		if rollout.MessageType(message.GetVerb()) != rollout.Query && holder != "" && !strings.HasPrefix(holder, name+"/") {
 			return nil, status.Errorf(codes.PermissionDenied, "%s speaks for %s", name, holder)
 		}
 	}
@@ -69,11 +69,11 @@
 
 // neededRoles returns the roles of which a request's caller must have one.
 func neededRoles(req any) []authority.Role {
-	say, ok := req.(*fleetpb.SayRequest)
+	message, ok := req.(*fleetpb.SayRequest)
 	switch {
-	case !ok || rollout.MessageType(say.GetVerb()) == rollout.Query:
+	case !ok || rollout.MessageType(message.GetVerb()) == rollout.Query:
 		return []authority.Role{authority.RoleViewer, authority.RoleEditor, authority.RoleKeyAdmin, authority.RoleAgent}
-	case rollout.MessageType(say.GetVerb()) == rollout.Prepare: // agents complete what is open, but begin nothing
+	case rollout.MessageType(message.GetVerb()) == rollout.Prepare: // agents complete what is open, but begin nothing
 		return []authority.Role{authority.RoleEditor}
 	default:
 		return []authority.Role{authority.RoleEditor, authority.RoleAgent}
--- a/internal/agent/store_test.go
+++ b/internal/agent/store_test.go
@@ -15,13 +15,35 @@
 	"tallyproxy/rollout"
 )
 
-func TestStore(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "a.db")
+// openStore opens a store that the test expects to be whole.
+func openStore(t *testing.T, path string) *Store {
+	t.Helper()
 	s, err := OpenStore(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, ok, err := s.Load(); ok || err != nil {
+	return s
+}
+
+func closeStore(t *testing.T, s *Store) {
+	t.Helper()
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// updateBucket changes a bucket behind the store's back.
+func updateBucket(t *testing.T, s *Store, name []byte, change func(b *bbolt.Bucket) error) {
+	t.Helper()
+	if err := s.db.Update(func(tx *bbolt.Tx) error { return change(tx.Bucket(name)) }); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestStore(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "a.db")
+	s := openStore(t, path)
+	if _, found, err := s.Load(); found || err != nil {
 		t.Errorf("a new one has something: %v", err)
 	}
 	want := rollout.State{Promised: rollout.Ballot{Number: 3, Holder: "op"}, ActiveScripts: map[string]string{"n0": "log()"}}
@@ -34,19 +56,16 @@
 	if _, err := OpenStore(path); err == nil {
 		t.Error("two agents have one store open")
 	}
-	s.Close()
+	closeStore(t, s)
 	if err := s.Save(want); err == nil {
 		t.Error("saved into a closed file")
 	}
-	s, err = OpenStore(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got, ok, err := s.Load(); !ok || err != nil || got.Promised.Number != 49 || got.ActiveScripts["n0"] != "log()" {
-		t.Errorf("%+v, %v, %v", got, ok, err)
+	s = openStore(t, path)
+	defer closeStore(t, s)
+	if got, found, err := s.Load(); !found || err != nil || got.Promised.Number != 49 || got.ActiveScripts["n0"] != "log()" {
+		t.Errorf("%+v, %v, %v", got, found, err)
 	}
-	s.db.Update(func(tx *bbolt.Tx) error { // a record that is not what was written
-		b := tx.Bucket(stateBucket)
+	updateBucket(t, s, stateBucket, func(b *bbolt.Bucket) error { // a state that is not what was saved
 		raw := append([]byte(nil), b.Get(stateKey)...)
 		raw[len(raw)-3] ^= 1
 		return b.Put(stateKey, raw)
@@ -54,17 +73,13 @@
 	if _, _, err := s.Load(); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("a changed record: %v", err)
 	}
-	s.Close()
 }
 
-// A store that is cut off anywhere is either whole or one clear error, never something else.
-func TestStoreCutOff(t *testing.T) {
+// A store that is truncated anywhere is either whole or gives one clear error, never something else.
+func TestStoreTruncated(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.db")
-	s, err := OpenStore(path)
-	if err != nil {
-		t.Fatal(err)
-	}
+	s := openStore(t, path)
 	state := rollout.State{ActiveScripts: map[string]string{}}
 	for i := range 200 {
 		state.ActiveScripts[fmt.Sprint("n", i)] = fmt.Sprintf("# %0200d", i)
@@ -72,63 +87,60 @@
 	if err := s.Save(state); err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
-	whole, err := os.ReadFile(path)
+	closeStore(t, s)
+	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for cut := 0; cut < len(whole); cut += len(whole)/97 + 1 {
-		half := filepath.Join(dir, fmt.Sprint("cut", cut))
-		if err := os.WriteFile(half, whole[:cut], 0o600); err != nil {
+	for size := 0; size < len(raw); size += len(raw)/97 + 1 {
+		truncated := filepath.Join(dir, fmt.Sprint("cut", size))
+		if err := os.WriteFile(truncated, raw[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := OpenStore(half)
+		s, err := OpenStore(truncated)
 		if err != nil {
 			if !errors.Is(err, ErrCorrupt) {
-				t.Errorf("cut at %d: %v", cut, err)
+				t.Errorf("cut at %d: %v", size, err)
 			}
 			continue
 		}
-		got, ok, err := s.Load()
-		if err == nil && ok && len(got.ActiveScripts) != 200 || err != nil && !errors.Is(err, ErrCorrupt) {
-			t.Errorf("cut at %d: %d entries, %v", cut, len(got.ActiveScripts), err)
+		got, found, err := s.Load()
+		if err == nil && found && len(got.ActiveScripts) != 200 || err != nil && !errors.Is(err, ErrCorrupt) {
+			t.Errorf("cut at %d: %d entries, %v", size, len(got.ActiveScripts), err)
 		}
-		s.Close()
+		_ = s.Close() // of a file that is damaged
 	}
 }
 
 func TestAudit(t *testing.T) {
-	s, err := OpenStore(filepath.Join(t.TempDir(), "a.db"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
+	s := openStore(t, filepath.Join(t.TempDir(), "a.db"))
+	defer closeStore(t, s)
 	for i := range 20 {
 		if err := s.AppendAudit(time.UnixMilli(int64(i)), "op", fmt.Sprint("did ", i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	all, err := s.Audit()
-	if err != nil || len(all) != 20 || all[19].Action != "did 19" || all[19].PreviousHash != all[18].Hash {
-		t.Fatalf("%+v, %v", all, err)
-	}
-	change := func(do func(b *bbolt.Bucket, key []byte)) {
-		s.db.Update(func(tx *bbolt.Tx) error {
-			do(tx.Bucket(auditBucket), binary.BigEndian.AppendUint64(nil, 7))
-			return nil
-		})
+	records, err := s.Audit()
+	if err != nil || len(records) != 20 || records[19].Action != "did 19" || records[19].PreviousHash != records[18].Hash {
+		t.Fatalf("%+v, %v", records, err)
 	}
-	change(func(b *bbolt.Bucket, key []byte) {
+	key := binary.BigEndian.AppendUint64(nil, 7)
+	updateBucket(t, s, auditBucket, func(b *bbolt.Bucket) error {
 		var r AuditRecord
-		json.Unmarshal(b.Get(key), &r)
+		if err := json.Unmarshal(b.Get(key), &r); err != nil {
+			return err
+		}
 		r.Actor = "nobody"
-		text, _ := json.Marshal(r)
-		b.Put(key, text)
+		text, err := json.Marshal(r)
+		if err != nil {
+			return err
+		}
+		return b.Put(key, text)
 	})
 	if _, err := s.Audit(); err == nil {
 		t.Error("a changed record was not seen")
 	}
-	change(func(b *bbolt.Bucket, key []byte) { b.Delete(key) })
+	updateBucket(t, s, auditBucket, func(b *bbolt.Bucket) error { return b.Delete(key) })
 	if _, err := s.Audit(); err == nil {
 		t.Error("a gap was not seen")
 	}
--- a/internal/fleetpb/convert.go
+++ b/internal/fleetpb/convert.go
@@ -1,19 +1,23 @@
-// Package fleetpb is the wire between tallyctl and its agents: gRPC, its messages generated from fleet.proto. These functions
-// turn them into those of fleet/ and back.
+// Package fleetpb is the protocol between tallyctl and its agents: gRPC, with messages generated from fleet.proto. Its functions convert
+// the messages of package rollout to protobuf messages (From...) and back (To...).
 //
 //go:generate protoc --go_out=. --go_opt=paths=source_relative --go-grpc_out=. --go-grpc_opt=paths=source_relative fleet.proto
 package fleetpb
 
 import (
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 	"tallyproxy/rollout"
 )
 
-func fromBallot(b rollout.Ballot) *Ballot { return &Ballot{N: b.Number, Holder: b.Holder} }
-func toBallot(b *Ballot) rollout.Ballot {
+// FromBallot converts a ballot.
+func FromBallot(b rollout.Ballot) *Ballot { return &Ballot{N: b.Number, Holder: b.Holder} }
+
+// ToBallot converts a ballot; nil is the zero ballot.
+func ToBallot(b *Ballot) rollout.Ballot {
 	return rollout.Ballot{Number: b.GetN(), Holder: b.GetHolder()}
 }
 
+// fromChange converts a change; nil stays nil.
 func fromChange(c *rollout.Change) *Change {
 	if c == nil {
 		return nil
@@ -27,6 +31,7 @@
 	return out
 }
 
+// toChange converts a change; nil stays nil.
 func toChange(c *Change) *rollout.Change {
 	if c == nil {
 		return nil
@@ -40,82 +45,89 @@
 	return out
 }
 
-// FromEntries words what an agent knows of changes.
+// FromEntries converts what an agent knows of changes.
 func FromEntries(entries []rollout.Entry) (out []*Entry) {
 	for _, e := range entries {
-		x := &Entry{Change: fromChange(e.Change), Outcome: int32(e.Outcome), Waves: int32(e.AllowedWaves), Final: e.Final, Local: map[string]*Local{}}
+		converted := &Entry{
+			Change: fromChange(e.Change), Outcome: int32(e.Outcome), Waves: int32(e.AllowedWaves), Final: e.Final, Local: map[string]*Local{},
+		}
 		if e.Vote != nil {
-			x.Vote = &Vote{Ballot: fromBallot(e.Vote.Ballot), Outcome: int32(e.Vote.Outcome)}
+			converted.Vote = &Vote{Ballot: FromBallot(e.Vote.Ballot), Outcome: int32(e.Vote.Outcome)}
 		}
-		for name, l := range e.TargetStates {
-			x.Local[name] = &Local{Phase: int32(l.Phase), Why: l.Reason, Before: l.PreviousScript}
+		for instance, state := range e.TargetStates {
+			converted.Local[instance] = &Local{Phase: int32(state.Phase), Why: state.Reason, Before: state.PreviousScript}
 		}
-		out = append(out, x)
+		out = append(out, converted)
 	}
 	return out
 }
 
-// ToEntries reads it; one without its change, or with a figure that means nothing, is left out.
+// ToEntries converts what an agent knows of changes. An entry without its change or with an unknown outcome is left out, and so are a
+// vote with an unknown outcome and a target's state with an unknown phase.
 func ToEntries(entries []*Entry) (out []rollout.Entry) {
 	for _, e := range entries {
-		if e.GetChange() == nil || !outcome(e.Outcome) {
+		if e.GetChange() == nil || !isOutcome(e.Outcome) {
 			continue
 		}
-		x := rollout.Entry{
-			Change: toChange(e.Change), Outcome: rollout.Outcome(e.Outcome), AllowedWaves: int(e.Waves), Final: e.Final, TargetStates: map[string]*rollout.TargetState{},
+		converted := rollout.Entry{
+			Change: toChange(e.Change), Outcome: rollout.Outcome(e.Outcome), AllowedWaves: int(e.Waves), Final: e.Final,
+			TargetStates: map[string]*rollout.TargetState{},
 		}
-		if e.Vote != nil && outcome(e.Vote.Outcome) {
-			x.Vote = &rollout.Vote{Ballot: toBallot(e.Vote.Ballot), Outcome: rollout.Outcome(e.Vote.Outcome)}
+		if e.Vote != nil && isOutcome(e.Vote.Outcome) {
+			converted.Vote = &rollout.Vote{Ballot: ToBallot(e.Vote.Ballot), Outcome: rollout.Outcome(e.Vote.Outcome)}
 		}
-		for name, l := range e.Local {
-			if l.GetPhase() >= 0 && l.GetPhase() <= int32(rollout.PhaseUnchanged) {
-				x.TargetStates[name] = &rollout.TargetState{Phase: rollout.Phase(l.Phase), Reason: l.Why, PreviousScript: l.Before}
+		for instance, state := range e.Local {
+			if isPhase(state.GetPhase()) {
+				converted.TargetStates[instance] = &rollout.TargetState{
+					Phase: rollout.Phase(state.GetPhase()), Reason: state.GetWhy(), PreviousScript: state.GetBefore(),
+				}
 			}
 		}
-		out = append(out, x)
+		out = append(out, converted)
 	}
 	return out
 }
 
-func outcome(n int32) bool { return n >= int32(rollout.Undecided) && n <= int32(rollout.Abort) }
+func isOutcome(n int32) bool { return n >= int32(rollout.Undecided) && n <= int32(rollout.Abort) }
+
+func isPhase(n int32) bool {
+	return n >= int32(rollout.PhasePrepared) && n <= int32(rollout.PhaseUnchanged)
+}
 
-// FromMessage words a message.
+// FromMessage converts a message.
 func FromMessage(m rollout.Message) *SayRequest {
 	return &SayRequest{
-		Verb: int32(m.Type), Seq: int64(m.Seq), Ballot: fromBallot(m.Ballot), LeaseUs: int64(m.Lease), Change: fromChange(m.Change),
+		Verb: int32(m.Type), Seq: int64(m.Seq), Ballot: FromBallot(m.Ballot), LeaseUs: int64(m.Lease), Change: fromChange(m.Change),
 		Id: m.ChangeID, Outcome: int32(m.Outcome), Waves: int32(m.AllowedWaves), Final: m.Final,
 	}
 }
 
-// ToMessage reads one; false where it means nothing.
-func ToMessage(r *SayRequest) (m rollout.Message, ok bool) {
+// ToMessage converts a message and reports whether it is valid: its type and outcome are known, its lease is not negative, and it has a
+// change where its type needs one.
+func ToMessage(r *SayRequest) (m rollout.Message, valid bool) {
 	m = rollout.Message{
-		Type: rollout.MessageType(r.GetVerb()), Seq: int(r.GetSeq()), Ballot: toBallot(r.GetBallot()), Lease: d.Micros(r.GetLeaseUs()),
-		Change: toChange(r.GetChange()), ChangeID: r.GetId(), Outcome: rollout.Outcome(r.GetOutcome()), AllowedWaves: int(r.GetWaves()), Final: r.GetFinal(),
+		Type: rollout.MessageType(r.GetVerb()), Seq: int(r.GetSeq()), Ballot: ToBallot(r.GetBallot()), Lease: policy.Micros(r.GetLeaseUs()),
+		Change: toChange(r.GetChange()), ChangeID: r.GetId(), Outcome: rollout.Outcome(r.GetOutcome()), AllowedWaves: int(r.GetWaves()),
+		Final: r.GetFinal(),
 	}
-	needs := m.Type == rollout.Prepare || m.Type == rollout.Accept
-	return m, m.Type >= rollout.Promise && m.Type <= rollout.Query && outcome(r.GetOutcome()) && m.Lease >= 0 &&
-		(!needs || m.Change != nil && m.Change.ID != "")
+	hasKnownType := m.Type >= rollout.Promise && m.Type <= rollout.Query
+	needsChange := m.Type == rollout.Prepare || m.Type == rollout.Accept
+	hasChange := m.Change != nil && m.Change.ID != ""
+	return m, hasKnownType && isOutcome(r.GetOutcome()) && m.Lease >= 0 && (!needsChange || hasChange)
 }
 
-// FromReply words a reply.
+// FromReply converts a reply.
 func FromReply(r rollout.Reply) *SayReply {
 	return &SayReply{
-		Verb: int32(r.Type), Seq: int64(r.Seq), Ok: r.OK, Why: r.Reason, Ballot: fromBallot(r.Promised), HeldUs: int64(r.HeldFor),
+		Verb: int32(r.Type), Seq: int64(r.Seq), Ok: r.OK, Why: r.Reason, Ballot: FromBallot(r.Promised), HeldUs: int64(r.HeldFor),
 		LeftUs: int64(r.LeaseLeft), Entries: FromEntries(r.Entries),
 	}
 }
 
-// ToReply reads one.
+// ToReply converts a reply; of its entries only the valid ones are kept, as ToEntries does.
 func ToReply(r *SayReply) rollout.Reply {
 	return rollout.Reply{
-		Type: rollout.MessageType(r.GetVerb()), Seq: int(r.GetSeq()), OK: r.GetOk(), Reason: r.GetWhy(), Promised: toBallot(r.GetBallot()),
-		HeldFor: d.Micros(r.GetHeldUs()), LeaseLeft: d.Micros(r.GetLeftUs()), Entries: ToEntries(r.GetEntries()),
+		Type: rollout.MessageType(r.GetVerb()), Seq: int(r.GetSeq()), OK: r.GetOk(), Reason: r.GetWhy(), Promised: ToBallot(r.GetBallot()),
+		HeldFor: policy.Micros(r.GetHeldUs()), LeaseLeft: policy.Micros(r.GetLeftUs()), Entries: ToEntries(r.GetEntries()),
 	}
 }
-
-// FromBallot words a ballot.
-func FromBallot(b rollout.Ballot) *Ballot { return fromBallot(b) }
-
-// ToBallot reads one.
-func ToBallot(b *Ballot) rollout.Ballot { return toBallot(b) }
--- a/internal/fleetpb/golden_test.go
+++ b/internal/fleetpb/golden_test.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 	"tallyproxy/rollout"
 )
 
@@ -27,7 +27,7 @@
 // Agents and tools of different versions talk to each other during a roll-out: the encoded bytes must not change.
 func TestGoldenBytes(t *testing.T) {
 	message := rollout.Message{
-		Type: rollout.Accept, Seq: 4, Ballot: rollout.Ballot{Number: 7, Holder: "op/1"}, Lease: 3 * d.Second, Change: goldenChange(), ChangeID: "c1",
+		Type: rollout.Accept, Seq: 4, Ballot: rollout.Ballot{Number: 7, Holder: "op/1"}, Lease: 3 * policy.Second, Change: goldenChange(), ChangeID: "c1",
 		Outcome: rollout.Abort, AllowedWaves: 2, Final: true,
 	}
 	reply := rollout.Reply{
