--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -106,7 +106,7 @@
 func checksum(script string) string { return config.Digest([]byte(script)) }
 
 // now returns the time since New in microseconds, on the monotonic clock.
-func (a *Agent) now() policy.Micros { return policy.Micros(time.Since(a.started) / time.Microsecond) }
+func (a *Agent) now() policy.Micros { return policy.MicrosOf(time.Since(a.started)) }
 
 // save stores the state if it has changed. Where that fails, as on a full disk, the agent returns to what is stored: it must not promise
 // what it can't remember. The caller holds the mutex.
--- /dev/null
+++ b/internal/ctl/snapshot.go
@@ -0,0 +1,230 @@
+package ctl
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"tallyproxy/internal/config"
+	"tallyproxy/internal/fleetpb"
+	"tallyproxy/internal/status"
+	"tallyproxy/policy"
+	"tallyproxy/rollout"
+)
+
+// Snapshot is the status of a fleet at one time. Its JSON form is the output of `tallyctl show --json`.
+type Snapshot struct {
+	Agents    []AgentStatus    `json:"agents"`           // in the inventory's order
+	Directors []DirectorStatus `json:"directors"`        // in the inventory's order
+	Changes   []ChangeStatus   `json:"changes"`          // by ID, and so by the time they were made
+	Holder    string           `json:"holder,omitempty"` // who holds the right to change; empty for no one
+	HeldFor   time.Duration    `json:"held,omitempty"`   // since Holder was given it
+	LeaseLeft time.Duration    `json:"left,omitempty"`   // of Holder's lease
+	entries   []rollout.Entry  // of all agents, in the inventory's order
+}
+
+// AgentStatus is the status of one agent.
+type AgentStatus struct {
+	Name      string            `json:"name"`              // in the inventory
+	Depot     string            `json:"depot"`             // its site
+	Reachable bool              `json:"answers"`           // it answered this time
+	Reason    string            `json:"why,omitempty"`     // why it is not reachable
+	Members   map[string]string `json:"members,omitempty"` // state of each other agent as this one sees it
+}
+
+// DirectorStatus is the status of one director.
+type DirectorStatus struct {
+	Name           string        `json:"name"`          // in the inventory
+	Agent          string        `json:"agent"`         // that looks after it
+	Depot          string        `json:"depot"`         // the agent's site
+	Up             bool          `json:"up"`            // it reports its status to its agent
+	Reason         string        `json:"why,omitempty"` // why it is not known to be up
+	Script         string        `json:"script"`        // that its agent has applied
+	Drifted        bool          `json:"drifted"`       // it runs another script than that
+	AgentReachable bool          `json:"known"`         // its agent answered; otherwise nothing else is known
+	Report         status.Report `json:"report"`        // its own, where it is up
+	Settings       string        `json:"settings"`      // digest of the script that it runs
+}
+
+// ChangeStatus is what the reachable agents together know of a change.
+type ChangeStatus struct {
+	ID         string            `json:"id"`               // unique among all changes
+	Author     string            `json:"by"`               // who proposed it
+	Note       string            `json:"note"`             // what it is for, in the author's words
+	Reverts    string            `json:"undoes,omitempty"` // ID of the change that this one takes back
+	Outcome    string            `json:"outcome"`          // "open", "go" or "drop"
+	InProgress bool              `json:"open"`             // an agent has more to do or to learn about it
+	Directors  map[string]string `json:"directors"`        // phase by director; "not known" where its agent is not reachable
+	Reasons    map[string]string `json:"whys,omitempty"`   // why a director refused or failed, by director
+}
+
+// agentReply is an agent's reply to a status request.
+type agentReply struct {
+	status *fleetpb.StatusReply // nil where err is not
+	err    error
+}
+
+// Snapshot asks all agents at once and returns what they answer within three seconds.
+func (f *Fleet) Snapshot(ctx context.Context) Snapshot {
+	replies := make([]agentReply, len(f.Inventory.Agents))
+	var calls sync.WaitGroup
+	for i, a := range f.Inventory.Agents {
+		calls.Go(func() { replies[i] = f.agentStatus(ctx, a.Name) })
+	}
+	calls.Wait()
+	var s Snapshot
+	directors := s.addAgents(f.Inventory, replies)
+	for _, entry := range f.Inventory.Directors {
+		s.Directors = append(s.Directors, directorStatus(f.Inventory, entry, directors[entry.Name]))
+	}
+	s.mergeChanges()
+	return s
+}
+
+func (f *Fleet) agentStatus(ctx context.Context, name string) agentReply {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+	defer cancel()
+	client, err := f.clients.Client(name)
+	if err != nil {
+		return agentReply{err: err}
+	}
+	reply, err := client.Status(ctx, &fleetpb.StatusRequest{})
+	return agentReply{reply, err}
+}
+
+// addAgents adds the agents, their entries and the holder of the highest ballot, and returns the directors that the agents told of.
+func (s *Snapshot) addAgents(inventory *config.Inventory, replies []agentReply) (directors map[string]*fleetpb.DirectorStatus) {
+	directors = map[string]*fleetpb.DirectorStatus{}
+	var promised rollout.Ballot
+	for i, a := range inventory.Agents {
+		reply, err := replies[i].status, replies[i].err
+		if err != nil {
+			s.Agents = append(s.Agents, AgentStatus{Name: a.Name, Depot: a.Depot, Reason: err.Error()})
+			continue
+		}
+		s.Agents = append(s.Agents, AgentStatus{Name: a.Name, Depot: a.Depot, Reachable: true, Members: reply.GetMembers()})
+		for _, director := range reply.GetDirectors() {
+			directors[director.GetName()] = director
+		}
+		s.entries = append(s.entries, fleetpb.ToEntries(reply.GetEntries())...)
+		if b := fleetpb.ToBallot(reply.GetPromised()); promised.Less(b) && reply.GetLeftUs() > 0 {
+			promised = b
+			s.Holder = b.Holder
+			s.HeldFor, s.LeaseLeft = policy.Micros(reply.GetHeldUs()).Duration(), policy.Micros(reply.GetLeftUs()).Duration()
+		}
+	}
+	return directors
+}
+
+// directorStatus combines a director's entry with what its agent told, nil where the agent is not reachable.
+func directorStatus(inventory *config.Inventory, entry config.DirectorEntry, told *fleetpb.DirectorStatus) DirectorStatus {
+	s := DirectorStatus{Name: entry.Name, Agent: entry.Agent, Depot: inventory.Agent(entry.Agent).Depot, Reason: "its agent does not answer"}
+	if told == nil {
+		return s
+	}
+	s.AgentReachable, s.Up, s.Reason, s.Script, s.Settings = true, told.GetUp(), told.GetWhy(), told.GetScript(), told.GetSettings()
+	if s.Up {
+		_ = json.Unmarshal(told.GetReport(), &s.Report) // of a report that can't be read, what could be read is shown
+		s.Drifted = s.Settings != config.Digest([]byte(s.Script))
+	}
+	return s
+}
+
+// mergeChanges combines the agents' entries to one status for each change.
+func (s *Snapshot) mergeChanges() {
+	index := map[string]int{}
+	for _, e := range s.entries {
+		i, seen := index[e.Change.ID]
+		if !seen {
+			i = len(s.Changes)
+			index[e.Change.ID] = i
+			s.Changes = append(s.Changes, newChangeStatus(e.Change))
+		}
+		s.Changes[i].merge(e)
+	}
+	slices.SortStableFunc(s.Changes, func(a, b ChangeStatus) int { return cmp.Compare(a.ID, b.ID) })
+}
+
+func newChangeStatus(change *rollout.Change) ChangeStatus {
+	c := ChangeStatus{
+		ID: change.ID, Author: change.Author, Note: change.Note, Reverts: change.Reverts, Outcome: rollout.Undecided.String(),
+		Directors: map[string]string{}, Reasons: map[string]string{},
+	}
+	for _, t := range change.Targets {
+		c.Directors[t.Instance] = "not known"
+	}
+	return c
+}
+
+func (c *ChangeStatus) merge(e rollout.Entry) {
+	if e.Outcome != rollout.Undecided {
+		c.Outcome = e.Outcome.String()
+	}
+	c.InProgress = c.InProgress || !e.IsComplete()
+	for instance, state := range e.TargetStates {
+		c.Directors[instance] = state.Phase.String()
+		if state.Reason != "" {
+			c.Reasons[instance] = state.Reason
+		}
+	}
+}
+
+// Change returns a change that an agent knows, nil for none, and by director the script that was active before it, for those directors
+// that have it applied.
+func (s *Snapshot) Change(id string) (change *rollout.Change, previous map[string]string) {
+	previous = map[string]string{}
+	for _, e := range s.entries {
+		if e.Change.ID != id {
+			continue
+		}
+		change = e.Change
+		for instance, state := range e.TargetStates {
+			if state.Phase == rollout.PhaseApplied {
+				previous[instance] = state.PreviousScript
+			}
+		}
+	}
+	return change, previous
+}
+
+// Candidates returns all directors for planning a change. The error names one whose agent is not reachable.
+func (s *Snapshot) Candidates() (candidates []rollout.Candidate, err error) {
+	for _, d := range s.Directors {
+		if !d.AgentReachable {
+			return nil, fmt.Errorf("%s: %s", d.Name, d.Reason)
+		}
+		candidates = append(candidates, rollout.Candidate{Instance: d.Name, Agent: d.Agent, Depot: d.Depot, Script: d.Script})
+	}
+	return candidates, nil
+}
+
+// FailureRate returns which share of the directors' answers since an earlier snapshot were no success, and how many answers there were.
+// Directors that are down or were restarted in between are left out.
+func (s *Snapshot) FailureRate(since Snapshot) (rate float64, answers int64) {
+	before := map[string]status.Report{}
+	for _, d := range since.Directors {
+		before[d.Name] = d.Report
+	}
+	var successes int64
+	for _, d := range s.Directors {
+		earlier := before[d.Name]
+		if !d.Up || earlier.PID != d.Report.PID {
+			continue
+		}
+		for _, name := range []string{"fulfilled", "throttled", "abandoned"} {
+			n := d.Report.Counters[name] - earlier.Counters[name]
+			answers += n
+			if name == "fulfilled" {
+				successes += n
+			}
+		}
+	}
+	if answers == 0 {
+		return 0, 0
+	}
+	return 1 - float64(successes)/float64(answers), answers
+}
