--- a/cmd/tallyctl/check.go
+++ b/cmd/tallyctl/check.go
@@ -13,7 +13,7 @@
 
 // Run reads the inventory and the scripts.
 func (k *checkCommand) Run(c *command) error {
-	inventory, err := c.load()
+	inventory, err := c.loadInventory()
 	if err != nil {
 		return err
 	}
--- a/cmd/tallyctl/keys.go
+++ b/cmd/tallyctl/keys.go
@@ -9,20 +9,22 @@
 )
 
 type keysCommand struct {
-	Dir    string        `default:"keys" help:"The authority's folder. Only its key must be kept from others."`
-	Init   keysInit      `cmd:"" help:"Make an authority."`
-	Issue  keysIssue     `cmd:"" help:"Make a certificate, or renew one: the same name again."`
-	Revoke keysRevokeCmd `cmd:"" help:"Have a certificate hold no more."`
+	Dir    string            `default:"keys" help:"The authority's folder. Only its key must be kept from others."`
+	Init   keysInitCommand   `cmd:"" help:"Make an authority."`
+	Issue  keysIssueCommand  `cmd:"" help:"Make a certificate, or renew one: the same name again."`
+	Revoke keysRevokeCommand `cmd:"" help:"Have a certificate hold no more."`
 }
 
-type keysInit struct {
+type keysInitCommand struct {
 	Name string `default:"tallyproxy fleet" help:"The authority's name."`
 }
 
 // Run makes an authority.
-func (k *keysInit) Run(c *command) error { return authority.Init(c.Keys.Dir, k.Name, time.Now()) }
+func (k *keysInitCommand) Run(c *command) error {
+	return authority.Init(c.Keys.Dir, k.Name, time.Now())
+}
 
-type keysIssue struct {
+type keysIssueCommand struct {
 	Name string        `arg:"" help:"Of an agent, as in the inventory, or of an operator."`
 	Role []string      `required:"" enum:"agent,see,change,keys" help:"What it may: agent; see, change or keys for operators."`
 	Life time.Duration `default:"720h" help:"How long it holds."`
@@ -30,24 +32,24 @@
 }
 
 // Run makes a certificate.
-func (k *keysIssue) Run(c *command) error {
-	var of []authority.Role
+func (k *keysIssueCommand) Run(c *command) error {
+	var roles []authority.Role
 	for _, r := range k.Role {
-		of = append(of, authority.Role(r))
+		roles = append(roles, authority.Role(r))
 	}
-	if err := authority.Issue(c.Keys.Dir, k.Into, k.Name, of, k.Life, time.Now()); err != nil {
+	if err := authority.Issue(c.Keys.Dir, k.Into, k.Name, roles, k.Life, time.Now()); err != nil {
 		return err
 	}
 	fmt.Printf("%s: holds until %s\n", k.Name, time.Now().Add(k.Life).Format(time.DateTime))
 	return nil
 }
 
-type keysRevokeCmd struct {
+type keysRevokeCommand struct {
 	Certs []string `arg:"" help:"Files of certificates."`
 }
 
 // Run revokes certificates. Agents read the list of their own folder: it is to be copied there.
-func (k *keysRevokeCmd) Run(c *command) error {
+func (k *keysRevokeCommand) Run(c *command) error {
 	var certs []*x509.Certificate
 	for _, path := range k.Certs {
 		cert, err := authority.LoadCertificate(path)
--- a/cmd/tallyctl/main.go
+++ b/cmd/tallyctl/main.go
@@ -1,40 +1,39 @@
-// Command tallyctl is the operators' tool for many directors, and the agent that looks after those of one machine.
+// Command tallyctl is the operators' tool for many directors, and the agent that looks after the directors of one machine.
 package main
 
 import (
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"syscall"
 
 	"github.com/alecthomas/kong"
-
-	"tallyproxy/internal/agent"
-	"tallyproxy/internal/authority"
-	"tallyproxy/internal/config"
-	"tallyproxy/internal/ctl"
 )
 
-// Exit codes that scripts can trust.
+// Exit codes that scripts can rely on.
 const (
-	exitDone    = 0
-	exitRefused = 1
-	exitUsage   = 2
-	exitPartly  = 3
+	exitDone    = 0 // done as asked
+	exitRefused = 1 // refused; nothing has changed
+	exitUsage   = 2 // the arguments are wrong
+	exitPartly  = 3 // partly reached; the output tells which directors are where
 )
 
-// exit is an error with its code.
-type exit struct {
+// exitError is an error that decides the exit code.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (e exit) Error() string { return e.err.Error() }
+// Error returns the text of the error.
+func (e exitError) Error() string { return e.err.Error() }
+
+// Unwrap returns the error without its code.
+func (e exitError) Unwrap() error { return e.err }
 
+// command is the command line. Its help texts document the fields here and in the sub-commands.
 type command struct {
 	Inventory string `short:"i" env:"TALLYCTL_INVENTORY" default:"fleet.star" placeholder:"FILE" help:"What the fleet is made of, a Starlark script."`
 	Cert      string `env:"TALLYCTL_CERT" placeholder:"FILE" help:"Who you are: a certificate, its key beside it as NAME-key.pem."`
@@ -57,13 +56,13 @@
 
 func main() { os.Exit(Main(os.Args[1:])) }
 
-// Main is the command: it gives the exit code.
+// Main runs the command line's arguments, without the program's name, and returns the exit code.
 func Main(args []string) int {
 	var c command
 	parser, err := kong.New(&c, kong.Name("tallyctl"), kong.Description("Many directors, shown, changed and checked together. Exit "+
 		"code 0: done; 1: refused, nothing has changed; 2: the arguments; 3: partly reached, with who is where."))
 	if err != nil {
-		panic(err)
+		panic(err) // the types above are wrong
 	}
 	k, err := parser.Parse(args)
 	if err != nil {
@@ -78,90 +77,18 @@
 		return exitDone
 	}
 	fmt.Fprintln(os.Stderr, "tallyctl:", err)
-	var e exit
+	var e exitError
 	if errors.As(err, &e) {
 		return e.code
 	}
 	return exitRefused
 }
 
-// identity is who calls.
-func (c *command) identity(inv *config.Inventory) (*authority.Identity, error) {
-	if c.Cert == "" {
-		return nil, exit{exitUsage, errors.New("--cert: missing; `tallyctl keys issue` makes one")}
-	}
-	key := c.Cert[:len(c.Cert)-len(filepath.Ext(c.Cert))] + "-key.pem"
-	return authority.Open(within(inv.Path, inv.AuthorityDir), c.Cert, key)
-}
-
-// within is a path as the inventory says it, from its folder.
-func within(inventory, path string) string {
-	if filepath.IsAbs(path) {
-		return path
-	}
-	return filepath.Join(filepath.Dir(inventory), path)
-}
-
-// load reads the inventory, its paths from its own folder.
-func (c *command) load() (*config.Inventory, error) {
-	inv, err := config.LoadInventory(c.Inventory)
-	if err != nil {
-		return nil, err
-	}
-	if inv.GossipKeyFile != "" {
-		inv.GossipKeyFile = within(inv.Path, inv.GossipKeyFile)
-	}
-	for i := range inv.Directors {
-		d := &inv.Directors[i]
-		d.PlatformFile, d.SettingsFile, d.StatusSocket = within(inv.Path, d.PlatformFile), within(inv.Path, d.SettingsFile), within(inv.Path, d.StatusSocket)
-		if d.PIDFile != "" {
-			d.PIDFile = within(inv.Path, d.PIDFile)
-		}
-	}
-	return inv, nil
-}
-
-// open reaches the fleet.
-func (c *command) open() (*ctl.Fleet, error) {
-	inv, err := c.load()
-	if err != nil {
-		return nil, err
-	}
-	id, err := c.identity(inv)
-	if err != nil {
-		return nil, err
-	}
-	return ctl.Open(inv, id), nil
-}
-
-type agentCommand struct {
-	Name  string `arg:"" help:"The agent's name in the inventory."`
-	Store string `placeholder:"FILE" help:"Where it keeps what it must not forget; NAME.db beside the inventory by default."`
-}
-
-// Run looks after directors until it is stopped; they go on.
-func (a *agentCommand) Run(ctx context.Context, c *command) error {
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
-	inv, err := c.load()
-	if err != nil {
-		return err
-	}
-	id, err := c.identity(inv)
-	if err != nil {
-		return err
-	}
-	path := a.Store
-	if path == "" {
-		path = within(inv.Path, a.Name+".db")
-	}
-	store, err := agent.OpenStore(path)
-	if err != nil {
-		return err
-	}
-	defer store.Close()
-	running, err := agent.New(inv, a.Name, id, store)
-	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+// print prints a value as JSON where that is asked for, and otherwise calls printText.
+func (c *command) print(value any, printText func()) error {
+	if c.JSON {
+		return json.NewEncoder(os.Stdout).Encode(value)
 	}
-	return running.Serve(ctx)
+	printText()
+	return nil
 }
--- a/cmd/tallyctl/watch.go
+++ b/cmd/tallyctl/watch.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"slices"
@@ -12,114 +13,127 @@
 	"tallyproxy/internal/ctl"
 )
 
+// watchedChanges is how many changes are shown, the latest ones.
+const watchedChanges = 5
+
 type watchCommand struct {
 	Every time.Duration `default:"1s" help:"How often all agents are asked."`
 }
 
-// Run shows the fleet until q.
+// Run shows the fleet in the terminal until the operator leaves.
 func (w *watchCommand) Run(ctx context.Context, c *command) error {
-	f, err := c.open()
+	fleet, err := c.openFleet()
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	_, err = tea.NewProgram(watching{ctx: ctx, f: f, every: w.Every}, tea.WithContext(ctx), tea.WithAltScreen()).Run()
+	defer fleet.Close()
+	model := watchModel{ctx: ctx, fleet: fleet, interval: w.Every}
+	_, err = tea.NewProgram(model, tea.WithContext(ctx), tea.WithAltScreen()).Run()
 	return err
 }
 
-// watching is what the terminal shows.
-type watching struct {
-	ctx   context.Context
-	f     *ctl.Fleet
-	every time.Duration
-	view  ctl.Snapshot
-	at    time.Time
-	boxes bool // instead of directors
+// watchModel is the state of the terminal's display, for bubbletea.
+type watchModel struct {
+	ctx       context.Context // of the requests to agents
+	fleet     *ctl.Fleet
+	interval  time.Duration
+	snapshot  ctl.Snapshot
+	takenAt   time.Time // of snapshot; zero before the first
+	showNodes bool      // cache nodes instead of directors
 }
 
-type looked struct {
-	view ctl.Snapshot
-	at   time.Time
+// snapshotMessage tells the model of a new snapshot.
+type snapshotMessage struct {
+	snapshot ctl.Snapshot
+	takenAt  time.Time
 }
 
-func (w watching) look() tea.Msg { return looked{w.f.Snapshot(w.ctx), time.Now()} }
+func (w watchModel) takeSnapshot() tea.Msg {
+	return snapshotMessage{w.fleet.Snapshot(w.ctx), time.Now()}
+}
 
-// Init looks for the first time.
-func (w watching) Init() tea.Cmd { return w.look }
+// Init returns the command that takes the first snapshot.
+func (w watchModel) Init() tea.Cmd { return w.takeSnapshot }
 
-// Update takes keys and news.
-func (w watching) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
+// Update handles keys and snapshots; after a snapshot the next one is taken when the interval has passed.
+func (w watchModel) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.KeyMsg:
 		switch msg.String() {
 		case "q", "ctrl+c", "esc":
 			return w, tea.Quit
 		case "b":
-			w.boxes = !w.boxes
+			w.showNodes = !w.showNodes
 		}
-	case looked:
-		w.view, w.at = msg.view, msg.at
-		return w, tea.Tick(w.every, func(time.Time) tea.Msg { return w.look() })
+	case snapshotMessage:
+		w.snapshot, w.takenAt = msg.snapshot, msg.takenAt
+		return w, tea.Tick(w.interval, func(time.Time) tea.Msg { return w.takeSnapshot() })
 	}
 	return w, nil
 }
 
-// View draws.
-func (w watching) View() string {
-	if w.at.IsZero() {
+// View formats the display.
+func (w watchModel) View() string {
+	if w.takenAt.IsZero() {
 		return "asking the agents...\n"
 	}
 	var b strings.Builder
-	if w.boxes {
-		b.WriteString(boxes(w.view))
+	if w.showNodes {
+		b.WriteString(nodeTable(w.snapshot))
 	} else {
-		b.WriteString(table(w.view))
+		b.WriteString(directorTable(w.snapshot))
 	}
-	for _, x := range w.view.Changes[max(0, len(w.view.Changes)-5):] {
-		counts := map[string]int{}
-		for _, phase := range x.Directors {
-			counts[phase]++
-		}
-		var parts []string
-		for phase, n := range counts {
-			parts = append(parts, fmt.Sprintf("%d %s", n, phase))
-		}
-		slices.Sort(parts)
-		fmt.Fprintf(&b, "%s  %-5s %-24s %s\n", x.ID, x.Outcome, x.Note, strings.Join(parts, ", "))
+	changes := w.snapshot.Changes
+	for _, change := range changes[max(0, len(changes)-watchedChanges):] {
+		fmt.Fprintf(&b, "%s  %-5s %-24s %s\n", change.ID, change.Outcome, change.Note, phaseCounts(change))
 	}
-	fmt.Fprintf(&b, "\n%s   b: directors or boxes   q: leave\n", w.at.Format(time.TimeOnly))
+	fmt.Fprintf(&b, "\n%s   b: directors or boxes   q: leave\n", w.takenAt.Format(time.TimeOnly))
 	return b.String()
 }
 
-// boxes shows each box as the directors of its depot believe it to be.
-func boxes(v ctl.Snapshot) string {
-	type row struct{ depot, id string }
-	seen := map[row][]string{}
-	for _, d := range v.Directors {
+// phaseCounts formats how many directors of a change are in which phase.
+func phaseCounts(change ctl.ChangeStatus) string {
+	counts := map[string]int{}
+	for _, phase := range change.Directors {
+		counts[phase]++
+	}
+	var parts []string
+	for phase, n := range counts {
+		parts = append(parts, fmt.Sprintf("%d %s", n, phase))
+	}
+	slices.Sort(parts)
+	return strings.Join(parts, ", ")
+}
+
+// nodeTable formats the state of each cache node as the directors of a depot see it.
+func nodeTable(s ctl.Snapshot) string {
+	type key struct{ depot, node string }
+	states := map[key][]string{}
+	for _, d := range s.Directors {
 		for _, n := range d.Report.NodeViews {
 			if n.Kind == "other" {
 				continue
 			}
-			word := n.State
+			state := n.State
 			switch {
 			case n.State == "ready" && n.EjectedFor > 0:
-				word = "skipped"
+				state = "skipped"
 			case n.State == "ready" && n.SlowStartShare < 1:
-				word = fmt.Sprintf("warming %.0f%%", 100*n.SlowStartShare)
+				state = fmt.Sprintf("warming %.0f%%", 100*n.SlowStartShare)
 			}
-			r := row{d.Depot, n.ID}
-			seen[r] = append(seen[r], d.Name+" "+word)
+			k := key{d.Depot, n.ID}
+			states[k] = append(states[k], d.Name+" "+state)
 		}
 	}
-	rows := make([]row, 0, len(seen))
-	for r := range seen {
-		rows = append(rows, r)
+	keys := make([]key, 0, len(states))
+	for k := range states {
+		keys = append(keys, k)
 	}
-	slices.SortFunc(rows, func(a, b row) int { return strings.Compare(a.depot+"\x00"+a.id, b.depot+"\x00"+b.id) })
+	slices.SortFunc(keys, func(a, b key) int { return cmp.Or(cmp.Compare(a.depot, b.depot), cmp.Compare(a.node, b.node)) })
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-12s %-20s %s\n", "DEPOT", "BOX", "AS DIRECTORS SEE IT")
-	for _, r := range rows {
-		fmt.Fprintf(&b, "%-12s %-20s %s\n", r.depot, r.id, strings.Join(seen[r], "; "))
+	for _, k := range keys {
+		fmt.Fprintf(&b, "%-12s %-20s %s\n", k.depot, k.node, strings.Join(states[k], "; "))
 	}
 	return b.String()
 }
--- a/internal/ctl/cachenode_test.go
+++ b/internal/ctl/cachenode_test.go
@@ -17,8 +17,8 @@
 	}
 	for _, c := range []struct {
 		name, node string
-		directors []DirectorStatus
-		want      string
+		directors  []DirectorStatus
+		want       string
 	}{
 		{"in one list", "box-2", []DirectorStatus{reporting("box-1"), reporting("box-1", "box-2")}, ""},
 		{"nobody tells", "box-2", []DirectorStatus{{}, {Report: status.Report{}}}, ""},
