--- a/internal/experiment/cores.go
+++ b/internal/experiment/cores.go
@@ -259,7 +259,7 @@
 	run.P50, run.P99, run.P999 = ms(50), ms(99), ms(99.9)
 	run.CPU = math.Round(used.Seconds()/float64(max(1, fulfilled))*1e8) / 100
 	for _, d := range processes {
-		run.RSS += math.Round(d.Memory()*10) / 10
+		run.RSS += math.Round(d.PeakMemoryMB()*10) / 10
 	}
 	return run, nil
 }
--- a/internal/experiment/peers.go
+++ b/internal/experiment/peers.go
@@ -97,7 +97,7 @@
 
 // Named is the schedule of a kind of fault for so many directors.
 func Named(kind string, seed uint64, number, n int) faulttest.Schedule {
-	s := faulttest.Schedule{Seed: seed, Number: number, Directors: n, Length: 8000}
+	s := faulttest.Schedule{Seed: seed, Number: number, Directors: n, LengthMS: 8000}
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
@@ -115,35 +115,35 @@
 	}
 	switch kind {
 	case "oneway":
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Cut, At: 500, For: 6000, Who: all[:n/2], To: all[n/2:]}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.CutLinks, AtMS: 500, ForMS: 6000, Targets: all[:n/2], Peers: all[n/2:]}}
 	case "halves", "thirds":
 		k := map[string]int{"halves": 2, "thirds": 3}[kind]
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Groups, At: 500, For: 6000, Groups: parts(k)}, {Kind: faulttest.Cold, At: 4000, Who: boxes}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Partition, AtMS: 500, ForMS: 6000, Groups: parts(k)}, {Kind: faulttest.ColdCaches, AtMS: 4000, Targets: boxes}}
 	case "stop":
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Stop, At: 500, For: 6000, Who: all[:1]}, {Kind: faulttest.Cold, At: 1500, Who: boxes}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Pause, AtMS: 500, ForMS: 6000, Targets: all[:1]}, {Kind: faulttest.ColdCaches, AtMS: 1500, Targets: boxes}}
 	case "restart":
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Restart, At: 500, Who: all[:(n+2)/3]}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Restart, AtMS: 500, Targets: all[:(n+2)/3]}}
 	case "seven":
-		s.Length = 14000
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Kill, At: 500, For: 13000, Who: all[:n*7/10]}, {Kind: faulttest.Cold, At: 4000, Who: boxes}}
+		s.LengthMS = 14000
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Kill, AtMS: 500, ForMS: 13000, Targets: all[:n*7/10]}, {Kind: faulttest.ColdCaches, AtMS: 4000, Targets: boxes}}
 	case "away":
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Away, At: 500, For: 6000}, {Kind: faulttest.Drain, At: 1500, For: 6500}, {Kind: faulttest.Purge, At: 2000}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.ChannelUnreachable, AtMS: 500, ForMS: 6000}, {Kind: faulttest.Drain, AtMS: 1500, ForMS: 6500}, {Kind: faulttest.Purge, AtMS: 2000}}
 	case "zone":
-		s.Length = 14000
+		s.LengthMS = 14000
 		left := slices.DeleteFunc(boxes, func(i int) bool { return i%2 == 1 }) // those of the location that is left
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Zone, At: 500, For: 13000, Who: []int{1}}, {Kind: faulttest.Cold, At: 4000, Who: left}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.ZoneLoss, AtMS: 500, ForMS: 13000, Targets: []int{1}}, {Kind: faulttest.ColdCaches, AtMS: 4000, Targets: left}}
 	case "flap":
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Flap, At: 500, For: 6000, Who: all[:n/2], To: all[n/2:]}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.FlappingLinks, AtMS: 500, ForMS: 6000, Targets: all[:n/2], Peers: all[n/2:]}}
 	case "twin":
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Twin, At: 500, For: 6000, Who: all[:1]}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.DuplicateInstance, AtMS: 500, ForMS: 6000, Targets: all[:1]}}
 	case "loss":
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Poor, At: 0, For: 8000, Rate: 0.05}, {Kind: faulttest.Busy, At: 0, For: 8000, Rate: 8}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.LossyLinks, AtMS: 0, ForMS: 8000, Rate: 0.05}, {Kind: faulttest.BusyCores, AtMS: 0, ForMS: 8000, Rate: 8}}
 	case "liar":
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Liar, At: 500, For: 6000}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.FalseHints, AtMS: 500, ForMS: 6000}}
 	case "term":
-		s.Faults = []faulttest.Fault{{Kind: faulttest.Groups, At: 500, For: 6000, Groups: parts(2)}, {Kind: faulttest.Term, At: 2500, For: 3000, Who: all[:(n+2)/3]}}
+		s.Faults = []faulttest.Fault{{Kind: faulttest.Partition, AtMS: 500, ForMS: 6000, Groups: parts(2)}, {Kind: faulttest.Terminate, AtMS: 2500, ForMS: 3000, Targets: all[:(n+2)/3]}}
 	case "drawn":
-		return faulttest.Draw(seed, number, n, s.Length)
+		return faulttest.RandomSchedule(seed, number, n, s.LengthMS)
 	}
 	return s
 }
@@ -211,7 +211,7 @@
 		err = json.Unmarshal(raw, &s)
 	}
 	if err == nil {
-		err = s.Check()
+		err = s.Validate()
 	}
 	if err != nil {
 		err = fmt.Errorf("--schedule: %s: %w", p.Schedule, err)
@@ -239,11 +239,11 @@
 	if p.History {
 		fmt.Fprint(os.Stderr, o.History)
 	}
-	if len(o.Broken()) > 0 {
-		run.Why = append(run.Why, fmt.Sprint(o.Broken(), o.LostHow, o.Why))
+	if len(o.Violations()) > 0 {
+		run.Why = append(run.Why, fmt.Sprint(o.Violations(), o.LostReasons, o.CrashDetail))
 		p.failed(run, s, func(s faulttest.Schedule) bool {
 			o, err := faulttest.Run(ctx, p.spec(false), s, nil)
-			return err == nil && len(o.Broken()) > 0
+			return err == nil && len(o.Violations()) > 0
 		})
 	}
 	if run.Fixed != nil {
@@ -270,22 +270,22 @@
 
 func (p *Peers) spec(alone bool) faulttest.Spec {
 	return faulttest.Spec{
-		Argv: p.Argv, Alone: alone, Boxes: p.Boxes, Clients: p.Clients, Load: p.Load, Warm: true, Settle: time.Second,
-		After: 2 * time.Second, Log: p.Log,
+		Argv: p.Argv, NoPeers: alone, CacheNodes: p.Boxes, Clients: p.Clients, LoadFactor: p.Load, WarmCaches: true, LoadBefore: time.Second,
+		LoadAfter: 2 * time.Second, Log: p.Log,
 	}
 }
 
 func (r *PeersRun) add(o faulttest.Outcome) {
-	r.Lost, r.Over, r.Fallen, r.Unended = r.Lost+o.Lost, r.Over+o.PartsOver, r.Fallen+o.Fallen, r.Unended+bit(o.Unended)
-	r.Rules += o.Rules()
-	r.PartsPeak, r.ColdPeak, r.Memory = max(r.PartsPeak, o.PartsPeak[0], o.PartsPeak[1]), max(r.ColdPeak, o.ColdPeak), max(r.Memory, o.Memory)
-	r.deaths, r.views = append(r.deaths, o.Deaths...), append(r.views, o.OneView)
-	r.hours, r.wrong, r.suspected = r.hours+o.Hours, r.wrong+o.Failed, r.suspected+o.Suspected
+	r.Lost, r.Over, r.Fallen, r.Unended = r.Lost+o.Lost, r.Over+o.QuotaViolations, r.Fallen+o.OverloadedNodes, r.Unended+bit(o.Incomplete)
+	r.Rules += o.RuleViolations()
+	r.PartsPeak, r.ColdPeak, r.Memory = max(r.PartsPeak, o.QuotaPeak[0], o.QuotaPeak[1]), max(r.ColdPeak, o.ColdPeakLoad), max(r.Memory, o.MemoryMB)
+	r.deaths, r.views = append(r.deaths, o.DetectionMS...), append(r.views, o.ConvergenceMS)
+	r.hours, r.wrong, r.suspected = r.hours+o.DirectorHours, r.wrong+o.FalseFailures, r.suspected+o.FalseSuspicions
 	n := float64(r.Schedules)
 	mean := func(old, now float64) float64 { return (old*(n-1) + now) / n }
-	r.Packets, r.Bytes, r.Share = mean(r.Packets, o.Packets), mean(r.Bytes, o.Bytes), mean(r.Share, o.Share)
-	r.Series = o.Series
-	if r.Recovery = max(r.Recovery, o.Recovery); o.Recovery < 0 {
+	r.Packets, r.Bytes, r.Share = mean(r.Packets, o.PacketsPerSecond), mean(r.Bytes, o.BytesPerSecond), mean(r.Share, o.SuccessRate)
+	r.Series = o.SuccessSeries
+	if r.Recovery = max(r.Recovery, o.RecoveryMS); o.RecoveryMS < 0 {
 		r.Recovery = -1
 	}
 }
--- a/internal/experiment/peersim.go
+++ b/internal/experiment/peersim.go
@@ -81,7 +81,7 @@
 			m.tell(i, j, membership.Up)
 		}
 	}
-	begin, end := m.now+2*d.Second, m.now+2*d.Second+d.Micros(s.Length)*1000
+	begin, end := m.now+2*d.Second, m.now+2*d.Second+d.Micros(s.LengthMS)*1000
 	limit := end + 120*d.Second
 	steps, messages := 0, 0
 	var healed d.Micros
@@ -146,34 +146,34 @@
 
 // fault begins and ends one at its time.
 func (m *peerSim) fault(f faulttest.Fault, begin d.Micros) {
-	from := begin + d.Micros(f.At)*1000
-	to := from + d.Micros(f.For)*1000
-	on, off := m.now >= from && m.now-simStep < from, f.For > 0 && m.now >= to && m.now-simStep < to
+	from := begin + d.Micros(f.AtMS)*1000
+	to := from + d.Micros(f.ForMS)*1000
+	on, off := m.now >= from && m.now-simStep < from, f.ForMS > 0 && m.now >= to && m.now-simStep < to
 	if !on && !off {
 		return
 	}
 	links := func(add int) {
 		for i := range m.n {
 			for j := range m.n {
-				if faulttest.Struck(f, i, j) {
+				if faulttest.AffectsLink(f, i, j) {
 					m.cut[m.pair(i, j)] += int32(add)
 				}
 			}
 		}
 	}
 	switch f.Kind {
-	case faulttest.Cut, faulttest.Groups, faulttest.Flap:
+	case faulttest.CutLinks, faulttest.Partition, faulttest.FlappingLinks:
 		if links(1); off {
 			links(-2)
 		}
-	case faulttest.Poor:
+	case faulttest.LossyLinks:
 		m.poor = f.Rate * float64(bit(on))
-	case faulttest.Kill, faulttest.Restart, faulttest.Zone:
-		who := f.Who
-		if f.Kind == faulttest.Zone {
+	case faulttest.Kill, faulttest.Restart, faulttest.ZoneLoss:
+		who := f.Targets
+		if f.Kind == faulttest.ZoneLoss {
 			who = nil
 			for i := range m.n {
-				if slices.Contains(f.Who, i%2) {
+				if slices.Contains(f.Targets, i%2) {
 					who = append(who, i)
 				}
 			}
@@ -186,8 +186,8 @@
 				m.start(i)
 			}
 		}
-	case faulttest.Stop:
-		for _, i := range f.Who {
+	case faulttest.Pause:
+		for _, i := range f.Targets {
 			m.stopped[i] = on
 		}
 	}
--- a/internal/experiment/start.go
+++ b/internal/experiment/start.go
@@ -161,16 +161,16 @@
 // play starts directors at once and has the list service go through its phases. No client asks for anything.
 func (s *Start) play(ctx context.Context, n int, alone bool) (run StartRun, err error) {
 	run.Directors, run.Alone = n, alone
-	r, err := faulttest.New(faulttest.Spec{Argv: s.Argv, Alone: alone, Boxes: 4, Warm: true, Log: s.Log}, faulttest.Schedule{Seed: s.Seed, Directors: n})
+	r, err := faulttest.New(faulttest.Spec{Argv: s.Argv, NoPeers: alone, CacheNodes: 4, WarmCaches: true, Log: s.Log}, faulttest.Schedule{Seed: s.Seed, Directors: n})
 	if err != nil {
 		return run, err
 	}
-	w := r.World
+	w := r.Cluster
 	w.SetChannelCapacity(s.capacity())
 	begun := w.Now()
 	failed := r.Start(ctx)
 	defer func() {
-		run.Memory = math.Round(r.Memory()*10) / 10
+		run.Memory = math.Round(r.PeakMemoryMB()*10) / 10
 		if failed = errors.Join(failed, r.Close()); failed != nil {
 			run.Crashes, run.Why = strings.Count(failed.Error(), "\n")+1, failed.Error()
 		}
@@ -182,10 +182,10 @@
 	}
 	var news []told
 	listed := func(e faulttest.Entry) bool {
-		return e.Event == logevent.EndpointListRelayed || e.Event == logevent.DiscoveryEvents && e.Of["lists"] != "0"
+		return e.Event == logevent.EndpointListRelayed || e.Event == logevent.DiscoveryEvents && e.Attributes["lists"] != "0"
 	}
 	purged := func(e faulttest.Entry) bool {
-		return e.Event == logevent.GossipReceived || e.Event == logevent.DiscoveryEvents && e.Of["events"] != "0"
+		return e.Event == logevent.GossipReceived || e.Event == logevent.DiscoveryEvents && e.Attributes["events"] != "0"
 	}
 	box := func(status string) func() {
 		return func() { w.Nodes[0].Announce(status) }
@@ -226,7 +226,7 @@
 	run.over()
 	entries := r.History.Entries()
 	for _, t := range news {
-		if took := faulttest.Knew(entries, t.at, n, 0.99, t.shows); took < 0 {
+		if took := faulttest.PropagationTime(entries, t.at, n, 0.99, t.shows); took < 0 {
 			run.Unknown++
 		} else {
 			*t.into = max(*t.into, float64(took.Milliseconds()))
@@ -260,11 +260,11 @@
 	}
 	for _, f := range s.Faults {
 		all = append(all, map[string][]faulttest.Fault{
-			"seven":     {{Kind: faulttest.Kill, At: 500, For: 5000, Who: who[:n*7/10]}},
-			"followers": {{Kind: faulttest.Followers, At: 500, For: 3000}},
-			"halves":    {{Kind: faulttest.Groups, At: 500, For: 5000, Groups: groups[:]}, {Kind: faulttest.Away, At: 500, For: 5000}},
-			"move":      {{Kind: faulttest.Move, At: 500}, {Kind: faulttest.Purge, At: 1000}},
-			"roll":      {{Kind: faulttest.Roll, At: 500, For: 5000}, {Kind: faulttest.Replace, At: 500, For: 5000}},
+			"seven":     {{Kind: faulttest.Kill, AtMS: 500, ForMS: 5000, Targets: who[:n*7/10]}},
+			"followers": {{Kind: faulttest.KillDelegates, AtMS: 500, ForMS: 3000}},
+			"halves":    {{Kind: faulttest.Partition, AtMS: 500, ForMS: 5000, Groups: groups[:]}, {Kind: faulttest.ChannelUnreachable, AtMS: 500, ForMS: 5000}},
+			"move":      {{Kind: faulttest.ChannelMove, AtMS: 500}, {Kind: faulttest.Purge, AtMS: 1000}},
+			"roll":      {{Kind: faulttest.RollingRestart, AtMS: 500, ForMS: 5000}, {Kind: faulttest.ReplaceCaches, AtMS: 500, ForMS: 5000}},
 		}[f]...)
 	}
 	return all
@@ -286,13 +286,13 @@
 func (s *Start) cold(ctx context.Context, n int, alone bool) (Cold, error) {
 	schedule := faulttest.Schedule{Seed: s.Seed, Directors: n, Faults: s.faults(n)}
 	for _, f := range schedule.Faults {
-		schedule.Length = max(schedule.Length, f.At+f.For+500)
+		schedule.LengthMS = max(schedule.LengthMS, f.AtMS+f.ForMS+500)
 	}
 	o, err := faulttest.Run(ctx, faulttest.Spec{
-		Argv: s.Argv, Alone: alone, Boxes: s.Boxes, Clients: s.Clients, Load: s.Load, After: 3 * s.Phase / 2, Log: s.Log,
-		Early: true, Before: func(r *faulttest.Rig) { r.World.SetChannelCapacity(s.capacity()) },
+		Argv: s.Argv, NoPeers: alone, CacheNodes: s.Boxes, Clients: s.Clients, LoadFactor: s.Load, LoadAfter: 3 * s.Phase / 2, Log: s.Log,
+		EarlyClients: true, BeforeStart: func(r *faulttest.Harness) { r.Cluster.SetChannelCapacity(s.capacity()) },
 	}, schedule, nil)
-	return Cold{o.Rules() + o.PartsOver, o.Lost, o.Fallen, bit(o.Unended), o.Asked, o.Share, o.Recovery, o.ColdPeak}, err
+	return Cold{o.RuleViolations() + o.QuotaViolations, o.Lost, o.OverloadedNodes, bit(o.Incomplete), o.Requests, o.SuccessRate, o.RecoveryMS, o.ColdPeakLoad}, err
 }
 
 // measure counts the calls of a phase.
--- a/internal/experiment/storm.go
+++ b/internal/experiment/storm.go
@@ -198,7 +198,7 @@
 		ends.Wait()
 		for i, d := range directors {
 			r.Crashes += bit(failed[i] != nil)
-			r.RSS = max(r.RSS, math.Round(d.Memory()*10)/10)
+			r.RSS = max(r.RSS, math.Round(d.PeakMemoryMB()*10)/10)
 		}
 		r.Storms, r.Jumps = log.seen, log.jumps
 	}()
@@ -321,12 +321,12 @@
 			})
 			at(2*time.Second+s.Pause, func() { stopped.Pause(false) })
 		case "restart":
-			at(2*time.Second, func() { directors[0].Murder() })
-			at(4*time.Second, func() { directors[0].Again(ctx) })
+			at(2*time.Second, func() { directors[0].Kill() })
+			at(4*time.Second, func() { directors[0].Restart(ctx) })
 		case "roll":
 			at(3*time.Second, func() {
 				directors[len(directors)-1].Signal(syscall.SIGTERM)
-				directors[len(directors)-1].Again(ctx)
+				directors[len(directors)-1].Restart(ctx)
 			})
 		case "reload":
 			for i := range 5 {
--- a/internal/faulttest/director.go
+++ b/internal/faulttest/director.go
@@ -139,16 +139,16 @@
 	d.Target.SetPaused(false, d.now())
 }
 
-// Murder kills it outright.
-func (d *Director) Murder() {
+// Kill kills it outright.
+func (d *Director) Kill() {
 	d.SetKilled(true)
-	d.Memory()
+	d.PeakMemoryMB()
 	d.Signal(syscall.SIGKILL)
 	d.Wait()
 }
 
-// Again starts it anew once it has ended, where the context allows.
-func (d *Director) Again(ctx context.Context) {
+// Restart starts it anew once it has ended, where the context allows.
+func (d *Director) Restart(ctx context.Context) {
 	if d.Wait(); ctx.Err() == nil {
 		d.Start(context.WithoutCancel(ctx))
 	}
@@ -171,7 +171,7 @@
 
 // Stop ends it with SIGTERM and waits; one that does not end in time is killed, and that is an error.
 func (d *Director) Stop() error {
-	d.Memory()
+	d.PeakMemoryMB()
 	d.Signal(syscall.SIGTERM)
 	ended := d.end()
 	select {
@@ -195,8 +195,8 @@
 	return d.cmd.Process.Pid
 }
 
-// Memory is the most that it has held so far, in MB.
-func (d *Director) Memory() float64 {
+// PeakMemoryMB is the most that it has held so far, in MB.
+func (d *Director) PeakMemoryMB() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cmd == nil || d.cmd.Process == nil {
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -7,9 +7,9 @@
 )
 
 // goldenSchedule has every field set, in a schedule and in a fault.
-var goldenSchedule = Schedule{Seed: 7, Number: 3, Directors: 5, Length: 8000, Faults: []Fault{
-	{Kind: Cut, At: 500, For: 4000, Who: []int{1}, To: []int{0, 2}, Both: true, Groups: [][]int{{0, 1}, {2, 3, 4}}, Rate: 0.25},
-	{Kind: Purge, At: 0},
+var goldenSchedule = Schedule{Seed: 7, Number: 3, Directors: 5, LengthMS: 8000, Faults: []Fault{
+	{Kind: CutLinks, AtMS: 500, ForMS: 4000, Targets: []int{1}, Peers: []int{0, 2}, Both: true, Groups: [][]int{{0, 1}, {2, 3, 4}}, Rate: 0.25},
+	{Kind: Purge, AtMS: 0},
 }}
 
 // The JSON of schedules is what files of scripted faults hold and what a failed run prints.
@@ -45,10 +45,10 @@
 		got  Schedule
 		want string
 	}{
-		{Draw(3, 5, 9, 8000), `{"seed":3,"number":5,"directors":9,"length_ms":8000,"faults":[{"kind":"cold","at_ms":1103,"for_ms":1124,"who":[0,1,2]}]}`},
-		{Draw(7, 0, 5, 5000), `{"seed":7,"number":0,"directors":5,"length_ms":5000,"faults":[{"kind":"kill","at_ms":340,"for_ms":3656,"who":[0,1,3]},{"kind":"stop","at_ms":749,"for_ms":668,"who":[4]},{"kind":"groups","at_ms":1135,"for_ms":3652,"groups":[[2,3],[4,0],[1]]}]}`},
-		{Draw(7, 1, 5, 5000), `{"seed":7,"number":1,"directors":5,"length_ms":5000,"faults":[{"kind":"stop","at_ms":1686,"for_ms":3168,"who":[1,2]},{"kind":"cut","at_ms":2006,"for_ms":314,"who":[2],"to":[1,2,3,4],"both":true}]}`},
-		{Draw(1, 42, 6, 3000), `{"seed":1,"number":42,"directors":6,"length_ms":3000,"faults":[{"kind":"groups","at_ms":778,"for_ms":378,"groups":[[4,1],[0,5],[3,2]]}]}`},
+		{RandomSchedule(3, 5, 9, 8000), `{"seed":3,"number":5,"directors":9,"length_ms":8000,"faults":[{"kind":"cold","at_ms":1103,"for_ms":1124,"who":[0,1,2]}]}`},
+		{RandomSchedule(7, 0, 5, 5000), `{"seed":7,"number":0,"directors":5,"length_ms":5000,"faults":[{"kind":"kill","at_ms":340,"for_ms":3656,"who":[0,1,3]},{"kind":"stop","at_ms":749,"for_ms":668,"who":[4]},{"kind":"groups","at_ms":1135,"for_ms":3652,"groups":[[2,3],[4,0],[1]]}]}`},
+		{RandomSchedule(7, 1, 5, 5000), `{"seed":7,"number":1,"directors":5,"length_ms":5000,"faults":[{"kind":"stop","at_ms":1686,"for_ms":3168,"who":[1,2]},{"kind":"cut","at_ms":2006,"for_ms":314,"who":[2],"to":[1,2,3,4],"both":true}]}`},
+		{RandomSchedule(1, 42, 6, 3000), `{"seed":1,"number":42,"directors":6,"length_ms":3000,"faults":[{"kind":"groups","at_ms":778,"for_ms":378,"groups":[[4,1],[0,5],[3,2]]}]}`},
 	} {
 		if c.got.String() != c.want {
 			t.Errorf("drawn\n%v\nwant\n%s", c.got, c.want)
@@ -59,10 +59,10 @@
 // The JSON of an outcome, which --json and journals hold.
 func TestGoldenOutcome(t *testing.T) {
 	outcome := Outcome{
-		Schedule: Schedule{Directors: 2}, Lost: 1, LostHow: "a", LostPaused: 2, Twice: 3, Wrong: 4, Effects: 5, Together: 6, Drains: 7, Purges: 8, Fallen: 9,
-		Crashes: 10, Panics: 11, Why: "b", PartsPeak: [2]float64{1.5, 2.5}, PartsOver: 12, Unended: true, OneView: 13.5, Deaths: []float64{14, 15},
-		Failed: 16, Suspected: 17, ColdPeak: 18.5, Asked: 19, Share: 0.5, Recovery: 20.5, Series: []float64{0.25, 1}, Memory: 21.5, Packets: 22.5,
-		Bytes: 23.5, Hours: 24.5, Clashes: 25, Hints: 26, Words: 27, Lists: 28, Calls: 29.5,
+		Schedule: Schedule{Directors: 2}, Lost: 1, LostReasons: "a", LostToPauses: 2, DuplicateAnswers: 3, WrongBodies: 4, RepeatedEffects: 5, ConcurrentAttempts: 6, DrainViolations: 7, PurgeViolations: 8, OverloadedNodes: 9,
+		Crashes: 10, Panics: 11, CrashDetail: "b", QuotaPeak: [2]float64{1.5, 2.5}, QuotaViolations: 12, Incomplete: true, ConvergenceMS: 13.5, DetectionMS: []float64{14, 15},
+		FalseFailures: 16, FalseSuspicions: 17, ColdPeakLoad: 18.5, Requests: 19, SuccessRate: 0.5, RecoveryMS: 20.5, SuccessSeries: []float64{0.25, 1}, MemoryMB: 21.5, PacketsPerSecond: 22.5,
+		BytesPerSecond: 23.5, DirectorHours: 24.5, NameConflicts: 25, HintProbes: 26, UpdatesReceived: 27, ListsRelayed: 28, CallsPerSecond: 29.5,
 	}
 	const want = `{"schedule":{"seed":0,"number":0,"directors":2,"length_ms":0,"faults":null},"lost":1,"lost_how":"a","lost_paused":2,"double_final":3,"wrong_bytes":4,"effects_twice":5,"pulls_together":6,"drains_broken":7,"purges_broken":8,"fallen":9,"crashes":10,"panics":11,"why":"b","parts_peak":[1.5,2.5],"parts_over":12,"unended":true,"one_view_ms":13.5,"know_death_ms":[14,15],"wrongly_failed":16,"wrongly_suspected":17,"cold_peak_load":18.5,"asked":19,"fulfilled_share":0.5,"recovery_ms":20.5,"series":[0.25,1],"memory_mb":21.5,"packets_per_s":22.5,"bytes_per_s":23.5,"director_hours":24.5,"name_taken_lines":25,"questions":26,"words_bound":27,"lists_taken":28,"calls_per_s":29.5}`
 	text, err := json.Marshal(outcome)
@@ -90,13 +90,13 @@
 
 // The names under which broken rules are reported, and their order.
 func TestGoldenBroken(t *testing.T) {
-	outcome := Outcome{Lost: 1, Twice: 2, Wrong: 3, Effects: 4, Together: 5, Drains: 6, Purges: 7, Fallen: 8, Crashes: 9, Panics: 10, PartsOver: 11, Unended: true}
+	outcome := Outcome{Lost: 1, DuplicateAnswers: 2, WrongBodies: 3, RepeatedEffects: 4, ConcurrentAttempts: 5, DrainViolations: 6, PurgeViolations: 7, OverloadedNodes: 8, Crashes: 9, Panics: 10, QuotaViolations: 11, Incomplete: true}
 	want := []string{"lost 1", "double_final 2", "wrong_bytes 3", "effects_twice 4", "pulls_together 5", "drains_broken 6", "purges_broken 7", "fallen 8",
 		"crashes 9", "panics 10", "parts_over 11", "unended 1"}
-	if got := outcome.Broken(); !reflect.DeepEqual(got, want) {
+	if got := outcome.Violations(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%q", got)
 	}
-	if got := outcome.Rules(); got != 46 {
+	if got := outcome.RuleViolations(); got != 46 {
 		t.Errorf("%d", got)
 	}
 }
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -16,10 +16,10 @@
 
 // Entry is one thing that a process said, or that was done to it.
 type Entry struct {
-	At    time.Time
-	Who   int    // the director; -1 for the world
-	Event string // of its log, or "do" for what the rig did
-	Of    map[string]string
+	At         time.Time
+	Director   int    // the director; -1 for the world
+	Event      string // of its log, or "do" for what the rig did
+	Attributes map[string]string
 }
 
 // History is what every process saw and did, with times. It keeps what checkers need and no more.
@@ -67,8 +67,8 @@
 	h.entries = append(h.entries, e)
 }
 
-// Did writes down what the rig does.
-func (h *History) Did(who int, what string, of map[string]string) {
+// Record writes down what the rig does.
+func (h *History) Record(who int, what string, of map[string]string) {
 	if of == nil {
 		of = map[string]string{}
 	}
@@ -89,7 +89,7 @@
 func (h *History) String() string {
 	var out strings.Builder
 	for _, e := range h.Entries() {
-		fmt.Fprintf(&out, "%s n%d %s %v\n", e.At.Format("05.000000"), e.Who, e.Event, e.Of)
+		fmt.Fprintf(&out, "%s n%d %s %v\n", e.At.Format("05.000000"), e.Director, e.Event, e.Attributes)
 	}
 	return out.String()
 }
@@ -122,7 +122,7 @@
 	if len(r.race) > 0 && len(r.race) < 60 || strings.Contains(text, "DATA RACE") {
 		r.race = append(r.race, text)
 	}
-	e := Entry{Who: r.who, Of: map[string]string{}}
+	e := Entry{Director: r.who, Attributes: map[string]string{}}
 	for word := range words(text) {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
@@ -131,7 +131,7 @@
 		case "event":
 			e.Event = value
 		default:
-			e.Of[name] = value
+			e.Attributes[name] = value
 		}
 	}
 	if e.Event == "" || e.At.IsZero() || e.Event != logevent.Memberlist { // its own lines, and those of a crash
@@ -173,10 +173,10 @@
 	return strings.Join(append(slices.Clone(r.race), r.tail...), "\n")
 }
 
-// Parts says how the parts of a scope summed up: the most at any instant, over the whole, and how many instants were above what
+// QuotaSums says how the parts of a scope summed up: the most at any instant, over the whole, and how many instants were above what
 // is allowed. A director that is there holds the fixed part, and what it said that it holds until then; one that is stopped may
 // hold what it held.
-func Parts(entries []Entry, directors int, scope string, most float64) (peak float64, over int) {
+func QuotaSums(entries []Entry, directors int, scope string, most float64) (peak float64, over int) {
 	type holding struct {
 		there bool
 		part  float64
@@ -201,19 +201,19 @@
 		}
 	}
 	for _, e := range entries {
-		h := held[e.Who]
+		h := held[e.Director]
 		if h == nil {
 			h = &holding{part: 1}
-			held[e.Who] = h
+			held[e.Director] = h
 		}
 		switch {
 		case e.Event == logevent.Started:
 			*h = holding{there: true, part: 1}
-		case e.Event == logevent.Stopped, e.Event == "do" && e.Of["what"] == Kill:
+		case e.Event == logevent.Stopped, e.Event == "do" && e.Attributes["what"] == Kill:
 			h.there = false
 		case e.Event == logevent.Quota:
-			h.part, _ = strconv.ParseFloat(e.Of[scope], 64)
-			left, err := time.ParseDuration(e.Of[scope+"_for"])
+			h.part, _ = strconv.ParseFloat(e.Attributes[scope], 64)
+			left, err := time.ParseDuration(e.Attributes[scope+"_for"])
 			if h.until = e.At.Add(left); err != nil || left < 0 {
 				h.until = e.At.Add(24 * time.Hour)
 			}
@@ -225,9 +225,9 @@
 	return peak, over
 }
 
-// Known says how long it took until all that live knew of each death: of one that was killed and not started again before all
+// DetectionTimes says how long it took until all that live knew of each death: of one that was killed and not started again before all
 // knew, with all links well and nobody stopped. Others say nothing of the detector.
-func Known(entries []Entry, names []string) (took []time.Duration, unknown int) {
+func DetectionTimes(entries []Entry, names []string) (took []time.Duration, unknown int) {
 	alive, since := map[int]bool{}, map[int]time.Time{}
 	type death struct {
 		at    time.Time
@@ -240,20 +240,20 @@
 	var open []*death
 	troubled := 0
 	for _, e := range entries {
-		what := e.Of["what"]
+		what := e.Attributes["what"]
 		switch {
 		case e.Event == logevent.Started:
-			alive[e.Who], since[e.Who] = true, e.At
+			alive[e.Director], since[e.Director] = true, e.At
 			for _, d := range open {
-				d.spoil = d.spoil || d.who == e.Who
+				d.spoil = d.spoil || d.who == e.Director
 			}
-		case e.Event == "do" && (what == Kill || what == Term):
-			alive[e.Who] = false
+		case e.Event == "do" && (what == Kill || what == Terminate):
+			alive[e.Director] = false
 			for _, d := range open {
-				delete(d.heard, e.Who)
+				delete(d.heard, e.Director)
 			}
-			if what == Kill && e.Who < len(names) {
-				d := &death{at: e.At, who: e.Who, born: born[names[e.Who]], heard: map[int]bool{}, spoil: troubled > 0}
+			if what == Kill && e.Director < len(names) {
+				d := &death{at: e.At, who: e.Director, born: born[names[e.Director]], heard: map[int]bool{}, spoil: troubled > 0}
 				for i := range alive {
 					if alive[i] && i < len(names) && since[i].Before(e.At.Add(-500*time.Millisecond)) {
 						d.heard[i] = false
@@ -263,19 +263,19 @@
 					open = append(open, d)
 				}
 			}
-		case e.Event == "do" && e.Of["trouble"] == "on":
+		case e.Event == "do" && e.Attributes["trouble"] == "on":
 			troubled++
 			for _, d := range open {
 				d.spoil = true
 			}
-		case e.Event == "do" && e.Of["trouble"] == "off":
+		case e.Event == "do" && e.Attributes["trouble"] == "off":
 			troubled--
-		case e.Event == logevent.PeerState && e.Of["state"] == "up":
-			born[e.Of["name"]] = e.Of["incarnation"]
-		case e.Event == logevent.PeerState && (e.Of["state"] == "failed" || e.Of["state"] == "left"):
+		case e.Event == logevent.PeerState && e.Attributes["state"] == "up":
+			born[e.Attributes["name"]] = e.Attributes["incarnation"]
+		case e.Event == logevent.PeerState && (e.Attributes["state"] == "failed" || e.Attributes["state"] == "left"):
 			for _, d := range open {
-				if _, waits := d.heard[e.Who]; waits && names[d.who] == e.Of["name"] {
-					d.heard[e.Who] = true
+				if _, waits := d.heard[e.Director]; waits && names[d.who] == e.Attributes["name"] {
+					d.heard[e.Director] = true
 				}
 			}
 		}
@@ -295,13 +295,13 @@
 	return took, len(open)
 }
 
-// Knew says after how long so large a share of so many directors had first said something that shows that they knew, from a time on;
+// PropagationTime says after how long so large a share of so many directors had first said something that shows that they knew, from a time on;
 // negative where they never did.
-func Knew(entries []Entry, from time.Time, directors int, share float64, shows func(Entry) bool) time.Duration {
+func PropagationTime(entries []Entry, from time.Time, directors int, share float64, shows func(Entry) bool) time.Duration {
 	first := map[int]time.Duration{}
 	for _, e := range entries {
-		if _, known := first[e.Who]; !known && e.Who >= 0 && !e.At.Before(from) && shows(e) {
-			first[e.Who] = e.At.Sub(from)
+		if _, known := first[e.Director]; !known && e.Director >= 0 && !e.At.Before(from) && shows(e) {
+			first[e.Director] = e.At.Sub(from)
 		}
 	}
 	all := slices.Sorted(maps.Values(first))
@@ -311,44 +311,44 @@
 	return -1
 }
 
-// Wrong counts directors taken for failed, and suspected, while they were there, were not stopped, and all links were well and
+// FalsePositives counts directors taken for failed, and suspected, while they were there, were not stopped, and all links were well and
 // had been for a while.
-func Wrong(entries []Entry, names []string, settled time.Duration) (failed, suspected int) {
+func FalsePositives(entries []Entry, names []string, settled time.Duration) (failed, suspected int) {
 	alive, clear, troubled := map[string]bool{}, time.Time{}, 0
 	for _, e := range entries {
 		switch {
-		case e.Event == logevent.Started && e.Who >= 0 && e.Who < len(names):
-			alive[names[e.Who]] = true
-		case e.Event == "do" && e.Who >= 0 && e.Who < len(names) && (e.Of["what"] == Kill || e.Of["what"] == Term):
-			alive[names[e.Who]] = false
-		case e.Event == "do" && e.Of["trouble"] == "on":
+		case e.Event == logevent.Started && e.Director >= 0 && e.Director < len(names):
+			alive[names[e.Director]] = true
+		case e.Event == "do" && e.Director >= 0 && e.Director < len(names) && (e.Attributes["what"] == Kill || e.Attributes["what"] == Terminate):
+			alive[names[e.Director]] = false
+		case e.Event == "do" && e.Attributes["trouble"] == "on":
 			troubled++
-		case e.Event == "do" && e.Of["trouble"] == "off":
+		case e.Event == "do" && e.Attributes["trouble"] == "off":
 			troubled--
 			clear = e.At
-		case e.Event == logevent.PeerState && alive[e.Of["name"]] && troubled == 0 && e.At.Sub(clear) > settled:
-			failed += bit(e.Of["state"] == "failed")
-			suspected += bit(e.Of["state"] == "suspected")
+		case e.Event == logevent.PeerState && alive[e.Attributes["name"]] && troubled == 0 && e.At.Sub(clear) > settled:
+			failed += bit(e.Attributes["state"] == "failed")
+			suspected += bit(e.Attributes["state"] == "suspected")
 		}
 	}
 	return failed, suspected
 }
 
-// OneView is how long after a time all that live first had the same view and kept it; negative where they did not.
-func OneView(entries []Entry, from time.Time) time.Duration {
+// ConvergenceTime is how long after a time all that live first had the same view and kept it; negative where they did not.
+func ConvergenceTime(entries []Entry, from time.Time) time.Duration {
 	views, alive := map[int]string{}, map[int]bool{}
 	since := time.Time{}
 	for _, e := range entries {
 		switch {
 		case e.Event == logevent.Started:
-			alive[e.Who], views[e.Who] = true, ""
-		case e.Event == logevent.Stopping, e.Event == "do" && (e.Of["what"] == Kill || e.Of["what"] == Term):
-			if e.Event == logevent.Stopping && e.Of["open"] != "" && since != (time.Time{}) {
+			alive[e.Director], views[e.Director] = true, ""
+		case e.Event == logevent.Stopping, e.Event == "do" && (e.Attributes["what"] == Kill || e.Attributes["what"] == Terminate):
+			if e.Event == logevent.Stopping && e.Attributes["open"] != "" && since != (time.Time{}) {
 				return max(0, since.Sub(from)) // the end
 			}
-			alive[e.Who] = false
+			alive[e.Director] = false
 		case e.Event == logevent.MembershipView:
-			views[e.Who] = e.Of["digest"]
+			views[e.Director] = e.Attributes["digest"]
 		default:
 			continue
 		}
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -14,11 +14,11 @@
 
 // Link is what happens on the way from one process to another.
 type Link struct {
-	Cut    bool
-	Loss   float64 // share of packets; a part of a stream comes later by lostLater
-	Twice  float64 // share of packets that come twice
-	Delay  time.Duration
-	Jitter time.Duration // more, by chance: packets overtake each other
+	Cut       bool
+	Loss      float64 // share of packets; a part of a stream comes later by lostLater
+	Duplicate float64 // share of packets that come twice
+	Delay     time.Duration
+	Jitter    time.Duration // more, by chance: packets overtake each other
 }
 
 const (
@@ -27,10 +27,10 @@
 	streamBytes = 32 << 10
 )
 
-// Net stands between processes. Each of them has a loopback address of its own, from which all that it sends comes, and a relay
+// Network stands between processes. Each of them has a loopback address of its own, from which all that it sends comes, and a relay
 // at which all others reach it: so the relay of one knows by the sender which directed link it carries. An address for each pair
 // would be 89,700 pairs of sockets at 300 processes; this is 300.
-type Net struct {
+type Network struct {
 	mu     sync.Mutex
 	relays []*relay
 	of     map[string]int // processes by their addresses
@@ -43,7 +43,7 @@
 
 // relay is what others reach a process at.
 type relay struct {
-	n               *Net
+	n               *Network
 	to              int
 	at              string // its own address
 	target          string // the process's
@@ -53,15 +53,15 @@
 	packets, octets atomic.Int64 // that came to it
 }
 
-// NewNet makes one; chance comes from the seed.
-func NewNet(seed uint64) *Net {
-	n := &Net{of: map[string]int{}, links: map[[2]int]Link{}, rand: rand.New(rand.NewPCG(seed, 21))}
+// NewNetwork makes one; chance comes from the seed.
+func NewNetwork(seed uint64) *Network {
+	n := &Network{of: map[string]int{}, links: map[[2]int]Link{}, rand: rand.New(rand.NewPCG(seed, 21))}
 	n.ctx, n.leave = context.WithCancel(context.Background())
 	return n
 }
 
 // Add makes a relay for a process that is to listen at an address of its own, and gives the address at which others reach it.
-func (n *Net) Add(listen string) (advertise string, err error) {
+func (n *Network) Add(listen string) (advertise string, err error) {
 	host, _, err := net.SplitHostPort(listen)
 	if err != nil {
 		return "", err
@@ -95,7 +95,7 @@
 }
 
 // Close ends all of it.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.leave()
 	n.mu.Lock()
 	for _, r := range n.relays {
@@ -106,8 +106,8 @@
 	n.all.Wait()
 }
 
-// Set says what happens on a directed link from now on.
-func (n *Net) Set(from, to int, l Link) {
+// SetLink says what happens on a directed link from now on.
+func (n *Network) SetLink(from, to int, l Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l == (Link{}) {
@@ -118,21 +118,21 @@
 }
 
 // Heal makes all links well.
-func (n *Net) Heal() {
+func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.links)
 }
 
-// Carried is how many packets, and bytes with those of streams, came to a process.
-func (n *Net) Carried(to int) (packets, octets int64) {
+// Received is how many packets, and bytes with those of streams, came to a process.
+func (n *Network) Received(to int) (packets, octets int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.relays[to].packets.Load(), n.relays[to].octets.Load()
 }
 
 // way is what the link from an address does to one packet: how often it comes, and when.
-func (n *Net) way(from string, to int) (times []time.Duration, cut bool) {
+func (n *Network) way(from string, to int) (times []time.Duration, cut bool) {
 	host, _, _ := strings.Cut(from, ":")
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -148,7 +148,7 @@
 	if n.rand.Float64() >= l.Loss {
 		times = append(times, after())
 	}
-	if n.rand.Float64() < l.Twice {
+	if n.rand.Float64() < l.Duplicate {
 		times = append(times, after())
 	}
 	return times, false
--- a/internal/faulttest/rig_test.go
+++ b/internal/faulttest/rig_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Spec{Argv: []string{self}, Boxes: 6, Clients: 120, Load: 0.3, Warm: true, Settle: time.Second, After: 2 * time.Second}
+	return Spec{Argv: []string{self}, CacheNodes: 6, Clients: 120, LoadFactor: 0.3, WarmCaches: true, LoadBefore: time.Second, LoadAfter: 2 * time.Second}
 }
 
 // long has cases go on for as long as they are meant to: `make long`.
@@ -66,35 +66,35 @@
 		faults    []Fault
 		also      func(t *testing.T, o Outcome)
 	}{
-		{"A hears B, B does not hear A", 5, []Fault{{Kind: Cut, At: 500, For: four, Who: []int{1}, To: []int{0}}}, nil},
-		{"halves", 6, []Fault{{Kind: Groups, At: 500, For: four, Groups: [][]int{{0, 1, 2}, {3, 4, 5}}}, {Kind: Purge, At: 2000}}, nil},
-		{"three groups", 6, []Fault{{Kind: Groups, At: 500, For: four, Groups: [][]int{{0, 1}, {2, 3}, {4, 5}}},
-			{Kind: Drain, At: 2000, For: 2000}}, nil},
-		{"one is stopped while caches restart cold, and goes on", 5, []Fault{{Kind: Stop, At: 500, For: ms(6000, 30000), Who: []int{2}},
-			{Kind: Cold, At: 1500, Who: []int{0, 1, 2, 3, 4, 5}}, {Kind: Purge, At: 2000}}, nil},
-		{"half of them can't reach the channel, which tells a drain and purges", 6, []Fault{{Kind: Away, At: 500, For: ms(5000, 20000)},
-			{Kind: Drain, At: 1500, For: ms(6000, 20000)}, {Kind: Purge, At: 2000}}, func(t *testing.T, o Outcome) {
-			if o.Words < 3*129 {
-				t.Errorf("%d words bound at three directors, of a drain and 128 purges", o.Words)
+		{"A hears B, B does not hear A", 5, []Fault{{Kind: CutLinks, AtMS: 500, ForMS: four, Targets: []int{1}, Peers: []int{0}}}, nil},
+		{"halves", 6, []Fault{{Kind: Partition, AtMS: 500, ForMS: four, Groups: [][]int{{0, 1, 2}, {3, 4, 5}}}, {Kind: Purge, AtMS: 2000}}, nil},
+		{"three groups", 6, []Fault{{Kind: Partition, AtMS: 500, ForMS: four, Groups: [][]int{{0, 1}, {2, 3}, {4, 5}}},
+			{Kind: Drain, AtMS: 2000, ForMS: 2000}}, nil},
+		{"one is stopped while caches restart cold, and goes on", 5, []Fault{{Kind: Pause, AtMS: 500, ForMS: ms(6000, 30000), Targets: []int{2}},
+			{Kind: ColdCaches, AtMS: 1500, Targets: []int{0, 1, 2, 3, 4, 5}}, {Kind: Purge, AtMS: 2000}}, nil},
+		{"half of them can't reach the channel, which tells a drain and purges", 6, []Fault{{Kind: ChannelUnreachable, AtMS: 500, ForMS: ms(5000, 20000)},
+			{Kind: Drain, AtMS: 1500, ForMS: ms(6000, 20000)}, {Kind: Purge, AtMS: 2000}}, func(t *testing.T, o Outcome) {
+			if o.UpdatesReceived < 3*129 {
+				t.Errorf("%d words bound at three directors, of a drain and 128 purges", o.UpdatesReceived)
 			}
 		}},
-		{"one that starts while it can't reach the channel", 6, []Fault{{Kind: Away, At: 500, For: ms(5000, 20000)},
-			{Kind: Drain, At: 1500, For: ms(6000, 20000)}, {Kind: Purge, At: 2800}, {Kind: Restart, At: 3000, Who: []int{1, 3}}},
+		{"one that starts while it can't reach the channel", 6, []Fault{{Kind: ChannelUnreachable, AtMS: 500, ForMS: ms(5000, 20000)},
+			{Kind: Drain, AtMS: 1500, ForMS: ms(6000, 20000)}, {Kind: Purge, AtMS: 2800}, {Kind: Restart, AtMS: 3000, Targets: []int{1, 3}}},
 			func(t *testing.T, o Outcome) {
 				for _, e := range o.History.Entries() {
-					if e.Event == logevent.ClockStallResolved && e.Of["result"] == "bound" {
-						t.Errorf("n%d met nobody in time who knows", e.Who)
+					if e.Event == logevent.ClockStallResolved && e.Attributes["result"] == "bound" {
+						t.Errorf("n%d met nobody in time who knows", e.Director)
 					}
 				}
 			}},
-		{"one that starts while it can reach nobody", 3, []Fault{{Kind: Away, At: 500, For: 6000}, {Kind: Purge, At: 1900},
-			{Kind: Cut, At: 500, For: 6000, Who: []int{1}, To: []int{0, 2}, Both: true}, {Kind: Restart, At: 2000, Who: []int{1}}},
+		{"one that starts while it can reach nobody", 3, []Fault{{Kind: ChannelUnreachable, AtMS: 500, ForMS: 6000}, {Kind: Purge, AtMS: 1900},
+			{Kind: CutLinks, AtMS: 500, ForMS: 6000, Targets: []int{1}, Peers: []int{0, 2}, Both: true}, {Kind: Restart, AtMS: 2000, Targets: []int{1}}},
 			func(t *testing.T, o Outcome) {
 				careful := 0
 				for _, e := range o.History.Entries() {
-					careful += bit(e.Event == logevent.ViewUnconfirmed && e.Who == 1)
-					if e.Who == 1 && e.Event == logevent.GossipReceived && careful == 2 {
-						t.Errorf("n1 is careful no longer, and only then hears a purge that was told before: %v", e.Of)
+					careful += bit(e.Event == logevent.ViewUnconfirmed && e.Director == 1)
+					if e.Director == 1 && e.Event == logevent.GossipReceived && careful == 2 {
+						t.Errorf("n1 is careful no longer, and only then hears a purge that was told before: %v", e.Attributes)
 						break
 					}
 				}
@@ -102,51 +102,51 @@
 					t.Errorf("%d lines say that it went on carefully, and that it no longer did", careful)
 				}
 			}},
-		{"restarted before anyone noticed", 5, []Fault{{Kind: Restart, At: 500, Who: []int{0}}, {Kind: Restart, At: 2000, Who: []int{3}}}, nil},
-		{"seven in ten killed at once, and back", 10, []Fault{{Kind: Kill, At: 500, For: ms(8000, 15000), Who: []int{0, 1, 2, 3, 4, 5, 6}},
-			{Kind: Cold, At: 600, Who: []int{0, 1, 2, 3, 4, 5}}}, func(t *testing.T, o Outcome) {
-			if len(o.Deaths) != 7 {
-				t.Errorf("%d of 7 deaths became known: %v", len(o.Deaths), o.Deaths)
+		{"restarted before anyone noticed", 5, []Fault{{Kind: Restart, AtMS: 500, Targets: []int{0}}, {Kind: Restart, AtMS: 2000, Targets: []int{3}}}, nil},
+		{"seven in ten killed at once, and back", 10, []Fault{{Kind: Kill, AtMS: 500, ForMS: ms(8000, 15000), Targets: []int{0, 1, 2, 3, 4, 5, 6}},
+			{Kind: ColdCaches, AtMS: 600, Targets: []int{0, 1, 2, 3, 4, 5}}}, func(t *testing.T, o Outcome) {
+			if len(o.DetectionMS) != 7 {
+				t.Errorf("%d of 7 deaths became known: %v", len(o.DetectionMS), o.DetectionMS)
 			}
 			raised := 0
 			for _, e := range o.History.Entries() {
-				raised += bit(e.Event == logevent.Quota && e.Of["zone"] == "2")
+				raised += bit(e.Event == logevent.Quota && e.Attributes["zone"] == "2")
 			}
 			if raised == 0 {
 				t.Error("none of the three that were left used more than its fixed part")
 			}
 		}},
-		{"a link that flaps", 5, []Fault{{Kind: Flap, At: 500, For: four, Who: []int{0, 1}, To: []int{2, 3, 4}}}, nil},
-		{"two processes under one name", 4, []Fault{{Kind: Twin, At: 500, For: ms(3000, 10000), Who: []int{1}}}, func(t *testing.T, o Outcome) {
-			if o.Clashes < 1 || o.Clashes > 2 {
-				t.Errorf("%d lines say that a name is taken, want one of each of the two at the most", o.Clashes)
+		{"a link that flaps", 5, []Fault{{Kind: FlappingLinks, AtMS: 500, ForMS: four, Targets: []int{0, 1}, Peers: []int{2, 3, 4}}}, nil},
+		{"two processes under one name", 4, []Fault{{Kind: DuplicateInstance, AtMS: 500, ForMS: ms(3000, 10000), Targets: []int{1}}}, func(t *testing.T, o Outcome) {
+			if o.NameConflicts < 1 || o.NameConflicts > 2 {
+				t.Errorf("%d lines say that a name is taken, want one of each of the two at the most", o.NameConflicts)
 			}
 		}},
-		{"a director that claims that all caches are dead", 4, []Fault{{Kind: Liar, At: 500, For: four}}, func(t *testing.T, o Outcome) {
-			if o.Share < 0.97 {
-				t.Errorf("%v of the downloads were fulfilled", o.Share)
+		{"a director that claims that all caches are dead", 4, []Fault{{Kind: FalseHints, AtMS: 500, ForMS: four}}, func(t *testing.T, o Outcome) {
+			if o.SuccessRate < 0.97 {
+				t.Errorf("%v of the downloads were fulfilled", o.SuccessRate)
 			}
-			if o.Hints > 4*6*6 {
-				t.Errorf("%d questions", o.Hints)
+			if o.HintProbes > 4*6*6 {
+				t.Errorf("%d questions", o.HintProbes)
 			}
 		}},
-		{"five percent loss with all cores busy", 5, []Fault{{Kind: Poor, At: 0, For: ms(6000, 60000), Rate: 0.05},
-			{Kind: Busy, At: 0, For: ms(6000, 60000), Rate: 8}}, func(t *testing.T, o Outcome) {
-			if o.Failed > 0 {
-				t.Errorf("%d were taken for dead", o.Failed)
+		{"five percent loss with all cores busy", 5, []Fault{{Kind: LossyLinks, AtMS: 0, ForMS: ms(6000, 60000), Rate: 0.05},
+			{Kind: BusyCores, AtMS: 0, ForMS: ms(6000, 60000), Rate: 8}}, func(t *testing.T, o Outcome) {
+			if o.FalseFailures > 0 {
+				t.Errorf("%d were taken for dead", o.FalseFailures)
 			}
 		}},
-		{"SIGTERM during a partition", 6, []Fault{{Kind: Groups, At: 500, For: four, Groups: [][]int{{0, 1, 2}, {3, 4, 5}}},
-			{Kind: Term, At: 2500, For: 2500, Who: []int{0, 4}}}, nil},
+		{"SIGTERM during a partition", 6, []Fault{{Kind: Partition, AtMS: 500, ForMS: four, Groups: [][]int{{0, 1, 2}, {3, 4, 5}}},
+			{Kind: Terminate, AtMS: 2500, ForMS: 2500, Targets: []int{0, 4}}}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if !slices.ContainsFunc(c.faults, func(f Fault) bool { return f.Kind == Busy || f.Kind == Away }) {
+			if !slices.ContainsFunc(c.faults, func(f Fault) bool { return f.Kind == BusyCores || f.Kind == ChannelUnreachable }) {
 				beside(t) // those two have a purge's half a second, or the cores, to themselves
 			}
 			s := Schedule{Seed: 1, Directors: c.directors, Faults: c.faults}
 			for _, f := range c.faults {
-				s.Length = max(s.Length, f.At+f.For+500)
+				s.LengthMS = max(s.LengthMS, f.AtMS+f.ForMS+500)
 			}
 			o, err := Run(t.Context(), spec(t), s, nil)
 			check(t, o, err)
@@ -162,12 +162,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if broken := o.Broken(); len(broken) > 0 {
+	if broken := o.Violations(); len(broken) > 0 {
 		history := o.History.String()
-		t.Errorf("the end of the history:\n%s\n%s\nlost: %s\nbroken: %v", history[max(0, len(history)-3000):], o.Why, o.LostHow, broken)
+		t.Errorf("the end of the history:\n%s\n%s\nlost: %s\nbroken: %v", history[max(0, len(history)-3000):], o.CrashDetail, o.LostReasons, broken)
 	}
-	if o.Asked < 50 || o.Share < 0.5 {
-		t.Errorf("%d asked, %v fulfilled", o.Asked, o.Share)
+	if o.Requests < 50 || o.SuccessRate < 0.5 {
+		t.Errorf("%d asked, %v fulfilled", o.Requests, o.SuccessRate)
 	}
 }
 
@@ -175,8 +175,8 @@
 // before, and nothing else comes of it.
 func TestStrangers(t *testing.T) {
 	beside(t)
-	s := Schedule{Seed: 2, Directors: 3, Length: 2500}
-	o, err := Run(t.Context(), spec(t), s, func(r *Rig) {
+	s := Schedule{Seed: 2, Directors: 3, LengthMS: 2500}
+	o, err := Run(t.Context(), spec(t), s, func(r *Harness) {
 		key := r.key + "2"
 		if err := os.WriteFile(key, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 			t.Error(err)
@@ -184,7 +184,7 @@
 		for _, x := range []struct{ name, key, fleet, seeds string }{
 			{"x0", key, "rig", ""}, {"x1", r.key, "other", ""}, {"x2", r.key, "rig", `seeds = ["127.0.0.1:9", "127.0.0.1:10"]`},
 		} {
-			p, err := r.Add(x.name, x.key, x.fleet)
+			p, err := r.AddDirector(x.name, x.key, x.fleet)
 			if err == nil && x.seeds != "" {
 				path := filepath.Join(r.dir, fmt.Sprint(p.number, ".star"))
 				text := regexp.MustCompile(`seeds = \[[^]]*\]`).ReplaceAllString(r.script(p, x.key, x.fleet), x.seeds)
@@ -192,7 +192,7 @@
 			}
 			if err == nil {
 				p.twin = true // of no view that is waited for
-				err = r.Run(t.Context(), p)
+				err = r.StartProcess(t.Context(), p)
 			}
 			if err != nil {
 				t.Error(err)
@@ -203,8 +203,8 @@
 	})
 	check(t, o, err)
 	for _, e := range o.History.Entries() {
-		if e.Event == logevent.PeerState && (strings.HasPrefix(e.Of["name"], "x") || e.Who > 2) {
-			t.Errorf("n%d took in %v", e.Who, e.Of)
+		if e.Event == logevent.PeerState && (strings.HasPrefix(e.Attributes["name"], "x") || e.Director > 2) {
+			t.Errorf("n%d took in %v", e.Director, e.Attributes)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 	for i := range n {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			beside(t)
-			o, err := Run(t.Context(), spec(t), Draw(7, i, 5, 5000), nil)
+			o, err := Run(t.Context(), spec(t), RandomSchedule(7, i, 5, 5000), nil)
 			check(t, o, err)
 			if t.Failed() {
 				t.Logf("%v", o.Schedule)
@@ -229,31 +229,31 @@
 
 // Schedules are data: the same number gives the same one, faulty ones are refused, failing ones are made short.
 func TestSchedules(t *testing.T) {
-	if a, b := Draw(3, 5, 9, 8000), Draw(3, 5, 9, 8000); a.String() != b.String() || a.String() == Draw(3, 6, 9, 8000).String() {
+	if a, b := RandomSchedule(3, 5, 9, 8000), RandomSchedule(3, 5, 9, 8000); a.String() != b.String() || a.String() == RandomSchedule(3, 6, 9, 8000).String() {
 		t.Errorf("%v\n%v", a, b)
 	}
 	for i := range 300 {
-		if s := Draw(1, i, 2+i%9, 3000); s.Check() != nil {
-			t.Errorf("%v: %v", s, s.Check())
+		if s := RandomSchedule(1, i, 2+i%9, 3000); s.Validate() != nil {
+			t.Errorf("%v: %v", s, s.Validate())
 		}
 	}
 	for _, bad := range []Schedule{
-		{Directors: 0, Length: 1}, {Directors: 2, Length: 10, Faults: []Fault{{Kind: "x"}}},
-		{Directors: 2, Length: 10, Faults: []Fault{{Kind: Kill, At: 11}}}, {Directors: 2, Length: 10, Faults: []Fault{{Kind: Kill, Who: []int{2}}}},
+		{Directors: 0, LengthMS: 1}, {Directors: 2, LengthMS: 10, Faults: []Fault{{Kind: "x"}}},
+		{Directors: 2, LengthMS: 10, Faults: []Fault{{Kind: Kill, AtMS: 11}}}, {Directors: 2, LengthMS: 10, Faults: []Fault{{Kind: Kill, Targets: []int{2}}}},
 	} {
-		if bad.Check() == nil {
+		if bad.Validate() == nil {
 			t.Errorf("%v was taken", bad)
 		}
 	}
-	s := Schedule{Directors: 5, Length: 9000}
+	s := Schedule{Directors: 5, LengthMS: 9000}
 	for i := range 8 {
-		s.Faults = append(s.Faults, Fault{Kind: []string{Kill, Stop, Cut, Cold}[i%4], At: i * 100, For: 3000})
+		s.Faults = append(s.Faults, Fault{Kind: []string{Kill, Pause, CutLinks, ColdCaches}[i%4], AtMS: i * 100, ForMS: 3000})
 	}
 	fails := func(s Schedule) bool { // a cut and a stop, the stop for a second or more
-		return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Cut }) &&
-			slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Stop && f.For >= 1000 })
+		return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == CutLinks }) &&
+			slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Pause && f.ForMS >= 1000 })
 	}
-	if less := Shrink(s, 100, fails); len(less.Faults) != 2 || !fails(less) || less.Faults[0].For+less.Faults[1].For > 2000 {
+	if less := Shrink(s, 100, fails); len(less.Faults) != 2 || !fails(less) || less.Faults[0].ForMS+less.Faults[1].ForMS > 2000 {
 		t.Errorf("made shorter: %v", less)
 	}
 }
@@ -264,7 +264,7 @@
 	entry := func(ms, who int, event string, of ...string) Entry {
 		e := Entry{at.Add(time.Duration(ms) * time.Millisecond), who, event, map[string]string{}}
 		for i := 0; i < len(of); i += 2 {
-			e.Of[of[i]] = of[i+1]
+			e.Attributes[of[i]] = of[i+1]
 		}
 		return e
 	}
@@ -284,7 +284,7 @@
 		{"run out", []Entry{part(10, 0, "2", "5ms"), part(20, 1, "2", "5ms"), part(30, 2, "2.5", "1s")}, 4.5 / 3, 0},
 		{"dead", []Entry{part(10, 0, "2", "1s"), part(20, 1, "2", "1s"), entry(25, 0, "do", "what", Kill), part(30, 2, "2.5", "1s")}, 5.0 / 3, 0},
 	} {
-		if peak, over := Parts(append(slices.Clone(started), c.entries...), 3, "zone", 2); peak < c.peak-1e-9 || peak > c.peak+1e-9 || over != c.over {
+		if peak, over := QuotaSums(append(slices.Clone(started), c.entries...), 3, "zone", 2); peak < c.peak-1e-9 || peak > c.peak+1e-9 || over != c.over {
 			t.Errorf("%s: peak %v, %d over", c.name, peak, over)
 		}
 	}
@@ -293,21 +293,21 @@
 	}
 	history := append(slices.Clone(started), up(10, 0, "n2", "up"), up(11, 1, "n2", "up"), entry(5000, 2, "do", "what", Kill),
 		up(6000, 0, "n2", "failed"), up(6500, 1, "n2", "failed"))
-	if took, unknown := Known(history, names); len(took) != 1 || took[0] != 1500*time.Millisecond || unknown != 0 {
+	if took, unknown := DetectionTimes(history, names); len(took) != 1 || took[0] != 1500*time.Millisecond || unknown != 0 {
 		t.Errorf("known after %v, %d unknown", took, unknown)
 	}
-	if _, unknown := Known(history[:len(history)-1], names); unknown != 1 {
+	if _, unknown := DetectionTimes(history[:len(history)-1], names); unknown != 1 {
 		t.Errorf("%d unknown", unknown)
 	}
-	if failed, suspected := Wrong(append(slices.Clone(started), up(20000, 0, "n1", "failed"), up(20001, 2, "n1", "suspected")), names, time.Second); failed != 1 || suspected != 1 {
+	if failed, suspected := FalsePositives(append(slices.Clone(started), up(20000, 0, "n1", "failed"), up(20001, 2, "n1", "suspected")), names, time.Second); failed != 1 || suspected != 1 {
 		t.Errorf("%d failed, %d suspected", failed, suspected)
 	}
 	view := func(ms, who int, sum string) Entry { return entry(ms, who, logevent.MembershipView, "digest", sum) }
 	views := append(slices.Clone(started), view(10, 0, "a"), view(20, 1, "a"), view(30, 2, "a"), view(50, 1, "b"), view(90, 1, "a"))
-	if got := OneView(views, at.Add(40*time.Millisecond)); got != 50*time.Millisecond {
+	if got := ConvergenceTime(views, at.Add(40*time.Millisecond)); got != 50*time.Millisecond {
 		t.Errorf("one view after %v", got)
 	}
-	if got := OneView(views[:len(views)-1], at); got >= 0 {
+	if got := ConvergenceTime(views[:len(views)-1], at); got >= 0 {
 		t.Errorf("one view after %v", got)
 	}
 }
