--- a/Makefile
+++ b/Makefile
@@ -17,9 +17,9 @@
 
 # The long forms of what CI plays for seconds: faults between directors, for as long as they are meant to last.
 long: build
-	@echo "TestFollowers plays 300 directors here, which starve each other on six cores; 40 (make test) and 100 (tallybench start) don't."
+	@echo "TestRelayDelegates plays 300 directors here, which starve each other on six cores; 40 (make test) and 100 (tallybench start) don't."
 	@echo "300 and more are played in simulated time: tallybench start --simulated. docs/results.md has the figures of both."
-	TALLYPROXY_LONG=1 go test -timeout 3h -run 'TestFaults|TestDrawn|TestFollowers' ./internal/faulttest
+	TALLYPROXY_LONG=1 go test -timeout 3h -run 'TestFaults|TestRandomSchedules|TestRelayDelegates' ./internal/faulttest
 	bin/tallybench peers --simulated 5,20 --faults drawn --schedules 5000
 
 fuzz:
--- /dev/null
+++ b/internal/faulttest/clients.go
@@ -0,0 +1,57 @@
+package faulttest
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"tallyproxy/internal/fakes"
+)
+
+// Second seeds of clients' random numbers.
+const (
+	clientStartStream = 31  // of the times at which clients begin
+	clientStream      = 100 // of the first client; each further one has the next
+)
+
+const (
+	clientMaxRetries = 12
+	clientRetryPause = 100 * time.Millisecond
+	clientStartSpan  = time.Second // in which clients begin
+)
+
+// StartClients starts the clients. It is called once.
+func (h *Harness) StartClients() {
+	processes := h.Processes()
+	targets := make([]*fakes.Target, 0, len(processes))
+	for _, p := range processes {
+		targets = append(targets, &p.Target)
+	}
+	pause := h.meanPause()
+	random := rand.New(rand.NewPCG(h.Cluster.Seed, clientStartStream))
+	for i := range h.spec.Clients {
+		client := &fakes.Client{
+			Cluster: h.Cluster, Targets: targets, Current: i % len(targets), LocalAddress: fmt.Sprintf("127.1.%d.%d", i/250%250, 1+i%250),
+			MaxRetries: clientMaxRetries, RetryPause: clientRetryPause,
+			Rand: rand.New(rand.NewPCG(h.Cluster.Seed, uint64(i)+clientStream)), Zipf: h.popularity,
+		}
+		from := h.Cluster.Now() + time.Duration(random.Float64()*float64(clientStartSpan))
+		h.clients.Go(func() { client.Run(h.clientsCtx, from, pause) })
+	}
+}
+
+// meanPause returns the mean time between a client's requests at which all clients ask for LoadFactor of what warm caches can serve.
+func (h *Harness) meanPause() time.Duration {
+	work := 0.0 // of a mean request
+	for _, t := range h.Cluster.ContentTypes {
+		work += t.RequestShare * t.MeanTransfer.Seconds()
+	}
+	rate := h.spec.LoadFactor * h.Cluster.CacheCapacity * float64(h.spec.CacheNodes) / work
+	return time.Duration(float64(h.spec.Clients) / rate * float64(time.Second))
+}
+
+// StopClients ends the load and waits until all clients have stopped.
+func (h *Harness) StopClients() {
+	h.cancelClients()
+	h.clients.Wait()
+}
--- a/internal/faulttest/follow_test.go
+++ b/internal/faulttest/delegates_test.go
@@ -1,8 +1,6 @@
 package faulttest
 
 import (
-	"os/exec"
-	"path/filepath"
 	"testing"
 	"time"
 
@@ -10,21 +8,11 @@
 	"tallyproxy/internal/logevent"
 )
 
-// program is the director as it is built for use: forty of them, several times slower under the race detector, would test the machine.
-// The cases of TestFaults run it under the detector.
-func program(t *testing.T) []string {
-	path := filepath.Join(t.TempDir(), "tallyproxy")
-	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", path, "tallyproxy/cmd/tallyproxy").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
-	}
-	return []string{path}
-}
-
-// Fleets of which a few directors follow the channel for the rest. In each case the rules hold by the stand-ins' books, no download is
-// lost, no cold cache is pushed over, and the channel's calls are those of a few.
-func TestFollowers(t *testing.T) {
+// TestRelayDelegates plays fleets of which a few directors poll the channel for the rest. In each case the rules hold by the fakes'
+// statistics, no request is lost, no cold cache is pushed over, and the channel's calls are those of a few.
+func TestRelayDelegates(t *testing.T) {
 	directors := 40
-	if long {
+	if longRun {
 		directors = 300
 	}
 	odd, even := []int{}, []int{}
@@ -65,11 +53,11 @@
 					t.Errorf("%d went carefully", len(careful))
 				}
 			}},
-		{"the channel is away, purges and a drain are told meanwhile", false, nil, []Fault{{Kind: ChannelOutage, AtMS: 500, ForMS: ms(4000, 60000), Rate: 1},
-			{Kind: Purge, AtMS: 2000}, {Kind: Drain, AtMS: 1500, ForMS: ms(5000, 62000)}}, 40, nil},
+		{"the channel is away, purges and a drain are told meanwhile", false, nil, []Fault{{Kind: ChannelOutage, AtMS: 500, ForMS: durationMS(4000, 60000), Rate: 1},
+			{Kind: Purge, AtMS: 2000}, {Kind: Drain, AtMS: 1500, ForMS: durationMS(5000, 62000)}}, 40, nil},
 		{"it hangs, and starts anew with fewer events", false, nil, []Fault{{Kind: ChannelOutage, AtMS: 500, ForMS: 2000, Rate: 2},
 			{Kind: ChannelRollback, AtMS: 3000}, {Kind: Purge, AtMS: 4500}}, 40, nil},
-		{"seven in ten killed and back", false, nil, []Fault{{Kind: Kill, AtMS: 500, ForMS: ms(4000, 12000), Targets: seven}, {Kind: Purge, AtMS: 2500}}, 80, nil},
+		{"seven in ten killed and back", false, nil, []Fault{{Kind: Kill, AtMS: 500, ForMS: durationMS(4000, 12000), Targets: seven}, {Kind: Purge, AtMS: 2500}}, 80, nil},
 		{"all who follow are killed while an event passes through them", false, nil, []Fault{{Kind: KillDelegates, AtMS: 1000, ForMS: 3000},
 			{Kind: Drain, AtMS: 2000, ForMS: 2500}}, 80, nil},
 		{"halves, and the channel on one side", false, nil, []Fault{{Kind: Partition, AtMS: 500, ForMS: 4000, Groups: [][]int{odd, even}},
@@ -91,7 +79,7 @@
 			}
 		}},
 	}
-	built := program(t)
+	built := buildProgram(t)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := Schedule{Seed: 3, Directors: directors, Faults: c.faults}
@@ -100,7 +88,7 @@
 			}
 			o, err := Run(t.Context(), Spec{Argv: built, CacheNodes: 8, Clients: 160, LoadFactor: 0.3, WarmCaches: !c.cold, LoadBefore: 500 * time.Millisecond,
 				LoadAfter: time.Second, BeforeStart: c.before, EarlyClients: c.cold}, s, nil)
-			check(t, o, err)
+			checkOutcome(t, o, err)
 			if c.also != nil && err == nil {
 				c.also(t, o)
 			}
--- a/internal/faulttest/director.go
+++ b/internal/faulttest/director.go
@@ -1,11 +1,9 @@
-// Package rig starts directors as processes on loopback, with a relay on every directed link between them, and plays faults: by
-// seed or by script, printed, replayed and shrunk. What every process saw and did is kept with times, and checked afterwards by
-// one checker a rule. internal/experiment has the experiments that are played on it.
 package faulttest
 
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -15,44 +13,58 @@
 	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
 
 	"tallyproxy/internal/fakes"
 )
 
-// Director is a director as a process.
+const (
+	startTimeout        = 10 * time.Second // until a started director has to serve
+	servingPollInterval = 5 * time.Millisecond
+	statusTimeout       = time.Second      // for a director's answer whether it serves
+	stopTimeout         = 15 * time.Second // until a director has to end after SIGTERM
+)
+
+// Errors of a director's process.
+var (
+	errNotServing = errors.New("director does not serve in time")
+	errNotStopped = errors.New("director did not end on SIGTERM")
+)
+
+// Director is a director as a process. Its methods may be called by any goroutine; Start not while the process runs.
 type Director struct {
-	fakes.Target
-	argv   []string
-	env    []string
-	config string
-	log    io.Writer
+	fakes.Target // as clients see it
+
+	argv       []string             // the command line
+	env        []string             // of the process
+	configPath string               // of the platform's configuration
+	log        io.Writer            // gets the process's standard output and error
+	now        func() time.Duration // the fake cluster's clock
+
 	mu     sync.Mutex
-	now    func() time.Duration // the world's clock
-	cmd    *exec.Cmd
-	ended  chan error
-	peakKB int
+	cmd    *exec.Cmd  // the process that was started last; nil before the first
+	exited chan error // holds the exit status of that process once it has ended; each reader puts it back
+	peakKB int        // see PeakMemoryMB
 }
 
-// Limits are those of a director's machine.
+// Limits are those of a director's machine, as its configuration states them.
 type Limits struct {
-	Sockets, MemoryMB int
-	Cores             float64
+	Sockets  int     // descriptors that it may use
+	MemoryMB int     // memory that it may use, in MB
+	Cores    float64 // processor cores that it may use
 }
 
-// NewDirector writes a director's configuration into a folder; Start runs it. Argv starts it, with the path of the
-// operator's script appended where there is one.
-func NewDirector(w *fakes.Cluster, folder, name string, argv []string, script string, l Limits, log io.Writer) (*Director, error) {
-	addr, err := FreeAddress()
+// NewDirector writes a director's configuration, and the operator's settings where script is not empty, into a folder under its name.
+// Argv is the command line without the settings' flag. Start starts the process.
+func NewDirector(cluster *fakes.Cluster, folder, name string, argv []string, script string, limits Limits, log io.Writer) (*Director, error) {
+	address, err := FreeAddress()
 	if err != nil {
 		return nil, err
 	}
-	d := &Director{argv: argv, log: log, now: w.Now}
-	d.Addr = addr
-	d.config = filepath.Join(folder, name+".json")
-	if err := os.WriteFile(d.config, w.Config(name, addr, l.Sockets, l.MemoryMB, l.Cores), 0o600); err != nil {
+	d := &Director{argv: argv, log: log, now: cluster.Now, configPath: filepath.Join(folder, name+".json")}
+	d.Addr = address
+	if err := d.writeConfig(cluster, name, limits); err != nil {
 		return nil, err
 	}
 	if script != "" {
@@ -62,51 +74,75 @@
 		}
 		d.argv = append(append([]string(nil), argv...), "--settings", path)
 	}
-	d.env = append(os.Environ(), "NODE_CONFIG="+d.config)
+	d.env = append(os.Environ(), "NODE_CONFIG="+d.configPath)
 	return d, nil
 }
 
-// Start runs it and waits until it serves.
+// writeConfig writes the platform's configuration for a director of a name.
+func (d *Director) writeConfig(cluster *fakes.Cluster, name string, limits Limits) error {
+	return os.WriteFile(d.configPath, cluster.Config(name, d.Addr, limits.Sockets, limits.MemoryMB, limits.Cores), 0o600)
+}
+
+// Start starts the process and waits until it serves. The process inherits the processors of the calling goroutine's thread. A process
+// that ended, or does not serve in time, is an error; it is not left running.
 func (d *Director) Start(ctx context.Context) error {
-	d.mu.Lock()
-	d.cmd = exec.Command(d.argv[0], d.argv[1:]...)
-	d.cmd.Env, d.cmd.Stdout, d.cmd.Stderr = d.env, d.log, d.log
-	err := d.cmd.Start()
-	ended := make(chan error, 1)
-	d.ended = ended
-	if err == nil {
-		cmd := d.cmd
-		go func() { ended <- cmd.Wait() }()
-	}
-	d.mu.Unlock()
+	exited, err := d.startProcess()
 	if err != nil {
 		return err
 	}
-	for begun := time.Now(); time.Since(begun) < 10*time.Second && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < startTimeout && ctx.Err() == nil; time.Sleep(servingPollInterval) {
 		if d.serving() {
 			d.SetKilled(false)
 			return nil
 		}
 		select {
-		case err := <-ended:
-			ended <- err
-			return fmt.Errorf("the director ended at its start: %v", err)
+		case err := <-exited:
+			exited <- err
+			return fmt.Errorf("director at %s ended while it started: %w", d.Addr, exitError(err))
 		default:
 		}
 	}
 	d.Signal(syscall.SIGKILL) // nobody waits for it any more
-	return fmt.Errorf("the director at %s does not serve", d.Addr)
+	return fmt.Errorf("director at %s: %w", d.Addr, errNotServing)
 }
 
+// exitError makes a process's end an error also where its exit status is 0.
+func exitError(err error) error {
+	if err == nil {
+		return errors.New("exit status 0")
+	}
+	return err
+}
+
+// startProcess starts the process and returns the channel on which its end is reported.
+func (d *Director) startProcess() (exited chan error, err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	cmd := exec.Command(d.argv[0], d.argv[1:]...)
+	cmd.Env, cmd.Stdout, cmd.Stderr = d.env, d.log, d.log
+	exited = make(chan error, 1)
+	d.cmd, d.exited = cmd, exited
+	if err := cmd.Start(); err != nil {
+		return nil, err
+	}
+	go func() { exited <- cmd.Wait() }()
+	return exited, nil
+}
+
+// serving says whether the director answers STATUS with "serving".
 func (d *Director) serving() bool {
-	nc, err := net.Dial("tcp", d.Addr)
+	conn, err := net.Dial("tcp", d.Addr)
 	if err != nil {
 		return false
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(time.Second))
-	fmt.Fprint(nc, "*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n")
-	in := bufio.NewReader(nc)
+	defer closeQuietly(conn)
+	if conn.SetDeadline(time.Now().Add(statusTimeout)) != nil {
+		return false
+	}
+	if _, err := fmt.Fprint(conn, "*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n"); err != nil {
+		return false
+	}
+	in := bufio.NewReader(conn)
 	for range 5 {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -119,110 +155,108 @@
 	return false
 }
 
-// Signal sends it a signal.
+// Signal sends the process a signal, where it was started.
 func (d *Director) Signal(s os.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cmd != nil && d.cmd.Process != nil {
-		d.cmd.Process.Signal(s)
+	if process := d.process(); process != nil {
+		_ = process.Signal(s) // it may have ended by itself, which Wait tells
 	}
 }
 
-// Pause stops it where it stands, as a machine's pause does, or has it go on.
+// process returns the process that was started last, nil before the first. The caller holds the lock.
+func (d *Director) process() *os.Process {
+	if d.cmd == nil {
+		return nil
+	}
+	return d.cmd.Process
+}
+
+// Pause stops the process where it stands, as a pause of its machine does, or has it go on.
 func (d *Director) Pause(stop bool) {
 	if stop {
-		d.Target.SetPaused(true, d.now())
+		d.SetPaused(true, d.now())
 		d.Signal(syscall.SIGSTOP)
 		return
 	}
 	d.Signal(syscall.SIGCONT)
-	d.Target.SetPaused(false, d.now())
+	d.SetPaused(false, d.now())
 }
 
-// Kill kills it outright.
+// Kill ends the process with SIGKILL and waits for its end. Clients no longer count on what it held.
 func (d *Director) Kill() {
 	d.SetKilled(true)
-	d.PeakMemoryMB()
+	d.PeakMemoryMB() // while it can be read
 	d.Signal(syscall.SIGKILL)
-	d.Wait()
+	_ = d.Wait() // "signal: killed"
 }
 
-// Restart starts it anew once it has ended, where the context allows.
+// Restart waits for the process's end and starts it again, unless the context is done. A director that does not come back is seen by
+// the clients that it loses.
 func (d *Director) Restart(ctx context.Context) {
-	if d.Wait(); ctx.Err() == nil {
-		d.Start(context.WithoutCancel(ctx))
+	_ = d.Wait() // however it ended
+	if ctx.Err() == nil {
+		_ = d.Start(context.WithoutCancel(ctx))
 	}
 }
 
-// end is where its end is told; that of the process that was started last.
-func (d *Director) end() chan error {
+// lastExited returns the channel on which the end of the process that was started last is reported.
+func (d *Director) lastExited() chan error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ended
+	return d.exited
 }
 
-// Wait waits for its end.
+// Wait waits for the end of the process and returns its exit status; nil where that is 0. The process must have been started.
 func (d *Director) Wait() error {
-	ended := d.end()
-	err := <-ended
-	ended <- err
+	exited := d.lastExited()
+	err := <-exited
+	exited <- err
 	return err
 }
 
-// Stop ends it with SIGTERM and waits; one that does not end in time is killed, and that is an error.
+// Stop ends the process with SIGTERM and returns its exit status, nil where that is 0. One that does not end in time is killed, and
+// that is an error.
 func (d *Director) Stop() error {
-	d.PeakMemoryMB()
+	d.PeakMemoryMB() // while it can be read
 	d.Signal(syscall.SIGTERM)
-	ended := d.end()
+	exited := d.lastExited()
 	select {
-	case err := <-ended:
-		ended <- err
+	case err := <-exited:
+		exited <- err
 		return err
-	case <-time.After(15 * time.Second):
+	case <-time.After(stopTimeout):
 		d.Signal(syscall.SIGKILL)
-		d.Wait()
-		return fmt.Errorf("the director did not end on SIGTERM")
+		_ = d.Wait() // "signal: killed"
+		return fmt.Errorf("director at %s: %w", d.Addr, errNotStopped)
 	}
 }
 
-// PID is its process; 0 before it was started.
+// PID returns the process's number; 0 before it was started.
 func (d *Director) PID() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cmd == nil || d.cmd.Process == nil {
-		return 0
+	if process := d.process(); process != nil {
+		return process.Pid
 	}
-	return d.cmd.Process.Pid
+	return 0
 }
 
-// PeakMemoryMB is the most that it has held so far, in MB.
+// PeakMemoryMB returns the most resident memory, in MB, that any of the director's processes was seen to hold so far. It reads Linux's
+// /proc, where a process that has ended no longer stands: Kill and Stop call it before they end one.
 func (d *Director) PeakMemoryMB() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cmd == nil || d.cmd.Process == nil {
+	process := d.process()
+	if process == nil {
 		return 0
 	}
-	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
+	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.Pid)) // empty for one that has ended
 	for line := range strings.SplitSeq(string(text), "\n") {
-		if words := strings.Fields(line); len(words) == 3 && words[0] == "VmHWM:" {
-			kb, _ := strconv.Atoi(words[1])
+		if fields := strings.Fields(line); len(fields) == 3 && fields[0] == "VmHWM:" {
+			kb, _ := strconv.Atoi(fields[1])
 			d.peakKB = max(d.peakKB, kb)
 		}
 	}
 	return float64(d.peakKB) / 1024
 }
-
-var addresses atomic.Int64
-
-// FreeAddress is one where nothing listens. Each is on a loopback address of its own, where no connection that goes out takes
-// the port before it is listened at.
-func FreeAddress() (string, error) {
-	n := addresses.Add(1)
-	own := int64(os.Getpid()) // test programs that run beside each other count for themselves
-	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 2+(own+n/62500)%250, n/250%250, 1+n%250))
-	if err != nil {
-		return "", err
-	}
-	defer l.Close()
-	return l.Addr().String(), nil
-}
--- /dev/null
+++ b/internal/faulttest/fault_processes.go
@@ -0,0 +1,162 @@
+package faulttest
+
+import (
+	"context"
+	"os/exec"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"tallyproxy/internal/fakes"
+	"tallyproxy/internal/status"
+)
+
+// killProcesses kills directors, and starts them again at its end.
+type killProcesses struct{ faultRun }
+
+func (f killProcesses) apply(context.Context)    { f.forTargets(f.harness.kill) }
+func (f killProcesses) undo(ctx context.Context) { f.restartTargets(ctx) }
+
+// pauseProcesses stops directors where they stand, and has them go on at its end.
+type pauseProcesses struct{ faultRun }
+
+func (f pauseProcesses) apply(context.Context) {
+	f.recordDisruption(disruptionOn)
+	f.forTargets(func(p *Process) { p.Pause(true) })
+}
+
+func (f pauseProcesses) undo(context.Context) {
+	f.forTargets(func(p *Process) { p.Pause(false) })
+	f.recordDisruption(disruptionOff)
+}
+
+// terminateProcesses asks directors to end, and starts them again at its end.
+type terminateProcesses struct{ faultRun }
+
+func (f terminateProcesses) apply(context.Context)    { f.forTargets(f.harness.terminate) }
+func (f terminateProcesses) undo(ctx context.Context) { f.restartTargets(ctx) }
+
+// restartProcesses kills directors and starts them again at once.
+type restartProcesses struct{ faultRun }
+
+func (f restartProcesses) apply(ctx context.Context) {
+	f.forTargets(func(p *Process) {
+		f.harness.kill(p)
+		f.harness.restart(ctx, p)
+	})
+}
+
+// rollingRestart ends and starts all directors, a tenth at a time.
+type rollingRestart struct{ faultRun }
+
+func (f rollingRestart) apply(ctx context.Context) {
+	tenth := (len(f.processes) + 9) / 10
+	for batch := range slices.Chunk(f.processes, tenth) {
+		var running sync.WaitGroup
+		for _, p := range batch {
+			running.Go(func() {
+				f.harness.terminate(p)
+				f.harness.restart(ctx, p)
+			})
+		}
+		running.Wait()
+		fakes.Sleep(ctx, f.duration/20)
+	}
+}
+
+// killDelegates kills all relay delegates while purges pass through them, and starts them again at its end.
+type killDelegates struct{ faultRun }
+
+func (f *killDelegates) apply(ctx context.Context) {
+	f.Targets = f.harness.delegates(ctx)
+	for i := range 64 {
+		f.harness.Cluster.Purge("", 2*i)
+	}
+	fakes.Sleep(ctx, time.Duration(1+f.rand.IntN(20))*time.Millisecond)
+	f.forTargets(f.harness.kill)
+}
+
+func (f *killDelegates) undo(ctx context.Context) { f.restartTargets(ctx) }
+
+// delegates returns the numbers of the directors that say that they poll the command channel for others.
+func (h *Harness) delegates(ctx context.Context) (numbers []int) {
+	for i, p := range h.Processes() {
+		if report, err := status.Read(ctx, p.Socket); err == nil && report.Relay != nil && report.Relay.Delegate {
+			numbers = append(numbers, i)
+		}
+	}
+	return numbers
+}
+
+// duplicateInstance runs another process under the name of a director.
+type duplicateInstance struct {
+	faultRun
+	duplicate *Process // nil before apply, and where it could not be prepared
+}
+
+func (f *duplicateInstance) apply(ctx context.Context) {
+	f.recordDisruption(disruptionOn)
+	var err error
+	if f.duplicate, err = f.harness.AddDirector(f.processes[f.Targets[0]].Name, f.harness.keyPath, fleetName); err == nil {
+		err = f.harness.StartProcess(ctx, f.duplicate)
+	}
+	f.harness.recordError("duplicate instance", err)
+}
+
+func (f *duplicateInstance) undo(context.Context) {
+	if f.duplicate != nil && f.harness.markDown(f.duplicate) {
+		_ = f.duplicate.Stop() // however it ends, it is over
+	}
+	f.recordDisruption(disruptionOff)
+}
+
+// busyCores keeps the processors busy with other processes. Loops in this process would take turns from the relays, and what is to be
+// shown is that directors bear the loss of processors, not of the network.
+type busyCores struct{ faultRun }
+
+func (f busyCores) apply(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, f.duration)
+	defer cancel()
+	var running sync.WaitGroup
+	for range int(f.Rate) {
+		running.Go(func() { _ = exec.CommandContext(ctx, "sh", "-c", "while :; do :; done").Run() }) // it ends by being killed
+	}
+	running.Wait()
+}
+
+// kill ends a process that is up with SIGKILL.
+func (h *Harness) kill(p *Process) {
+	p.lifecycle.Lock()
+	defer p.lifecycle.Unlock()
+	if h.markDown(p) {
+		h.History.Record(p.number, actionKill, nil)
+		p.Pause(false) // one that is stopped would not be reaped
+		p.Kill()
+	}
+}
+
+// terminate sends SIGTERM to a process that is up, and does not wait for its end.
+func (h *Harness) terminate(p *Process) {
+	p.lifecycle.Lock()
+	defer p.lifecycle.Unlock()
+	if h.markDown(p) {
+		h.History.Record(p.number, actionTerminate, nil)
+		p.Signal(syscall.SIGTERM)
+	}
+}
+
+// restart starts a process that is down, once it has ended.
+func (h *Harness) restart(ctx context.Context, p *Process) {
+	p.lifecycle.Lock()
+	defer p.lifecycle.Unlock()
+	if h.isUp(p) || ctx.Err() != nil {
+		return
+	}
+	if p.PID() != 0 {
+		_ = p.Wait() // however it ended
+	}
+	if err := h.StartProcess(ctx, p); err != nil {
+		h.History.Record(p.number, "failed to start: "+err.Error(), nil)
+	}
+}
--- /dev/null
+++ b/internal/faulttest/foreign_test.go
@@ -0,0 +1,48 @@
+package faulttest
+
+import (
+	"os"
+	"regexp"
+	"strings"
+	"testing"
+
+	"tallyproxy/internal/logevent"
+)
+
+// TestForeignDirectors adds a director with another key, one of another fleet, and one whose seeds are all dead. No member takes them
+// in, they serve as if alone, and nothing else comes of it.
+func TestForeignDirectors(t *testing.T) {
+	parallel(t)
+	s := Schedule{Seed: 2, Directors: 3, LengthMS: 2500}
+	o, err := Run(t.Context(), testSpec(t), s, func(h *Harness) {
+		key := h.keyPath + "2"
+		if err := os.WriteFile(key, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
+			t.Error(err)
+		}
+		for _, x := range []struct{ name, key, fleet, seeds string }{
+			{"x0", key, fleetName, ""}, {"x1", h.keyPath, "other", ""}, {"x2", h.keyPath, fleetName, `seeds = ["127.0.0.1:9", "127.0.0.1:10"]`},
+		} {
+			p, err := h.AddDirector(x.name, x.key, x.fleet)
+			if err == nil && x.seeds != "" {
+				path := h.scriptPath(p.number)
+				text := regexp.MustCompile(`seeds = \[[^]]*\]`).ReplaceAllString(h.script(p, x.key, x.fleet), x.seeds)
+				err = os.WriteFile(path, []byte(text), 0o600)
+			}
+			if err == nil {
+				p.duplicate = true // of no view that is waited for
+				err = h.StartProcess(t.Context(), p)
+			}
+			if err != nil {
+				t.Error(err)
+			} else if !p.serving() {
+				t.Errorf("%s does not serve", x.name)
+			}
+		}
+	})
+	checkOutcome(t, o, err)
+	for _, e := range o.History.Entries() {
+		if e.Event == logevent.PeerState && (strings.HasPrefix(e.Attributes["name"], "x") || e.Director > 2) {
+			t.Errorf("n%d took in %v", e.Director, e.Attributes)
+		}
+	}
+}
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -32,7 +32,7 @@
 
 // The names of faults stand in schedules and on command lines.
 func TestGoldenKinds(t *testing.T) {
-	want := []string{"cut", "groups", "poor", "flap", "kill", "stop", "term", "restart", "twin", "liar", "cold", "purge", "drain", "busy", "zone", "away",
+	want := []Kind{"cut", "groups", "poor", "flap", "kill", "stop", "term", "restart", "twin", "liar", "cold", "purge", "drain", "busy", "zone", "away",
 		"service", "followers", "move", "roll", "replace", "rubbish", "forget"}
 	if !reflect.DeepEqual(kinds, want) {
 		t.Errorf("%v", kinds)
--- a/internal/faulttest/outcome.go
+++ b/internal/faulttest/outcome.go
@@ -1,10 +1,9 @@
 package faulttest
 
 import (
-	"context"
 	"fmt"
 	"math"
-	"strings"
+	"slices"
 	"time"
 
 	"tallyproxy/internal/fakes"
@@ -12,219 +11,200 @@
 	"tallyproxy/membership"
 )
 
-// Outcome is what came of a schedule, by the books of the stand-ins and the history.
+// Outcome is what came of a schedule, by the statistics of the fakes and the history.
 type Outcome struct {
-	Schedule           Schedule   `json:"schedule"`
-	Lost               int        `json:"lost"` // tries that were owed an answer
-	LostReasons        string     `json:"lost_how,omitempty"`
-	LostToPauses       int        `json:"lost_paused"`
-	DuplicateAnswers   int        `json:"double_final"`
-	WrongBodies        int        `json:"wrong_bytes"`
-	RepeatedEffects    int        `json:"effects_twice"`
-	ConcurrentAttempts int        `json:"pulls_together"`
-	DrainViolations    int        `json:"drains_broken"`
-	PurgeViolations    int        `json:"purges_broken"`
-	OverloadedNodes    int        `json:"fallen"`
-	Crashes            int        `json:"crashes"`
-	Panics             int        `json:"panics"`
-	CrashDetail        string     `json:"why,omitempty"` // of crashes
-	QuotaPeak          [2]float64 `json:"parts_peak"`    // of the sum of all parts, by scope
-	QuotaViolations    int        `json:"parts_over"`
-	Incomplete         bool       `json:"unended"`     // it did not come to its end, or to one view, in time
-	ConvergenceMS      float64    `json:"one_view_ms"` // from the end of the last fault
-	DetectionMS        []float64  `json:"know_death_ms"`
-	FalseFailures      int        `json:"wrongly_failed"`
-	FalseSuspicions    int        `json:"wrongly_suspected"`
-	ColdPeakLoad       float64    `json:"cold_peak_load"`
-	Requests           int        `json:"asked"`
-	SuccessRate        float64    `json:"fulfilled_share"`
-	RecoveryMS         float64    `json:"recovery_ms"` // from the beginning of the last fault until nine tenths are fulfilled for good; -1: not
-	SuccessSeries      []float64  `json:"series"`      // what was fulfilled of the downloads that began in each second from then on, by half seconds
-	MemoryMB           float64    `json:"memory_mb"`
-	PacketsPerSecond   float64    `json:"packets_per_s"` // that came to a director,
-	BytesPerSecond     float64    `json:"bytes_per_s"`
-	DirectorHours      float64    `json:"director_hours"`
-	NameConflicts      int        `json:"name_taken_lines"`
-	HintProbes         int        `json:"questions"`
-	UpdatesReceived    int        `json:"words_bound"` // of the channel, by another's telling
-	ListsRelayed       int        `json:"lists_taken"` // of nodes, by two others' telling
-	CallsPerSecond     float64    `json:"calls_per_s"` // of the command channel, all together
-	History            *History   `json:"-"`
+	Schedule           Schedule   `json:"schedule"`           // that was played
+	Lost               int        `json:"lost"`               // attempts that were owed an answer and got none
+	LostReasons        string     `json:"lost_how,omitempty"` // of Lost
+	LostToPauses       int        `json:"lost_paused"`        // attempts without an answer from a director that was paused
+	DuplicateAnswers   int        `json:"double_final"`       // answers to an attempt beyond the one
+	WrongBodies        int        `json:"wrong_bytes"`        // answers with another object's body
+	RepeatedEffects    int        `json:"effects_twice"`      // idempotency keys whose request had its effect twice
+	ConcurrentAttempts int        `json:"pulls_together"`     // attempts of one request in flight at two nodes
+	DrainViolations    int        `json:"drains_broken"`      // requests and fills at nodes that were drained
+	PurgeViolations    int        `json:"purges_broken"`      // stale copies that were served
+	OverloadedNodes    int        `json:"fallen"`             // nodes that were pushed over
+	Crashes            int        `json:"crashes"`            // directors that did not end with exit status 0, by lines of CrashDetail
+	Panics             int        `json:"panics"`             // that directors recovered from
+	CrashDetail        string     `json:"why,omitempty"`      // exit statuses and ends of logs
+	QuotaPeak          [2]float64 `json:"parts_peak"`         // the most that all quotas summed up to, over the whole; of a zone, of the fleet
+	QuotaViolations    int        `json:"parts_over"`         // instants at which that was above membership.MaxQuotaFactor
+	Incomplete         bool       `json:"unended"`            // it did not come to its end, or to one view, in time
+	ConvergenceMS      float64    `json:"one_view_ms"`        // until all had one view, from the end of the last fault; see ConvergenceTime
+	DetectionMS        []float64  `json:"know_death_ms"`      // see DetectionTimes
+	FalseFailures      int        `json:"wrongly_failed"`     // see FalsePositives
+	FalseSuspicions    int        `json:"wrongly_suspected"`  // see FalsePositives
+	ColdPeakLoad       float64    `json:"cold_peak_load"`     // the most work that a cache or parent was sent, over what pushes it over
+	Requests           int        `json:"asked"`              // of clients
+	SuccessRate        float64    `json:"fulfilled_share"`    // share of Requests
+	RecoveryMS         float64    `json:"recovery_ms"`        // from the begin of the last fault until nine tenths succeed for good; -1: never
+	SuccessSeries      []float64  `json:"series"`             // success rate of the requests that began in each window of recoveryWindow from then on, by half windows
+	MemoryMB           float64    `json:"memory_mb"`          // the most that a director held
+	PacketsPerSecond   float64    `json:"packets_per_s"`      // from other directors, that came to one director
+	BytesPerSecond     float64    `json:"bytes_per_s"`        // as PacketsPerSecond, with those of streams
+	DirectorHours      float64    `json:"director_hours"`     // of all directors together
+	NameConflicts      int        `json:"name_taken_lines"`   // lines that say that a name is in use
+	HintProbes         int        `json:"questions"`          // probes of nodes after a hint
+	UpdatesReceived    int        `json:"words_bound"`        // updates of the channel that came from another director
+	ListsRelayed       int        `json:"lists_taken"`        // endpoint lists that came from other directors
+	CallsPerSecond     float64    `json:"calls_per_s"`        // polls of the command channel, of all directors together
+	History            *History   `json:"-"`                  // of the run
 }
 
-// RuleViolations is how often the rules broke that are about answers, copies, drains and processes; what else must not be has counts of its own.
+// RuleViolations returns how often the rules about answers, copies, drains and processes were broken. What else must not be has counts of
+// its own.
 func (o Outcome) RuleViolations() int {
 	return o.DuplicateAnswers + o.WrongBodies + o.RepeatedEffects + o.ConcurrentAttempts + o.DrainViolations + o.PurgeViolations + o.Crashes + o.Panics
 }
 
-// Violations names the rules that broke.
-func (o Outcome) Violations() (rules []string) {
-	for _, x := range []struct {
-		name string
-		n    int
+// Violations returns all that was broken, by the JSON key of its count and the count.
+func (o Outcome) Violations() (broken []string) {
+	for _, rule := range []struct {
+		key   string
+		count int
 	}{
 		{"lost", o.Lost}, {"double_final", o.DuplicateAnswers}, {"wrong_bytes", o.WrongBodies}, {"effects_twice", o.RepeatedEffects},
-		{"pulls_together", o.ConcurrentAttempts}, {"drains_broken", o.DrainViolations}, {"purges_broken", o.PurgeViolations}, {"fallen", o.OverloadedNodes},
-		{"crashes", o.Crashes}, {"panics", o.Panics}, {"parts_over", o.QuotaViolations}, {"unended", bit(o.Incomplete)},
+		{"pulls_together", o.ConcurrentAttempts}, {"drains_broken", o.DrainViolations}, {"purges_broken", o.PurgeViolations},
+		{"fallen", o.OverloadedNodes}, {"crashes", o.Crashes}, {"panics", o.Panics}, {"parts_over", o.QuotaViolations},
+		{"unended", bit(o.Incomplete)},
 	} {
-		if x.n > 0 {
-			rules = append(rules, fmt.Sprintf("%s %d", x.name, x.n))
+		if rule.count > 0 {
+			broken = append(broken, fmt.Sprintf("%s %d", rule.key, rule.count))
 		}
 	}
-	return rules
+	return broken
 }
 
-const toSettle = 20 * time.Second // for all to have one view
-
-// Run plays a schedule from beginning to end: directors that have one view, load, faults, load for a while longer, one view
-// again. Do, where given, is called once there is load. It ends in a bounded time.
-func Run(ctx context.Context, spec Spec, s Schedule, do func(*Harness)) (o Outcome, err error) {
-	if err := s.Validate(); err != nil {
-		return o, err
-	}
-	o.Schedule, o.RecoveryMS = s, -1
-	bound := time.Duration(s.LengthMS)*time.Millisecond + spec.LoadBefore + spec.LoadAfter + 4*toSettle
-	ctx, leave := context.WithTimeout(ctx, bound)
-	defer leave()
-	r, err := New(spec, s)
-	if err != nil {
-		return o, err
-	}
-	if spec.BeforeStart != nil {
-		spec.BeforeStart(r)
-	}
-	if spec.EarlyClients {
-		r.StartClients()
-	}
-	if err := r.Start(ctx); err != nil {
-		r.Close()
-		return o, err
-	}
-	if !spec.NoPeers && !r.AwaitConvergence(ctx, toSettle) {
-		o.Incomplete = true
-	}
-	began, carried, calls := time.Now(), r.carried(), len(r.Cluster.ChannelCalls())
-	if !spec.EarlyClients {
-		r.StartClients()
-	}
-	fakes.Sleep(ctx, spec.LoadBefore)
-	fault := r.Cluster.Now()
-	last := 0
-	for _, f := range s.Faults {
-		last = max(last, f.AtMS)
-	}
-	fault += time.Duration(last) * time.Millisecond
-	if do != nil {
-		do(r)
-	}
-	r.Play(ctx, s)
-	healed := time.Now()
-	fakes.Sleep(ctx, spec.LoadAfter)
-	if !spec.NoPeers && !r.AwaitConvergence(ctx, toSettle) || ctx.Err() != nil {
-		o.Incomplete = true
-	}
-	settled := time.Now()
-	r.StopClients()
-	took := time.Since(began).Seconds()
-	now := r.carried()
-	o.PacketsPerSecond = math.Round(float64(now[0]-carried[0]) / took / float64(s.Directors))
-	o.BytesPerSecond = math.Round(float64(now[1]-carried[1]) / took / float64(s.Directors))
-	o.CallsPerSecond = math.Round(float64(len(r.Cluster.ChannelCalls())-calls)/took*10) / 10
-	o.DirectorHours = took / 3600 * float64(s.Directors)
-	o.MemoryMB = math.Round(r.PeakMemoryMB()*10) / 10
-	if err := r.Close(); err != nil {
-		o.Crashes, o.CrashDetail = strings.Count(err.Error(), "\n")+1, err.Error()
-	}
-	o.History = r.History
-	o.books(r.Cluster, fault)
-	var names []string
-	for _, p := range r.Processes() {
-		names = append(names, p.Name)
-	}
-	var entries []Entry
-	for _, e := range r.History.Entries() {
-		if !e.At.After(settled) || e.Event == logevent.PanicRecovered {
-			entries = append(entries, e)
+// countEvents counts the events that stand in the outcome as they are.
+func (o *Outcome) countEvents(entries []Entry) {
+	for _, e := range entries {
+		switch e.Event {
+		case logevent.PanicRecovered:
+			o.Panics++
+		case logevent.PeerNameConflict:
+			o.NameConflicts++
+		case logevent.HintProbed:
+			o.HintProbes++
+		case logevent.GossipReceived:
+			o.UpdatesReceived++
+		case logevent.EndpointListRelayed:
+			o.ListsRelayed++
 		}
-		o.Panics += bit(e.Event == logevent.PanicRecovered)
-		o.NameConflicts += bit(e.Event == logevent.PeerNameConflict)
-		o.HintProbes += bit(e.Event == logevent.HintProbed)
-		o.UpdatesReceived += bit(e.Event == logevent.GossipReceived)
-		o.ListsRelayed += bit(e.Event == logevent.EndpointListRelayed)
 	}
+}
+
+// falsePositiveSettling is for how long links must have been sound before a suspicion counts as a false one.
+const falsePositiveSettling = 10 * time.Second
+
+// check runs the checkers of quotas and failure detection over the entries until all had settled. Names are those of the schedule's
+// directors.
+func (o *Outcome) check(entries []Entry, names []string) {
 	for scope, name := range []string{"zone", "fleet"} {
-		peak, over := QuotaSums(entries, s.Directors, name, membership.MaxQuotaFactor)
-		o.QuotaPeak[scope] = math.Round(peak*1000) / 1000
+		peak, over := QuotaSums(entries, len(names), name, membership.MaxQuotaFactor)
+		o.QuotaPeak[scope] = roundTo(peak, 1000)
 		o.QuotaViolations += over
 	}
-	deaths, _ := DetectionTimes(entries, names[:s.Directors])
-	for _, took := range deaths {
+	times, _ := DetectionTimes(entries, names)
+	for _, took := range times {
 		o.DetectionMS = append(o.DetectionMS, float64(took.Milliseconds()))
 	}
-	o.FalseFailures, o.FalseSuspicions = FalsePositives(entries, names[:s.Directors], 10*time.Second)
-	if !spec.NoPeers {
-		o.ConvergenceMS = float64(ConvergenceTime(entries, healed).Milliseconds())
-	}
-	return o, nil
+	o.FalseFailures, o.FalseSuspicions = FalsePositives(entries, names, falsePositiveSettling)
 }
 
-// carried is how many packets and bytes came to the directors of the schedule.
-func (r *Harness) carried() (sum [2]int64) {
-	for i := range r.Processes() {
-		packets, octets := r.Network.Received(i)
-		sum[0], sum[1] = sum[0]+packets, sum[1]+octets
-	}
-	return sum
-}
-
-// books takes what the stand-ins wrote down.
-func (o *Outcome) books(w *fakes.Cluster, fault time.Duration) {
-	b := w.Violations()
-	o.RepeatedEffects, o.OverloadedNodes, o.DrainViolations, o.ConcurrentAttempts = b.RepeatedEffects, b.OverloadedNodes, b.DrainedUses, b.ConcurrentAttempts
-	for _, n := range w.Nodes {
+// addClusterStats takes what the fakes recorded. LastFault is when the last fault began, by the cluster's clock.
+func (o *Outcome) addClusterStats(cluster *fakes.Cluster, lastFault time.Duration) {
+	violations := cluster.Violations()
+	o.RepeatedEffects, o.OverloadedNodes = violations.RepeatedEffects, violations.OverloadedNodes
+	o.DrainViolations, o.ConcurrentAttempts = violations.DrainedUses, violations.ConcurrentAttempts
+	for _, n := range cluster.Nodes {
 		if peak, _ := n.PeakLoad(); n.Kind != fakes.Origin {
-			o.ColdPeakLoad = max(o.ColdPeakLoad, math.Round(peak*1000)/1000)
+			o.ColdPeakLoad = max(o.ColdPeakLoad, roundTo(peak, 1000))
 		}
 	}
-	w.Clients.WithLock(func(b *fakes.ClientStats) {
-		o.Lost, o.DuplicateAnswers, o.WrongBodies, o.PurgeViolations, o.LostToPauses = b.Lost, b.Duplicates, b.WrongBodies, b.StaleCopies, b.LostToPauses
-		if len(b.LostReasons) > 0 {
-			o.LostReasons = fmt.Sprint(b.LostReasons)
-		}
-		var begun, met []int
-		good := 0
-		for _, dl := range b.Requests {
-			o.Requests++
-			good += bit(dl.Succeeded)
-			if dl.StartedAt < fault {
-				continue
-			}
-			at := int((dl.StartedAt - fault) / fakes.SeriesInterval)
-			for len(begun) <= at {
-				begun, met = append(begun, 0), append(met, 0)
-			}
-			begun[at]++
-			met[at] += bit(dl.Succeeded)
+	cluster.Clients.WithLock(func(stats *fakes.ClientStats) {
+		o.Lost, o.LostToPauses = stats.Lost, stats.LostToPauses
+		o.DuplicateAnswers, o.WrongBodies, o.PurgeViolations = stats.Duplicates, stats.WrongBodies, stats.StaleCopies
+		if len(stats.LostReasons) > 0 {
+			o.LostReasons = fmt.Sprint(stats.LostReasons)
 		}
-		if o.Requests > 0 {
-			o.SuccessRate = math.Round(float64(good)/float64(o.Requests)*10000) / 10000
+		o.addRequests(stats.Requests, lastFault)
+	})
+}
+
+// addRequests takes the clients' requests.
+func (o *Outcome) addRequests(requests []fakes.ClientRequest, lastFault time.Duration) {
+	var series successSeries
+	succeeded := 0
+	for _, request := range requests {
+		o.Requests++
+		succeeded += bit(request.Succeeded)
+		if request.StartedAt >= lastFault {
+			series.add(request.StartedAt-lastFault, request.Succeeded)
 		}
-		const window = 10 // buckets
-		below := -1
-		for i := 0; i+window <= len(begun); i++ {
-			b, m := 0, 0
-			for j := i; j < i+window; j++ {
-				b, m = b+begun[j], m+met[j]
-			}
-			if i%(window/2) == 0 && b > 0 {
-				o.SuccessSeries = append(o.SuccessSeries, math.Round(float64(m)/float64(b)*100)/100)
-			}
-			if float64(m) < 0.9*float64(b) {
-				below = i
-			}
+	}
+	if o.Requests > 0 {
+		o.SuccessRate = roundTo(float64(succeeded)/float64(o.Requests), 10000)
+	}
+	o.SuccessSeries = series.rates()
+	if recovery, recovered := series.recovery(); recovered {
+		o.RecoveryMS = float64(recovery.Milliseconds())
+	}
+}
+
+const (
+	recoveryWindow = 10  // of fakes.SeriesInterval, over which success rates are taken
+	recoveredRate  = 0.9 // success rate at which the fleet counts as recovered
+)
+
+// successSeries counts requests and those that succeeded, by intervals of fakes.SeriesInterval.
+type successSeries struct{ begun, succeeded []int }
+
+// add takes a request that began after a time.
+func (s *successSeries) add(after time.Duration, succeeded bool) {
+	i := int(after / fakes.SeriesInterval)
+	for len(s.begun) <= i {
+		s.begun, s.succeeded = append(s.begun, 0), append(s.succeeded, 0)
+	}
+	s.begun[i]++
+	s.succeeded[i] += bit(succeeded)
+}
+
+// window returns the sums over the window that begins at an interval.
+func (s *successSeries) window(from int) (begun, succeeded float64) {
+	for i := from; i < from+recoveryWindow; i++ {
+		begun, succeeded = begun+float64(s.begun[i]), succeeded+float64(s.succeeded[i])
+	}
+	return begun, succeeded
+}
+
+// rates returns the success rate of each half window's window, without those in which no request began.
+func (s *successSeries) rates() (rates []float64) {
+	for i := 0; i+recoveryWindow <= len(s.begun); i += recoveryWindow / 2 {
+		if begun, succeeded := s.window(i); begun > 0 {
+			rates = append(rates, roundTo(succeeded/begun, 100))
 		}
-		if below+window < len(begun) {
-			o.RecoveryMS = float64((time.Duration(below+1) * fakes.SeriesInterval).Milliseconds())
+	}
+	return rates
+}
+
+// recovery returns the begin of the first window from which on all have recoveredRate; false where the last has not.
+func (s *successSeries) recovery() (time.Duration, bool) {
+	lastBelow := -1
+	for i := 0; i+recoveryWindow <= len(s.begun); i++ {
+		if begun, succeeded := s.window(i); succeeded < recoveredRate*begun {
+			lastBelow = i
 		}
-	})
+	}
+	if lastBelow+recoveryWindow >= len(s.begun) {
+		return 0, false
+	}
+	return time.Duration(lastBelow+1) * fakes.SeriesInterval, true
+}
+
+// roundTo rounds to a multiple of 1/parts.
+func roundTo(value, parts float64) float64 { return math.Round(value*parts) / parts }
+
+// until returns the entries up to a time, and later ones of recovered panics.
+func until(entries []Entry, end time.Time) []Entry {
+	return slices.DeleteFunc(entries, func(e Entry) bool { return e.At.After(end) && e.Event != logevent.PanicRecovered })
 }
--- /dev/null
+++ b/internal/faulttest/run.go
@@ -0,0 +1,151 @@
+package faulttest
+
+import (
+	"context"
+	"strings"
+	"time"
+
+	"tallyproxy/internal/fakes"
+)
+
+// convergenceTimeout is how long the directors have to come to one view.
+const convergenceTimeout = 20 * time.Second
+
+// Run plays a schedule from its begin to its end: directors that have one view, load, faults, load for a while longer, one view again.
+// The callback underLoad, where it is not nil, is called before the faults begin. Run ends in a bounded time; a director that fails is
+// in the outcome, an error is one of the schedule, the start or the fakes.
+func Run(ctx context.Context, spec Spec, s Schedule, underLoad func(*Harness)) (Outcome, error) {
+	outcome := Outcome{}
+	if err := s.Validate(); err != nil {
+		return outcome, err
+	}
+	outcome.Schedule, outcome.RecoveryMS = s, -1
+	ctx, cancel := context.WithTimeout(ctx, s.length()+spec.LoadBefore+spec.LoadAfter+4*convergenceTimeout)
+	defer cancel()
+	r, err := newRun(ctx, spec, s)
+	if err != nil {
+		return outcome, err
+	}
+	r.outcome = &outcome
+	r.play(ctx, underLoad)
+	r.measure()
+	r.finish()
+	return outcome, nil
+}
+
+// run is a schedule as it is played, by one goroutine.
+type run struct {
+	spec     Spec
+	schedule Schedule
+	harness  *Harness
+	outcome  *Outcome
+
+	begun       traffic       // when all directors had one view
+	lastFault   time.Duration // when the last fault begins, by the cluster's clock
+	healedAt    time.Time     // when all faults were over
+	convergedAt time.Time     // when all directors had one view again
+}
+
+// traffic is what all directors together had received, and asked of the command channel, at a time.
+type traffic struct {
+	at              time.Time
+	packets, octets int64 // received from other directors
+	calls           int   // polls of the command channel
+}
+
+// newRun prepares a harness and starts its directors.
+func newRun(ctx context.Context, spec Spec, s Schedule) (*run, error) {
+	h, err := New(spec, s)
+	if err != nil {
+		return nil, err
+	}
+	if spec.BeforeStart != nil {
+		spec.BeforeStart(h)
+	}
+	if spec.EarlyClients {
+		h.StartClients()
+	}
+	if err := h.Start(ctx); err != nil {
+		_ = h.Close() // what did not start says why
+		return nil, err
+	}
+	return &run{spec: spec, schedule: s, harness: h}, nil
+}
+
+// play goes through load, faults, and load after them.
+func (r *run) play(ctx context.Context, underLoad func(*Harness)) {
+	r.awaitConvergence(ctx)
+	r.begun = r.harness.traffic()
+	if !r.spec.EarlyClients {
+		r.harness.StartClients()
+	}
+	fakes.Sleep(ctx, r.spec.LoadBefore)
+	r.lastFault = r.harness.Cluster.Now() + r.schedule.lastFaultAt()
+	if underLoad != nil {
+		underLoad(r.harness)
+	}
+	r.harness.Play(ctx, r.schedule)
+	r.healedAt = time.Now()
+	fakes.Sleep(ctx, r.spec.LoadAfter)
+	r.awaitConvergence(ctx)
+	if ctx.Err() != nil {
+		r.outcome.Incomplete = true
+	}
+	r.convergedAt = time.Now()
+	r.harness.StopClients()
+}
+
+// awaitConvergence waits until all directors have one view, where they know each other.
+func (r *run) awaitConvergence(ctx context.Context) {
+	if !r.spec.NoPeers && !r.harness.AwaitConvergence(ctx, convergenceTimeout) {
+		r.outcome.Incomplete = true
+	}
+}
+
+// measure takes what has to be taken while the directors run.
+func (r *run) measure() {
+	o, now := r.outcome, r.harness.traffic()
+	seconds := now.at.Sub(r.begun.at).Seconds()
+	directors := float64(r.schedule.Directors)
+	o.PacketsPerSecond = roundTo(float64(now.packets-r.begun.packets)/seconds/directors, 1)
+	o.BytesPerSecond = roundTo(float64(now.octets-r.begun.octets)/seconds/directors, 1)
+	o.CallsPerSecond = roundTo(float64(now.calls-r.begun.calls)/seconds, 10)
+	o.DirectorHours = seconds / 3600 * directors
+	o.MemoryMB = roundTo(r.harness.PeakMemoryMB(), 10)
+}
+
+// finish ends the directors and checks what they did.
+func (r *run) finish() {
+	o := r.outcome
+	if err := r.harness.Close(); err != nil {
+		o.Crashes, o.CrashDetail = strings.Count(err.Error(), "\n")+1, err.Error()
+	}
+	o.History = r.harness.History
+	o.addClusterStats(r.harness.Cluster, r.lastFault)
+	entries := r.harness.History.Entries()
+	o.countEvents(entries)
+	entries = until(entries, r.convergedAt)
+	o.check(entries, r.directorNames())
+	if !r.spec.NoPeers {
+		o.ConvergenceMS = float64(ConvergenceTime(entries, r.healedAt).Milliseconds())
+	}
+}
+
+// directorNames returns the names of the schedule's directors, without those that were added later.
+func (r *run) directorNames() (names []string) {
+	for _, p := range r.harness.Processes()[:r.schedule.Directors] {
+		names = append(names, p.Name)
+	}
+	return names
+}
+
+// traffic returns the directors' traffic so far.
+func (h *Harness) traffic() traffic {
+	t := traffic{at: time.Now()}
+	for i := range h.Processes() {
+		packets, octets := h.Network.Received(i)
+		t.packets, t.octets = t.packets+packets, t.octets+octets
+	}
+	t.calls = len(h.Cluster.ChannelCalls())
+	return t
+}
--- a/internal/faulttest/schedule.go
+++ b/internal/faulttest/schedule.go
@@ -3,71 +3,85 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"slices"
+	"time"
 )
 
-// Kinds of faults.
+// Kind names a kind of fault. Schedules in files and flags of tallybench spell them as here.
+type Kind string
+
+// Kinds of faults of links.
+const (
+	CutLinks      Kind = "cut"    // Targets receive nothing from Peers, and with Both neither do Peers from Targets
+	Partition     Kind = "groups" // processes of different Groups receive nothing from each other
+	LossyLinks    Kind = "poor"   // all links lose a share Rate of packets, duplicate a tenth of that, and delay each by up to Rate seconds
+	FlappingLinks Kind = "flap"   // the links between Targets and Peers are cut and sound in turn, 300 ms each
+)
+
+// Kinds of faults of processes.
 const (
-	CutLinks           = "cut"     // Who hear nothing of To, both ways where Both
-	Partition          = "groups"  // processes of different groups don't hear each other
-	LossyLinks         = "poor"    // all links lose a share of Rate, send a tenth of it twice, and delay up to Rate seconds
-	FlappingLinks      = "flap"    // the links between Who and To are cut and well in turn, every 300 ms
-	Kill               = "kill"    // SIGKILL; back under the same name at the end, where it has one
-	Pause              = "stop"    // SIGSTOP, and SIGCONT at the end
-	Terminate          = "term"    // SIGTERM; back at the end
-	ZoneLoss           = "zone"    // the locations of Who are lost, of two: their directors and caches; all back at the end, the caches cold
-	ChannelUnreachable = "away"    // directors with odd numbers can't reach the command channel
-	Restart            = "restart" // killed and started again at once
-	DuplicateInstance  = "twin"    // another process under the name of Who[0], for a while
-	FalseHints         = "liar"    // Who tell the others that all caches are dead
-	ColdCaches         = "cold"    // the caches of Who restart cold
-	Purge              = "purge"   // half of the groups are purged
-	Drain              = "drain"   // the first cache of Who is told draining, and up again at the end
-	BusyCores          = "busy"    // so many loops as Rate keep the cores busy
-
-	ChannelOutage   = "service"   // the command channel is short (Rate 1), hangs (2) or breaks its answers off (3)
-	KillDelegates   = "followers" // an event, and at once all who follow the channel by their place are killed; back at the end
-	ChannelMove     = "move"      // the channel moves: all are told by SIGHUP within a second
-	RollingRestart  = "roll"      // a tenth at a time is ended by SIGTERM and started again
-	ReplaceCaches   = "replace"   // half of the caches are replaced, one after another
-	MalformedRelay  = "rubbish"   // one joins that is among those to be heard, and tells rubbish and lists of another fleet
-	ChannelRollback = "forget"    // the channel starts anew, the last event lost
+	Kill              Kind = "kill"      // Targets end by SIGKILL, and are started again at the end
+	Pause             Kind = "stop"      // Targets get SIGSTOP, and SIGCONT at the end
+	Terminate         Kind = "term"      // Targets end by SIGTERM, and are started again at the end
+	Restart           Kind = "restart"   // Targets end by SIGKILL and are started again at once
+	RollingRestart    Kind = "roll"      // a tenth of all at a time ends by SIGTERM and is started again
+	KillDelegates     Kind = "followers" // groups are purged, and at once all relay delegates are killed; started again at the end
+	DuplicateInstance Kind = "twin"      // another process runs under the name of Targets[0]
+	FalseHints        Kind = "liar"      // a member tells the others that all caches are unreachable, restarted and overloaded
+	MalformedRelay    Kind = "rubbish"   // a member that ranks as a delegate sends malformed messages and another fleet's endpoint list
+	BusyCores         Kind = "busy"      // as many busy loops as Rate compete for the processors
 )
 
-var kinds = []string{CutLinks, Partition, LossyLinks, FlappingLinks, Kill, Pause, Terminate, Restart, DuplicateInstance, FalseHints, ColdCaches, Purge, Drain, BusyCores, ZoneLoss, ChannelUnreachable,
-	ChannelOutage, KillDelegates, ChannelMove, RollingRestart, ReplaceCaches, MalformedRelay, ChannelRollback}
+// Kinds of faults of cache nodes, zones and the command channel.
+const (
+	ZoneLoss           Kind = "zone"    // directors and caches of the zones Targets are killed; all back at the end, the caches cold
+	ColdCaches         Kind = "cold"    // the caches Targets restart cold
+	ReplaceCaches      Kind = "replace" // half of the caches are replaced one after another
+	Purge              Kind = "purge"   // half of the groups are purged
+	Drain              Kind = "drain"   // the first cache is announced as draining, and as up at the end
+	ChannelUnreachable Kind = "away"    // directors with odd numbers can't reach the command channel
+	ChannelOutage      Kind = "service" // the command channel is unavailable (Rate 1), hangs (2) or truncates its answers (3)
+	ChannelMove        Kind = "move"    // the channel has a new address, which all directors reload within a second
+	ChannelRollback    Kind = "forget"  // the channel restarts without its last event
+)
 
-// Fault is one thing that goes wrong.
+// Fault is one thing that goes wrong. Which fields a kind uses, stands with the kind.
 type Fault struct {
-	Kind    string  `json:"kind"`
-	AtMS    int     `json:"at_ms"`
-	ForMS   int     `json:"for_ms,omitempty"` // 0: to the end
-	Targets []int   `json:"who,omitempty"`
-	Peers   []int   `json:"to,omitempty"`
-	Both    bool    `json:"both,omitempty"`
-	Groups  [][]int `json:"groups,omitempty"`
-	Rate    float64 `json:"rate,omitempty"`
+	Kind    Kind    `json:"kind"`             // of the fault
+	AtMS    int     `json:"at_ms"`            // its begin, from the begin of the schedule
+	ForMS   int     `json:"for_ms,omitempty"` // its duration; 0 is until the end of the schedule
+	Targets []int   `json:"who,omitempty"`    // numbers of directors; of caches or zones where the kind says so
+	Peers   []int   `json:"to,omitempty"`     // numbers of directors at the other ends of links
+	Both    bool    `json:"both,omitempty"`   // links are struck in both directions
+	Groups  [][]int `json:"groups,omitempty"` // numbers of directors, by side of a partition
+	Rate    float64 `json:"rate,omitempty"`   // how hard the fault is, in the kind's unit
 }
 
-// Schedule is what goes wrong with some directors, as data: it is printed, kept, played again and made shorter.
+// Schedule is what goes wrong with some directors, as data: it can be printed, kept, played again and made shorter.
 type Schedule struct {
-	Seed      uint64  `json:"seed"`
-	Number    int     `json:"number"`
-	Directors int     `json:"directors"`
+	Seed      uint64  `json:"seed"`      // of all that is drawn while it is played
+	Number    int     `json:"number"`    // which of the seed's random schedules it is
+	Directors int     `json:"directors"` // numbered from 0
 	LengthMS  int     `json:"length_ms"` // until the faults are over, at the most
-	Faults    []Fault `json:"faults"`
+	Faults    []Fault `json:"faults"`    // in no order
 }
 
+// Bounds of a schedule.
+const (
+	maxDirectors = 300
+	maxLengthMS  = 10 * 60 * 1000
+)
+
+// String returns the schedule as JSON, as tallybench reads it.
 func (s Schedule) String() string {
-	text, _ := json.Marshal(s)
+	text, _ := json.Marshal(s) // of numbers and strings alone
 	return string(text)
 }
 
-// Validate says what is wrong with a schedule.
+// Validate returns what is wrong with a schedule; nil where it can be played.
 func (s Schedule) Validate() error {
-	if s.Directors < 1 || s.Directors > 300 || s.LengthMS < 0 || s.LengthMS > 10*60*1000 {
-		return fmt.Errorf("directors %d, length_ms %d: 1 to 300, and ten minutes at the most", s.Directors, s.LengthMS)
+	if s.Directors < 1 || s.Directors > maxDirectors || s.LengthMS < 0 || s.LengthMS > maxLengthMS {
+		return fmt.Errorf("directors %d, length_ms %d: 1 to %d, and ten minutes at the most", s.Directors, s.LengthMS, maxDirectors)
 	}
 	for i, f := range s.Faults {
 		if !slices.Contains(kinds, f.Kind) {
@@ -77,84 +91,52 @@
 			return fmt.Errorf("faults[%d]: at_ms %d, for_ms %d: not within length_ms %d", i, f.AtMS, f.ForMS, s.LengthMS)
 		}
 		if f.Kind == ColdCaches || f.Kind == Drain || f.Kind == ZoneLoss {
-			continue // of caches
+			continue // their numbers are not of directors
 		}
-		for _, who := range append(slices.Concat(f.Groups...), append(slices.Clone(f.Targets), f.Peers...)...) {
-			if who < 0 || who >= s.Directors {
-				return fmt.Errorf("faults[%d]: there is no director %d of %d", i, who, s.Directors)
+		for _, director := range slices.Concat(slices.Concat(f.Groups...), f.Targets, f.Peers) {
+			if director < 0 || director >= s.Directors {
+				return fmt.Errorf("faults[%d]: there is no director %d of %d", i, director, s.Directors)
 			}
 		}
 	}
 	return nil
 }
 
-// Zones is how many locations there are.
-func (s Schedule) Zones() int {
-	return 1 + bit(slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == ZoneLoss }))
+// Zones returns how many zones the fleet has: two where one is to be lost.
+func (s Schedule) Zones() int { return 1 + bit(s.has(ZoneLoss)) }
+
+// has says whether the schedule has a fault of a kind.
+func (s Schedule) has(kind Kind) bool {
+	return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == kind })
 }
 
-// RandomSchedule makes schedule number so many of a seed: one to four faults in so many milliseconds, of kinds that processes can't help.
-func RandomSchedule(seed uint64, number, directors, length int) Schedule {
-	r := rand.New(rand.NewPCG(seed, uint64(number)))
-	s := Schedule{Seed: seed, Number: number, Directors: directors, LengthMS: length}
-	some := func(most int) []int {
-		return slices.Sorted(slices.Values(r.Perm(directors)[:1+r.IntN(max(1, min(most, directors-1)))]))
+// length is LengthMS as a duration.
+func (s Schedule) length() time.Duration { return millis(s.LengthMS) }
+
+// endMS returns when a fault ends, in milliseconds from the begin of the schedule.
+func (s Schedule) endMS(f Fault) int {
+	if f.ForMS == 0 {
+		return s.LengthMS
 	}
-	for range 1 + r.IntN(4) {
-		at := r.IntN(max(1, length/2))
-		f := Fault{AtMS: at, ForMS: 200 + r.IntN(max(1, length-at-200)), Targets: some(directors / 2)}
-		switch r.IntN(9) {
-		case 0, 1:
-			f.Kind, f.Peers, f.Both = CutLinks, some(directors-1), r.IntN(2) == 0
-		case 2:
-			f.Kind, f.Targets = Partition, nil
-			f.Groups = make([][]int, 2+r.IntN(2))
-			for i, who := range r.Perm(directors) {
-				f.Groups[i%len(f.Groups)] = append(f.Groups[i%len(f.Groups)], who)
-			}
-		case 3:
-			f.Kind, f.Targets, f.Rate = LossyLinks, nil, 0.01+0.1*r.Float64()
-		case 4:
-			f.Kind, f.Targets = Kill, some(directors*7/10)
-		case 5:
-			f.Kind = Pause
-		case 6:
-			f.Kind, f.ForMS = Restart, 0
-		case 7:
-			f.Kind, f.Targets = ColdCaches, []int{0, 1, 2}
-		case 8:
-			f.Kind, f.Peers = FlappingLinks, some(directors-1)
-		}
-		s.Faults = append(s.Faults, f)
+	return f.AtMS + f.ForMS
+}
+
+// lastFaultAt returns when the last fault begins, from the begin of the schedule.
+func (s Schedule) lastFaultAt() time.Duration {
+	last := 0
+	for _, f := range s.Faults {
+		last = max(last, f.AtMS)
 	}
-	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return a.AtMS - b.AtMS })
-	return s
+	return millis(last)
 }
 
-// Shrink makes a schedule that fails shorter while it still does: without one fault, then with each half as long. It tries no
-// more than so many times.
-func Shrink(s Schedule, tries int, fails func(Schedule) bool) Schedule {
-	for again := true; again && tries > 0; {
-		again = false
-		for i := 0; i < len(s.Faults) && tries > 0; i++ {
-			less := s
-			less.Faults = slices.Delete(slices.Clone(s.Faults), i, i+1)
-			if tries--; fails(less) {
-				s, again = less, true
-				i--
-			}
-		}
-		for i := 0; i < len(s.Faults) && tries > 0; i++ {
-			if s.Faults[i].ForMS < 400 {
-				continue
-			}
-			less := s
-			less.Faults = slices.Clone(s.Faults)
-			less.Faults[i].ForMS /= 2
-			if tries--; fails(less) {
-				s, again = less, true
-			}
-		}
+// millis is a number of milliseconds as a duration.
+func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+
+// bit counts a condition: 1 where it holds.
+func bit(holds bool) int {
+	if holds {
+		return 1
 	}
-	return s
+	return 0
 }
--- /dev/null
+++ b/internal/faulttest/schedule_test.go
@@ -0,0 +1,37 @@
+package faulttest
+
+import (
+	"slices"
+	"testing"
+)
+
+// TestSchedules shows that the same number gives the same schedule, that faulty ones are refused and failing ones made short.
+func TestSchedules(t *testing.T) {
+	if a, b := RandomSchedule(3, 5, 9, 8000), RandomSchedule(3, 5, 9, 8000); a.String() != b.String() || a.String() == RandomSchedule(3, 6, 9, 8000).String() {
+		t.Errorf("%v\n%v", a, b)
+	}
+	for i := range 300 {
+		if s := RandomSchedule(1, i, 2+i%9, 3000); s.Validate() != nil {
+			t.Errorf("%v: %v", s, s.Validate())
+		}
+	}
+	for _, bad := range []Schedule{
+		{Directors: 0, LengthMS: 1}, {Directors: 2, LengthMS: 10, Faults: []Fault{{Kind: "x"}}},
+		{Directors: 2, LengthMS: 10, Faults: []Fault{{Kind: Kill, AtMS: 11}}}, {Directors: 2, LengthMS: 10, Faults: []Fault{{Kind: Kill, Targets: []int{2}}}},
+	} {
+		if bad.Validate() == nil {
+			t.Errorf("%v was taken", bad)
+		}
+	}
+	s := Schedule{Directors: 5, LengthMS: 9000}
+	for i := range 8 {
+		s.Faults = append(s.Faults, Fault{Kind: []Kind{Kill, Pause, CutLinks, ColdCaches}[i%4], AtMS: i * 100, ForMS: 3000})
+	}
+	fails := func(s Schedule) bool { // a cut and a stop, the stop for a second or more
+		return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == CutLinks }) &&
+			slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Pause && f.ForMS >= 1000 })
+	}
+	if less := Shrink(s, 100, fails); len(less.Faults) != 2 || !fails(less) || less.Faults[0].ForMS+less.Faults[1].ForMS > 2000 {
+		t.Errorf("made shorter: %v", less)
+	}
+}
--- /dev/null
+++ b/internal/faulttest/slow_start_test.go
@@ -0,0 +1,190 @@
+package faulttest
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"math"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+)
+
+// countingNode is a cache node that answers every request at once, as a fill, and keeps when each came.
+type countingNode struct {
+	net.Listener
+	mu       sync.Mutex
+	arrivals []time.Time
+}
+
+// startCountingNode starts one on a free port, until the test ends.
+func startCountingNode(t *testing.T) *countingNode {
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := &countingNode{Listener: l}
+	t.Cleanup(func() { closeQuietly(l) })
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go n.serve(conn)
+		}
+	}()
+	return n
+}
+
+// serve answers one connection's requests until it ends.
+func (n *countingNode) serve(conn net.Conn) {
+	defer closeQuietly(conn)
+	for in := bufio.NewReader(conn); ; {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return
+		}
+		fields := strings.Fields(line)
+		if len(fields) != 4 || fields[0] != "want" {
+			continue
+		}
+		n.mu.Lock()
+		n.arrivals = append(n.arrivals, time.Now())
+		n.mu.Unlock()
+		if _, err := fmt.Fprintf(conn, "%s data n=pulled 2\r\nok\r\n", fields[1]); err != nil {
+			return
+		}
+	}
+}
+
+// flood asks a director for objects that nobody asked for before, as many at a time as may be open, until the context ends.
+func flood(ctx context.Context, addr string, number int, barrier <-chan struct{}) error {
+	conn, err := net.Dial("tcp4", addr)
+	if err != nil {
+		return err
+	}
+	defer closeQuietly(conn)
+	defer context.AfterFunc(ctx, func() { closeQuietly(conn) })()
+	tag := 0
+	send := func(times int) {
+		var out []byte
+		for range times {
+			tag++
+			out = redcon.AppendArray(out, 4)
+			id := fmt.Sprintf("%08x%08x", number, tag)
+			for _, w := range []string{"ASK", strconv.Itoa(tag), "clip", "txn=" + id + ",limit=3000,item=" + id + ",n=0,shard=1"} {
+				out = redcon.AppendBulkString(out, w)
+			}
+		}
+		_, _ = conn.Write(out) // a connection that ended has no further answers, which ends the loop
+	}
+	<-barrier
+	send(32)
+	for in := bufio.NewReader(conn); ; {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return nil
+		}
+		if strings.HasPrefix(line, "*") { // an answer begins
+			time.Sleep(2 * time.Millisecond)
+			send(1)
+		}
+	}
+}
+
+// TestColdCacheUnder24Directors asks 24 directors, which know nothing of one another and have one seed, all at once for more than a cold
+// cache bears. In every window it gets no more than that and what chance adds.
+func TestColdCacheUnder24Directors(t *testing.T) {
+	const directors, bears = 24, 10.0 // requests in a window at its start: 2.5 x 2 transfers x 0.2 x 2 s, 0.2 s of work each
+	const window, warm = 2 * time.Second, 30 * time.Second
+	parallel(t)
+	argv := buildProgram(t)
+	channel := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case <-time.After(500 * time.Millisecond):
+		case <-r.Context().Done():
+		}
+		_, _ = fmt.Fprint(w, `{"cursor":1,"cmds":[]}`) // a director that hung up asks again
+	}))
+	defer channel.Close()
+	began := time.Now()
+	cold := startCountingNode(t)
+	rows := []string{fmt.Sprintf(`{"name":"e9","address":%q,"zone":"town","type":"edge","status":"up","since_ms":%d}`, cold.Addr(), began.UnixMilli()),
+		fmt.Sprintf(`{"name":"p0","address":%q,"zone":"hub","type":"parent","status":"up"}`, startCountingNode(t).Addr()),
+		fmt.Sprintf(`{"name":"o","address":%q,"zone":"hub","type":"origin","status":"up"}`, startCountingNode(t).Addr())}
+	for i := range 3 {
+		rows = append(rows, fmt.Sprintf(`{"name":"e%d","address":%q,"zone":"town","type":"edge","status":"up"}`, i, startCountingNode(t).Addr()))
+	}
+	folder, all := t.TempDir(), []*Director{}
+	for i := range directors {
+		addr, err := FreeAddress()
+		if err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join(folder, fmt.Sprint(i))
+		text := fmt.Sprintf(`{"name":"n%d","listen":%q,"seed":"000000000000000a","channel":%q,"limits":{"cores":1,"memory_mb":64,"sockets":128},
+			"known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"snapshot":true,"endpoints":[%s]}}]},
+			"settings":{"zone":1,"zones":["hub","town"],"machine-types":["edge","parent","origin"],
+			"lanes":[{"name":"clip","aim":400,"aim-stretch":1,"hard-limit":3000,"repeat":"free","value":1}],
+			"contract":{"grace-to-answer":8,"cold":%d,"cold-from":0.2,"overload-for":%d,"tip-multiple":2.5,"stop-sending-within":1000},
+			"limits":{"cancel":true,"try-limit":6,"connect-timeout":400,"keepalive":30000,"max-streams":100},
+			"specifics":{"origin-kind":2,"shield-kind":1,"gone-everywhere":6000,"note-level":"all","max-age":[0],"pace-kb-per-s":1000,
+			"pipe-kb-per-s":[0,4000],"count-by-zone":[0,%d]}}}`,
+			i, addr, strings.TrimPrefix(channel.URL, "http://"), strings.Join(rows, ","), warm.Milliseconds(), window.Milliseconds(), directors)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		d := &Director{argv: argv, log: io.Discard, now: func() time.Duration { return time.Since(began) }, env: append(os.Environ(), "NODE_CONFIG="+path)}
+		d.Addr = addr
+		all = append(all, d)
+	}
+	var started sync.WaitGroup
+	for _, d := range all {
+		started.Go(func() {
+			if err := d.Start(t.Context()); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	started.Wait()
+	ctx, stop := context.WithTimeout(t.Context(), 3*window+window/2)
+	defer stop()
+	barrier := make(chan struct{})
+	var floods sync.WaitGroup
+	for i, d := range all {
+		floods.Go(func() {
+			if err := flood(ctx, d.Addr, i, barrier); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	close(barrier)
+	floods.Wait()
+	for _, d := range all {
+		d.Kill()
+	}
+	cold.mu.Lock()
+	defer cold.mu.Unlock()
+	peak := 0.0
+	for i, at := range cold.arrivals {
+		last, _ := slices.BinarySearchFunc(cold.arrivals, at.Add(window), time.Time.Compare)
+		n := bears * (1 + 4*float64(at.Sub(began))/float64(warm)) // from 0.2 of its capacity on a straight line
+		peak = max(peak, float64(last-i)/(n+2*math.Sqrt(n)+2))
+	}
+	t.Logf("%d came, at the most %.2f of what it bears", len(cold.arrivals), peak)
+	if peak > 1 || len(cold.arrivals) == 0 { // eleven by the budgets' sum
+		t.Errorf("%d came, at the most %.2f of what it bears and what chance has beyond", len(cold.arrivals), peak)
+	}
+}
