--- a/internal/experiment/cores.go
+++ b/internal/experiment/cores.go
@@ -24,17 +24,17 @@
 // Cores is what `tallybench cores` plays.
 type Cores struct {
 	Cores       []int         `default:"1,2,4" placeholder:"N,..." help:"Cores of the director."`
-	Mix         []string      `default:"thumbnails,clips,picks" help:"What is asked for."`
-	Seconds     time.Duration `default:"5s" help:"How long each is measured."`
+	Mix         []string      `name:"mix" default:"thumbnails,clips,picks" help:"What is asked for."`
+	Seconds     time.Duration `name:"seconds" default:"5s" help:"How long each is measured."`
 	Connections int           `default:"64" help:"Clients' connections."`
-	Depth       int           `default:"16" help:"Downloads that one has open together, when as many as can be are asked for."`
+	Depth       int           `name:"depth" default:"16" help:"Downloads that one has open together, when as many as can be are asked for."`
 	Rate        float64       `default:"0" help:"Downloads a second for each core, sent by the clock; 0: as many as can be."`
 	Division    string        `default:"whole" enum:"whole,divided,separate" help:"whole: one belief; divided: one a core; separate: a director a core."`
-	Plain       bool          `help:"Give the director no operator's file: for versions without."`
-	Boxes       int           `default:"8" help:"Caches."`
-	Profile     string        `placeholder:"FILE" help:"Have the director write profiles there."`
+	Plain       bool          `name:"plain" help:"Give the director no operator's file: for versions without."`
+	Boxes       int           `name:"boxes" default:"8" help:"Caches."`
+	Profile     string        `name:"profile" placeholder:"FILE" help:"Have the director write profiles there."`
 	JSON        bool          `name:"json" help:"Print one JSON object."`
-	Plot        string        `placeholder:"FILE.png" help:"Draw rate and latency over cores."`
+	Plot        string        `name:"plot" placeholder:"FILE.png" help:"Draw rate and latency over cores."`
 	DirectorAt  string        `name:"director" placeholder:"FILE" help:"The director's program; by default the one beside this."`
 
 	Argv []string  `kong:"-"`
--- a/internal/experiment/fleetsim.go
+++ b/internal/experiment/fleetsim.go
@@ -17,17 +17,17 @@
 // FleetSim is what `tallybench fleet` plays: changes of a fleet in simulated time, by the real state machines, over a network and
 // machines that fail.
 type FleetSim struct {
-	Instances []int   `default:"20,100,500" placeholder:"N,..." help:"Agents, with a director each."`
+	Instances []int   `name:"instances" default:"20,100,500" placeholder:"N,..." help:"Agents, with a director each."`
 	Schedules int     `default:"100" help:"Random schedules of faults for each size; each is a change."`
-	Loss      float64 `default:"0.05" help:"Share of messages that are lost,"`
-	Twice     float64 `default:"0.05" help:"or come twice."`
-	Deaths    float64 `default:"0.02" help:"Share of agents that die during a change, and come back."`
-	ToolDies  float64 `default:"0.3" help:"Share of changes whose tool dies, to be resumed by another."`
-	Cuts      float64 `default:"0.1" help:"Share of changes during which a part of the agents, or the tool, is cut off for a while."`
-	Limit     int     `default:"0" help:"So many directors at a time; 0: all at once."`
+	Loss      float64 `name:"loss" default:"0.05" help:"Share of messages that are lost,"`
+	Twice     float64 `name:"twice" default:"0.05" help:"or come twice."`
+	Deaths    float64 `name:"deaths" default:"0.02" help:"Share of agents that die during a change, and come back."`
+	ToolDies  float64 `name:"tool-dies" default:"0.3" help:"Share of changes whose tool dies, to be resumed by another."`
+	Cuts      float64 `name:"cuts" default:"0.1" help:"Share of changes during which a part of the agents, or the tool, is cut off for a while."`
+	Limit     int     `name:"limit" default:"0" help:"So many directors at a time; 0: all at once."`
 	Seed      uint64  `default:"1" help:"Of all chance."`
-	Only      int     `default:"-1" help:"Play the schedule of this number alone, and show its messages."`
-	Steps     int     `default:"0" help:"After so many events a schedule counts as one without an end; 0: 2,000 an agent, 20,000 at least."`
+	Only      int     `name:"only" default:"-1" help:"Play the schedule of this number alone, and show its messages."`
+	Steps     int     `name:"steps" default:"0" help:"After so many events a schedule counts as one without an end; 0: 2,000 an agent, 20,000 at least."`
 	JSON      bool    `name:"json" help:"Print one JSON object."`
 }
 
--- a/internal/experiment/peers.go
+++ b/internal/experiment/peers.go
@@ -14,21 +14,21 @@
 
 // Peers is what `tallybench peers` plays: directors that know each other, and faults between them.
 type Peers struct {
-	Instances  []int    `default:"5" help:"Directors, as processes."`
+	Instances  []int    `name:"instances" default:"5" help:"Directors, as processes."`
 	Faults     []string `default:"seven" enum:"none,oneway,halves,thirds,stop,restart,seven,zone,away,flap,twin,loss,liar,term,drawn" help:"What goes wrong: ${enum}."`
 	Simulated  []int    `placeholder:"N,..." help:"Directors in simulated time instead, with the modules that decide and a detector that is late and wrong."`
-	Together   []int    `placeholder:"N,..." help:"Detectors alone, in one process and by the clock, instead: how long until all know of deaths."`
-	Slow       int      `default:"1" help:"All of that so many times slower, for more detectors than the machine has processors for; times are told divided by it."`
+	Together   []int    `name:"together" placeholder:"N,..." help:"Detectors alone, in one process and by the clock, instead: how long until all know of deaths."`
+	Slow       int      `name:"slow" default:"1" help:"All of that so many times slower, for more detectors than the machine has processors for; times are told divided by it."`
 	Schedules  int      `default:"1" help:"Schedules of each."`
-	Only       int      `default:"-1" help:"The schedule of this number alone."`
-	Schedule   string   `placeholder:"FILE" help:"A schedule as it was printed, instead."`
+	Only       int      `name:"only" default:"-1" help:"The schedule of this number alone."`
+	Schedule   string   `name:"schedule" placeholder:"FILE" help:"A schedule as it was printed, instead."`
 	Shrink     bool     `help:"Make a schedule that fails short, and print it."`
-	Beside     bool     `help:"The same with fixed parts, beside it."`
+	Beside     bool     `name:"beside" help:"The same with fixed parts, beside it."`
 	Seed       uint64   `default:"1" help:"Of schedules, clients and objects."`
-	Boxes      int      `default:"8" help:"Caches."`
+	Boxes      int      `name:"boxes" default:"8" help:"Caches."`
 	Clients    int      `default:"200" help:"Clients."`
 	Load       float64  `default:"0.4" help:"What clients ask for, over what warm caches can do."`
-	History    bool     `help:"Print what every process saw and did."`
+	History    bool     `name:"history" help:"Print what every process saw and did."`
 	JSON       bool     `name:"json" help:"Print one JSON object."`
 	DirectorAt string   `name:"director" placeholder:"FILE" help:"The director's program; by default the one beside this."`
 
--- a/internal/experiment/start.go
+++ b/internal/experiment/start.go
@@ -19,14 +19,14 @@
 type Start struct {
 	Directors  []int         `default:"40" help:"Directors."`
 	Faults     []string      `default:"away,event" enum:"none,away,retry,hangs,half,event,events,seven,followers,halves,move,roll" help:"What goes wrong: ${enum}. The list service answers 503, with a time to come back, hangs, breaks answers off; an event comes, one every 200 ms; the rest under load."`
-	Phase      time.Duration `default:"2s" help:"How long each phase goes on."`
+	Phase      time.Duration `name:"phase" default:"2s" help:"How long each phase goes on."`
 	Peers      bool          `default:"true" negatable:"" help:"Directors that know each other."`
-	Beside     bool          `default:"true" negatable:"" help:"The same with directors that don't, beside it."`
-	Service    float64       `default:"0" help:"Answers a second that the list service can give; 0 for any."`
-	Lines      float64       `default:"0" help:"Events a second that it can put into them; 0 for any."`
-	Patience   time.Duration `default:"500ms" help:"It turns calls away whose answer would take longer."`
+	Beside     bool          `name:"beside" default:"true" negatable:"" help:"The same with directors that don't, beside it."`
+	Service    float64       `name:"service" default:"0" help:"Answers a second that the list service can give; 0 for any."`
+	Lines      float64       `name:"lines" default:"0" help:"Events a second that it can put into them; 0 for any."`
+	Patience   time.Duration `name:"patience" default:"500ms" help:"It turns calls away whose answer would take longer."`
 	Simulated  []int         `placeholder:"N,..." help:"Directors in simulated time instead, with the modules that decide."`
-	Boxes      int           `default:"8" help:"Caches, cold ones, there."`
+	Boxes      int           `name:"boxes" default:"8" help:"Caches, cold ones, there."`
 	Clients    int           `default:"300" help:"Clients there."`
 	Load       float64       `default:"0.4" help:"What they ask for, over what warm caches can do."`
 	Seed       uint64        `default:"1" help:"Of the world."`
--- a/internal/experiment/storm.go
+++ b/internal/experiment/storm.go
@@ -22,27 +22,27 @@
 // Storm is what `tallybench storm` plays.
 type Storm struct {
 	Clients    int           `default:"2000" help:"Clients that connect."`
-	Within     time.Duration `default:"1s" help:"The time within which they do."`
-	Ignore     float64       `default:"0.25" placeholder:"SHARE" help:"Share of clients that ignore the time they are told."`
-	Unmarked   float64       `default:"0" placeholder:"SHARE" help:"Share of clients that don't mark their repeats."`
-	Silent     int           `default:"0" help:"Further clients that connect and say nothing."`
+	Within     time.Duration `name:"within" default:"1s" help:"The time within which they do."`
+	Ignore     float64       `name:"ignore" default:"0.25" placeholder:"SHARE" help:"Share of clients that ignore the time they are told."`
+	Unmarked   float64       `name:"unmarked" default:"0" placeholder:"SHARE" help:"Share of clients that don't mark their repeats."`
+	Silent     int           `name:"silent" default:"0" help:"Further clients that connect and say nothing."`
 	Directors  int           `default:"3" help:"Directors."`
-	Boxes      int           `default:"8" help:"Caches."`
+	Boxes      int           `name:"boxes" default:"8" help:"Caches."`
 	Cores      int           `default:"1" help:"Cores of a director."`
 	Divided    bool          `hidden:"" help:"Beliefs divided over the cores."`
 	Load       float64       `default:"0.5" help:"What clients ask for once all is calm, over what warm caches can do."`
-	Day        string        `default:"storm" enum:"storm,morning,popular" help:"storm: all at once on cold caches; morning: by and by on warm ones; popular: one object on warm ones."`
+	Day        string        `name:"day" default:"storm" enum:"storm,morning,popular" help:"storm: all at once on cold caches; morning: by and by on warm ones; popular: one object on warm ones."`
 	Sockets    int           `name:"limit-sockets" default:"512" help:"Descriptors of a director."`
 	MemoryMB   int           `name:"limit-memory" default:"64" help:"Memory of a director."`
-	Trouble    []string      `placeholder:"NAME,..." enum:"drain,purge,restart,roll,reload,die,second,slow,turnover,mute,spoil,reset,pause" help:"What goes wrong meanwhile: ${enum}."`
-	Pause      time.Duration `default:"4s" help:"How long a director is stopped for, with --trouble pause."`
+	Trouble    []string      `name:"trouble" placeholder:"NAME,..." enum:"drain,purge,restart,roll,reload,die,second,slow,turnover,mute,spoil,reset,pause" help:"What goes wrong meanwhile: ${enum}."`
+	Pause      time.Duration `name:"pause" default:"4s" help:"How long a director is stopped for, with --trouble pause."`
 	Peers      bool          `help:"Directors that know each other."`
-	Guard      string        `default:"on" enum:"on,off,fixed" help:"on: places; fixed: the same time for all; off: no time."`
+	Guard      string        `name:"guard" default:"on" enum:"on,off,fixed" help:"on: places; fixed: the same time for all; off: no time."`
 	Seed       uint64        `default:"1" help:"Of clients and objects."`
 	Duration   time.Duration `default:"30s" help:"How long it goes on."`
-	Retries    int           `default:"12" help:"A client's further tries of a download, while its time lasts."`
-	Wait       time.Duration `default:"100ms" help:"Between the tries of a client with no time to wait for."`
-	Plot       string        `placeholder:"FILE.png" help:"Draw demand, advice and load over time."`
+	Retries    int           `name:"retries" default:"12" help:"A client's further tries of a download, while its time lasts."`
+	Wait       time.Duration `name:"wait" default:"100ms" help:"Between the tries of a client with no time to wait for."`
+	Plot       string        `name:"plot" placeholder:"FILE.png" help:"Draw demand, advice and load over time."`
 	JSON       bool          `name:"json" help:"Print one JSON object."`
 	DirectorAt string        `name:"director" placeholder:"FILE" help:"The director's program; by default the one beside this."`
 
--- a/internal/experiment/work.go
+++ b/internal/experiment/work.go
@@ -13,13 +13,13 @@
 
 // Work is what `tallybench plan` plays: orders in which machines are taken out for work, as the planner makes them, without processes.
 type Work struct {
-	Depots    int     `default:"10" help:"Locations."`
-	Boxes     int     `default:"170" help:"Caches, over all of them, unequally."`
+	Depots    int     `name:"depots" default:"10" help:"Locations."`
+	Boxes     int     `name:"boxes" default:"170" help:"Caches, over all of them, unequally."`
 	Parents   int     `default:"30" help:"Parents, over three hubs."`
 	Jobs      int     `default:"60" help:"Machines to be taken out."`
 	Demand    float64 `default:"0.5" help:"What is asked for at the busiest time, over what all can do; 0.4 of that at night."`
 	Schedules int     `default:"20" help:"Sites and jobs that are drawn."`
-	Small     int     `default:"200" help:"Small ones, of seven jobs, on which the fast planner is set against the exact one."`
+	Small     int     `name:"small" default:"200" help:"Small ones, of seven jobs, on which the fast planner is set against the exact one."`
 	Seed      uint64  `default:"1" help:"Of sites and jobs."`
 	JSON      bool    `name:"json" help:"Print one JSON object."`
 }
