--- a/cmd/tallybench/main.go
+++ b/cmd/tallybench/main.go
@@ -25,12 +25,12 @@
 }
 
 type fleetCommand struct {
-	experiment.FleetSim
+	experiment.Rollout
 }
 
 // Run plays changes of fleets under faults.
 func (c *fleetCommand) Run() error {
-	runs, err := c.Play()
+	runs, err := c.Execute()
 	if err != nil {
 		return err
 	}
@@ -42,13 +42,13 @@
 			"after fault | messages  between  by hand ms")
 	}
 	for _, r := range runs {
-		neither, unended = neither+r.Neither, unended+r.Unended
+		neither, unended = neither+r.Inconsistent, unended+r.Unfinished
 		if !c.JSON {
 			fmt.Printf("%9d %9d %7d %9d %6d %7d %7d | %11.0f %7.0f %10.0f | %12.0f %7.0f %12.0f | %8.0f %8.0f %11.0f\n", r.Instances, r.Schedules,
-				r.Changed, r.Untouched, r.Partly, r.Neither, r.Unended, r.P50, r.P99, r.LivedP99, r.KnownP50, r.KnownP99, r.Fault, r.Messages,
-				r.Between, r.OneByOne)
+				r.Changed, r.Untouched, r.Partial, r.Inconsistent, r.Unfinished, r.P50, r.P99, r.NoCrashP99, r.KnownP50, r.KnownP99, r.SettledP99, r.ToolMessages,
+				r.AgentMessages, r.Sequential)
 		}
-		for _, why := range r.Stuck {
+		for _, why := range r.Problems {
 			fmt.Fprintln(os.Stderr, why)
 		}
 	}
@@ -59,54 +59,54 @@
 }
 
 type startCommand struct {
-	experiment.Start
+	experiment.Startup
 }
 
 // Run plays a start.
 func (c *startCommand) Run(ctx context.Context) (err error) {
-	if c.Argv, err = beside(c.DirectorAt); err != nil {
+	if c.Argv, err = findDirector(c.DirectorPath); err != nil {
 		return err
 	}
-	r, err := c.Play(ctx)
+	r, err := c.Execute(ctx)
 	if err != nil {
 		return err
 	}
 	broken := strings.Join(r.Broken(), ", ")
 	if r.Crashes > 0 {
-		broken += ": " + r.Runs[0].Why
+		broken += ": " + r.Runs[0].CrashReasons
 	}
-	return ended(c.JSON, r, func() { fmt.Print(r.Table()) }, broken)
+	return printResult(c.JSON, r, func() { fmt.Print(r.Table()) }, broken)
 }
 
 type peersCommand struct {
-	experiment.Peers
+	experiment.Membership
 	Verbose bool `short:"v" help:"Show the directors' log."`
 }
 
 // Run plays faults between directors.
 func (c *peersCommand) Run(ctx context.Context) (err error) {
-	if c.Argv, err = beside(c.DirectorAt); err != nil {
+	if c.Argv, err = findDirector(c.DirectorPath); err != nil {
 		return err
 	}
 	if c.Verbose {
 		c.Log = os.Stderr
 	}
-	r, err := c.Play(ctx)
+	r, err := c.Execute(ctx)
 	if err != nil {
 		return err
 	}
-	return ended(c.JSON, r, func() {
+	return printResult(c.JSON, r, func() {
 		fmt.Println("directors faults    schedules rules lost over fallen unended | parts  death p50   p99 ms  one view | wrong/h  " +
 			"packets/s  bytes/s   MB | share   recovery ms  cold peak")
 		for _, x := range r.Runs {
-			for i, y := range []*experiment.PeersRun{x, x.Fixed} {
+			for i, y := range []*experiment.MembershipRun{x, x.FixedQuota} {
 				if y != nil {
 					fmt.Printf("%9d %-9s %9d %5d %4d %4d %6d %7d | %5.2f %10.0f %8.0f %9.0f | %7.1f %10.1f %8.0f %4.0f | %.4f %11.0f %10.3f%s\n",
-						y.Instances, y.Faults, y.Schedules, y.Rules, y.Lost, y.Over, y.Fallen, y.Unended, y.PartsPeak, y.DeathP50, y.DeathP99,
-						y.OneViewP99, y.Wrong, y.Packets, y.Bytes, y.Memory, y.Share, y.Recovery, y.ColdPeak, []string{"", "  fixed parts"}[i])
+						y.Directors, y.Faults, y.Schedules, y.RulesBroken, y.Lost, y.QuotaExceeded, y.OverloadedNodes, y.Unfinished, y.PeakQuotaSum, y.DetectionP50, y.DetectionP99,
+						y.ConvergenceP99, y.FalseFailures, y.Packets, y.Bytes, y.Memory, y.SuccessShare, y.Recovery, y.PeakColdLoad, []string{"", "  fixed parts"}[i])
 				}
 			}
-			for _, why := range append(x.Why, x.Failing...) {
+			for _, why := range append(x.Reasons, x.Failing...) {
 				fmt.Fprintln(os.Stderr, why)
 			}
 		}
@@ -114,16 +114,16 @@
 }
 
 type planCommand struct {
-	experiment.Work
+	experiment.MaintenancePlan
 }
 
 // Run plans work.
 func (c *planCommand) Run() error {
-	r, err := c.Play()
+	r, err := c.Execute()
 	if err != nil {
 		return err
 	}
-	return ended(c.JSON, r, func() { fmt.Print(r.Table()) }, r.Broken())
+	return printResult(c.JSON, r, func() { fmt.Print(r.Table()) }, r.Broken())
 }
 
 type coresCommand struct {
@@ -132,23 +132,23 @@
 
 // Run measures a director on several cores.
 func (c *coresCommand) Run(ctx context.Context) (err error) {
-	if c.Argv, err = beside(c.DirectorAt); err != nil {
+	if c.Argv, err = findDirector(c.DirectorPath); err != nil {
 		return err
 	}
-	r, err := c.Play(ctx)
+	r, err := c.Execute(ctx)
 	if err != nil {
 		return err
 	}
-	if c.Plot != "" {
-		if err := experiment.DrawCores(c.Plot, r); err != nil {
+	if c.PlotPath != "" {
+		if err := experiment.DrawCores(c.PlotPath, r); err != nil {
 			return fmt.Errorf("--plot: %w", err)
 		}
 	}
-	return ended(c.JSON, r, func() {
+	return printResult(c.JSON, r, func() {
 		fmt.Println("cores  own  rate/s   p50 ms   p99 ms  p99.9 ms  cpu µs  rss MB  throttled  failed")
 		for _, x := range r.Runs {
 			fmt.Printf("%5d  %-4v %7.0f %8.2f %8.2f %9.2f %7.1f %7.1f %10d %7d\n", x.Cores, x.OwnCores, x.Rate, x.P50, x.P99, x.P999,
-				x.CPU, x.RSS, x.Throttled, x.Failed)
+				x.CPUPerAnswer, x.PeakMemoryMB, x.Rejected, x.Failed)
 		}
 	}, strings.Join(r.Broken(), "; "))
 }
@@ -171,8 +171,8 @@
 	}
 }
 
-// ended prints a result, as JSON or for people, and is an error where something broke.
-func ended(asJSON bool, result any, table func(), broken string) error {
+// printResult prints a result, as JSON or for people, and is an error where something broke.
+func printResult(asJSON bool, result any, table func(), broken string) error {
 	if asJSON {
 		if err := json.NewEncoder(os.Stdout).Encode(result); err != nil {
 			return err
@@ -186,8 +186,8 @@
 	return nil
 }
 
-// beside finds the director's program: the one that is named, or the one in this program's folder.
-func beside(named string) ([]string, error) {
+// findDirector finds the director's program: the one that is named, or the one in this program's folder.
+func findDirector(named string) ([]string, error) {
 	if named == "" {
 		self, err := os.Executable()
 		if err != nil {
@@ -203,22 +203,22 @@
 
 // Run plays a storm.
 func (c *stormCommand) Run(ctx context.Context) (err error) {
-	if c.Argv, err = beside(c.DirectorAt); err != nil {
+	if c.Argv, err = findDirector(c.DirectorPath); err != nil {
 		return err
 	}
 	if c.Verbose {
 		c.Log = os.Stderr
 	}
-	r, err := c.Play(ctx)
+	r, err := c.Execute(ctx)
 	if err != nil {
 		return err
 	}
-	if c.Plot != "" {
-		if err := experiment.DrawStorm(c.Plot, r); err != nil {
+	if c.PlotPath != "" {
+		if err := experiment.DrawStorm(c.PlotPath, r); err != nil {
 			return fmt.Errorf("--plot: %w", err)
 		}
 	}
-	return ended(c.JSON, r, func() {
+	return printResult(c.JSON, r, func() {
 		table, _ := json.MarshalIndent(r, "", "  ")
 		fmt.Println(strings.NewReplacer(`"`, "", ",", "", "{\n", "", "\n}", "").Replace(string(table)))
 	}, strings.Join(r.Broken(), ", "))
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -42,7 +42,7 @@
 		log.Fatal(err)
 	}
 	defer w.Close()
-	f, err := experiment.NewFleet(w, dir, 3, 1, []string{director}, "storm(mode = \"guard\")\n", *peers)
+	f, err := experiment.NewLoopbackFleet(w, dir, 3, 1, []string{director}, "storm(mode = \"guard\")\n", *peers)
 	if err != nil {
 		log.Fatal(err)
 	}
--- a/internal/experiment/cores.go
+++ b/internal/experiment/cores.go
@@ -23,19 +23,19 @@
 
 // Cores is what `tallybench cores` plays.
 type Cores struct {
-	Cores       []int         `default:"1,2,4" placeholder:"N,..." help:"Cores of the director."`
-	Mix         []string      `name:"mix" default:"thumbnails,clips,picks" help:"What is asked for."`
-	Seconds     time.Duration `name:"seconds" default:"5s" help:"How long each is measured."`
-	Connections int           `default:"64" help:"Clients' connections."`
-	Depth       int           `name:"depth" default:"16" help:"Downloads that one has open together, when as many as can be are asked for."`
-	Rate        float64       `default:"0" help:"Downloads a second for each core, sent by the clock; 0: as many as can be."`
-	Division    string        `default:"whole" enum:"whole,divided,separate" help:"whole: one belief; divided: one a core; separate: a director a core."`
-	Plain       bool          `name:"plain" help:"Give the director no operator's file: for versions without."`
-	Boxes       int           `name:"boxes" default:"8" help:"Caches."`
-	Profile     string        `name:"profile" placeholder:"FILE" help:"Have the director write profiles there."`
-	JSON        bool          `name:"json" help:"Print one JSON object."`
-	Plot        string        `name:"plot" placeholder:"FILE.png" help:"Draw rate and latency over cores."`
-	DirectorAt  string        `name:"director" placeholder:"FILE" help:"The director's program; by default the one beside this."`
+	Cores        []int         `default:"1,2,4" placeholder:"N,..." help:"Cores of the director."`
+	ContentTypes []string      `name:"mix" default:"thumbnails,clips,picks" help:"What is asked for."`
+	Duration     time.Duration `name:"seconds" default:"5s" help:"How long each is measured."`
+	Connections  int           `default:"64" help:"Clients' connections."`
+	Pipelining   int           `name:"depth" default:"16" help:"Downloads that one has open together, when as many as can be are asked for."`
+	Rate         float64       `default:"0" help:"Downloads a second for each core, sent by the clock; 0: as many as can be."`
+	Division     string        `default:"whole" enum:"whole,divided,separate" help:"whole: one belief; divided: one a core; separate: a director a core."`
+	NoScript     bool          `name:"plain" help:"Give the director no operator's file: for versions without."`
+	CacheNodes   int           `name:"boxes" default:"8" help:"Caches."`
+	ProfileDir   string        `name:"profile" placeholder:"FILE" help:"Have the director write profiles there."`
+	JSON         bool          `name:"json" help:"Print one JSON object."`
+	PlotPath     string        `name:"plot" placeholder:"FILE.png" help:"Draw rate and latency over cores."`
+	DirectorPath string        `name:"director" placeholder:"FILE" help:"The director's program; by default the one beside this."`
 
 	Argv []string  `kong:"-"`
 	Log  io.Writer `kong:"-"`
@@ -43,21 +43,21 @@
 
 // CoresRun is what came of one number of cores.
 type CoresRun struct {
-	Cores       int     `json:"cores"`
-	OwnCores    bool    `json:"own_cores"` // the director had cores that the load did not use
-	LoadCores   int     `json:"load_cores"`
-	Rate        float64 `json:"rate"` // fulfilled a second
-	P50         float64 `json:"p50_ms"`
-	P99         float64 `json:"p99_ms"`
-	P999        float64 `json:"p999_ms"`
-	CPU         float64 `json:"cpu_us_per_answer"` // of the directors
-	RSS         float64 `json:"rss_mb_peak"`
-	Throttled   int     `json:"throttled"`
-	Failed      int     `json:"failed"`
-	Lost        int     `json:"lost"`
-	DoubleFinal int     `json:"double_final"`
-	Wrong       int     `json:"wrong_bytes"`
-	Twice       int     `json:"effects_twice"`
+	Cores           int     `json:"cores"`
+	OwnCores        bool    `json:"own_cores"` // the director had cores that the load did not use
+	LoadCores       int     `json:"load_cores"`
+	Rate            float64 `json:"rate"` // fulfilled a second
+	P50             float64 `json:"p50_ms"`
+	P99             float64 `json:"p99_ms"`
+	P999            float64 `json:"p999_ms"`
+	CPUPerAnswer    float64 `json:"cpu_us_per_answer"` // of the directors
+	PeakMemoryMB    float64 `json:"rss_mb_peak"`
+	Rejected        int     `json:"throttled"`
+	Failed          int     `json:"failed"`
+	Lost            int     `json:"lost"`
+	DoubleFinal     int     `json:"double_final"`
+	WrongBodies     int     `json:"wrong_bytes"`
+	RepeatedEffects int     `json:"effects_twice"`
 }
 
 // CoresResult is what came of it all.
@@ -69,7 +69,7 @@
 // Broken names the rules that broke.
 func (r CoresResult) Broken() (rules []string) {
 	for _, run := range r.Runs {
-		if run.Lost+run.DoubleFinal+run.Wrong+run.Twice > 0 {
+		if run.Lost+run.DoubleFinal+run.WrongBodies+run.RepeatedEffects > 0 {
 			rules = append(rules, fmt.Sprintf("with %d cores: %+v", run.Cores, run))
 		}
 	}
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// allowed are the cores that this program may use.
-func allowed() (cores []int, err error) {
+// allowedCores are the cores that this program may use.
+func allowedCores() (cores []int, err error) {
 	var set unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &set); err != nil {
 		return nil, err
@@ -112,10 +112,10 @@
 	return cores, nil
 }
 
-// Play plays it.
-func (s *Cores) Play(ctx context.Context) (r CoresResult, err error) {
+// Execute plays it.
+func (s *Cores) Execute(ctx context.Context) (r CoresResult, err error) {
 	r.Division = s.Division
-	all, err := allowed()
+	all, err := allowedCores()
 	if err != nil {
 		return r, err
 	}
@@ -123,7 +123,7 @@
 		if n < 1 {
 			return r, fmt.Errorf("--cores: %d is under 1", n)
 		}
-		run, err := s.play(ctx, n, all)
+		run, err := s.playCores(ctx, n, all)
 		if err != nil {
 			return r, fmt.Errorf("with %d cores: %w", n, err)
 		}
@@ -133,7 +133,7 @@
 }
 
 func (s *Cores) spec(directors int) (fakes.Spec, error) {
-	spec := fakes.DefaultSpec(s.Boxes, directors)
+	spec := fakes.DefaultSpec(s.CacheNodes, directors)
 	spec.Instant, spec.ColdEdges, spec.LinkCapacity, spec.Objects = true, false, 1e5, 10_000
 	known := map[string]fakes.ContentType{}
 	for _, t := range spec.ContentTypes {
@@ -141,7 +141,7 @@
 	}
 	spec.ContentTypes = nil
 	sum := 0.0
-	for _, name := range s.Mix {
+	for _, name := range s.ContentTypes {
 		t, ok := known[name]
 		if !ok {
 			return spec, fmt.Errorf("--mix: %q is none of thumbnails, clips, picks", name)
@@ -158,7 +158,7 @@
 	return spec, nil
 }
 
-func (s *Cores) play(ctx context.Context, n int, all []int) (run CoresRun, err error) {
+func (s *Cores) playCores(ctx context.Context, n int, all []int) (run CoresRun, err error) {
 	run.Cores, run.LoadCores = n, len(all)
 	directorCores, loadCores := all, all
 	if run.OwnCores = n < len(all); run.OwnCores {
@@ -189,17 +189,17 @@
 	}
 	defer os.RemoveAll(folder)
 	script, argv := fmt.Sprintf("machine(cores = %d)\n", cores), s.Argv
-	if s.Plain {
+	if s.NoScript {
 		script = ""
 	}
 	if s.Division == "divided" {
 		argv = append(append([]string(nil), argv...), "--divided")
 	}
-	if s.Profile != "" {
-		argv = append(append([]string(nil), argv...), "--profile", s.Profile)
+	if s.ProfileDir != "" {
+		argv = append(append([]string(nil), argv...), "--profile", s.ProfileDir)
 	}
 	var text bytes.Buffer
-	log := &counter{to: &text}
+	log := &directorLog{output: &text}
 	var processes []*faulttest.Director
 	defer func() {
 		for _, d := range processes {
@@ -224,20 +224,20 @@
 	}
 	warm := time.Second
 	from := time.Now().Add(warm)
-	playing, leave := context.WithTimeout(ctx, warm+s.Seconds)
+	playing, leave := context.WithTimeout(ctx, warm+s.Duration)
 	defer leave()
-	var streams []*stream
+	var streams []*loadConnection
 	var wait sync.WaitGroup
 	failed := make([]error, s.Connections)
 	for i := range s.Connections {
-		st := newStream(w, processes[i%directors].Addr, s.Depth, every, uint64(i)+1)
+		st := newLoadConnection(w, processes[i%directors].Addr, s.Pipelining, every, uint64(i)+1)
 		streams = append(streams, st)
 		wait.Go(func() { failed[i] = st.run(playing, from) })
 	}
 	time.Sleep(time.Until(from))
-	before := cpu(processes)
-	time.Sleep(time.Until(from.Add(s.Seconds)))
-	used := cpu(processes) - before
+	before := cpuTime(processes)
+	time.Sleep(time.Until(from.Add(s.Duration)))
+	used := cpuTime(processes) - before
 	wait.Wait()
 	hist := hdrhistogram.New(1, 10_000_000, 3)
 	fulfilled := 0
@@ -246,20 +246,20 @@
 			return run, failed[i]
 		}
 		hist.Merge(st.hist)
-		fulfilled += st.fulfilled
-		run.Throttled += st.throttled
+		fulfilled += st.succeeded
+		run.Rejected += st.rejected
 		run.Failed += st.failed
 		run.Lost += st.lost
-		run.DoubleFinal += st.twice
-		run.Wrong += st.wrong
+		run.DoubleFinal += st.duplicates
+		run.WrongBodies += st.wrongBodies
 	}
-	run.Twice = w.RepeatedInstantEffects()
-	run.Rate = math.Round(float64(fulfilled) / s.Seconds.Seconds())
+	run.RepeatedEffects = w.RepeatedInstantEffects()
+	run.Rate = math.Round(float64(fulfilled) / s.Duration.Seconds())
 	ms := func(q float64) float64 { return float64(hist.ValueAtQuantile(q)) / 1000 }
 	run.P50, run.P99, run.P999 = ms(50), ms(99), ms(99.9)
-	run.CPU = math.Round(used.Seconds()/float64(max(1, fulfilled))*1e8) / 100
+	run.CPUPerAnswer = math.Round(used.Seconds()/float64(max(1, fulfilled))*1e8) / 100
 	for _, d := range processes {
-		run.RSS += math.Round(d.Memory()*10) / 10
+		run.PeakMemoryMB += math.Round(d.Memory()*10) / 10
 	}
 	return run, nil
 }
@@ -278,8 +278,8 @@
 	return <-done
 }
 
-// cpu is the processor time that directors have used.
-func cpu(of []*faulttest.Director) (sum time.Duration) {
+// cpuTime is the processor time that directors have used.
+func cpuTime(of []*faulttest.Director) (sum time.Duration) {
 	for _, d := range of {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID()))
 		_, rest, _ := strings.Cut(string(text), ") ")
--- a/internal/experiment/cores_test.go
+++ b/internal/experiment/cores_test.go
@@ -26,15 +26,15 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := c.cores
-			s.Mix, s.Seconds, s.Connections, s.Depth = []string{"thumbnails", "clips", "picks"}, time.Second/2, 16, 4
-			s.Boxes, s.Argv = 4, argv(t)
+			s.ContentTypes, s.Duration, s.Connections, s.Pipelining = []string{"thumbnails", "clips", "picks"}, time.Second/2, 16, 4
+			s.CacheNodes, s.Argv = 4, argv(t)
 			if s.Cores[0] == 300 { // the file may ask for no more than 256: refused, with its key
-				if _, err := s.Play(t.Context()); err == nil {
+				if _, err := s.Execute(t.Context()); err == nil {
 					t.Error("300 cores were taken")
 				}
 				return
 			}
-			r, err := s.Play(t.Context())
+			r, err := s.Execute(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -43,7 +43,7 @@
 			}
 		})
 	}
-	if _, err := (&Cores{Cores: []int{0}}).Play(t.Context()); err == nil {
+	if _, err := (&Cores{Cores: []int{0}}).Execute(t.Context()); err == nil {
 		t.Error("no core at all was taken")
 	}
 }
@@ -54,26 +54,26 @@
 		name  string
 		storm Storm
 	}{
-		{"a drain, a purge, the list turned over ten times a second", Storm{Trouble: []string{"drain", "purge", "turnover"}}},
-		{"rolled and reloaded under load", Storm{Trouble: []string{"roll", "reload"}}},
-		{"boxes that say nothing, spoil answers and reset connections", Storm{Trouble: []string{"mute", "spoil", "reset"}}},
-		{"one object is most of the traffic", Storm{Day: "popular"}},
-		{"boxes that die and are slow, a second storm", Storm{Trouble: []string{"die", "slow", "second"}}},
+		{"a drain, a purge, the list turned over ten times a second", Storm{Faults: []string{"drain", "purge", "turnover"}}},
+		{"rolled and reloaded under load", Storm{Faults: []string{"roll", "reload"}}},
+		{"boxes that say nothing, spoil answers and reset connections", Storm{Faults: []string{"mute", "spoil", "reset"}}},
+		{"one object is most of the traffic", Storm{Scenario: "popular"}},
+		{"boxes that die and are slow, a second storm", Storm{Faults: []string{"die", "slow", "second"}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := c.storm
-			s.Clients, s.Within, s.Seed, s.Guard, s.Argv, s.Ignore = 400, time.Second, 1, "on", argv(t), 0.25
-			s.Retries, s.Wait, s.MemoryMB, s.Sockets = 12, 100*time.Millisecond, 128, 512
-			if s.Day == "" {
-				s.Day = "storm"
+			s.Clients, s.ConnectWindow, s.Seed, s.OverloadMode, s.Argv, s.IgnoreShare = 400, time.Second, 1, "on", argv(t), 0.25
+			s.MaxRetries, s.RetryPause, s.MemoryLimitMB, s.SocketLimit = 12, 100*time.Millisecond, 128, 512
+			if s.Scenario == "" {
+				s.Scenario = "storm"
 			}
-			s.Directors, s.Boxes, s.Load, s.Duration, s.Cores = 1, 6, 0.5, 7*time.Second, 4
-			r, err := s.Play(t.Context())
+			s.Directors, s.CacheNodes, s.Load, s.Duration, s.Cores = 1, 6, 0.5, 7*time.Second, 4
+			r, err := s.Execute(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if broken := r.Broken(); len(broken) > 0 || r.PeakLoad > 0.8 || r.Fulfilled == 0 {
+			if broken := r.Broken(); len(broken) > 0 || r.PeakLoad > 0.8 || r.Succeeded == 0 {
 				t.Errorf("broken: %v; %+v", broken, r)
 			}
 		})
@@ -128,7 +128,7 @@
 func TestFloodOnOneCore(t *testing.T) {
 	b := newBed(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
 	ctx, leave := context.WithCancel(t.Context())
-	flood := newStream(b.Cluster, b.d.Addr, 32, 0, 1)
+	flood := newLoadConnection(b.Cluster, b.d.Addr, 32, 0, 1)
 	var all sync.WaitGroup
 	all.Go(func() { flood.run(ctx, time.Now()) })
 	for i := range 40 {
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -18,31 +18,31 @@
 	"tallyproxy/internal/faulttest"
 )
 
-// Fleet is a fleet on loopback: an authority, an inventory, agents in this process and directors as processes of their own.
-type Fleet struct {
-	World     *fakes.Cluster
-	Dir       string
-	Inventory *config.Inventory
-	Keys      string
-	mu        sync.Mutex
-	agents    map[string]*runningAgent
+// LoopbackFleet is a fleet on loopback: an authority, an inventory, agents in this process and directors as processes of their own.
+type LoopbackFleet struct {
+	Cluster      *fakes.Cluster
+	Dir          string
+	Inventory    *config.Inventory
+	AuthorityDir string
+	mu           sync.Mutex
+	agents       map[string]*runningAgent
 }
 
 type runningAgent struct {
-	leave context.CancelFunc
-	ended chan error
-	store *agent.Store
+	cancel context.CancelFunc
+	served chan error
+	store  *agent.Store
 }
 
-// NewFleet writes all that a fleet of so many agents with so many directors each needs into a folder. Argv starts a director.
+// NewLoopbackFleet writes all that a fleet of so many agents with so many directors each needs into a folder. Argv starts a director.
 // With peers they know each other.
-func NewFleet(w *fakes.Cluster, dir string, agents, each int, argv []string, script string, peers bool) (*Fleet, error) {
-	f := &Fleet{World: w, Dir: dir, Keys: filepath.Join(dir, "keys"), agents: map[string]*runningAgent{}}
+func NewLoopbackFleet(w *fakes.Cluster, dir string, agents, each int, argv []string, script string, peers bool) (*LoopbackFleet, error) {
+	f := &LoopbackFleet{Cluster: w, Dir: dir, AuthorityDir: filepath.Join(dir, "keys"), agents: map[string]*runningAgent{}}
 	now := time.Now()
-	if err := authority.Init(f.Keys, "lab", now); err != nil {
+	if err := authority.Init(f.AuthorityDir, "lab", now); err != nil {
 		return nil, err
 	}
-	if err := authority.Issue(f.Keys, dir, "op", []authority.Role{authority.RoleViewer, authority.RoleEditor}, time.Hour, now); err != nil {
+	if err := authority.Issue(f.AuthorityDir, dir, "op", []authority.Role{authority.RoleViewer, authority.RoleEditor}, time.Hour, now); err != nil {
 		return nil, err
 	}
 	var text strings.Builder
@@ -50,14 +50,14 @@
 	if err := os.WriteFile(key, []byte(fmt.Sprintf("%x", sha256.Sum256([]byte(dir+now.String())))), 0o600); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(&text, "fleet(lease = seconds(5), authority = %q, talk_key = %q)\n", f.Keys, key)
+	fmt.Fprintf(&text, "fleet(lease = seconds(5), authority = %q, talk_key = %q)\n", f.AuthorityDir, key)
 	var quoted []string
 	for _, a := range argv {
 		quoted = append(quoted, fmt.Sprintf("%q", a))
 	}
 	for i := range agents {
 		name := fmt.Sprintf("a%02d", i)
-		if err := authority.Issue(f.Keys, dir, name, []authority.Role{authority.RoleAgent}, time.Hour, now); err != nil {
+		if err := authority.Issue(f.AuthorityDir, dir, name, []authority.Role{authority.RoleAgent}, time.Hour, now); err != nil {
 			return nil, err
 		}
 		addr, err := faulttest.FreeAddress()
@@ -106,8 +106,8 @@
 	return f, err
 }
 
-// Boot starts an agent; its directors start with it, where they don't run.
-func (f *Fleet) Boot(name string) error {
+// StartAgent starts an agent; its directors start with it, where they don't run.
+func (f *LoopbackFleet) StartAgent(name string) error {
 	id, err := f.identity(name)
 	if err != nil {
 		return err
@@ -123,36 +123,36 @@
 	}
 	ctx, leave := context.WithCancel(context.Background())
 	r := &runningAgent{leave, make(chan error, 1), store}
-	go func() { r.ended <- a.Serve(ctx) }()
+	go func() { r.served <- a.Serve(ctx) }()
 	f.mu.Lock()
 	f.agents[name] = r
 	f.mu.Unlock()
 	return nil
 }
 
-func (f *Fleet) identity(name string) (*authority.Identity, error) {
-	return authority.Open(f.Keys, filepath.Join(f.Dir, name+".pem"), filepath.Join(f.Dir, name+"-key.pem"))
+func (f *LoopbackFleet) identity(name string) (*authority.Identity, error) {
+	return authority.Open(f.AuthorityDir, filepath.Join(f.Dir, name+".pem"), filepath.Join(f.Dir, name+"-key.pem"))
 }
 
-// Stop ends an agent; its directors go on.
-func (f *Fleet) Stop(name string) {
+// StopAgent ends an agent; its directors go on.
+func (f *LoopbackFleet) StopAgent(name string) {
 	f.mu.Lock()
 	r := f.agents[name]
 	delete(f.agents, name)
 	f.mu.Unlock()
 	if r != nil {
-		r.leave()
-		<-r.ended
+		r.cancel()
+		<-r.served
 		r.store.Close()
 	}
 }
 
 // Start boots all agents and waits until every director tells how it is.
-func (f *Fleet) Start(ctx context.Context) error {
+func (f *LoopbackFleet) Start(ctx context.Context) error {
 	var all sync.WaitGroup
 	errs := make([]error, len(f.Inventory.Agents))
 	for i, a := range f.Inventory.Agents {
-		all.Go(func() { errs[i] = f.Boot(a.Name) })
+		all.Go(func() { errs[i] = f.StartAgent(a.Name) })
 	}
 	all.Wait()
 	for _, err := range errs {
@@ -182,7 +182,7 @@
 }
 
 // Operator reaches the fleet as the owner of a certificate in its folder.
-func (f *Fleet) Operator(name string) (*ctl.Fleet, error) {
+func (f *LoopbackFleet) Operator(name string) (*ctl.Fleet, error) {
 	id, err := f.identity(name)
 	if err != nil {
 		return nil, err
@@ -191,7 +191,7 @@
 }
 
 // Director is one, to be signalled and asked.
-func (f *Fleet) Director(name string) *agent.Director {
+func (f *LoopbackFleet) Director(name string) *agent.Director {
 	for _, d := range f.Inventory.Directors {
 		if d.Name == name {
 			return &agent.Director{DirectorEntry: d}
@@ -201,10 +201,10 @@
 }
 
 // Close ends agents and directors.
-func (f *Fleet) Close() {
+func (f *LoopbackFleet) Close() {
 	var all sync.WaitGroup
 	for _, a := range f.Inventory.Agents {
-		all.Go(func() { f.Stop(a.Name) })
+		all.Go(func() { f.StopAgent(a.Name) })
 	}
 	all.Wait()
 	for _, d := range f.Inventory.Directors {
--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -24,7 +24,7 @@
 	"tallyproxy/rollout"
 )
 
-func newFleet(t *testing.T, agents, each int) (*Fleet, *ctl.Fleet) {
+func newFleet(t *testing.T, agents, each int) (*LoopbackFleet, *ctl.Fleet) {
 	spec := fakes.DefaultSpec(4, agents*each)
 	spec.ColdEdges = false
 	w, err := fakes.New(spec)
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	f, err := NewFleet(w, dir, agents, each, argv(t), "", false)
+	f, err := NewLoopbackFleet(w, dir, agents, each, argv(t), "", false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,13 +132,13 @@
 			f, op := newFleet(t, 5, 1)
 			change := adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0)
 			if c.at == rollout.StepPrepare {
-				f.Stop("a02")
+				f.StopAgent("a02")
 			}
 			ctx, leave := context.WithTimeout(t.Context(), 40*time.Second)
 			defer leave()
 			r, err := op.Run(ctx, change, nil, func(s rollout.Step, _ int) {
 				if s == c.at && s == rollout.StepApply {
-					f.Stop("a02")
+					f.StopAgent("a02")
 				}
 			})
 			if err != nil {
@@ -149,7 +149,7 @@
 					t.Errorf("%+v", e)
 				}
 			}
-			if err := f.Boot("a02"); err != nil {
+			if err := f.StartAgent("a02"); err != nil {
 				t.Fatal(err)
 			}
 			if n := settled(t, op, "warn"); n != c.want {
@@ -225,7 +225,7 @@
 }
 
 // killed takes a change so far as a step, whose first messages are not sent any more.
-func killed(t *testing.T, f *Fleet, change *rollout.Change, at rollout.Step) {
+func killed(t *testing.T, f *LoopbackFleet, change *rollout.Change, at rollout.Step) {
 	t.Helper()
 	id, err := f.identity("op")
 	if err != nil {
@@ -335,7 +335,7 @@
 	f, op := newFleet(t, 3, 1)
 	change := adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0)
 	for _, name := range []string{"a01", "a02"} {
-		f.Stop(name)
+		f.StopAgent(name)
 		l, err := net.Listen("tcp", f.Inventory.Agent(name).Address) // a machine that hangs: the kernel takes the connection
 		if err != nil {
 			t.Fatal(err)
@@ -413,7 +413,7 @@
 		}
 	})
 	t.Run("an operator who may only look", func(t *testing.T) {
-		if err := authority.Issue(f.Keys, f.Dir, "looker", []authority.Role{authority.RoleViewer}, time.Hour, time.Now()); err != nil {
+		if err := authority.Issue(f.AuthorityDir, f.Dir, "looker", []authority.Role{authority.RoleViewer}, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		looker, err := f.Operator("looker")
@@ -431,7 +431,7 @@
 		}
 	})
 	t.Run("a revoked and an expired certificate", func(t *testing.T) {
-		if err := authority.Issue(f.Keys, f.Dir, "left", []authority.Role{authority.RoleEditor}, time.Hour, time.Now()); err != nil {
+		if err := authority.Issue(f.AuthorityDir, f.Dir, "left", []authority.Role{authority.RoleEditor}, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		left, err := f.Operator("left")
@@ -446,7 +446,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := authority.Revoke(f.Keys, []*x509Certificate{cert}, time.Now()); err != nil {
+		if err := authority.Revoke(f.AuthorityDir, []*x509Certificate{cert}, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		for _, a := range left.Snapshot(t.Context()).Agents { // at once, also on the connection that is there
@@ -454,7 +454,7 @@
 				t.Errorf("%+v", a)
 			}
 		}
-		if err := authority.Issue(f.Keys, f.Dir, "late", []authority.Role{authority.RoleEditor}, time.Minute, time.Now().Add(-2*time.Hour)); err != nil {
+		if err := authority.Issue(f.AuthorityDir, f.Dir, "late", []authority.Role{authority.RoleEditor}, time.Minute, time.Now().Add(-2*time.Hour)); err != nil {
 			t.Fatal(err)
 		}
 		late, err := f.Operator("late")
@@ -485,12 +485,12 @@
 	zipf := fakes.NewZipf(200, 1)
 	for i, d := range f.Inventory.Directors {
 		c := &fakes.Client{
-			Cluster: f.World, Targets: []*fakes.Target{{Addr: listenOf(t, d.PlatformFile)}}, MaxRetries: 5, RetryPause: 50 * time.Millisecond,
+			Cluster: f.Cluster, Targets: []*fakes.Target{{Addr: listenOf(t, d.PlatformFile)}}, MaxRetries: 5, RetryPause: 50 * time.Millisecond,
 			Rand: newRand(uint64(i)), Zipf: zipf,
 		}
 		all.Go(func() { c.Run(ctx, 0, 20*time.Millisecond) })
 	}
-	box := f.World.Node("box-0")
+	box := f.Cluster.Node("box-0")
 	for end := time.Now().Add(20 * time.Second); box.RequestCount() < 20; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the box has no share")
@@ -516,7 +516,7 @@
 	}
 	leave()
 	all.Wait()
-	f.World.Clients.WithLock(func(b *fakes.ClientStats) {
+	f.Cluster.Clients.WithLock(func(b *fakes.ClientStats) {
 		if b.Lost+b.Duplicates+b.WrongBodies > 0 || len(b.Requests) == 0 {
 			t.Errorf("%d lost %v, %d twice, of %d", b.Lost, b.LostReasons, b.Duplicates, len(b.Requests))
 		}
@@ -547,6 +547,6 @@
 		}
 	}
 	until("they don't all see each other", sees(map[string]string{"a00": "up", "a01": "up", "a02": "up"}))
-	f.Stop("a02")
+	f.StopAgent("a02")
 	until("one that stopped has not left", sees(map[string]string{"a02": "left"}))
 }
--- a/internal/experiment/fleetsim.go
+++ b/internal/experiment/fleetsim.go
@@ -14,43 +14,43 @@
 	"tallyproxy/rollout"
 )
 
-// FleetSim is what `tallybench fleet` plays: changes of a fleet in simulated time, by the real state machines, over a network and
+// Rollout is what `tallybench fleet` plays: changes of a fleet in simulated time, by the real state machines, over a network and
 // machines that fail.
-type FleetSim struct {
-	Instances []int   `name:"instances" default:"20,100,500" placeholder:"N,..." help:"Agents, with a director each."`
-	Schedules int     `default:"100" help:"Random schedules of faults for each size; each is a change."`
-	Loss      float64 `name:"loss" default:"0.05" help:"Share of messages that are lost,"`
-	Twice     float64 `name:"twice" default:"0.05" help:"or come twice."`
-	Deaths    float64 `name:"deaths" default:"0.02" help:"Share of agents that die during a change, and come back."`
-	ToolDies  float64 `name:"tool-dies" default:"0.3" help:"Share of changes whose tool dies, to be resumed by another."`
-	Cuts      float64 `name:"cuts" default:"0.1" help:"Share of changes during which a part of the agents, or the tool, is cut off for a while."`
-	Limit     int     `name:"limit" default:"0" help:"So many directors at a time; 0: all at once."`
-	Seed      uint64  `default:"1" help:"Of all chance."`
-	Only      int     `name:"only" default:"-1" help:"Play the schedule of this number alone, and show its messages."`
-	Steps     int     `name:"steps" default:"0" help:"After so many events a schedule counts as one without an end; 0: 2,000 an agent, 20,000 at least."`
-	JSON      bool    `name:"json" help:"Print one JSON object."`
+type Rollout struct {
+	Instances      []int   `name:"instances" default:"20,100,500" placeholder:"N,..." help:"Agents, with a director each."`
+	Schedules      int     `default:"100" help:"Random schedules of faults for each size; each is a change."`
+	LossRate       float64 `name:"loss" default:"0.05" help:"Share of messages that are lost,"`
+	DuplicateRate  float64 `name:"twice" default:"0.05" help:"or come twice."`
+	AgentCrashRate float64 `name:"deaths" default:"0.02" help:"Share of agents that die during a change, and come back."`
+	ToolCrashRate  float64 `name:"tool-dies" default:"0.3" help:"Share of changes whose tool dies, to be resumed by another."`
+	PartitionRate  float64 `name:"cuts" default:"0.1" help:"Share of changes during which a part of the agents, or the tool, is cut off for a while."`
+	WaveSize       int     `name:"limit" default:"0" help:"So many directors at a time; 0: all at once."`
+	Seed           uint64  `default:"1" help:"Of all chance."`
+	OnlySchedule   int     `name:"only" default:"-1" help:"Play the schedule of this number alone, and show its messages."`
+	MaxEvents      int     `name:"steps" default:"0" help:"After so many events a schedule counts as one without an end; 0: 2,000 an agent, 20,000 at least."`
+	JSON           bool    `name:"json" help:"Print one JSON object."`
 }
 
-// FleetRun is what came of one size.
-type FleetRun struct {
-	Instances int      `json:"instances"`
-	Schedules int      `json:"schedules"`
-	Changed   int      `json:"changed"`         // ended with all directors changed,
-	Untouched int      `json:"untouched"`       // or none,
-	Partly    int      `json:"partly"`          // or, told as such, as far as the waves had come;
-	Neither   int      `json:"neither"`         // or a director that is neither, or not told truly;
-	Unended   int      `json:"unended"`         // or it did not end
-	P50       float64  `json:"p50_ms"`          // simulated, from the start to a tool's word, the first tool's or its follower's
-	P99       float64  `json:"p99_ms"`          //
-	LivedP99  float64  `json:"lived_p99_ms"`    // the same where no tool died
-	Messages  float64  `json:"messages"`        // sent by tools, on average,
-	Between   float64  `json:"between"`         // and by agents among themselves
-	KnownP50  float64  `json:"known_p50_ms"`    // from the start until every agent knows the outcome
-	KnownP99  float64  `json:"known_p99_ms"`    //
-	Fault     float64  `json:"settled_ms"`      // from the last fault's end until every director is in its last state, p99
-	Events    int      `json:"events"`          // of the longest schedule
-	OneByOne  float64  `json:"by_hand_ms"`      // the same directors one after another, with no fault
-	Stuck     []string `json:"stuck,omitempty"` // what did not end or is in neither state: the schedule and who waits on whom
+// RolloutRun is what came of one size.
+type RolloutRun struct {
+	Instances     int      `json:"instances"`
+	Schedules     int      `json:"schedules"`
+	Changed       int      `json:"changed"`         // ended with all directors changed,
+	Untouched     int      `json:"untouched"`       // or none,
+	Partial       int      `json:"partly"`          // or, told as such, as far as the waves had come;
+	Inconsistent  int      `json:"neither"`         // or a director that is neither, or not told truly;
+	Unfinished    int      `json:"unended"`         // or it did not end
+	P50           float64  `json:"p50_ms"`          // simulated, from the start to a tool's word, the first tool's or its follower's
+	P99           float64  `json:"p99_ms"`          //
+	NoCrashP99    float64  `json:"lived_p99_ms"`    // the same where no tool died
+	ToolMessages  float64  `json:"messages"`        // sent by tools, on average,
+	AgentMessages float64  `json:"between"`         // and by agents among themselves
+	KnownP50      float64  `json:"known_p50_ms"`    // from the start until every agent knows the outcome
+	KnownP99      float64  `json:"known_p99_ms"`    //
+	SettledP99    float64  `json:"settled_ms"`      // from the last fault's end until every director is in its last state, p99
+	MaxEvents     int      `json:"events"`          // of the longest schedule
+	Sequential    float64  `json:"by_hand_ms"`      // the same directors one after another, with no fault
+	Problems      []string `json:"stuck,omitempty"` // what did not end or is in neither state: the schedule and who waits on whom
 }
 
 type simEvent struct {
@@ -85,7 +85,7 @@
 }
 
 type fleetSim struct {
-	s       *FleetSim
+	s       *Rollout
 	r       *rand.Rand
 	now     d.Micros
 	order   int
@@ -129,9 +129,9 @@
 func (f *fleetSim) wire(deliver func()) {
 	times := 1
 	switch x := f.r.Float64(); {
-	case x < f.s.Loss:
+	case x < f.s.LossRate:
 		times = 0
-	case x < f.s.Loss+f.s.Twice:
+	case x < f.s.LossRate+f.s.DuplicateRate:
 		times = 2
 	}
 	for range times {
@@ -265,14 +265,14 @@
 func (f *fleetSim) faults() (last d.Micros) {
 	last = f.now
 	for _, name := range f.names {
-		if f.r.Float64() < f.s.Deaths {
+		if f.r.Float64() < f.s.AgentCrashRate {
 			a, at, down := f.agents[name], d.Micros(f.r.IntN(2_000_000)), d.Micros(100_000+f.r.IntN(3_000_000))
 			last = max(last, f.now+at+down)
 			f.after(at, func() { a.up = false })
 			f.after(at+down, func() { f.boot(name) })
 		}
 	}
-	if f.r.Float64() < f.s.Cuts {
+	if f.r.Float64() < f.s.PartitionRate {
 		share, at, long := f.r.Float64(), d.Micros(f.r.IntN(1_500_000)), d.Micros(500_000+f.r.IntN(8_000_000))
 		last = max(last, f.now+at+long)
 		f.after(at, func() {
@@ -301,12 +301,12 @@
 }
 
 // play plays one change and says what it came to.
-func (s *FleetSim) play(n int, number uint64) (e simResult) {
+func (s *Rollout) play(n int, number uint64) (e simResult) {
 	f := &fleetSim{s: s, r: rand.New(rand.NewPCG(s.Seed, uint64(n)<<32|number)), now: d.Second, agents: map[string]*simAgent{}}
-	if f.budget = s.Steps; f.budget == 0 {
+	if f.budget = s.MaxEvents; f.budget == 0 {
 		f.budget = max(20_000, 2_000*n)
 	}
-	if s.Only >= 0 {
+	if s.OnlySchedule >= 0 {
 		f.trace = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	}
 	var places []rollout.Candidate
@@ -319,10 +319,10 @@
 	for _, name := range f.names {
 		f.boot(name)
 	}
-	change := rollout.Plan("c1", "op", "", places, s.Limit, simSum, func(rollout.Candidate) string { return "new" })
+	change := rollout.Plan("c1", "op", "", places, s.WaveSize, simSum, func(rollout.Candidate) string { return "new" })
 	begun, last := f.now, f.faults()
 	dies := d.Micros(0)
-	if f.r.Float64() < s.ToolDies {
+	if f.r.Float64() < s.ToolCrashRate {
 		dies = d.Micros(1 + f.r.IntN(1_500_000))
 	}
 	// who knows is watched beside what goes on
@@ -453,27 +453,27 @@
 		return "changed"
 	case len(f.names) == counts["old"]:
 		return "untouched"
-	case final && f.s.Limit > 0:
+	case final && f.s.WaveSize > 0:
 		return "partly"
 	}
 	return "neither"
 }
 
-// Play plays all sizes.
-func (s *FleetSim) Play() (runs []FleetRun, err error) {
-	for _, share := range []float64{s.Loss, s.Twice, s.Deaths, s.ToolDies, s.Cuts} {
-		if share < 0 || share > 1 || s.Loss >= 1 {
+// Execute plays all sizes.
+func (s *Rollout) Execute() (runs []RolloutRun, err error) {
+	for _, share := range []float64{s.LossRate, s.DuplicateRate, s.AgentCrashRate, s.ToolCrashRate, s.PartitionRate} {
+		if share < 0 || share > 1 || s.LossRate >= 1 {
 			return runs, fmt.Errorf("--loss, --twice, --deaths, --tool-dies, --cuts: %v is no share; --loss must be below 1", share)
 		}
 	}
 	for _, n := range s.Instances {
-		if n < 1 || s.Schedules < 1 || s.Steps < 0 || s.Limit < 0 {
+		if n < 1 || s.Schedules < 1 || s.MaxEvents < 0 || s.WaveSize < 0 {
 			return runs, fmt.Errorf("--instances %d, --schedules %d, --steps %d, --limit %d: the first two must be above 0, no other below",
-				n, s.Schedules, s.Steps, s.Limit)
+				n, s.Schedules, s.MaxEvents, s.WaveSize)
 		}
 		ends, first := make([]simResult, s.Schedules), 0
-		if s.Only >= 0 {
-			ends, first = ends[:1], s.Only
+		if s.OnlySchedule >= 0 {
+			ends, first = ends[:1], s.OnlySchedule
 		}
 		next := atomic.Int64{}
 		var all sync.WaitGroup
@@ -490,36 +490,36 @@
 	return runs, nil
 }
 
-func sumUp(n int, ends []simResult) FleetRun {
-	r := FleetRun{Instances: n, Schedules: len(ends)}
+func sumUp(n int, ends []simResult) RolloutRun {
+	r := RolloutRun{Instances: n, Schedules: len(ends)}
 	var word, lived, known, settled []float64
 	for _, e := range ends {
 		switch {
 		case !e.ended:
-			r.Unended++
+			r.Unfinished++
 		case e.state == "changed":
 			r.Changed++
 		case e.state == "untouched":
 			r.Untouched++
 		case e.state == "partly":
-			r.Partly++
+			r.Partial++
 		default:
-			r.Neither++
+			r.Inconsistent++
 		}
-		if e.why != "" && len(r.Stuck) < shownStuck {
-			r.Stuck = append(r.Stuck, e.why)
+		if e.why != "" && len(r.Problems) < shownStuck {
+			r.Problems = append(r.Problems, e.why)
 		}
 		word, settled = append(word, float64(e.word)/1000), append(settled, float64(e.settled)/1000)
 		if known = append(known, float64(e.known)/1000); e.lived {
 			lived = append(lived, float64(e.word)/1000)
 		}
-		r.Messages += float64(e.sent) / float64(len(ends))
-		r.Between += float64(e.between) / float64(len(ends))
-		r.Events = max(r.Events, e.events)
+		r.ToolMessages += float64(e.sent) / float64(len(ends))
+		r.AgentMessages += float64(e.between) / float64(len(ends))
+		r.MaxEvents = max(r.MaxEvents, e.events)
 	}
-	r.P50, r.P99, r.LivedP99 = quantile(word, 0.5), quantile(word, 0.99), quantile(lived, 0.99)
-	r.KnownP50, r.KnownP99, r.Fault = quantile(known, 0.5), quantile(known, 0.99), quantile(settled, 0.99)
-	r.OneByOne = float64(n) * (110 + 2*11) // each is written, read and read back, with the wire between
+	r.P50, r.P99, r.NoCrashP99 = quantile(word, 0.5), quantile(word, 0.99), quantile(lived, 0.99)
+	r.KnownP50, r.KnownP99, r.SettledP99 = quantile(known, 0.5), quantile(known, 0.99), quantile(settled, 0.99)
+	r.Sequential = float64(n) * (110 + 2*11) // each is written, read and read back, with the wire between
 	return r
 }
 
--- a/internal/experiment/fleetsim_test.go
+++ b/internal/experiment/fleetsim_test.go
@@ -9,11 +9,11 @@
 
 // Every schedule of faults ends, whole or untouched.
 func TestFleetSimEnds(t *testing.T) {
-	rough := FleetSim{Schedules: 150, Loss: 0.2, Twice: 0.1, Deaths: 0.2, ToolDies: 0.3, Cuts: 1, Only: -1}
-	usual := FleetSim{Schedules: 150, Loss: 0.05, Twice: 0.05, Deaths: 0.02, ToolDies: 0.3, Cuts: 0.1, Only: -1}
+	rough := Rollout{Schedules: 150, LossRate: 0.2, DuplicateRate: 0.1, AgentCrashRate: 0.2, ToolCrashRate: 0.3, PartitionRate: 1, OnlySchedule: -1}
+	usual := Rollout{Schedules: 150, LossRate: 0.05, DuplicateRate: 0.05, AgentCrashRate: 0.02, ToolCrashRate: 0.3, PartitionRate: 0.1, OnlySchedule: -1}
 	cases := []struct {
 		name  string
-		s     FleetSim
+		s     Rollout
 		sizes []int
 		limit int
 		seed  uint64
@@ -24,18 +24,18 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			c.s.Instances, c.s.Limit, c.s.Seed = c.sizes, c.limit, c.seed
-			runs, err := c.s.Play()
+			c.s.Instances, c.s.WaveSize, c.s.Seed = c.sizes, c.limit, c.seed
+			runs, err := c.s.Execute()
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, r := range runs {
-				if r.Unended+r.Neither > 0 || r.Changed == 0 || r.Untouched == 0 {
-					t.Errorf("%d instances: %d unended, %d neither, %d changed, %d untouched: %v", r.Instances, r.Unended, r.Neither, r.Changed,
-						r.Untouched, r.Stuck)
+				if r.Unfinished+r.Inconsistent > 0 || r.Changed == 0 || r.Untouched == 0 {
+					t.Errorf("%d instances: %d unended, %d neither, %d changed, %d untouched: %v", r.Instances, r.Unfinished, r.Inconsistent, r.Changed,
+						r.Untouched, r.Problems)
 				}
 			}
-			again, _ := c.s.Play()
+			again, _ := c.s.Execute()
 			if !reflect.DeepEqual(runs, again) {
 				t.Errorf("the same seed gave %+v and %+v", runs, again)
 			}
@@ -45,16 +45,16 @@
 
 // What does not end within its events is told with its seed, its number and who waits, and is no hang.
 func TestFleetSimWatchdog(t *testing.T) {
-	s := FleetSim{Instances: []int{5}, Schedules: 3, Seed: 7, Steps: 40, Only: -1}
-	runs, err := s.Play()
+	s := Rollout{Instances: []int{5}, Schedules: 3, Seed: 7, MaxEvents: 40, OnlySchedule: -1}
+	runs, err := s.Execute()
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := runs[0]
-	if r.Unended != 3 || len(r.Stuck) != 3 || r.Events > 40 {
+	if r.Unfinished != 3 || len(r.Problems) != 3 || r.MaxEvents > 40 {
 		t.Fatalf("%+v", r)
 	}
-	for i, why := range r.Stuck {
+	for i, why := range r.Problems {
 		if want := fmt.Sprintf("--instances 5 --seed 7 --only %d: ", i); !strings.HasPrefix(why, want) || !strings.Contains(why, "tool putting in force c1") {
 			t.Errorf("%q", why)
 		}
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -15,58 +15,58 @@
 	"tallyproxy/internal/fakes"
 )
 
-// stream is one connection that asks for one download after another, many at a time, and checks what it gets.
-type stream struct {
-	w       *fakes.Cluster
-	addr    string
-	depth   int           // asked for together
-	every   time.Duration // between one download and the next; 0: the next as soon as one ends
-	rand    *rand.Rand
-	zipf    *fakes.Zipf
-	nc      net.Conn
-	tag     int
-	open    map[int]asked
-	out     []byte
-	counted bool // after the warm-up
+// loadConnection is one connection that asks for one download after another, many at a time, and checks what it gets.
+type loadConnection struct {
+	cluster  *fakes.Cluster
+	addr     string
+	depth    int           // asked for together
+	interval time.Duration // between one download and the next; 0: the next as soon as one ends
+	rand     *rand.Rand
+	zipf     *fakes.Zipf
+	conn     net.Conn
+	tag      int
+	pending  map[int]pendingRequest
+	unsent   []byte
+	counted  bool // after the warm-up
 
-	hist                                                     *hdrhistogram.Histogram
-	fulfilled, throttled, failed, lost, twice, wrong, refuse int
+	hist                                                               *hdrhistogram.Histogram
+	succeeded, rejected, failed, lost, duplicates, wrongBodies, refuse int
 }
 
-type asked struct {
+type pendingRequest struct {
 	object string
 	due    time.Time // when it was to be sent
 }
 
-func newStream(w *fakes.Cluster, addr string, depth int, every time.Duration, seed uint64) *stream {
-	return &stream{
-		w: w, addr: addr, depth: depth, every: every, rand: rand.New(rand.NewPCG(seed, 3)),
-		zipf: fakes.NewZipf(w.Objects, w.ZipfExponent), open: map[int]asked{}, hist: hdrhistogram.New(1, 10_000_000, 3),
+func newLoadConnection(w *fakes.Cluster, addr string, depth int, every time.Duration, seed uint64) *loadConnection {
+	return &loadConnection{
+		cluster: w, addr: addr, depth: depth, interval: every, rand: rand.New(rand.NewPCG(seed, 3)),
+		zipf: fakes.NewZipf(w.Objects, w.ZipfExponent), pending: map[int]pendingRequest{}, hist: hdrhistogram.New(1, 10_000_000, 3),
 	}
 }
 
-// ask words the next download, due at a time.
-func (s *stream) ask(due time.Time) {
-	o := s.w.DrawObject(s.rand, s.zipf)
+// appendRequest words the next download, due at a time.
+func (s *loadConnection) appendRequest(due time.Time) {
+	o := s.cluster.DrawObject(s.rand, s.zipf)
 	s.tag++
 	fields := fmt.Sprintf("txn=%016x,limit=%d,item=%s,n=0,shard=%d", s.rand.Uint64(), o.Type.Timeout.Milliseconds(), o.ID, o.Group)
 	if o.Type.IdempotentWithKey {
 		fields += fmt.Sprintf(",unique=%016x%016x", s.rand.Uint64(), s.rand.Uint64())
 	}
-	s.out = redcon.AppendArray(s.out, 4)
+	s.unsent = redcon.AppendArray(s.unsent, 4)
 	for _, w := range []string{"ASK", strconv.Itoa(s.tag), o.Type.Name, fields} {
-		s.out = redcon.AppendBulkString(s.out, w)
+		s.unsent = redcon.AppendBulkString(s.unsent, w)
 	}
-	s.open[s.tag] = asked{o.ID, due}
+	s.pending[s.tag] = pendingRequest{o.ID, due}
 }
 
 // run asks until the context ends; what is counted begins at a time.
-func (s *stream) run(ctx context.Context, from time.Time) error {
+func (s *loadConnection) run(ctx context.Context, from time.Time) error {
 	nc, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		return err
 	}
-	s.nc = nc
+	s.conn = nc
 	defer nc.Close()
 	in, buf := []byte(nil), make([]byte, 256<<10)
 	next := time.Now()
@@ -75,28 +75,28 @@
 		s.counted = now.After(from)
 		over := ctx.Err() != nil
 		switch {
-		case over && len(s.open) == 0:
+		case over && len(s.pending) == 0:
 			return nil
 		case over:
-		case s.every == 0:
-			for len(s.open) < s.depth {
-				s.ask(now)
+		case s.interval == 0:
+			for len(s.pending) < s.depth {
+				s.appendRequest(now)
 			}
 		default: // what is due is due, whether there is room or not: its time counts from then
-			for len(s.open) < 32 && !next.After(now) {
-				s.ask(next)
-				next = next.Add(s.every)
+			for len(s.pending) < 32 && !next.After(now) {
+				s.appendRequest(next)
+				next = next.Add(s.interval)
 			}
 		}
-		if len(s.out) > 0 {
-			if _, err := nc.Write(s.out); err != nil {
-				s.lost += len(s.open)
+		if len(s.unsent) > 0 {
+			if _, err := nc.Write(s.unsent); err != nil {
+				s.lost += len(s.pending)
 				return err
 			}
-			s.out = s.out[:0]
+			s.unsent = s.unsent[:0]
 		}
 		until := now.Add(10 * time.Second)
-		if s.every > 0 && !over && len(s.open) < 32 {
+		if s.interval > 0 && !over && len(s.pending) < 32 {
 			until = next
 		}
 		nc.SetReadDeadline(until)
@@ -105,7 +105,7 @@
 			continue
 		}
 		if err != nil {
-			s.lost += len(s.open)
+			s.lost += len(s.pending)
 			return err
 		}
 		came := time.Now()
@@ -119,33 +119,33 @@
 			if !whole {
 				break
 			}
-			s.answered(words, came)
+			s.handleAnswer(words, came)
 			rest = left
 		}
 		in = append(in[:0], rest...)
 	}
 }
 
-func (s *stream) answered(words [][]byte, came time.Time) {
+func (s *loadConnection) handleAnswer(words [][]byte, came time.Time) {
 	tag, _ := strconv.Atoi(string(words[0]))
-	a, ok := s.open[tag]
+	a, ok := s.pending[tag]
 	if !ok {
-		s.twice++
+		s.duplicates++
 		return
 	}
-	delete(s.open, tag)
+	delete(s.pending, tag)
 	if !s.counted {
 		return
 	}
 	switch string(words[1]) {
 	case "200":
-		s.fulfilled++
+		s.succeeded++
 		if !bytes.HasPrefix(words[3], []byte(a.object)) {
-			s.wrong++
+			s.wrongBodies++
 		}
 		s.hist.RecordValue(max(1, came.Sub(a.due).Microseconds()))
 	case "503":
-		s.throttled++
+		s.rejected++
 	default:
 		s.failed++
 	}
--- a/internal/experiment/pause_test.go
+++ b/internal/experiment/pause_test.go
@@ -15,28 +15,28 @@
 		storm Storm
 		jumps int
 	}{
-		{"four seconds", Storm{Pause: 4 * time.Second}, 1},
-		{"on two cores", Storm{Pause: 1500 * time.Millisecond, Cores: 2}, 1},
-		{"less than what a purge is heeded within", Storm{Pause: 400 * time.Millisecond}, 1},
-		{"too short to matter", Storm{Pause: 20 * time.Millisecond}, 0},
+		{"four seconds", Storm{PauseDuration: 4 * time.Second}, 1},
+		{"on two cores", Storm{PauseDuration: 1500 * time.Millisecond, Cores: 2}, 1},
+		{"less than what a purge is heeded within", Storm{PauseDuration: 400 * time.Millisecond}, 1},
+		{"too short to matter", Storm{PauseDuration: 20 * time.Millisecond}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := c.storm
-			s.Clients, s.Directors, s.Boxes, s.Day, s.Load, s.Guard, s.Seed = 400, 2, 6, "morning", 0.4, "fixed", 1
-			s.Within, s.Retries, s.Wait, s.MemoryMB, s.Sockets = time.Second, 12, 100*time.Millisecond, 64, 512
-			s.Trouble, s.Duration, s.Argv = []string{"pause"}, s.Pause+3500*time.Millisecond, argv(t)
+			s.Clients, s.Directors, s.CacheNodes, s.Scenario, s.Load, s.OverloadMode, s.Seed = 400, 2, 6, "morning", 0.4, "fixed", 1
+			s.ConnectWindow, s.MaxRetries, s.RetryPause, s.MemoryLimitMB, s.SocketLimit = time.Second, 12, 100*time.Millisecond, 64, 512
+			s.Faults, s.Duration, s.Argv = []string{"pause"}, s.PauseDuration+3500*time.Millisecond, argv(t)
 			var log bytes.Buffer
 			s.Log = &log
-			r, err := s.Play(t.Context())
+			r, err := s.Execute(t.Context())
 			if err != nil {
 				t.Fatalf("%v\n%s", err, log.String())
 			}
 			if broken := r.Broken(); len(broken) > 0 {
 				t.Errorf("broken: %v; %+v\n%s", broken, r, log.String())
 			}
-			if r.Jumps < c.jumps || r.Fulfilled < r.Asked/2 {
-				t.Errorf("%d jumps noticed, want %d; %+v", r.Jumps, c.jumps, r)
+			if r.ClockStalls < c.jumps || r.Succeeded < r.Requests/2 {
+				t.Errorf("%d jumps noticed, want %d; %+v", r.ClockStalls, c.jumps, r)
 			}
 		})
 	}
--- a/internal/experiment/peers.go
+++ b/internal/experiment/peers.go
@@ -12,82 +12,82 @@
 	"tallyproxy/internal/faulttest"
 )
 
-// Peers is what `tallybench peers` plays: directors that know each other, and faults between them.
-type Peers struct {
-	Instances  []int    `name:"instances" default:"5" help:"Directors, as processes."`
-	Faults     []string `default:"seven" enum:"none,oneway,halves,thirds,stop,restart,seven,zone,away,flap,twin,loss,liar,term,drawn" help:"What goes wrong: ${enum}."`
-	Simulated  []int    `placeholder:"N,..." help:"Directors in simulated time instead, with the modules that decide and a detector that is late and wrong."`
-	Together   []int    `name:"together" placeholder:"N,..." help:"Detectors alone, in one process and by the clock, instead: how long until all know of deaths."`
-	Slow       int      `name:"slow" default:"1" help:"All of that so many times slower, for more detectors than the machine has processors for; times are told divided by it."`
-	Schedules  int      `default:"1" help:"Schedules of each."`
-	Only       int      `name:"only" default:"-1" help:"The schedule of this number alone."`
-	Schedule   string   `name:"schedule" placeholder:"FILE" help:"A schedule as it was printed, instead."`
-	Shrink     bool     `help:"Make a schedule that fails short, and print it."`
-	Beside     bool     `name:"beside" help:"The same with fixed parts, beside it."`
-	Seed       uint64   `default:"1" help:"Of schedules, clients and objects."`
-	Boxes      int      `name:"boxes" default:"8" help:"Caches."`
-	Clients    int      `default:"200" help:"Clients."`
-	Load       float64  `default:"0.4" help:"What clients ask for, over what warm caches can do."`
-	History    bool     `name:"history" help:"Print what every process saw and did."`
-	JSON       bool     `name:"json" help:"Print one JSON object."`
-	DirectorAt string   `name:"director" placeholder:"FILE" help:"The director's program; by default the one beside this."`
+// Membership is what `tallybench peers` plays: directors that know each other, and faults between them.
+type Membership struct {
+	Directors         []int    `name:"instances" default:"5" help:"Directors, as processes."`
+	Faults            []string `default:"seven" enum:"none,oneway,halves,thirds,stop,restart,seven,zone,away,flap,twin,loss,liar,term,drawn" help:"What goes wrong: ${enum}."`
+	Simulated         []int    `placeholder:"N,..." help:"Directors in simulated time instead, with the modules that decide and a detector that is late and wrong."`
+	Detectors         []int    `name:"together" placeholder:"N,..." help:"Detectors alone, in one process and by the clock, instead: how long until all know of deaths."`
+	Slowdown          int      `name:"slow" default:"1" help:"All of that so many times slower, for more detectors than the machine has processors for; times are told divided by it."`
+	Schedules         int      `default:"1" help:"Schedules of each."`
+	OnlySchedule      int      `name:"only" default:"-1" help:"The schedule of this number alone."`
+	ScheduleFile      string   `name:"schedule" placeholder:"FILE" help:"A schedule as it was printed, instead."`
+	Shrink            bool     `help:"Make a schedule that fails short, and print it."`
+	CompareFixedQuota bool     `name:"beside" help:"The same with fixed parts, beside it."`
+	Seed              uint64   `default:"1" help:"Of schedules, clients and objects."`
+	CacheNodes        int      `name:"boxes" default:"8" help:"Caches."`
+	Clients           int      `default:"200" help:"Clients."`
+	Load              float64  `default:"0.4" help:"What clients ask for, over what warm caches can do."`
+	PrintHistory      bool     `name:"history" help:"Print what every process saw and did."`
+	JSON              bool     `name:"json" help:"Print one JSON object."`
+	DirectorPath      string   `name:"director" placeholder:"FILE" help:"The director's program; by default the one beside this."`
 
 	Argv []string  `kong:"-"`
 	Log  io.Writer `kong:"-"`
 }
 
-// PeersRun is what came of one number of directors under one kind of fault.
-type PeersRun struct {
-	Instances  int       `json:"instances"`
-	Faults     string    `json:"faults"`
-	Simulated  bool      `json:"simulated"`
-	Schedules  int       `json:"schedules"`
-	Rules      int       `json:"rules_broken"`
-	Lost       int       `json:"lost"`
-	Over       int       `json:"parts_over"`
-	Fallen     int       `json:"fallen"`
-	Unended    int       `json:"unended"`
-	PartsPeak  float64   `json:"parts_peak"`
-	DeathP50   float64   `json:"know_death_ms_p50"`
-	DeathP99   float64   `json:"know_death_ms_p99"`
-	OneViewP99 float64   `json:"one_view_ms_p99"`
-	Wrong      float64   `json:"wrongly_failed_per_hour"` // of a director
-	Suspected  float64   `json:"wrongly_suspected_per_hour"`
-	Packets    float64   `json:"packets_per_s"`
-	Bytes      float64   `json:"bytes_per_s"`
-	Memory     float64   `json:"memory_mb"`
-	Share      float64   `json:"fulfilled_share"`
-	Recovery   float64   `json:"recovery_ms"`
-	Series     []float64 `json:"series"` // of the last schedule, see rig.Outcome
-	ColdPeak   float64   `json:"cold_peak_load"`
-	Fixed      *PeersRun `json:"fixed,omitempty"` // the same with fixed parts
-	Failing    []string  `json:"failing,omitempty"`
-	Why        []string  `json:"why,omitempty"`
-	deaths     []float64 // ms
-	views      []float64 //
-	hours      float64   //
-	wrong      int       //
-	suspected  int       //
+// MembershipRun is what came of one number of directors under one kind of fault.
+type MembershipRun struct {
+	Directors       int            `json:"instances"`
+	Faults          string         `json:"faults"`
+	Simulated       bool           `json:"simulated"`
+	Schedules       int            `json:"schedules"`
+	RulesBroken     int            `json:"rules_broken"`
+	Lost            int            `json:"lost"`
+	QuotaExceeded   int            `json:"parts_over"`
+	OverloadedNodes int            `json:"fallen"`
+	Unfinished      int            `json:"unended"`
+	PeakQuotaSum    float64        `json:"parts_peak"`
+	DetectionP50    float64        `json:"know_death_ms_p50"`
+	DetectionP99    float64        `json:"know_death_ms_p99"`
+	ConvergenceP99  float64        `json:"one_view_ms_p99"`
+	FalseFailures   float64        `json:"wrongly_failed_per_hour"` // of a director
+	FalseSuspicions float64        `json:"wrongly_suspected_per_hour"`
+	Packets         float64        `json:"packets_per_s"`
+	Bytes           float64        `json:"bytes_per_s"`
+	Memory          float64        `json:"memory_mb"`
+	SuccessShare    float64        `json:"fulfilled_share"`
+	Recovery        float64        `json:"recovery_ms"`
+	Series          []float64      `json:"series"` // of the last schedule, see rig.Outcome
+	PeakColdLoad    float64        `json:"cold_peak_load"`
+	FixedQuota      *MembershipRun `json:"fixed,omitempty"` // the same with fixed parts
+	Failing         []string       `json:"failing,omitempty"`
+	Reasons         []string       `json:"why,omitempty"`
+	detections      []float64      // ms
+	convergences    []float64      //
+	hours           float64        //
+	falseFailures   int            //
+	falseSuspicions int            //
 }
 
-// PeersResult is all of it; the sums are what the exit code goes by.
-type PeersResult struct {
-	Runs      []*PeersRun `json:"runs"`
-	Rules     int         `json:"rules_broken"`
-	Lost      int         `json:"lost"`
-	Over      int         `json:"parts_over"`
-	Fallen    int         `json:"fallen"`
-	Schedules int         `json:"schedules"`
-	Unended   int         `json:"unended"`
-	DeathP99  float64     `json:"know_death_ms_p99"`
+// MembershipResult is all of it; the sums are what the exit code goes by.
+type MembershipResult struct {
+	Runs            []*MembershipRun `json:"runs"`
+	RulesBroken     int              `json:"rules_broken"`
+	Lost            int              `json:"lost"`
+	QuotaExceeded   int              `json:"parts_over"`
+	OverloadedNodes int              `json:"fallen"`
+	Schedules       int              `json:"schedules"`
+	Unfinished      int              `json:"unended"`
+	DetectionP99    float64          `json:"know_death_ms_p99"`
 }
 
 // Broken says what must not be.
-func (r PeersResult) Broken() (all []string) {
+func (r MembershipResult) Broken() (all []string) {
 	for _, x := range []struct {
 		name string
 		n    int
-	}{{"rules_broken", r.Rules}, {"lost", r.Lost}, {"parts_over", r.Over}, {"fallen", r.Fallen}, {"unended", r.Unended}} {
+	}{{"rules_broken", r.RulesBroken}, {"lost", r.Lost}, {"parts_over", r.QuotaExceeded}, {"fallen", r.OverloadedNodes}, {"unended", r.Unfinished}} {
 		if x.n > 0 {
 			all = append(all, fmt.Sprintf("%s %d", x.name, x.n))
 		}
@@ -95,8 +95,8 @@
 	return all
 }
 
-// Named is the schedule of a kind of fault for so many directors.
-func Named(kind string, seed uint64, number, n int) faulttest.Schedule {
+// NamedSchedule is the schedule of a kind of fault for so many directors.
+func NamedSchedule(kind string, seed uint64, number, n int) faulttest.Schedule {
 	s := faulttest.Schedule{Seed: seed, Number: number, Directors: n, Length: 8000}
 	all := make([]int, n)
 	for i := range all {
@@ -148,65 +148,65 @@
 	return s
 }
 
-// Play plays it. An error is for what could not be played; broken rules stand in the result.
-func (p *Peers) Play(ctx context.Context) (out PeersResult, err error) {
+// Execute plays it. An error is for what could not be played; broken rules stand in the result.
+func (p *Membership) Execute(ctx context.Context) (out MembershipResult, err error) {
 	var deaths []float64
-	for _, n := range p.Together {
-		for _, g := range []Together{{n, 1, min(10, n-2), p.Slow}, {n, min(n*7/10, n-2), 1, p.Slow}} {
-			run, err := g.Play(ctx)
+	for _, n := range p.Detectors {
+		for _, g := range []DetectorTrial{{n, 1, min(10, n-2), p.Slowdown}, {n, min(n*7/10, n-2), 1, p.Slowdown}} {
+			run, err := g.Execute(ctx)
 			if err != nil {
 				return out, err
 			}
-			out.Runs, deaths = append(out.Runs, run), append(deaths, run.deaths...)
-			out.Schedules, out.Unended, out.DeathP99 = out.Schedules+1, out.Unended+run.Unended, quantile(deaths, 0.99)
+			out.Runs, deaths = append(out.Runs, run), append(deaths, run.detections...)
+			out.Schedules, out.Unfinished, out.DetectionP99 = out.Schedules+1, out.Unfinished+run.Unfinished, quantile(deaths, 0.99)
 		}
 	}
-	if len(p.Together) > 0 {
+	if len(p.Detectors) > 0 {
 		return out, nil
 	}
 	for _, kind := range p.Faults {
-		counts, simulated := p.Instances, false
+		counts, simulated := p.Directors, false
 		if len(p.Simulated) > 0 {
 			counts, simulated = p.Simulated, true
 		}
 		for _, n := range counts {
-			if n < 2 || n > 300 && !simulated || n > simPeople {
-				return out, fmt.Errorf("--instances, --simulated: %d is not from 2 to 300, or %d in simulated time", n, simPeople)
+			if n < 2 || n > 300 && !simulated || n > maxSimulatedDirectors {
+				return out, fmt.Errorf("--instances, --simulated: %d is not from 2 to 300, or %d in simulated time", n, maxSimulatedDirectors)
 			}
-			run := &PeersRun{Instances: n, Faults: kind, Simulated: simulated}
-			if p.Beside && !simulated {
-				run.Fixed = &PeersRun{Instances: n, Faults: kind}
+			run := &MembershipRun{Directors: n, Faults: kind, Simulated: simulated}
+			if p.CompareFixedQuota && !simulated {
+				run.FixedQuota = &MembershipRun{Directors: n, Faults: kind}
 			}
 			for number := range p.Schedules {
-				if p.Only >= 0 && number != p.Only && p.Only < p.Schedules {
+				if p.OnlySchedule >= 0 && number != p.OnlySchedule && p.OnlySchedule < p.Schedules {
 					continue
 				}
-				s := Named(kind, p.Seed, number, n)
-				if p.Only >= p.Schedules {
-					s = Named(kind, p.Seed, p.Only, n)
+				s := NamedSchedule(kind, p.Seed, number, n)
+				if p.OnlySchedule >= p.Schedules {
+					s = NamedSchedule(kind, p.Seed, p.OnlySchedule, n)
 				}
-				if p.Schedule != "" {
-					if s, err = p.read(); err != nil {
+				if p.ScheduleFile != "" {
+					if s, err = p.readSchedule(); err != nil {
 						return out, err
 					}
-					run.Instances = s.Directors
+					run.Directors = s.Directors
 				}
-				if err := p.play(ctx, run, s, simulated); err != nil {
+				if err := p.playSchedule(ctx, run, s, simulated); err != nil {
 					return out, err
 				}
 			}
-			run.sum()
-			out.Runs, deaths = append(out.Runs, run), append(deaths, run.deaths...)
-			out.Rules, out.Lost, out.Over, out.Fallen = out.Rules+run.Rules, out.Lost+run.Lost, out.Over+run.Over, out.Fallen+run.Fallen
-			out.Schedules, out.Unended = out.Schedules+run.Schedules, out.Unended+run.Unended
+			run.summarize()
+			out.Runs, deaths = append(out.Runs, run), append(deaths, run.detections...)
+			out.RulesBroken, out.Lost, out.QuotaExceeded, out.OverloadedNodes = out.RulesBroken+run.RulesBroken, out.Lost+run.Lost, out.QuotaExceeded+run.QuotaExceeded, out.OverloadedNodes+run.OverloadedNodes
+			out.Schedules, out.Unfinished = out.Schedules+run.Schedules, out.Unfinished+run.Unfinished
 		}
 	}
-	out.DeathP99 = quantile(deaths, 0.99)
+	out.DetectionP99 = quantile(deaths, 0.99)
 	return out, nil
 }
 
-func (p *Peers) read() (s faulttest.Schedule, err error) {
-	raw, err := os.ReadFile(p.Schedule)
+func (p *Membership) readSchedule() (s faulttest.Schedule, err error) {
+	raw, err := os.ReadFile(p.ScheduleFile)
 	if err == nil {
 		err = json.Unmarshal(raw, &s)
 	}
@@ -214,20 +214,23 @@
 		err = s.Check()
 	}
 	if err != nil {
-		err = fmt.Errorf("--schedule: %s: %w", p.Schedule, err)
+		err = fmt.Errorf("--schedule: %s: %w", p.ScheduleFile, err)
 	}
 	return s, err
 }
 
-// play plays one schedule, and where it fails and that is wanted, shorter ones.
-func (p *Peers) play(ctx context.Context, run *PeersRun, s faulttest.Schedule, simulated bool) error {
+// playSchedule plays one schedule, and where it fails and that is wanted, shorter ones.
+func (p *Membership) playSchedule(ctx context.Context, run *MembershipRun, s faulttest.Schedule, simulated bool) error {
 	run.Schedules++
 	if simulated {
-		r := simulate(s)
-		run.PartsPeak, run.Over = max(run.PartsPeak, r.Peak), run.Over+r.Over
-		run.views, run.Packets = append(run.views, float64(r.OneView)/1000), r.Asks
-		if run.Unended += bit(r.Unended); r.Over > 0 || r.Unended {
-			p.failed(run, s, func(s faulttest.Schedule) bool { r := simulate(s); return r.Over > 0 || r.Unended })
+		r := simulateMembership(s)
+		run.PeakQuotaSum, run.QuotaExceeded = max(run.PeakQuotaSum, r.PeakQuotaSum), run.QuotaExceeded+r.QuotaExceeded
+		run.convergences, run.Packets = append(run.convergences, float64(r.Convergence)/1000), r.MessageRate
+		if run.Unfinished += bit(r.Unfinished); r.QuotaExceeded > 0 || r.Unfinished {
+			p.recordFailure(run, s, func(s faulttest.Schedule) bool {
+				r := simulateMembership(s)
+				return r.QuotaExceeded > 0 || r.Unfinished
+			})
 		}
 		return nil
 	}
@@ -236,66 +239,66 @@
 		return err
 	}
 	run.add(o)
-	if p.History {
+	if p.PrintHistory {
 		fmt.Fprint(os.Stderr, o.History)
 	}
 	if len(o.Broken()) > 0 {
-		run.Why = append(run.Why, fmt.Sprint(o.Broken(), o.LostHow, o.Why))
-		p.failed(run, s, func(s faulttest.Schedule) bool {
+		run.Reasons = append(run.Reasons, fmt.Sprint(o.Broken(), o.LostHow, o.Why))
+		p.recordFailure(run, s, func(s faulttest.Schedule) bool {
 			o, err := faulttest.Run(ctx, p.spec(false), s, nil)
 			return err == nil && len(o.Broken()) > 0
 		})
 	}
-	if run.Fixed != nil {
-		run.Fixed.Schedules++
+	if run.FixedQuota != nil {
+		run.FixedQuota.Schedules++
 		if o, err = faulttest.Run(ctx, p.spec(true), s, nil); err != nil {
 			return err
 		}
-		run.Fixed.add(o)
+		run.FixedQuota.add(o)
 	}
 	return nil
 }
 
-const mostTries = 24 // of shorter schedules
+const maxShrinkRuns = 24 // of shorter schedules
 
-func (p *Peers) failed(run *PeersRun, s faulttest.Schedule, fails func(faulttest.Schedule) bool) {
+func (p *Membership) recordFailure(run *MembershipRun, s faulttest.Schedule, fails func(faulttest.Schedule) bool) {
 	if len(run.Failing) >= 8 {
 		return
 	}
 	if p.Shrink {
-		s = faulttest.Shrink(s, mostTries, fails)
+		s = faulttest.Shrink(s, maxShrinkRuns, fails)
 	}
 	run.Failing = append(run.Failing, s.String())
 }
 
-func (p *Peers) spec(alone bool) faulttest.Spec {
+func (p *Membership) spec(alone bool) faulttest.Spec {
 	return faulttest.Spec{
-		Argv: p.Argv, Alone: alone, Boxes: p.Boxes, Clients: p.Clients, Load: p.Load, Warm: true, Settle: time.Second,
+		Argv: p.Argv, Alone: alone, Boxes: p.CacheNodes, Clients: p.Clients, Load: p.Load, Warm: true, Settle: time.Second,
 		After: 2 * time.Second, Log: p.Log,
 	}
 }
 
-func (r *PeersRun) add(o faulttest.Outcome) {
-	r.Lost, r.Over, r.Fallen, r.Unended = r.Lost+o.Lost, r.Over+o.PartsOver, r.Fallen+o.Fallen, r.Unended+bit(o.Unended)
-	r.Rules += o.Rules()
-	r.PartsPeak, r.ColdPeak, r.Memory = max(r.PartsPeak, o.PartsPeak[0], o.PartsPeak[1]), max(r.ColdPeak, o.ColdPeak), max(r.Memory, o.Memory)
-	r.deaths, r.views = append(r.deaths, o.Deaths...), append(r.views, o.OneView)
-	r.hours, r.wrong, r.suspected = r.hours+o.Hours, r.wrong+o.Failed, r.suspected+o.Suspected
+func (r *MembershipRun) add(o faulttest.Outcome) {
+	r.Lost, r.QuotaExceeded, r.OverloadedNodes, r.Unfinished = r.Lost+o.Lost, r.QuotaExceeded+o.PartsOver, r.OverloadedNodes+o.Fallen, r.Unfinished+bit(o.Unended)
+	r.RulesBroken += o.Rules()
+	r.PeakQuotaSum, r.PeakColdLoad, r.Memory = max(r.PeakQuotaSum, o.PartsPeak[0], o.PartsPeak[1]), max(r.PeakColdLoad, o.ColdPeak), max(r.Memory, o.Memory)
+	r.detections, r.convergences = append(r.detections, o.Deaths...), append(r.convergences, o.OneView)
+	r.hours, r.falseFailures, r.falseSuspicions = r.hours+o.Hours, r.falseFailures+o.Failed, r.falseSuspicions+o.Suspected
 	n := float64(r.Schedules)
 	mean := func(old, now float64) float64 { return (old*(n-1) + now) / n }
-	r.Packets, r.Bytes, r.Share = mean(r.Packets, o.Packets), mean(r.Bytes, o.Bytes), mean(r.Share, o.Share)
+	r.Packets, r.Bytes, r.SuccessShare = mean(r.Packets, o.Packets), mean(r.Bytes, o.Bytes), mean(r.SuccessShare, o.Share)
 	r.Series = o.Series
 	if r.Recovery = max(r.Recovery, o.Recovery); o.Recovery < 0 {
 		r.Recovery = -1
 	}
 }
 
-func (r *PeersRun) sum() {
-	r.DeathP50, r.DeathP99, r.OneViewP99 = quantile(r.deaths, 0.5), quantile(r.deaths, 0.99), quantile(r.views, 0.99)
+func (r *MembershipRun) summarize() {
+	r.DetectionP50, r.DetectionP99, r.ConvergenceP99 = quantile(r.detections, 0.5), quantile(r.detections, 0.99), quantile(r.convergences, 0.99)
 	if r.hours > 0 {
-		r.Wrong, r.Suspected = float64(r.wrong)/r.hours, float64(r.suspected)/r.hours
+		r.FalseFailures, r.FalseSuspicions = float64(r.falseFailures)/r.hours, float64(r.falseSuspicions)/r.hours
 	}
-	if r.Fixed != nil {
-		r.Fixed.sum()
+	if r.FixedQuota != nil {
+		r.FixedQuota.summarize()
 	}
 }
--- a/internal/experiment/peersim.go
+++ b/internal/experiment/peersim.go
@@ -50,22 +50,22 @@
 }
 
 const (
-	simStep   = 50 * d.Second / 1000
-	simPeople = 1200 // directors, at the most
+	simStep               = 50 * d.Second / 1000
+	maxSimulatedDirectors = 1200 // directors, at the most
 )
 
-// SimResult is what came of one schedule in simulated time.
-type SimResult struct {
-	Peak    float64
-	Over    int
-	Unended bool
-	OneView d.Micros // from the end of the last fault
-	Raised  bool     // some part was above the fixed one
-	Asks    float64  // messages a second of each director
+// membershipSimResult is what came of one schedule in simulated time.
+type membershipSimResult struct {
+	PeakQuotaSum  float64
+	QuotaExceeded int
+	Unfinished    bool
+	Convergence   d.Micros // from the end of the last fault
+	QuotaRaised   bool     // some part was above the fixed one
+	MessageRate   float64  // messages a second of each director
 }
 
-// simulate plays a schedule.
-func simulate(s faulttest.Schedule) (out SimResult) {
+// simulateMembership plays a schedule.
+func simulateMembership(s faulttest.Schedule) (out membershipSimResult) {
 	m := &peerSim{
 		n: s.Directors, r: rand.New(rand.NewPCG(s.Seed, uint64(s.Number)+77)), now: d.Second, cut: make([]int32, s.Directors*s.Directors),
 		due: make([]bool, s.Directors*s.Directors), said: slices.Repeat([]int8{unsaid}, s.Directors*s.Directors), alive: make([]bool, s.Directors), stopped: make([]bool, s.Directors),
@@ -103,21 +103,21 @@
 			}
 			for _, scope := range []membership.Scope{membership.ScopeZone, membership.ScopeFleet} {
 				part, _ := b.Quota(m.clock(i), scope)
-				if out.Raised = out.Raised || part > 1; scope == membership.ScopeZone {
+				if out.QuotaRaised = out.QuotaRaised || part > 1; scope == membership.ScopeZone {
 					sum += part / float64(m.n)
 				}
 			}
 		}
-		if out.Peak = max(out.Peak, sum); sum > membership.MaxQuotaFactor+1e-6 {
-			out.Over++
+		if out.PeakQuotaSum = max(out.PeakQuotaSum, sum); sum > membership.MaxQuotaFactor+1e-6 {
+			out.QuotaExceeded++
 		}
 		if healed > 0 && m.agreed() {
-			out.OneView = m.now - healed
-			out.Asks = float64(messages) / float64(m.n) / (float64(m.now-d.Second) / float64(d.Second))
+			out.Convergence = m.now - healed
+			out.MessageRate = float64(messages) / float64(m.n) / (float64(m.now-d.Second) / float64(d.Second))
 			return out
 		}
 	}
-	out.Unended = true
+	out.Unfinished = true
 	return out
 }
 
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -14,10 +14,10 @@
 	"tallyproxy/internal/fakes"
 )
 
-// line is one of a plot's.
-type line struct {
+// plotLine is one of a plot's.
+type plotLine struct {
 	name   string
-	colour color.Color
+	color  color.Color
 	points []float64
 }
 
@@ -27,7 +27,7 @@
 	green = color.RGBA{R: 40, G: 130, B: 70, A: 255}
 )
 
-func floats(series []int) []float64 {
+func ratePerSecond(series []int) []float64 {
 	out := make([]float64, len(series))
 	for i, n := range series {
 		out[i] = float64(n) / fakes.SeriesInterval.Seconds()
@@ -36,13 +36,13 @@
 }
 
 // DrawStorm draws demand and advice over load, as PNG.
-func DrawStorm(path string, r Result) error {
-	return drawPanels(path, []panel{
-		{title: "downloads and advice", y: "a second", lines: []line{
-			{"asked", blue, floats(r.Series.Asked)}, {"told to come", red, floats(r.Series.Advised)},
-			{"fulfilled", green, floats(r.Series.Served)},
+func DrawStorm(path string, r StormResult) error {
+	return drawPanels(path, []plotPanel{
+		{title: "downloads and advice", y: "a second", lines: []plotLine{
+			{"asked", blue, ratePerSecond(r.Series.Attempts)}, {"told to come", red, ratePerSecond(r.Series.RetryAfter)},
+			{"fulfilled", green, ratePerSecond(r.Series.Succeeded)},
 		}},
-		{title: "worst box so far, over what pushes it over", y: "load", lines: []line{{"load", red, r.Series.Load}}},
+		{title: "worst box so far, over what pushes it over", y: "load", lines: []plotLine{{"load", red, r.Series.Load}}},
 	})
 }
 
@@ -53,21 +53,21 @@
 		cores, rate = append(cores, float64(x.Cores)), append(rate, x.Rate)
 		p50, p99 = append(p50, x.P50), append(p99, x.P99)
 	}
-	return drawPanels(path, []panel{
-		{title: "downloads fulfilled, " + r.Division, y: "a second", x: "cores", at: cores, lines: []line{{"rate", blue, rate}}},
-		{title: "latency", y: "ms", x: "cores", at: cores, lines: []line{{"p50", green, p50}, {"p99", red, p99}}},
+	return drawPanels(path, []plotPanel{
+		{title: "downloads fulfilled, " + r.Division, y: "a second", x: "cores", at: cores, lines: []plotLine{{"rate", blue, rate}}},
+		{title: "latency", y: "ms", x: "cores", at: cores, lines: []plotLine{{"p50", green, p50}, {"p99", red, p99}}},
 	})
 }
 
-type panel struct {
+type plotPanel struct {
 	title, y string
-	lines    []line
+	lines    []plotLine
 	x        string    // with nothing said, the time in seconds,
 	at       []float64 // by bucket
 }
 
 // drawPanels draws plots one under the other.
-func drawPanels(path string, panels []panel) error {
+func drawPanels(path string, panels []plotPanel) error {
 	plots := make([][]*plot.Plot, len(panels))
 	for i, of := range panels {
 		p := plot.New()
@@ -85,7 +85,7 @@
 			if err != nil {
 				return err
 			}
-			drawn.Color = l.colour
+			drawn.Color = l.color
 			p.Add(drawn)
 			p.Legend.Add(l.name, drawn)
 		}
--- a/internal/experiment/start.go
+++ b/internal/experiment/start.go
@@ -15,90 +15,90 @@
 	"tallyproxy/internal/logevent"
 )
 
-// Start is what `tallybench start` plays: many directors as processes that start at once, and a list service that is away for a while.
-type Start struct {
-	Directors  []int         `default:"40" help:"Directors."`
-	Faults     []string      `default:"away,event" enum:"none,away,retry,hangs,half,event,events,seven,followers,halves,move,roll" help:"What goes wrong: ${enum}. The list service answers 503, with a time to come back, hangs, breaks answers off; an event comes, one every 200 ms; the rest under load."`
-	Phase      time.Duration `name:"phase" default:"2s" help:"How long each phase goes on."`
-	Peers      bool          `default:"true" negatable:"" help:"Directors that know each other."`
-	Beside     bool          `name:"beside" default:"true" negatable:"" help:"The same with directors that don't, beside it."`
-	Service    float64       `name:"service" default:"0" help:"Answers a second that the list service can give; 0 for any."`
-	Lines      float64       `name:"lines" default:"0" help:"Events a second that it can put into them; 0 for any."`
-	Patience   time.Duration `name:"patience" default:"500ms" help:"It turns calls away whose answer would take longer."`
-	Simulated  []int         `placeholder:"N,..." help:"Directors in simulated time instead, with the modules that decide."`
-	Boxes      int           `name:"boxes" default:"8" help:"Caches, cold ones, there."`
-	Clients    int           `default:"300" help:"Clients there."`
-	Load       float64       `default:"0.4" help:"What they ask for, over what warm caches can do."`
-	Seed       uint64        `default:"1" help:"Of the world."`
-	JSON       bool          `name:"json" help:"Print one JSON object."`
-	DirectorAt string        `name:"director" placeholder:"FILE" help:"The director's program; by default the one beside this."`
+// Startup is what `tallybench start` plays: many directors as processes that start at once, and a list service that is away for a while.
+type Startup struct {
+	Directors       []int         `default:"40" help:"Directors."`
+	Faults          []string      `default:"away,event" enum:"none,away,retry,hangs,half,event,events,seven,followers,halves,move,roll" help:"What goes wrong: ${enum}. The list service answers 503, with a time to come back, hangs, breaks answers off; an event comes, one every 200 ms; the rest under load."`
+	PhaseDuration   time.Duration `name:"phase" default:"2s" help:"How long each phase goes on."`
+	Peers           bool          `default:"true" negatable:"" help:"Directors that know each other."`
+	CompareAlone    bool          `name:"beside" default:"true" negatable:"" help:"The same with directors that don't, beside it."`
+	CallsPerSecond  float64       `name:"service" default:"0" help:"Answers a second that the list service can give; 0 for any."`
+	EventsPerSecond float64       `name:"lines" default:"0" help:"Events a second that it can put into them; 0 for any."`
+	MaxAnswerDelay  time.Duration `name:"patience" default:"500ms" help:"It turns calls away whose answer would take longer."`
+	Simulated       []int         `placeholder:"N,..." help:"Directors in simulated time instead, with the modules that decide."`
+	CacheNodes      int           `name:"boxes" default:"8" help:"Caches, cold ones, there."`
+	Clients         int           `default:"300" help:"Clients there."`
+	Load            float64       `default:"0.4" help:"What they ask for, over what warm caches can do."`
+	Seed            uint64        `default:"1" help:"Of the world."`
+	JSON            bool          `name:"json" help:"Print one JSON object."`
+	DirectorPath    string        `name:"director" placeholder:"FILE" help:"The director's program; by default the one beside this."`
 
 	Argv []string  `kong:"-"`
 	Log  io.Writer `kong:"-"`
 }
 
-// mostSimulated is how many directors a fleet in simulated time may have.
-const mostSimulated = 20_000
+// maxSimulatedStartup is how many directors a fleet in simulated time may have.
+const maxSimulatedStartup = 20_000
 
-// Phase is what the list service saw of a fleet in one.
-type Phase struct {
-	Name string  `json:"name"`
-	Rate float64 `json:"calls_per_s"` // of all directors
-	Peak float64 `json:"peak_share"`  // most calls in 100 ms, over the directors
-	Away int     `json:"turned_away"` // calls without an answer
-	Over float64 `json:"over_calm"`   // the rate, over the calm one
-	Know float64 `json:"know_ms_p99"` // until 99 of 100 had asked after the phase began
+// StartupPhase is what the list service saw of a fleet in one.
+type StartupPhase struct {
+	Name         string  `json:"name"`
+	CallRate     float64 `json:"calls_per_s"` // of all directors
+	PeakShare    float64 `json:"peak_share"`  // most calls in 100 ms, over the directors
+	Refused      int     `json:"turned_away"` // calls without an answer
+	OverCalm     float64 `json:"over_calm"`   // the rate, over the calm one
+	AllCalledP99 float64 `json:"know_ms_p99"` // until 99 of 100 had asked after the phase began
 }
 
-// StartRun is what came of one number of directors.
-type StartRun struct {
-	Directors int     `json:"directors"`
-	Alone     bool    `json:"alone"` // without peers
-	Simulated bool    `json:"simulated"`
-	Phases    []Phase `json:"phases"`
-	Memory    float64 `json:"memory_mb"`
-	List      float64 `json:"know_list_ms_p99"`  // until 99 of 100 knew what had been told of nodes while the service was away, from its return
-	Event     float64 `json:"know_event_ms_p99"` // and of a purge
-	Unknown   int     `json:"unknown"`           // of such things, that they never knew within its phase
-	Crashes   int     `json:"crashes"`
-	Why       string  `json:"why,omitempty"`
-	Cold      Cold    `json:"cold"`
+// StartupRun is what came of one number of directors.
+type StartupRun struct {
+	Directors     int            `json:"directors"`
+	Alone         bool           `json:"alone"` // without peers
+	Simulated     bool           `json:"simulated"`
+	Phases        []StartupPhase `json:"phases"`
+	Memory        float64        `json:"memory_mb"`
+	ListKnownP99  float64        `json:"know_list_ms_p99"`  // until 99 of 100 knew what had been told of nodes while the service was away, from its return
+	EventKnownP99 float64        `json:"know_event_ms_p99"` // and of a purge
+	NeverKnown    int            `json:"unknown"`           // of such things, that they never knew within its phase
+	Crashes       int            `json:"crashes"`
+	CrashReasons  string         `json:"why,omitempty"`
+	ColdStart     ColdStart      `json:"cold"`
 }
 
-// Cold is what came of a start on cold caches under load.
-type Cold struct {
-	Rules    int     `json:"rules_broken"`
-	Lost     int     `json:"lost"`
-	Fallen   int     `json:"fallen"`
-	Unended  int     `json:"unended"`
-	Asked    int     `json:"asked"`
-	Share    float64 `json:"fulfilled_share"`
-	Recovery float64 `json:"recovery_ms"`    // until nine tenths were fulfilled; -1: not in the phases
-	Peak     float64 `json:"cold_peak_load"` // over what pushes a cache over
+// ColdStart is what came of a start on cold caches under load.
+type ColdStart struct {
+	RulesBroken     int     `json:"rules_broken"`
+	Lost            int     `json:"lost"`
+	OverloadedNodes int     `json:"fallen"`
+	Unfinished      int     `json:"unended"`
+	Requests        int     `json:"asked"`
+	SuccessShare    float64 `json:"fulfilled_share"`
+	Recovery        float64 `json:"recovery_ms"`    // until nine tenths were fulfilled; -1: not in the phases
+	PeakLoad        float64 `json:"cold_peak_load"` // over what pushes a cache over
 }
 
-// StartResult is all of it.
-type StartResult struct {
-	Runs    []StartRun `json:"runs"`
-	Outage  float64    `json:"outage_over_calm"`
-	Back    float64    `json:"back_peak_share"`
-	Know    float64    `json:"know_list_ms_p99"` // from the service's return
-	Event   float64    `json:"know_event_ms_p99"`
-	Calls   float64    `json:"peak_calls_share"` // most in 100 ms at any time, over the directors
-	Peak    float64    `json:"cold_peak_load"`
-	Rules   int        `json:"rules_broken"`
-	Lost    int        `json:"lost"`
-	Fallen  int        `json:"fallen"`
-	Unended int        `json:"unended"`
-	Crashes int        `json:"crashes"`
+// StartupResult is all of it.
+type StartupResult struct {
+	Runs            []StartupRun `json:"runs"`
+	OutageOverCalm  float64      `json:"outage_over_calm"`
+	ReturnPeakShare float64      `json:"back_peak_share"`
+	ListKnownP99    float64      `json:"know_list_ms_p99"` // from the service's return
+	EventKnownP99   float64      `json:"know_event_ms_p99"`
+	PeakCallShare   float64      `json:"peak_calls_share"` // most in 100 ms at any time, over the directors
+	PeakColdLoad    float64      `json:"cold_peak_load"`
+	RulesBroken     int          `json:"rules_broken"`
+	Lost            int          `json:"lost"`
+	OverloadedNodes int          `json:"fallen"`
+	Unfinished      int          `json:"unended"`
+	Crashes         int          `json:"crashes"`
 }
 
 // Broken says what must not be.
-func (r StartResult) Broken() (all []string) {
+func (r StartupResult) Broken() (all []string) {
 	for _, x := range []struct {
 		name string
 		n    int
-	}{{"rules_broken", r.Rules}, {"lost", r.Lost}, {"fallen", r.Fallen}, {"unended", r.Unended}, {"crashes", r.Crashes}} {
+	}{{"rules_broken", r.RulesBroken}, {"lost", r.Lost}, {"fallen", r.OverloadedNodes}, {"unended", r.Unfinished}, {"crashes", r.Crashes}} {
 		if x.n > 0 {
 			all = append(all, fmt.Sprintf("%s %d", x.name, x.n))
 		}
@@ -106,20 +106,20 @@
 	return all
 }
 
-// Play plays it.
-func (s *Start) Play(ctx context.Context) (out StartResult, err error) {
+// Execute plays it.
+func (s *Startup) Execute(ctx context.Context) (out StartupResult, err error) {
 	for _, n := range s.Directors {
 		if n < 1 || n > 300 {
 			return out, fmt.Errorf("--directors: %d is not from 1 to 300", n)
 		}
 	}
 	for _, n := range s.Simulated {
-		if n < 1 || n > mostSimulated {
-			return out, fmt.Errorf("--simulated: %d is not from 1 to %d", n, mostSimulated)
+		if n < 1 || n > maxSimulatedStartup {
+			return out, fmt.Errorf("--simulated: %d is not from 1 to %d", n, maxSimulatedStartup)
 		}
 	}
 	kinds := []bool{!s.Peers} // alone
-	if s.Peers && s.Beside {
+	if s.Peers && s.CompareAlone {
 		kinds = []bool{true, false}
 	}
 	counts, simulated := s.Directors, len(s.Simulated) > 0
@@ -128,11 +128,11 @@
 	}
 	for _, n := range counts {
 		for _, alone := range kinds {
-			var run StartRun
+			var run StartupRun
 			if simulated {
-				run = simulateStart(n, alone, s.Seed, s.capacity(), s.Phase)
-			} else if run, err = s.play(ctx, n, alone); err == nil {
-				run.Cold, err = s.cold(ctx, n, alone)
+				run = simulateStartup(n, alone, s.Seed, s.capacity(), s.PhaseDuration)
+			} else if run, err = s.playPhases(ctx, n, alone); err == nil {
+				run.ColdStart, err = s.playColdStart(ctx, n, alone)
 			}
 			if err != nil {
 				return out, err
@@ -143,23 +143,23 @@
 			for _, p := range run.Phases {
 				switch p.Name {
 				case "away", "hangs", "half answers", "away, come back in 5 s":
-					out.Outage = max(out.Outage, p.Over)
+					out.OutageOverCalm = max(out.OutageOverCalm, p.OverCalm)
 				case "back":
-					out.Back = max(out.Back, p.Peak)
+					out.ReturnPeakShare = max(out.ReturnPeakShare, p.PeakShare)
 				}
-				out.Calls = max(out.Calls, p.Peak)
+				out.PeakCallShare = max(out.PeakCallShare, p.PeakShare)
 			}
-			out.Know, out.Event, out.Unended = max(out.Know, run.List), max(out.Event, run.Event), out.Unended+run.Unknown
-			out.Crashes, out.Peak = out.Crashes+run.Crashes, max(out.Peak, run.Cold.Peak)
-			out.Rules, out.Lost, out.Fallen, out.Unended = out.Rules+run.Cold.Rules, out.Lost+run.Cold.Lost, out.Fallen+run.Cold.Fallen,
-				out.Unended+run.Cold.Unended
+			out.ListKnownP99, out.EventKnownP99, out.Unfinished = max(out.ListKnownP99, run.ListKnownP99), max(out.EventKnownP99, run.EventKnownP99), out.Unfinished+run.NeverKnown
+			out.Crashes, out.PeakColdLoad = out.Crashes+run.Crashes, max(out.PeakColdLoad, run.ColdStart.PeakLoad)
+			out.RulesBroken, out.Lost, out.OverloadedNodes, out.Unfinished = out.RulesBroken+run.ColdStart.RulesBroken, out.Lost+run.ColdStart.Lost, out.OverloadedNodes+run.ColdStart.OverloadedNodes,
+				out.Unfinished+run.ColdStart.Unfinished
 		}
 	}
 	return out, nil
 }
 
-// play starts directors at once and has the list service go through its phases. No client asks for anything.
-func (s *Start) play(ctx context.Context, n int, alone bool) (run StartRun, err error) {
+// playPhases starts directors at once and has the list service go through its phases. No client asks for anything.
+func (s *Startup) playPhases(ctx context.Context, n int, alone bool) (run StartupRun, err error) {
 	run.Directors, run.Alone = n, alone
 	r, err := faulttest.New(faulttest.Spec{Argv: s.Argv, Alone: alone, Boxes: 4, Warm: true, Log: s.Log}, faulttest.Schedule{Seed: s.Seed, Directors: n})
 	if err != nil {
@@ -172,7 +172,7 @@
 	defer func() {
 		run.Memory = math.Round(r.Memory()*10) / 10
 		if failed = errors.Join(failed, r.Close()); failed != nil {
-			run.Crashes, run.Why = strings.Count(failed.Error(), "\n")+1, failed.Error()
+			run.Crashes, run.CrashReasons = strings.Count(failed.Error(), "\n")+1, failed.Error()
 		}
 	}()
 	type told struct {
@@ -195,18 +195,18 @@
 	}
 	back := func() {
 		w.SetChannelMode(fakes.ChannelServing, 0)
-		news = append(news, told{time.Now(), listed, &run.List})
+		news = append(news, told{time.Now(), listed, &run.ListKnownP99})
 	}
-	phases := []phase{{"start", nil}, {"calm", func() {}}}
+	phases := []channelPhase{{"start", nil}, {"calm", func() {}}}
 	for _, f := range s.Faults {
-		phases = append(phases, map[string][]phase{
+		phases = append(phases, map[string][]channelPhase{
 			"away":  {{"away", away(fakes.ChannelUnavailable, 0, box("draining"))}, {"back", back}},
 			"retry": {{"away, come back in 5 s", away(fakes.ChannelUnavailable, 5, box("up"))}, {"back", back}},
 			"hangs": {{"hangs", away(fakes.ChannelHanging, 0, box("draining"))}, {"back", back}},
 			"half":  {{"half answers", away(fakes.ChannelTruncating, 0, box("up"))}, {"back", back}},
-			"event": {{"an event", func() { news = append(news, told{time.Now(), purged, &run.Event}); w.Purge("", 1) }}},
+			"event": {{"an event", func() { news = append(news, told{time.Now(), purged, &run.EventKnownP99}); w.Purge("", 1) }}},
 			"events": {{"an event every 200 ms", func() {
-				for range int(s.Phase / (200 * time.Millisecond)) {
+				for range int(s.PhaseDuration / (200 * time.Millisecond)) {
 					w.Purge("", 2)
 					fakes.Sleep(ctx, 200*time.Millisecond)
 				}
@@ -215,19 +215,19 @@
 	}
 	for _, p := range phases {
 		from := w.Now()
-		if p.do == nil {
+		if p.begin == nil {
 			from = begun
 		} else {
-			p.do()
+			p.begin()
 		}
-		fakes.Sleep(ctx, s.Phase-(w.Now()-from))
-		run.Phases = append(run.Phases, measure(p.name, w.ChannelCalls(), from, w.Now(), n))
+		fakes.Sleep(ctx, s.PhaseDuration-(w.Now()-from))
+		run.Phases = append(run.Phases, measurePhase(p.name, w.ChannelCalls(), from, w.Now(), n))
 	}
-	run.over()
+	run.relateToCalm()
 	entries := r.History.Entries()
 	for _, t := range news {
 		if took := faulttest.Knew(entries, t.at, n, 0.99, t.shows); took < 0 {
-			run.Unknown++
+			run.NeverKnown++
 		} else {
 			*t.into = max(*t.into, float64(took.Milliseconds()))
 		}
@@ -235,21 +235,21 @@
 	return run, ctx.Err()
 }
 
-// over sets each phase's rate against the calm one's.
-func (r *StartRun) over() {
+// relateToCalm sets each phase's rate against the calm one's.
+func (r *StartupRun) relateToCalm() {
 	for i := range r.Phases {
-		r.Phases[i].Over = share(r.Phases[i].Rate, r.Phases[1].Rate)
+		r.Phases[i].OverCalm = ratio(r.Phases[i].CallRate, r.Phases[1].CallRate)
 	}
 }
 
-// phase is one of the list service's.
-type phase struct {
-	name string
-	do   func()
+// channelPhase is one of the list service's.
+type channelPhase struct {
+	name  string
+	begin func()
 }
 
-// faults are those that are played under load.
-func (s *Start) faults(n int) (all []faulttest.Fault) {
+// loadFaults are those that are played under load.
+func (s *Startup) loadFaults(n int) (all []faulttest.Fault) {
 	who := make([]int, n)
 	for i := range who {
 		who[i] = i
@@ -271,54 +271,54 @@
 }
 
 // capacity is what the list service can do.
-func (s *Start) capacity() fakes.ChannelCapacity {
-	c := fakes.ChannelCapacity{MaxWait: s.Patience}
-	if s.Service > 0 {
-		c.PerCall = time.Duration(float64(time.Second) / s.Service)
+func (s *Startup) capacity() fakes.ChannelCapacity {
+	c := fakes.ChannelCapacity{MaxWait: s.MaxAnswerDelay}
+	if s.CallsPerSecond > 0 {
+		c.PerCall = time.Duration(float64(time.Second) / s.CallsPerSecond)
 	}
-	if s.Lines > 0 {
-		c.PerEvent = time.Duration(float64(time.Second) / s.Lines)
+	if s.EventsPerSecond > 0 {
+		c.PerEvent = time.Duration(float64(time.Second) / s.EventsPerSecond)
 	}
 	return c
 }
 
-// cold starts as many on caches that are cold, under load from when they serve on.
-func (s *Start) cold(ctx context.Context, n int, alone bool) (Cold, error) {
-	schedule := faulttest.Schedule{Seed: s.Seed, Directors: n, Faults: s.faults(n)}
+// playColdStart starts as many on caches that are cold, under load from when they serve on.
+func (s *Startup) playColdStart(ctx context.Context, n int, alone bool) (ColdStart, error) {
+	schedule := faulttest.Schedule{Seed: s.Seed, Directors: n, Faults: s.loadFaults(n)}
 	for _, f := range schedule.Faults {
 		schedule.Length = max(schedule.Length, f.At+f.For+500)
 	}
 	o, err := faulttest.Run(ctx, faulttest.Spec{
-		Argv: s.Argv, Alone: alone, Boxes: s.Boxes, Clients: s.Clients, Load: s.Load, After: 3 * s.Phase / 2, Log: s.Log,
+		Argv: s.Argv, Alone: alone, Boxes: s.CacheNodes, Clients: s.Clients, Load: s.Load, After: 3 * s.PhaseDuration / 2, Log: s.Log,
 		Early: true, Before: func(r *faulttest.Rig) { r.World.SetChannelCapacity(s.capacity()) },
 	}, schedule, nil)
-	return Cold{o.Rules() + o.PartsOver, o.Lost, o.Fallen, bit(o.Unended), o.Asked, o.Share, o.Recovery, o.ColdPeak}, err
+	return ColdStart{o.Rules() + o.PartsOver, o.Lost, o.Fallen, bit(o.Unended), o.Asked, o.Share, o.Recovery, o.ColdPeak}, err
 }
 
-// measure counts the calls of a phase.
-func measure(name string, calls []fakes.ChannelCall, from, to time.Duration, n int) Phase {
-	p := Phase{Name: name}
+// measurePhase counts the calls of a phase.
+func measurePhase(name string, calls []fakes.ChannelCall, from, to time.Duration, n int) StartupPhase {
+	p := StartupPhase{Name: name}
 	var at []time.Duration
 	for _, c := range calls {
 		if c.At >= from && c.At < to {
 			at = append(at, c.At)
-			p.Away += bit(c.Refused)
+			p.Refused += bit(c.Refused)
 		}
 	}
 	slices.Sort(at)
-	p.Rate = math.Round(float64(len(at))/(to-from).Seconds()*10) / 10
+	p.CallRate = math.Round(float64(len(at))/(to-from).Seconds()*10) / 10
 	for i := range at {
 		j, _ := slices.BinarySearch(at, at[i]+100*time.Millisecond)
-		p.Peak = max(p.Peak, share(float64(j-i), float64(n)))
+		p.PeakShare = max(p.PeakShare, ratio(float64(j-i), float64(n)))
 	}
 	if last := int(math.Ceil(0.99 * float64(n))); last <= len(at) {
-		p.Know = float64((at[last-1] - from).Milliseconds())
+		p.AllCalledP99 = float64((at[last-1] - from).Milliseconds())
 	}
 	return p
 }
 
 // Table is the result for people.
-func (r StartResult) Table() string {
+func (r StartupResult) Table() string {
 	var b strings.Builder
 	kind := func(alone bool) string {
 		if alone {
@@ -329,15 +329,15 @@
 	fmt.Fprintln(&b, "directors         phase                    calls/s  over calm  most in 100 ms  turned away")
 	for _, run := range r.Runs {
 		for _, p := range run.Phases {
-			fmt.Fprintf(&b, "%9d  %s  %-24s %7.1f %10.2f %15.2f %12d\n", run.Directors, kind(run.Alone), p.Name, p.Rate, p.Over, p.Peak, p.Away)
+			fmt.Fprintf(&b, "%9d  %s  %-24s %7.1f %10.2f %15.2f %12d\n", run.Directors, kind(run.Alone), p.Name, p.CallRate, p.OverCalm, p.PeakShare, p.Refused)
 		}
 	}
 	fmt.Fprintln(&b, "directors         99% know of nodes, ms  of a purge  never  MB | cold caches under load: fulfilled  nine tenths after ms  "+
 		"peak load  rules  lost  fallen  unended")
 	for _, run := range r.Runs {
-		c := run.Cold
-		fmt.Fprintf(&b, "%9d  %s  %21.0f %11.0f %6d %3.0f | %33.4f %21.0f %10.3f %6d %5d %7d %8d\n", run.Directors, kind(run.Alone), run.List,
-			run.Event, run.Unknown, run.Memory, c.Share, c.Recovery, c.Peak, c.Rules, c.Lost, c.Fallen, c.Unended)
+		c := run.ColdStart
+		fmt.Fprintf(&b, "%9d  %s  %21.0f %11.0f %6d %3.0f | %33.4f %21.0f %10.3f %6d %5d %7d %8d\n", run.Directors, kind(run.Alone), run.ListKnownP99,
+			run.EventKnownP99, run.NeverKnown, run.Memory, c.SuccessShare, c.Recovery, c.PeakLoad, c.RulesBroken, c.Lost, c.OverloadedNodes, c.Unfinished)
 	}
 	return b.String()
 }
--- a/internal/experiment/start_test.go
+++ b/internal/experiment/start_test.go
@@ -11,9 +11,9 @@
 // manners they made 13 times the calls of a calm moment, all in the same tenth of a second); those that know each other have a few of
 // them ask, and all know what was told before long.
 func TestStart(t *testing.T) {
-	s := Start{Directors: []int{40}, Phase: 1500 * time.Millisecond, Seed: 1, Argv: program(t), Boxes: 4, Clients: 60, Load: 0.2, Peers: true, Beside: true,
-		Faults: []string{"away", "event"}, Service: 400, Lines: 40_000, Patience: 500 * time.Millisecond}
-	r, err := s.Play(t.Context())
+	s := Startup{Directors: []int{40}, PhaseDuration: 1500 * time.Millisecond, Seed: 1, Argv: program(t), CacheNodes: 4, Clients: 60, Load: 0.2, Peers: true, CompareAlone: true,
+		Faults: []string{"away", "event"}, CallsPerSecond: 400, EventsPerSecond: 40_000, MaxAnswerDelay: 500 * time.Millisecond}
+	r, err := s.Execute(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,25 +21,25 @@
 		t.Fatalf("%v: %s", r.Broken(), r.Table())
 	}
 	for _, run := range r.Runs {
-		if c := run.Cold; c.Asked < 60 || c.Peak > 0.5 || c.Peak <= 0 || c.Rules+c.Lost+c.Fallen+c.Unended > 0 {
+		if c := run.ColdStart; c.Requests < 60 || c.PeakLoad > 0.5 || c.PeakLoad <= 0 || c.RulesBroken+c.Lost+c.OverloadedNodes+c.Unfinished > 0 {
 			t.Errorf("on cold caches: %+v", c)
 		}
 		for _, p := range run.Phases {
 			switch {
-			case p.Name == "away" && (p.Over > 1.8 || p.Peak > 0.5), p.Name == "back" && p.Peak > 0.5:
+			case p.Name == "away" && (p.OverCalm > 1.8 || p.PeakShare > 0.5), p.Name == "back" && p.PeakShare > 0.5:
 				t.Errorf("alone %v: %+v", run.Alone, p)
-			case p.Name == "calm" && !run.Alone && p.Rate > 24:
-				t.Errorf("%v calls a second where three are to ask", p.Rate)
+			case p.Name == "calm" && !run.Alone && p.CallRate > 24:
+				t.Errorf("%v calls a second where three are to ask", p.CallRate)
 			}
 		}
-		if run.List > 3000 || run.Event > 1000 {
-			t.Errorf("alone %v: known after %v and %v ms", run.Alone, run.List, run.Event)
+		if run.ListKnownP99 > 3000 || run.EventKnownP99 > 1000 {
+			t.Errorf("alone %v: known after %v and %v ms", run.Alone, run.ListKnownP99, run.EventKnownP99)
 		}
 	}
 	if t.Failed() {
 		t.Log(r.Table())
 	}
-	if _, err := (&Start{Directors: []int{0}}).Play(t.Context()); err == nil {
+	if _, err := (&Startup{Directors: []int{0}}).Execute(t.Context()); err == nil {
 		t.Error("no director was taken for a start")
 	}
 }
@@ -49,19 +49,19 @@
 func TestStartSimulated(t *testing.T) {
 	calls := map[int]float64{}
 	for _, n := range []int{100, 300} {
-		alone, few := simulateStart(n, true, 5, fakes.ChannelCapacity{}, 2*time.Second), simulateStart(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second)
-		if again := simulateStart(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second); again.Event != few.Event || again.Phases[0] != few.Phases[0] {
+		alone, few := simulateStartup(n, true, 5, fakes.ChannelCapacity{}, 2*time.Second), simulateStartup(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second)
+		if again := simulateStartup(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second); again.EventKnownP99 != few.EventKnownP99 || again.Phases[0] != few.Phases[0] {
 			t.Errorf("played again: %+v, before %+v", again, few)
 		}
-		if few.Unknown+alone.Unknown > 0 || few.Event > 300 || few.List > 3000 {
+		if few.NeverKnown+alone.NeverKnown > 0 || few.EventKnownP99 > 300 || few.ListKnownP99 > 3000 {
 			t.Errorf("%+v", few)
 		}
 		for i, p := range few.Phases {
-			if p.Rate > alone.Phases[i].Rate/2 || p.Name != "start" && p.Peak > 0.15 {
+			if p.CallRate > alone.Phases[i].CallRate/2 || p.Name != "start" && p.PeakShare > 0.15 {
 				t.Errorf("%+v, alone %+v", p, alone.Phases[i])
 			}
 		}
-		calls[n] = few.Phases[1].Rate
+		calls[n] = few.Phases[1].CallRate
 	}
 	if calls[300] > 1.5*calls[100] {
 		t.Errorf("calls grow with the fleet: %v", calls)
--- a/internal/experiment/startsim.go
+++ b/internal/experiment/startsim.go
@@ -302,9 +302,9 @@
 	}
 }
 
-// simulateStart plays the phases of a start, as Start.play does with processes.
-func simulateStart(n int, alone bool, seed uint64, able fakes.ChannelCapacity, phase time.Duration) StartRun {
-	run := StartRun{Directors: n, Alone: alone, Simulated: true}
+// simulateStartup plays the phases of a start, as Start.play does with processes.
+func simulateStartup(n int, alone bool, seed uint64, able fakes.ChannelCapacity, phase time.Duration) StartupRun {
+	run := StartupRun{Directors: n, Alone: alone, Simulated: true}
 	s := newStartSim(n, simLocation, alone, seed, able)
 	know := func(from d.Micros, when func(*simDirector) (d.Micros, bool)) float64 {
 		var all []float64
@@ -317,7 +317,7 @@
 		if want := int(math.Ceil(0.99 * float64(n))); want <= len(all) {
 			return all[want-1]
 		}
-		run.Unknown++
+		run.NeverKnown++
 		return 0
 	}
 	for _, p := range []struct {
@@ -330,15 +330,15 @@
 		from := s.now
 		p.do()
 		s.run(micros(phase))
-		run.Phases = append(run.Phases, measure(p.name, s.calls, span(from), span(s.now), n))
+		run.Phases = append(run.Phases, measurePhase(p.name, s.calls, span(from), span(s.now), n))
 		switch p.name {
 		case "back":
-			run.List = know(from, func(dir *simDirector) (d.Micros, bool) { return dir.listed, dir.list == s.lists })
+			run.ListKnownP99 = know(from, func(dir *simDirector) (d.Micros, bool) { return dir.listed, dir.list == s.lists })
 		case "an event":
-			run.Event = know(from, func(dir *simDirector) (d.Micros, bool) { return dir.knew, dir.known == s.news })
+			run.EventKnownP99 = know(from, func(dir *simDirector) (d.Micros, bool) { return dir.knew, dir.known == s.news })
 		}
 	}
-	run.over()
+	run.relateToCalm()
 	return run
 }
 
--- a/internal/experiment/storm_test.go
+++ b/internal/experiment/storm_test.go
@@ -56,55 +56,55 @@
 		storm Storm
 		calm  bool // it is no storm, and must not be taken for one
 	}{
-		{"2,000 clients within a second on fresh boxes", Storm{Clients: 2000, Ignore: 0.25}, false},
-		{"half of them ignore the advice", Storm{Clients: 500, Ignore: 0.5}, false},
-		{"all of them do", Storm{Clients: 500, Ignore: 1}, false},
-		{"none marks its repeats", Storm{Clients: 500, Ignore: 0.5, Unmarked: 1}, false},
-		{"a second storm while the first drains away", Storm{Clients: 600, Trouble: []string{"second"}}, false},
-		{"a drain and a purge in the middle", Storm{Clients: 500, Trouble: []string{"drain", "purge"}}, false},
-		{"a director killed, its clients at its neighbours", Storm{Clients: 500, Trouble: []string{"restart"}}, false},
-		{"a director rolled and another reloaded", Storm{Clients: 500, Trouble: []string{"roll", "reload"}}, false},
-		{"a box that dies, another slow, a purge", Storm{Clients: 500, Trouble: []string{"die", "slow", "purge"}}, false},
-		{"clients that say nothing among them, few places", Storm{Clients: 500, Silent: 300, Sockets: 256}, false},
-		{"a busy morning", Storm{Clients: 300, Day: "morning", Load: 0.4}, true},
-		{"one popular object", Storm{Clients: 300, Day: "popular", Load: 0.3}, true},
+		{"2,000 clients within a second on fresh boxes", Storm{Clients: 2000, IgnoreShare: 0.25}, false},
+		{"half of them ignore the advice", Storm{Clients: 500, IgnoreShare: 0.5}, false},
+		{"all of them do", Storm{Clients: 500, IgnoreShare: 1}, false},
+		{"none marks its repeats", Storm{Clients: 500, IgnoreShare: 0.5, UnmarkedShare: 1}, false},
+		{"a second storm while the first drains away", Storm{Clients: 600, Faults: []string{"second"}}, false},
+		{"a drain and a purge in the middle", Storm{Clients: 500, Faults: []string{"drain", "purge"}}, false},
+		{"a director killed, its clients at its neighbours", Storm{Clients: 500, Faults: []string{"restart"}}, false},
+		{"a director rolled and another reloaded", Storm{Clients: 500, Faults: []string{"roll", "reload"}}, false},
+		{"a box that dies, another slow, a purge", Storm{Clients: 500, Faults: []string{"die", "slow", "purge"}}, false},
+		{"clients that say nothing among them, few places", Storm{Clients: 500, IdleClients: 300, SocketLimit: 256}, false},
+		{"a busy morning", Storm{Clients: 300, Scenario: "morning", Load: 0.4}, true},
+		{"one popular object", Storm{Clients: 300, Scenario: "popular", Load: 0.3}, true},
 	}
 	built := program(t)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := c.storm
-			s.Within, s.Seed, s.Guard, s.Argv = time.Second, 1, "on", built
-			s.Retries, s.Wait, s.MemoryMB = 12, 100*time.Millisecond, 64
-			if s.Duration = 3500 * time.Millisecond; len(s.Trouble) > 0 || s.Clients > 1000 { // so many on cold boxes take as long
+			s.ConnectWindow, s.Seed, s.OverloadMode, s.Argv = time.Second, 1, "on", built
+			s.MaxRetries, s.RetryPause, s.MemoryLimitMB = 12, 100*time.Millisecond, 64
+			if s.Duration = 3500 * time.Millisecond; len(s.Faults) > 0 || s.Clients > 1000 { // so many on cold boxes take as long
 				s.Duration = 6500 * time.Millisecond
 			}
-			if s.Directors, s.Boxes = 2, 6; s.Day == "" {
-				s.Day = "storm"
+			if s.Directors, s.CacheNodes = 2, 6; s.Scenario == "" {
+				s.Scenario = "storm"
 			}
-			if s.Sockets == 0 {
-				s.Sockets = 512
+			if s.SocketLimit == 0 {
+				s.SocketLimit = 512
 			}
 			if s.Load == 0 {
 				s.Load = 0.5
 			}
 			var log bytes.Buffer
 			s.Log = &log
-			r, err := s.Play(t.Context())
+			r, err := s.Execute(t.Context())
 			if err != nil {
 				t.Fatalf("%v\n%s", err, log.String())
 			}
 			if broken := r.Broken(); len(broken) > 0 || r.PeakLoad > 0.8 {
-				r.Series = Series{}
+				r.Series = StormSeries{}
 				t.Errorf("broken: %v; %+v", broken, r)
 			}
 			if strings.Contains(log.String(), "event="+logevent.PanicRecovered) {
 				t.Error(log.String())
 			}
-			if r.Answered < s.Clients || r.Asked < s.Clients/2 || r.Fulfilled == 0 {
-				t.Errorf("%d first tries were answered, %d downloads ended, %d of them fulfilled", r.Answered, r.Asked, r.Fulfilled)
+			if r.FirstAnswered < s.Clients || r.Requests < s.Clients/2 || r.Succeeded == 0 {
+				t.Errorf("%d first tries were answered, %d downloads ended, %d of them fulfilled", r.FirstAnswered, r.Requests, r.Succeeded)
 			}
-			if c.calm != (r.Storms == 0) {
-				t.Errorf("%d storms noticed: %+v", r.Storms, r)
+			if c.calm != (r.OverloadsDetected == 0) {
+				t.Errorf("%d storms noticed: %+v", r.OverloadsDetected, r)
 			}
 		})
 	}
@@ -246,7 +246,7 @@
 
 func TestDraw(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.png")
-	r := Result{Series: Series{Asked: []int{1, 2, 3}, Served: []int{1, 1}, Load: []float64{0.1, 0.5}}}
+	r := StormResult{Series: StormSeries{Attempts: []int{1, 2, 3}, Succeeded: []int{1, 1}, Load: []float64{0.1, 0.5}}}
 	if err := DrawStorm(path, r); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/together.go
+++ b/internal/experiment/together.go
@@ -15,34 +15,36 @@
 	"tallyproxy/policy"
 )
 
-// Together plays the directors' talk with nothing else of a director: as many as there may be in one process, by the real detector
+// DetectorTrial plays the directors' talk with nothing else of a director: as many as there may be in one process, by the real detector
 // and over real sockets, where as many whole directors would want more processors than a machine has. Some die without a word,
 // and what is measured is how long it takes until all that live know of each, and until they have one view.
-type Together struct {
+type DetectorTrial struct {
 	Directors int
-	Dying     int // at once,
-	Times     int // and so often
-	Slow      int // times slower than usual, all of it; what is told is divided by it
+	Failing   int // at once,
+	Rounds    int // and so often
+	Slowdown  int // times slower than usual, all of it; what is told is divided by it
 }
 
-// joining is how many start at a time.
-const joining = 25
+// startBatch is how many start at a time.
+const startBatch = 25
 
-// togetherBound is the longest that any wait takes, at full pace.
-const togetherBound = 30 * time.Second
+// detectorDeadline is the longest that any wait takes, at full pace.
+const detectorDeadline = 30 * time.Second
 
-func (g Together) bound() time.Duration { return togetherBound * time.Duration(max(1, g.Slow)) }
+func (g DetectorTrial) deadline() time.Duration {
+	return detectorDeadline * time.Duration(max(1, g.Slowdown))
+}
 
-// Play plays it; what came of it is one run, whose Unended counts what did not come about in time.
-func (g Together) Play(ctx context.Context) (*PeersRun, error) {
-	if g.Directors < 3 || g.Directors > 1000 || g.Dying < 1 || g.Times*g.Dying > g.Directors-2 {
-		return nil, fmt.Errorf("--together: %d times %d deaths of %d: 3 to 1000, of whom two are left", g.Times, g.Dying, g.Directors)
+// Execute plays it; what came of it is one run, whose Unended counts what did not come about in time.
+func (g DetectorTrial) Execute(ctx context.Context) (*MembershipRun, error) {
+	if g.Directors < 3 || g.Directors > 1000 || g.Failing < 1 || g.Rounds*g.Failing > g.Directors-2 {
+		return nil, fmt.Errorf("--together: %d times %d deaths of %d: 3 to 1000, of whom two are left", g.Rounds, g.Failing, g.Directors)
 	}
 	logs := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler)) // each tells of each
 	defer slog.SetDefault(logs)
-	slow := policy.Micros(max(1, g.Slow))
-	run := &PeersRun{Instances: g.Directors, Faults: fmt.Sprintf("%dx%d die", g.Times, g.Dying), Schedules: 1}
+	slow := policy.Micros(max(1, g.Slowdown))
+	run := &MembershipRun{Directors: g.Directors, Faults: fmt.Sprintf("%dx%d die", g.Rounds, g.Failing), Schedules: 1}
 	begun := time.Now()
 	now := func() policy.Micros { return policy.Second + policy.Micros(time.Since(begun)/time.Microsecond) }
 	live := map[int]*gossipnet.Driver{}
@@ -67,36 +69,36 @@
 		if live[i] = t; len(seeds) < 3 {
 			seeds = append(seeds, listen)
 		}
-		if i%joining == joining-1 { // a start of all at once is of hundreds of machines, not of one
-			if !oneView(ctx, live, g.bound()) {
+		if i%startBatch == startBatch-1 { // a start of all at once is of hundreds of machines, not of one
+			if !awaitConvergence(ctx, live, g.deadline()) {
 				break
 			}
 		}
 	}
-	if len(live) < g.Directors || !oneView(ctx, live, g.bound()) {
-		run.Unended++ // too many for this machine
+	if len(live) < g.Directors || !awaitConvergence(ctx, live, g.deadline()) {
+		run.Unfinished++ // too many for this machine
 		return run, nil
 	}
-	for time := range g.Times {
-		took, views, ok := g.die(ctx, live, time*g.Dying)
+	for time := range g.Rounds {
+		took, views, ok := g.failSome(ctx, live, time*g.Failing)
 		for i := range took {
 			took[i] /= float64(slow)
 		}
 		views /= float64(slow)
-		run.deaths = append(run.deaths, took...)
-		if run.views = append(run.views, views); !ok {
-			run.Unended++
+		run.detections = append(run.detections, took...)
+		if run.convergences = append(run.convergences, views); !ok {
+			run.Unfinished++
 		}
 	}
-	run.sum()
+	run.summarize()
 	return run, ctx.Err()
 }
 
-// die has some die at once, by turns over the fleet, and gives how long it took until all knew of each, and had one view, in ms.
-func (g Together) die(ctx context.Context, live map[int]*gossipnet.Driver, first int) (took []float64, view float64, ok bool) {
+// failSome has some die at once, by turns over the fleet, and gives how long it took until all knew of each, and had one view, in ms.
+func (g DetectorTrial) failSome(ctx context.Context, live map[int]*gossipnet.Driver, first int) (took []float64, view float64, ok bool) {
 	waits := map[int]map[int]bool{} // for whom, who
 	var dying []*gossipnet.Driver
-	for k := range g.Dying {
+	for k := range g.Failing {
 		i := (first + k) * 7 % g.Directors // numbers are not in order of their seeds
 		for ; live[i] == nil; i = (i + 1) % g.Directors {
 		}
@@ -112,7 +114,7 @@
 	for _, t := range dying {
 		t.Shutdown()
 	}
-	for len(waits) > 0 && time.Since(begun) < g.bound() && ctx.Err() == nil {
+	for len(waits) > 0 && time.Since(begun) < g.deadline() && ctx.Err() == nil {
 		for i, who := range waits {
 			for w := range who {
 				if s, _ := live[w].State(fmt.Sprint("n", i)); s >= membership.Failed {
@@ -126,12 +128,12 @@
 		}
 		fakes.Sleep(ctx, 10*time.Millisecond)
 	}
-	same := oneView(ctx, live, g.bound())
+	same := awaitConvergence(ctx, live, g.deadline())
 	return took, float64(time.Since(begun).Milliseconds()), same && len(waits) == 0
 }
 
-// oneView waits until all see the same ones.
-func oneView(ctx context.Context, live map[int]*gossipnet.Driver, bound time.Duration) bool {
+// awaitConvergence waits until all see the same ones.
+func awaitConvergence(ctx context.Context, live map[int]*gossipnet.Driver, bound time.Duration) bool {
 	for until := time.Now().Add(bound); time.Now().Before(until) && ctx.Err() == nil; fakes.Sleep(ctx, 50*time.Millisecond) {
 		ok, sum := true, ""
 		for _, t := range live {
--- a/internal/experiment/work.go
+++ b/internal/experiment/work.go
@@ -11,45 +11,45 @@
 	d "tallyproxy/policy"
 )
 
-// Work is what `tallybench plan` plays: orders in which machines are taken out for work, as the planner makes them, without processes.
-type Work struct {
-	Depots    int     `name:"depots" default:"10" help:"Locations."`
-	Boxes     int     `name:"boxes" default:"170" help:"Caches, over all of them, unequally."`
-	Parents   int     `default:"30" help:"Parents, over three hubs."`
-	Jobs      int     `default:"60" help:"Machines to be taken out."`
-	Demand    float64 `default:"0.5" help:"What is asked for at the busiest time, over what all can do; 0.4 of that at night."`
-	Schedules int     `default:"20" help:"Sites and jobs that are drawn."`
-	Small     int     `name:"small" default:"200" help:"Small ones, of seven jobs, on which the fast planner is set against the exact one."`
-	Seed      uint64  `default:"1" help:"Of sites and jobs."`
-	JSON      bool    `name:"json" help:"Print one JSON object."`
+// MaintenancePlan is what `tallybench plan` plays: orders in which machines are taken out for work, as the planner makes them, without processes.
+type MaintenancePlan struct {
+	Locations      int     `name:"depots" default:"10" help:"Locations."`
+	CacheNodes     int     `name:"boxes" default:"170" help:"Caches, over all of them, unequally."`
+	Parents        int     `default:"30" help:"Parents, over three hubs."`
+	Jobs           int     `default:"60" help:"Machines to be taken out."`
+	Demand         float64 `default:"0.5" help:"What is asked for at the busiest time, over what all can do; 0.4 of that at night."`
+	Schedules      int     `default:"20" help:"Sites and jobs that are drawn."`
+	SmallSchedules int     `name:"small" default:"200" help:"Small ones, of seven jobs, on which the fast planner is set against the exact one."`
+	Seed           uint64  `default:"1" help:"Of sites and jobs."`
+	JSON           bool    `name:"json" help:"Print one JSON object."`
 }
 
-// WorkResult is what came of it. Times are means, over the exact or the planned ones.
-type WorkResult struct {
-	Schedules   int     `json:"schedules"`
-	Over        int     `json:"over_planned_out"` // plans that break what they are to keep
-	Unplaced    int     `json:"never"`            // jobs that can't be done, with a reason
-	Late        float64 `json:"late_over_hand"`   // jobs done after they were due, over those of one by one by hand
-	Done        float64 `json:"done_over_hand"`   // until all is done, over one by one by hand in each location
-	Random      float64 `json:"random_over_plan"` // until all is done in a random order with the same limits, over the plan
-	PlanMS      float64 `json:"planner_ms"`       // for the largest
-	Gap         float64 `json:"gap_mean"`         // of small ones: the fast planner's time over the exact one's, less 1
-	GapMost     float64 `json:"gap_most"`
-	GapNone     float64 `json:"gap_none_share"` // in which there is none
-	ExactLooked int     `json:"orders_looked_at"`
-	done, hand  float64
+// MaintenancePlanResult is what came of it. Times are means, over the exact or the planned ones.
+type MaintenancePlanResult struct {
+	Schedules          int     `json:"schedules"`
+	Violations         int     `json:"over_planned_out"` // plans that break what they are to keep
+	Infeasible         int     `json:"never"`            // jobs that can't be done, with a reason
+	LateOverManual     float64 `json:"late_over_hand"`   // jobs done after they were due, over those of one by one by hand
+	MakespanOverManual float64 `json:"done_over_hand"`   // until all is done, over one by one by hand in each location
+	RandomOverPlan     float64 `json:"random_over_plan"` // until all is done in a random order with the same limits, over the plan
+	MaxPlanningMS      float64 `json:"planner_ms"`       // for the largest
+	MeanGap            float64 `json:"gap_mean"`         // of small ones: the fast planner's time over the exact one's, less 1
+	MaxGap             float64 `json:"gap_most"`
+	NoGapShare         float64 `json:"gap_none_share"` // in which there is none
+	OrdersTried        int     `json:"orders_looked_at"`
+	planned, manual    float64
 }
 
 // Broken says what must not be.
-func (r WorkResult) Broken() string {
-	if r.Over > 0 {
-		return fmt.Sprintf("over_planned_out %d", r.Over)
+func (r MaintenancePlanResult) Broken() string {
+	if r.Violations > 0 {
+		return fmt.Sprintf("over_planned_out %d", r.Violations)
 	}
 	return ""
 }
 
-// site draws one, and what is asked for.
-func (w *Work) site(r *rand.Rand, depots, boxes, parents, jobs int) (maintenance.Site, []maintenance.Job) {
+// drawSite draws one, and what is asked for.
+func (w *MaintenancePlan) drawSite(r *rand.Rand, depots, boxes, parents, jobs int) (maintenance.Site, []maintenance.Job) {
 	s := maintenance.Site{WarmUp: [3]d.Micros{10 * d.Second, 20 * d.Second, 0}, MaxUnavailable: 0.34, Reserve: 0.1, LocalSearchMoves: 400, ExactLimit: 7}
 	of, names := map[string]float64{}, []string{}
 	add := func(kind maintenance.Kind, name, depot string, capacity float64) {
@@ -85,8 +85,8 @@
 	return s, all
 }
 
-// hand is one by one by hand: in each location one after another, with a fixed wait in between, whatever is asked for.
-func hand(s maintenance.Site, jobs []maintenance.Job) (done d.Micros, late int) {
+// planByHand is one by one by hand: in each location one after another, with a fixed wait in between, whatever is asked for.
+func planByHand(s maintenance.Site, jobs []maintenance.Job) (done d.Micros, late int) {
 	const wait = 60 * d.Second
 	at, depots := map[string]d.Micros{}, map[string]string{}
 	for _, m := range s.Machines {
@@ -100,27 +100,27 @@
 	return done, late
 }
 
-// Play plays it.
-func (w *Work) Play() (out WorkResult, err error) {
-	if w.Depots < 1 || w.Boxes < 2*w.Depots || w.Parents < 6 || w.Jobs < 1 || w.Schedules < 1 || w.Demand < 0 || w.Demand > 1 {
+// Execute plays it.
+func (w *MaintenancePlan) Execute() (out MaintenancePlanResult, err error) {
+	if w.Locations < 1 || w.CacheNodes < 2*w.Locations || w.Parents < 6 || w.Jobs < 1 || w.Schedules < 1 || w.Demand < 0 || w.Demand > 1 {
 		return out, fmt.Errorf("two boxes to a location, two parents to each of three hubs, a job, a schedule and a demand from 0 to 1 at the least")
 	}
 	r := rand.New(rand.NewPCG(w.Seed, 41))
 	late, lateHand, random := 0, 0, 0.0
 	for range w.Schedules {
-		s, jobs := w.site(r, w.Depots, w.Boxes, w.Parents, w.Jobs)
+		s, jobs := w.drawSite(r, w.Locations, w.CacheNodes, w.Parents, w.Jobs)
 		begun := time.Now()
 		plan := maintenance.MakePlan(s, jobs, w.Seed)
-		out.PlanMS = max(out.PlanMS, float64(time.Since(begun).Microseconds())/1000)
+		out.MaxPlanningMS = max(out.MaxPlanningMS, float64(time.Since(begun).Microseconds())/1000)
 		out.Schedules++
-		out.Unplaced += len(plan.Infeasible)
-		out.Over += bit(len(maintenance.Violations(s, jobs, plan)) > 0)
+		out.Infeasible += len(plan.Infeasible)
+		out.Violations += bit(len(maintenance.Violations(s, jobs, plan)) > 0)
 		for _, p := range plan.Placements {
 			late += bit(p.Tardiness > 0)
 		}
-		byHand, lates := hand(s, jobs)
+		byHand, lates := planByHand(s, jobs)
 		lateHand += lates
-		out.done, out.hand = out.done+float64(plan.Makespan), out.hand+float64(byHand)
+		out.planned, out.manual = out.planned+float64(plan.Makespan), out.manual+float64(byHand)
 		one := s
 		one.LocalSearchMoves = 0 // the order in which they were asked for, which is a random one
 		shuffled := make([]maintenance.Job, len(jobs))
@@ -130,34 +130,34 @@
 		}
 		random += float64(maintenance.PlanInOrder(one, shuffled).Makespan)
 	}
-	out.Done, out.Random = share(out.done, out.hand), share(random, out.done)
-	out.Late = share(float64(late), max(1, float64(lateHand)))
+	out.MakespanOverManual, out.RandomOverPlan = ratio(out.planned, out.manual), ratio(random, out.planned)
+	out.LateOverManual = ratio(float64(late), max(1, float64(lateHand)))
 	same := 0
-	for range w.Small {
-		s, jobs := w.site(r, 1, 5, 6, 7)
+	for range w.SmallSchedules {
+		s, jobs := w.drawSite(r, 1, 5, 6, 7)
 		exact := maintenance.MakePlan(s, jobs, w.Seed)
-		out.ExactLooked += exact.OrdersTried
+		out.OrdersTried += exact.OrdersTried
 		s.ExactLimit = 0
 		fast := maintenance.MakePlan(s, jobs, w.Seed)
-		out.Over += bit(len(maintenance.Violations(s, jobs, exact))+len(maintenance.Violations(s, jobs, fast)) > 0)
+		out.Violations += bit(len(maintenance.Violations(s, jobs, exact))+len(maintenance.Violations(s, jobs, fast)) > 0)
 		gap := 0.0
 		if exact.Makespan > 0 {
 			gap = float64(fast.Makespan+fast.Tardiness)/float64(exact.Makespan+exact.Tardiness) - 1
 		}
-		out.Gap, out.GapMost = out.Gap+gap/float64(w.Small), max(out.GapMost, share(gap, 1))
+		out.MeanGap, out.MaxGap = out.MeanGap+gap/float64(w.SmallSchedules), max(out.MaxGap, ratio(gap, 1))
 		same += bit(fast.Makespan == exact.Makespan && fast.Tardiness == exact.Tardiness)
 	}
-	out.Gap, out.GapNone = share(out.Gap, 1), share(float64(same), float64(w.Small))
+	out.MeanGap, out.NoGapShare = ratio(out.MeanGap, 1), ratio(float64(same), float64(w.SmallSchedules))
 	return out, nil
 }
 
 // Table is the result for people.
-func (r WorkResult) Table() string {
+func (r MaintenancePlanResult) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d schedules: all done in %.2f of the time of one by one by hand, %.2f of its lates; a random order takes %.2f times the plan's\n",
-		r.Schedules, r.Done, r.Late, r.Random)
-	fmt.Fprintf(&b, "%d jobs can't be done, %d plans break what they are to keep, the slowest plan took %.0f ms\n", r.Unplaced, r.Over, r.PlanMS)
-	fmt.Fprintf(&b, "small ones: the fast planner is %.4f slower than the exact one on average, %.4f at the most, no slower in %.2f of them\n", r.Gap,
-		r.GapMost, r.GapNone)
+		r.Schedules, r.MakespanOverManual, r.LateOverManual, r.RandomOverPlan)
+	fmt.Fprintf(&b, "%d jobs can't be done, %d plans break what they are to keep, the slowest plan took %.0f ms\n", r.Infeasible, r.Violations, r.MaxPlanningMS)
+	fmt.Fprintf(&b, "small ones: the fast planner is %.4f slower than the exact one on average, %.4f at the most, no slower in %.2f of them\n", r.MeanGap,
+		r.MaxGap, r.NoGapShare)
 	return b.String()
 }
--- a/internal/experiment/work_test.go
+++ b/internal/experiment/work_test.go
@@ -4,12 +4,12 @@
 
 // Plans of two hundred machines keep what they are to keep, and are done in half the time of one by one by hand.
 func TestWork(t *testing.T) {
-	w := Work{Depots: 10, Boxes: 170, Parents: 30, Jobs: 60, Demand: 0.5, Schedules: 2, Small: 20, Seed: 1}
-	r, err := w.Play()
-	if err != nil || r.Over > 0 || r.Done > 0.5 || r.Random < 1 || r.Gap > 0.02 {
+	w := MaintenancePlan{Locations: 10, CacheNodes: 170, Parents: 30, Jobs: 60, Demand: 0.5, Schedules: 2, SmallSchedules: 20, Seed: 1}
+	r, err := w.Execute()
+	if err != nil || r.Violations > 0 || r.MakespanOverManual > 0.5 || r.RandomOverPlan < 1 || r.MeanGap > 0.02 {
 		t.Errorf("%+v, %v", r, err)
 	}
-	if _, err := (&Work{Depots: 3, Boxes: 5, Parents: 6, Jobs: 1, Schedules: 1}).Play(); err == nil {
+	if _, err := (&MaintenancePlan{Locations: 3, CacheNodes: 5, Parents: 6, Jobs: 1, Schedules: 1}).Execute(); err == nil {
 		t.Error("locations with one box were taken")
 	}
 }
