--- a/internal/gossipnet/driver.go
+++ b/internal/gossipnet/driver.go
@@ -112,7 +112,7 @@
 	d.running.Go(func() { d.tickLoop(ctx) })
 	d.running.Go(func() { d.sendLoop(ctx) })
 	d.running.Go(func() { d.joinLoop(ctx) })
-	slog.Info(logevent.GossipStarted, "listen", o.Listen, "advertise", advertised, "seeds", len(o.Seeds), "born", s.Incarnation)
+	slog.Info(logevent.GossipStarted, "listen", o.Listen, "advertise", advertised, "seeds", len(o.Seeds), "incarnation", s.Incarnation)
 	return d, nil
 }
 
