--- a/cmd/tallyproxy/main.go
+++ b/cmd/tallyproxy/main.go
@@ -1,4 +1,4 @@
-// Command tallyproxy is the director: it takes downloads from clients and pulls them from cache nodes.
+// Command tallyproxy is the director: it takes requests from clients and has cache nodes answer them.
 package main
 
 import (
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"log/slog"
 	"slices"
 	"sync"
@@ -16,416 +17,188 @@
 	"tallyproxy/membership"
 	"tallyproxy/policy"
 	"tallyproxy/relays"
-	"tallyproxy/routing"
-	"tallyproxy/stall"
 )
 
-// gossipDriver joins the talk among directors to the decisions: parts one way, hints both ways. Without peers it does nothing.
-type gossipDriver struct {
-	talk    atomic.Pointer[gossipnet.Driver]
-	d       *decider
-	fleet   *upstream.Pool
-	every   time.Duration
-	asked   chan membership.Hint
-	heard   atomic.Pointer[map[string]policy.Micros] // when nodes last answered, as of the last look
-	sights  map[string]membership.NodeStatus         // of nodes, at the last look
-	beliefs atomic.Pointer[[]membership.Hint]        // of those that are not well, for who starts
-	done    chan struct{}
+const (
+	// maxPendingUpdates is how many updates of others may wait to be applied. More are dropped: they come again, or by the own
+	// channel.
+	maxPendingUpdates = 2048
+	// maxConcurrentProbes is how many nodes are probed at a time for others' hints; as many hints may wait, more are dropped.
+	maxConcurrentProbes = 4
+	// observationsPerHintInterval is how often the nodes are looked at in the interval between two hints.
+	observationsPerHintInterval = 8
+)
 
-	mu      sync.Mutex    // of the book, and what is avoided
-	book    *gossip.Store // nil without peers
-	ears    *hearing      // nil without peers
-	avoided []string      // by the operator's file
-	words   chan heardWord
-	own     *heart
+// gossipDriver connects gossip among directors to the decisions: quotas, updates of the command channel and hints on nodes. A
+// director without peers has one that is not started, whose methods do nothing. Methods may be called from any goroutine unless
+// they say otherwise.
+type gossipDriver struct {
+	// Set before start, constant from then on.
+	routers *routerGroup
+	nodes   *upstream.Pool
 	channel *discovery.Client
-	kept    policy.Micros
-	doubts  atomic.Bool // what is known binds carefully
-	lost    bool        // nobody whom this director reaches has heard the channel for long
-}
-
-// heardWord is what another said that the channel had told.
-type heardWord struct {
-	from string
-	gossip.Update
-	all bool // no word: all that its teller had when it was asked have come before
-}
-
-const words = 2048 // that wait to be taken; more are dropped: they come again, or by the own channel
-
-const questions = 4 // asked at a time; what comes meanwhile beyond as many more is dropped
-
-// held is the part that the decisions may use.
-func (g *gossipDriver) held(now policy.Micros, all bool) float64 {
-	scope := membership.ScopeZone
-	if all {
-		scope = membership.ScopeFleet
-	}
-	return g.talk.Load().Quota(now, scope)
-}
-
-// keep begins a book of what the channel tells, for a director that is to talk with others.
-// What it knows is from files, which may be old: until its channel or another director has spoken it sends and serves nothing.
-func (g *gossipDriver) keep(c config.Config, followers int, own *heart, channel *discovery.Client, known []discovery.Event) {
-	s := c.Site.Settings
-	w := gossip.Derive(s)
-	g.own, g.channel, g.kept = own, channel, w.Retention
-	g.book = gossip.New(g.clock(), w)
-	own.StartSuspect(own.Now())
-	g.took(known, g.clock()-2*g.kept) // what others hear of the channel is newer than a file
-	g.ears = newHearing(g, relays.DeriveSettings(c.Name, followers, len(c.Site.ZoneNames), len(c.Site.KindNames), s))
-	g.ears.fold(known)
-	channel.SetShouldPoll(g.ears.may)
-}
-
-// clock is the director's own time.
-func (g *gossipDriver) clock() policy.Micros { return g.own.Now().Monotonic }
-
-// told puts in force what the own channel tells, and has others hear what is news.
-func (g *gossipDriver) told(events []discovery.Event) {
-	if g.ears != nil {
-		g.ears.force.Lock()
-		defer g.ears.force.Unlock()
-		events = g.ears.fold(events)
+	monitor *stallMonitor
+
+	// Set by start, constant from then on. relay and store are nil, and the rest is zero, in a director without peers.
+	relay           *relayClient
+	store           *gossip.Store // guarded by mu
+	retention       policy.Micros // so long without the channel, everywhere, and it counts as unreachable
+	observeInterval time.Duration
+	pending         chan receivedUpdate  // taken by receiveUpdates
+	hints           chan membership.Hint // taken by probeHinted
+	cancel          context.CancelFunc   // ends the goroutines
+
+	network     atomic.Pointer[gossipnet.Driver]         // nil before start and without peers
+	unconfirmed atomic.Bool                              // what is known binds with care: see setUnconfirmed
+	lastAnswers atomic.Pointer[map[string]policy.Micros] // by node, when it last answered, as of the last observation
+	unhealthy   atomic.Pointer[[]membership.Hint]        // nodes that are not healthy, as of the last observation
+
+	mu             sync.Mutex // guards store and operatorAvoids; held while the routers are told of avoided nodes
+	operatorAvoids []string   // nodes that the operator's file names
+
+	// Owned by the goroutine of observe.
+	nodeStatuses map[string]membership.NodeStatus
+	channelLost  bool // no reachable director has heard the channel for the retention
+}
+
+// start opens the sockets and lets the driver work until stop or the end of ctx. The routers must run. Known is what the files
+// say; it may be old, so that until the channel or another director has spoken nothing is sent and served.
+func (g *gossipDriver) start(ctx context.Context, peers config.Peers, platform config.Config, known []discovery.Event) error {
+	settings := platform.Site.Settings
+	storeSettings := gossip.Derive(settings)
+	g.retention = storeSettings.Retention
+	g.store = gossip.New(g.now(), storeSettings)
+	g.monitor.StartSuspect(g.monitor.Now())
+	g.recordEvents(known, g.now()-2*g.retention) // what others hear of the channel is newer than a file
+	g.relay = newRelayClient(g, relays.DeriveSettings(platform.Name, peers.Delegates, len(platform.Site.ZoneNames),
+		len(platform.Site.KindNames), settings))
+	g.relay.mergeEvents(known)
+	g.channel.SetShouldPoll(g.relay.shouldPoll)
+
+	members := membership.Derive(platform.Name, uint64(time.Now().UnixMicro()), settings)
+	g.observeInterval = members.HintInterval.Duration() / observationsPerHintInterval
+	g.hints, g.pending = make(chan membership.Hint, maxConcurrentProbes), make(chan receivedUpdate, maxPendingUpdates)
+	g.nodeStatuses = map[string]membership.NodeStatus{}
+	network, err := gossipnet.Start(peers, members, g.routers.first().Now, g.handlers())
+	if err != nil {
+		return err
 	}
-	g.d.apply(events)
-	slog.Debug(logevent.DiscoveryEvents, "lists", lists(events), "events", len(events))
-	if g.book != nil {
-		g.talk.Load().BroadcastUpdates(g.took(events, g.clock()))
+	g.network.Store(network)
+	ctx, g.cancel = context.WithCancel(ctx)
+	go g.observe(ctx)
+	go g.receiveUpdates(ctx)
+	go g.relay.run(ctx, network)
+	for range maxConcurrentProbes {
+		go g.probeHinted(ctx)
 	}
+	return nil
 }
 
-// lists is how many of some events are of the list of nodes.
-func lists(events []discovery.Event) (n int) {
-	for _, e := range events {
-		if e.HasEndpoints {
-			n++
-		}
+// handlers are what the network calls, from its own goroutines; none blocks.
+func (g *gossipDriver) handlers() gossipnet.Handlers {
+	return gossipnet.Handlers{
+		ProbeNode:  g.enqueueHint,
+		LastAnswer: g.lastAnswer,
+		Update: func(from string, update gossip.Update) {
+			g.enqueue(receivedUpdate{from: from, Update: update})
+		},
+		Snapshot:      g.snapshot,
+		MergeSnapshot: func(from string, snapshot gossipnet.Snapshot) { g.applySnapshot(from, snapshot) },
+		NeedsSnapshot: g.needsSnapshot,
+		SnapshotReply: g.snapshotReply,
+		ChannelAge:    g.channelAge,
+		Relay:         g.relay.enqueue,
 	}
-	return n
 }
 
-// took books what was told at a time, and gives what is news.
-func (g *gossipDriver) took(events []discovery.Event, now policy.Micros) (tell []gossip.Update) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, e := range events {
-		if i := (gossip.Update{Object: e.Object, Group: e.Group, PurgedAt: e.PurgedAt}); !e.HasEndpoints && e.PurgedAt > 0 && g.book.RecordPurge(now, i) {
-			tell = append(tell, i)
-		}
-		var rows []gossip.NodeState
-		for _, n := range e.Endpoints {
-			rows = append(rows, gossip.NodeState{Node: n.ID, Started: n.Started, State: n.State})
-		}
-		if e.HasEndpoints {
-			tell = append(tell, g.book.RecordNodes(now, rows, e.Snapshot)...)
-		}
+// stop tells the others that this director leaves, and ends the goroutines.
+func (g *gossipDriver) stop() {
+	if network := g.network.Load(); network != nil {
+		g.cancel()
+		network.Leave()
 	}
-	return tell
 }
 
-// hears has a word taken, where there is room.
-func (g *gossipDriver) hears(w heardWord) bool {
-	select {
-	case g.words <- w:
-		return true
-	default:
-		return false
-	}
-}
+// enabled says whether this director gossips.
+func (g *gossipDriver) enabled() bool { return g.store != nil }
 
-// listen takes what others say that the channel told them.
-func (g *gossipDriver) listen() {
-	var onward []gossip.Update
-	for {
-		if len(g.words) == 0 || len(onward) == words { // many come together, and go on together
-			g.talk.Load().BroadcastUpdates(onward)
-			onward = nil
-		}
-		select {
-		case <-g.done:
-			return
-		case w := <-g.words:
-			if w.all {
-				g.vouched()
-				continue
-			}
-			g.mu.Lock()
-			bind, on := g.book.Received(g.clock(), w.from, w.Update)
-			g.mu.Unlock()
-			if bind && w.PurgedAt > 0 {
-				g.d.apply([]discovery.Event{{Object: w.Object, Group: w.Group, PurgedAt: w.PurgedAt}})
-			} else if bind {
-				g.avoid(nil)
-			}
-			if bind {
-				slog.Info(logevent.GossipReceived, "from", w.from, "endpoint", w.Node, "object", w.Object, "group", w.Group, "age", span(w.Age))
-			}
-			if on {
-				onward = append(onward, w.Update)
-			}
-		}
-	}
-}
+// now is the director's own monotonic time, on which the store and the relay count.
+func (g *gossipDriver) now() policy.Micros { return g.monitor.Now().Monotonic }
 
-// answered hears that the own channel has answered a call that began at a time.
-func (g *gossipDriver) answered(began policy.Micros) {
-	if g.book != nil {
-		g.ears.answered(began)
-		g.hold(began)
-		g.doubt(false)
+// quotaShare is what the decisions may use of a limit that the directors of the zone share, or all directors, as a multiple of the
+// fixed quota.
+func (g *gossipDriver) quotaShare(now policy.Micros, all bool) float64 {
+	scope := membership.ScopeZone
+	if all {
+		scope = membership.ScopeFleet
 	}
+	return g.network.Load().Quota(now, scope)
 }
 
-// hold hears until when all that the channel had to tell is known.
-func (g *gossipDriver) hold(began policy.Micros) {
+// channelAge is the time since the own channel last answered.
+func (g *gossipDriver) channelAge() policy.Micros {
 	g.mu.Lock()
-	changed := g.book.ChannelAnswered(began)
-	g.mu.Unlock()
-	if changed {
-		g.avoid(nil)
-	}
-}
-
-// settled hears how a doubt of what is known ended. Where nobody has told what is in force, what is known binds carefully from then
-// on, until the channel has answered or another has told: no copy is asked for that is older than now, and a node is cold until it
-// shows that it holds what it is asked for. Guards against what was told while this director was not there to hear it.
-func (g *gossipDriver) settled(how stall.Resolution) {
-	if g.book != nil && how == stall.ByTimeout {
-		g.doubt(true)
-	}
-}
-
-// vouched hears that another has told what is in force, and that it is in force here. After a jump of this one's time that is nothing:
-// it may have lain there meanwhile.
-func (g *gossipDriver) vouched() {
-	if g.own.Stalls() == 0 {
-		g.own.Confirmed(g.own.Now())
-		g.doubt(false)
-	}
-}
-
-// doubt has what is known bind carefully, or no longer.
-func (g *gossipDriver) doubt(on bool) {
-	if g.doubts.Swap(on) == on {
-		return
-	}
-	slog.Info(logevent.ViewUnconfirmed, "active", on)
-	for i, r := range g.d.routers {
-		at := policy.Micros(0)
-		if on {
-			at = r.Now()
-			r.WithPolicy(func() {
-				for _, v := range g.d.modules[i].Endpoints(at) {
-					g.d.modules[i].ProbeDone(at, v.ID, false, false)
-				}
-			})
-		}
-		r.PurgeOlderThan(at)
-	}
+	defer g.mu.Unlock()
+	return g.store.ChannelAge(g.now())
 }
 
-// avoid has nodes avoided that the operator's file names, if it is given, and those that another's word does.
-func (g *gossipDriver) avoid(operator []string) {
+// setOperatorAvoids changes the nodes that the operator's file has avoided.
+func (g *gossipDriver) setOperatorAvoids(nodes []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if operator != nil {
-		g.avoided = operator
-	}
-	all := g.avoided
-	if g.book != nil {
-		all = append(slices.Clone(all), g.book.AvoidedNodes()...)
-	}
-	g.d.avoid(all)
+	g.operatorAvoids = slices.Clone(nodes)
+	g.updateAvoided()
 }
 
-// report is how old the channel's word is; nil without peers.
-func (g *gossipDriver) report() *gossip.Report {
-	if g.book == nil {
-		return nil
-	}
-	others := g.talk.Load().NewestChannelAge()
+// refreshAvoided has the routers take up what the store says of avoided nodes.
+func (g *gossipDriver) refreshAvoided() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := g.book.Report(g.clock(), others)
-	return &r
+	g.updateAvoided()
 }
 
-// hear asks the own channel where others know more, and says once when nobody knows any more.
-func (g *gossipDriver) hear() {
-	fails, others := g.channel.Failing(), g.talk.Load().NewestChannelAge()
-	g.mu.Lock()
-	now := g.clock()
-	ask, r := g.book.ShouldPoll(now, fails), g.book.Report(now, others)
-	g.mu.Unlock()
-	if ask && g.ears.may() {
-		g.channel.Refresh()
-	}
-	if lost := r.NewestAge > int64(g.kept); lost != g.lost {
-		if g.lost = lost; lost {
-			slog.Warn(logevent.DiscoveryUnreachable, "newest", time.Duration(r.NewestAge)*time.Microsecond)
-		} else {
-			slog.Info(logevent.DiscoveryReachable, "newest", time.Duration(r.NewestAge)*time.Microsecond)
-		}
+// updateAvoided has nodes taken for draining that the operator's file names, and those that only others' updates do. The caller
+// holds the lock.
+func (g *gossipDriver) updateAvoided() {
+	avoided := g.operatorAvoids
+	if g.enabled() {
+		avoided = append(slices.Clone(avoided), g.store.AvoidedNodes()...)
 	}
+	g.routers.setDraining(avoided)
 }
 
-func (g *gossipDriver) start(o config.Peers, c config.Config, fleet *upstream.Pool) error {
-	s := membership.Derive(c.Name, uint64(time.Now().UnixMicro()), c.Site.Settings)
-	g.fleet, g.every = fleet, span(s.HintInterval)/8
-	g.asked, g.done, g.sights = make(chan membership.Hint, questions), make(chan struct{}), map[string]membership.NodeStatus{}
-	g.words = make(chan heardWord, words)
-	talk, err := gossipnet.Start(o, s, g.d.routers[0].Now, gossipnet.Handlers{ProbeNode: func(h membership.Hint) {
-		select {
-		case g.asked <- h:
-		default:
-		}
-	}, LastAnswer: g.lastHeard, Update: func(from string, i gossip.Update) {
-		g.hears(heardWord{from, i, false})
-	}, Snapshot: g.inForce, MergeSnapshot: g.met, NeedsSnapshot: g.doubting, SnapshotReply: g.toldAll, ChannelAge: func() policy.Micros {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return g.book.ChannelAge(g.clock())
-	}, Relay: g.ears.hear})
-	if err != nil {
-		return err
-	}
-	g.talk.Store(talk)
-	go g.look()
-	go g.listen()
-	go g.ears.run(talk, g.done)
-	for range questions {
-		go g.ask()
-	}
-	return nil
-}
+// membershipReport is the view of other directors; nil without peers.
+func (g *gossipDriver) membershipReport() *membership.Report { return g.network.Load().Report() }
 
-// inForce is what one that has just come should hear, and whether it can go by that.
-func (g *gossipDriver) inForce() (m gossipnet.Snapshot, vouches bool) {
-	if told := g.beliefs.Load(); told != nil {
-		m.UnhealthyNodes = *told
+// report is how old what the command channel told is; nil without peers.
+func (g *gossipDriver) report() *gossip.Report {
+	if !g.enabled() {
+		return nil
 	}
+	newestOfOthers := g.network.Load().NewestChannelAge()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m.ChannelAge, m.Updates = g.book.ChannelAge(g.clock()), g.book.Snapshot(g.clock())
-	return m, g.book.Confirms(m.ChannelAge)
+	report := g.store.Report(g.now(), newestOfOthers)
+	return &report
 }
 
-// met takes what another told as the two met. What makes careful binds, but it is no reason to be careful no longer.
-func (g *gossipDriver) met(from string, m gossipnet.Snapshot) { g.heed(from, m) }
-
-// heed has what another told bind careful; false where there was no room for all of it.
-func (g *gossipDriver) heed(from string, m gossipnet.Snapshot) bool {
-	all := true
-	for _, i := range m.Updates {
-		all = g.hears(heardWord{from, i, false}) && all
-	}
-	if g.own.Suspect() { // it has just started
-		g.warm(from, m.UnhealthyNodes)
-	}
-	return all
-}
-
-// doubting says whether another is wanted who tells what is in force. After a jump of this one's time that would be nothing.
-func (g *gossipDriver) doubting() bool {
-	return g.own.Stalls() == 0 && (g.own.Suspect() || g.doubts.Load())
-}
-
-// toldAll takes what another told when it was asked, at a time, what is in force. It settles a doubt, once all of it has been taken.
-func (g *gossipDriver) toldAll(from string, asked policy.Micros, m gossipnet.Snapshot) bool {
-	took := g.d.routers[0].Now() - asked
+// checkChannel polls the own channel where others know more, and logs when no reachable director hears the channel any more, and
+// when one does again. It is called by observe alone.
+func (g *gossipDriver) checkChannel() {
+	failing, newestOfOthers := g.channel.Failing(), g.network.Load().NewestChannelAge()
 	g.mu.Lock()
-	vouched := g.book.ConfirmsReply(took, m.ChannelAge)
+	now := g.now()
+	poll, report := g.store.ShouldPoll(now, failing), g.store.Report(now, newestOfOthers)
 	g.mu.Unlock()
-	return vouched && g.heed(from, m) && g.hears(heardWord{from, gossip.Update{}, true})
-}
-
-// mostBeliefs are handed to one that starts.
-const mostBeliefs = 64
-
-// warm takes what another believes of nodes that are not well, at a start: such a node is tried with a pull at a time, and counts as cold
-// until it shows that it holds what it is asked for. It is a reason for care, never a verdict, and over with the first pull.
-func (g *gossipDriver) warm(from string, beliefs []membership.Hint) {
-	for _, h := range beliefs[:min(len(beliefs), mostBeliefs)] {
-		_, full := h.UnresolvedByProbe()
-		for i, r := range g.d.routers {
-			go r.WithPolicy(func() { g.d.modules[i].ProbeDone(r.Now(), h.Node, full, full) }) // this is a call from within the talk
-		}
-	}
-	if len(beliefs) > 0 {
-		slog.Info(logevent.WarmStart, "from", from, "endpoints", len(beliefs))
-	}
-}
-
-func (g *gossipDriver) stop() {
-	if talk := g.talk.Load(); talk != nil {
-		close(g.done)
-		talk.Leave()
-	}
-}
-
-// lastHeard is when a node last answered, as of the last look: it is asked from within the talk, which must not wait for the
-// module.
-func (g *gossipDriver) lastHeard(node string) policy.Micros {
-	if heard := g.heard.Load(); heard != nil {
-		return (*heard)[node]
-	}
-	return 0
-}
-
-// look tells the others which nodes this director has found out about.
-func (g *gossipDriver) look() {
-	tick := time.NewTicker(g.every)
-	defer tick.Stop()
-	for {
-		select {
-		case <-g.done:
-			return
-		case <-tick.C:
-		}
-		g.hear()
-		var views []routing.EndpointView
-		var now policy.Micros
-		g.d.routers[0].WithPolicy(func() {
-			now = g.d.routers[0].Now()
-			views = g.d.modules[0].Endpoints(now)
-		})
-		heard, sights, beliefs := map[string]policy.Micros{}, map[string]membership.NodeStatus{}, []membership.Hint{}
-		for _, v := range views {
-			heard[v.ID] = now - policy.Micros(v.LastAnswer*float64(policy.Second))
-			now := membership.NodeStatus{Ejected: v.EjectedFor > 0, HalfOpen: v.HalfOpen, SlowStartShare: v.SlowStartShare, Limit: v.Limit}
-			before, seen := g.sights[v.ID]
-			if what, news := membership.ConditionChange(before, now); seen && news {
-				g.talk.Load().BroadcastHint(membership.Hint{Node: v.ID, Condition: what})
-			}
-			sights[v.ID] = now
-			if what, unwell := membership.UnhealthyCondition(now); unwell && len(beliefs) < mostBeliefs {
-				beliefs = append(beliefs, membership.Hint{Node: v.ID, Condition: what})
-			}
-		}
-		g.sights = sights
-		g.beliefs.Store(&beliefs)
-		g.heard.Store(&heard)
+	if poll && g.relay.shouldPoll() {
+		g.channel.Refresh()
 	}
-}
-
-// ask puts the question that a hint was the reason for, and has the module hear what came of it.
-func (g *gossipDriver) ask() {
-	for {
-		select {
-		case <-g.done:
-			return
-		case h := <-g.asked:
-			addr := g.d.routers[0].Address(h.Node)
-			if addr == "" {
-				continue
-			}
-			err := g.fleet.Probe(addr)
-			anew, full := h.UnresolvedByProbe()
-			slog.Info(logevent.HintProbed, "endpoint", h.Node, "kind", h.Condition, "reachable", err == nil)
-			for i, r := range g.d.routers {
-				r.WithPolicy(func() { g.d.modules[i].ProbeDone(r.Now(), h.Node, err == nil && !anew, err == nil && full) })
-			}
+	newest := policy.Micros(report.NewestAge)
+	if lost := newest > g.retention; lost != g.channelLost {
+		if g.channelLost = lost; lost {
+			slog.Warn(logevent.DiscoveryUnreachable, "newest", newest.Duration())
+		} else {
+			slog.Info(logevent.DiscoveryReachable, "newest", newest.Duration())
 		}
 	}
 }
