--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -13,9 +13,9 @@
 
 // Request is a request to a node. It must not change once it is sent.
 type Request struct {
-	ID             string // unique among the requests that are open on a connection
-	ContentType    string
-	Object         string
+	ID             string        // unique among the requests that are open on a connection
+	ContentType    string        // the name of the content type
+	Object         string        // the name of the object
 	Part           int           // of the object; the node keeps and fills each part on its own
 	Timeout        time.Duration // how long the node may take; it is sent as at least a millisecond
 	IdempotencyKey string        // the same for all attempts of a request that is idempotent by its key; empty for others
@@ -26,7 +26,7 @@
 	OnlyIfCached   bool          // the fill takes what its source has cached, and nothing from further on
 	Revalidate     bool          // an ageing copy serves, and the node renews it afterwards
 	ClientTag      string        // the version tag of the client's copy; empty where it has none
-	Body           *bufpool.Body // the sender's, who frees it once the attempt has ended
+	Body           *bufpool.Body // the sender's, who may free it once the attempt has ended or was cancelled
 
 	Source     *Endpoint   // the endpoint of SourceID, which must not be draining when the request is written; nil where not known
 	Superseded func() bool // reports whether the request must not be written any more; nil for never. Safe for concurrent use
--- a/internal/upstream/writer.go
+++ b/internal/upstream/writer.go
@@ -40,7 +40,7 @@
 		if len(b.buffer) > len(small) {
 			c.endpoint.pool.buffers.Put(b.buffer)
 		}
-		c.settleBatch(&b, written, err)
+		c.recordProgress(&b, written, err)
 	}
 }
 
@@ -94,14 +94,14 @@
 		m.attempt = nil
 	default:
 		b.data = appendRequest(b.data, &a.request)
-		a.stage, a.sentAt = WhollyWritten, time.Now() // before the write returns, since the endpoint may act on it before
+		a.stage, a.sentAt = FullyWritten, time.Now() // before the write returns, since the endpoint may act on it before
 	}
 }
 
 // encodeCancel appends the cancelling of an attempt, with a probe where it needs confirmation. The caller holds the endpoint's lock.
 func (c *conn) encodeCancel(a *Attempt, b *batch) {
 	if a.stage == NothingWritten { // there is nothing to cancel
-		c.finish(a, Response{}, &Error{NothingWritten, true, errCancelled})
+		c.finish(a, Response{}, cancelledAt(NothingWritten))
 		return
 	}
 	if a.finished {
@@ -168,11 +168,11 @@
 		cause = errCancelled
 	}
 	a.stage = NothingWritten
-	c.finish(a, Response{}, &Error{NothingWritten, a.cancelled, cause})
+	c.finish(a, Response{}, &Error{Stage: NothingWritten, Cancelled: a.cancelled, Err: cause})
 }
 
-// settleBatch notes how far the attempts of a batch came, of which so many bytes were written, and closes the connection after an error.
-func (c *conn) settleBatch(b *batch, written int, err error) {
+// recordProgress notes how far the attempts of a batch came, of which so many bytes were written, and closes the connection after an error.
+func (c *conn) recordProgress(b *batch, written int, err error) {
 	c.endpoint.mu.Lock()
 	defer c.endpoint.mu.Unlock()
 	begin := 0
@@ -203,7 +203,7 @@
 		c.retired = true
 	}
 	if !a.confirm {
-		c.finish(a, Response{}, &Error{a.stage, true, errCancelled})
+		c.finish(a, Response{}, cancelledAt(a.stage))
 	}
 }
 
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -9,8 +9,9 @@
 	"testing"
 
 	"tallyproxy/dedup"
+	"tallyproxy/internal/hash"
 	"tallyproxy/overload"
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
 // The values in this file were recorded once and are never recorded anew: routers of different versions run side by side during a
@@ -30,8 +31,8 @@
 		{"ä", 0x9f520a0861a56b8a, 0xbcfcbcb3295f1745, 0.73823146223128},
 		{"a much longer name of an object, with spaces", 0x90e72f0bddc5d21b, 0x1684f64a8253e419, 0.08796634024686467},
 	} {
-		if got := hashOf(c.text); got != c.hash || mix(got) != c.mixed || unit(got) != c.unit {
-			t.Errorf("{%q, %#x, %#x, %v},", c.text, got, mix(got), unit(got))
+		if got := hash.String(c.text); got != c.hash || hash.Mix(got) != c.mixed || hash.Unit(got) != c.unit {
+			t.Errorf("{%q, %#x, %#x, %v},", c.text, got, hash.Mix(got), hash.Unit(got))
 		}
 	}
 }
@@ -83,20 +84,20 @@
 	for _, weights := range [][]float64{{1, 1, 1, 1, 1}, {1, 2, 4, 0.5, 1}} {
 		s := settings()
 		s.WeightsAreSizes = true
-		b := newBed(s, 0, 1)
-		var rows []d.Endpoint
+		b := newTestRouter(s, 0, 1)
+		var rows []policy.Endpoint
 		for i, w := range weights {
-			rows = append(rows, d.Endpoint{ID: fmt.Sprint("edge-", i), Zone: 1, Weight: w})
+			rows = append(rows, policy.Endpoint{ID: fmt.Sprint("edge-", i), Zone: 1, Weight: w})
 		}
-		b.list(rows...)
+		b.updateEndpoints(rows...)
 		for i := range 20 {
 			object := fmt.Sprint("/object/", i)
 			key := fmt.Sprint(object, " ", weights)
-			nt := &notes{hash: mix(hashOf(object) + uint64(i%3))}
+			state := &requestState{objectHash: hash.Mix(hash.String(object) + uint64(i%3))}
 			var order strings.Builder
-			seen := map[*node]bool{}
+			seen := map[*endpoint]bool{}
 			for range weights {
-				n := b.pick(b.now, &b.edges, nt, 0, func(n *node) bool { return !seen[n] })
+				n := b.pick(b.now, &b.edges, state.objectHash, 0, func(n *endpoint) bool { return !seen[n] })
 				seen[n] = true
 				order.WriteString(strings.TrimPrefix(n.ID, "edge-"))
 			}
@@ -110,11 +111,11 @@
 // TestGoldenDecisions plays a drawn history against the module and compares a hash of every decision, in its order.
 func TestGoldenDecisions(t *testing.T) {
 	for _, c := range []struct {
-		seed   uint64
-		told   bool
-		direct bool
-		pulls  int
-		want   uint64
+		seed     uint64
+		reported bool
+		direct   bool
+		attempts int
+		want     uint64
 	}{
 		{1, false, false, 921, 0xb4b7986d983c5426},
 		{2, true, false, 939, 0xbde08a9f4ca6048f},
@@ -123,129 +124,129 @@
 		{5, true, true, 1500, 0x41b4d9549f287acf},
 		{6, true, false, 1067, 0xdb5cb4a7ce79ea4b},
 	} {
-		pulls, hash := playDrawn(c.seed, c.told, c.direct)
-		if pulls != c.pulls || hash != c.want {
-			t.Errorf("{%d, %v, %v, %d, %#x},", c.seed, c.told, c.direct, pulls, hash)
+		attempts, hash := playDrawn(c.seed, c.reported, c.direct)
+		if attempts != c.attempts || hash != c.want {
+			t.Errorf("{%d, %v, %v, %d, %#x},", c.seed, c.reported, c.direct, attempts, hash)
 		}
 	}
 }
 
 // playDrawn plays a history that depends on the seed alone.
-func playDrawn(seed uint64, told, direct bool) (pulls int, hash uint64) {
+func playDrawn(seed uint64, reported, direct bool) (attempts int, hash uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	var trace strings.Builder
 	s := settings()
-	s.Seed, s.ReportsCacheStatus, s.AllowDirect, s.WeightsAreSizes, s.ZoneDirectors, s.TotalDirectors = seed, told, direct, seed%2 == 0, 2, 6
+	s.Seed, s.ReportsCacheStatus, s.AllowDirect, s.WeightsAreSizes, s.ZoneDirectors, s.TotalDirectors = seed, reported, direct, seed%2 == 0, 2, 6
 	s.ContentTypes = append(s.ContentTypes,
-		&d.ContentType{LatencyObjective: 800 * ms, TransferFactor: 1, Timeout: 6 * d.Second, RetrySafety: d.IdempotentWithKey, DedupWindow: d.Second, PriorityWeight: 3, TTL: 9 * d.Second},
-		&d.ContentType{LatencyObjective: 300 * ms, Timeout: 2 * d.Second, RetrySafety: d.NotIdempotent, PriorityWeight: 2, Uncacheable: true},
-		&d.ContentType{LatencyObjective: 500 * ms, Timeout: 4 * d.Second, RetrySafety: d.IdempotentWithKey, DedupScope: d.DedupScopeCell, DedupWindow: 2 * d.Second, PriorityWeight: 1})
+		&policy.ContentType{LatencyObjective: 800 * ms, TransferFactor: 1, Timeout: 6 * policy.Second, RetrySafety: policy.IdempotentWithKey, DedupWindow: policy.Second, PriorityWeight: 3, TTL: 9 * policy.Second},
+		&policy.ContentType{LatencyObjective: 300 * ms, Timeout: 2 * policy.Second, RetrySafety: policy.NotIdempotent, PriorityWeight: 2, Uncacheable: true},
+		&policy.ContentType{LatencyObjective: 500 * ms, Timeout: 4 * policy.Second, RetrySafety: policy.IdempotentWithKey, DedupScope: policy.DedupScopeCell, DedupWindow: 2 * policy.Second, PriorityWeight: 1})
 	if seed%3 == 0 {
 		s.FillLinkKBPerSecond = 0
 	}
-	b := newBed(s, 4, 2)
+	b := newTestRouter(s, 4, 2)
 	o := Options{Overload: overload.DefaultSettings(), Dedup: dedup.Settings{MaxRecords: 60, RetainWindows: 3, FailUnknownRetries: seed%2 == 1}}
 	if seed > 2 {
 		o.Overload.Mode = overload.ModeReserve
 	}
 	b.SetOptions(o)
 	type flight struct {
-		dl   *d.Request
-		pull int
+		request *policy.Request
+		pull    int
 	}
 	var out []flight
-	var waiting []*d.Request
-	take := func(dl *d.Request, ans d.Decision) {
+	var waiting []*policy.Request
+	take := func(request *policy.Request, decision policy.Decision) {
 		node, source := "-", "-"
-		if ans.Endpoint != nil {
-			node = ans.Endpoint.ID
+		if decision.Endpoint != nil {
+			node = decision.Endpoint.ID
 		}
-		if ans.Source != nil {
-			source = ans.Source.ID
+		if decision.Source != nil {
+			source = decision.Source.ID
 		}
-		fmt.Fprintf(&trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, ans.Action, node, source, ans.CacheRank, ans.MaxAge,
-			ans.Coalesce, ans.OnlyIfCached, ans.Revalidate, ans.Timeout, ans.NotAfter, ans.Attempt, ans.RetryAfter, ans.Unprocessable, b.RecheckAfter(b.now, dl))
-		switch ans.Action {
-		case d.Send:
-			out = append(out, flight{dl, len(dl.PolicyState.(*notes).pulls) - 1})
-			pulls++
-		case d.Queue:
-			waiting = append(waiting, dl)
-		case d.Reject, d.Fail:
-			dl.Done = true
+		fmt.Fprintf(&trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, decision.Action, node, source, decision.CacheRank, decision.MaxAge,
+			decision.Coalesce, decision.OnlyIfCached, decision.Revalidate, decision.Timeout, decision.NotAfter, decision.Attempt, decision.RetryAfter, decision.Unprocessable, b.RecheckAfter(b.now, request))
+		switch decision.Action {
+		case policy.Send:
+			out = append(out, flight{request, len(request.PolicyState.(*requestState).attempts) - 1})
+			attempts++
+		case policy.Queue:
+			waiting = append(waiting, request)
+		case policy.Reject, policy.Fail:
+			request.Done = true
 		}
 	}
 	for step := range 6000 {
-		b.now += d.Micros(r.IntN(int(12 * ms)))
+		b.now += policy.Micros(r.IntN(int(12 * ms)))
 		if r.IntN(60) == 0 {
-			b.now += d.Micros(r.IntN(int(900 * ms)))
+			b.now += policy.Micros(r.IntN(int(900 * ms)))
 		}
 		switch what := r.IntN(100); {
 		case what < 35:
 			kind := s.ContentTypes[r.IntN(len(s.ContentTypes))]
-			dl := &d.Request{Type: kind, Object: fmt.Sprint("/o/", r.IntN(60)), Part: r.IntN(3), Group: r.IntN(4), IsRetry: r.IntN(8) == 0,
+			request := &policy.Request{Type: kind, Object: fmt.Sprint("/o/", r.IntN(60)), Part: r.IntN(3), Group: r.IntN(4), IsRetry: r.IntN(8) == 0,
 				ClientHash: uint64(r.IntN(50)), ClientSuspect: r.IntN(20) == 0, ArrivedAt: b.now, Deadline: b.now + kind.Timeout}
 			if r.IntN(2) == 0 {
-				dl.SizeKB = float64(50 + r.IntN(400))
+				request.SizeKB = float64(50 + r.IntN(400))
 			}
-			if kind.RetrySafety == d.IdempotentWithKey {
-				dl.IdempotencyKey = fmt.Sprint("key", r.IntN(2000))
+			if kind.RetrySafety == policy.IdempotentWithKey {
+				request.IdempotencyKey = fmt.Sprint("key", r.IntN(2000))
 			}
-			take(dl, b.Route(b.now, dl))
+			take(request, b.Route(b.now, request))
 		case what < 80 && len(out) > 0:
 			i := r.IntN(len(out))
 			f := out[i]
 			out = append(out[:i], out[i+1:]...)
-			ending := d.Succeeded
+			result := policy.Succeeded
 			if r.IntN(4) == 0 {
-				ending = d.Result(r.IntN(int(d.Withdrawn) + 1))
+				result = policy.Result(r.IntN(int(policy.Withdrawn) + 1))
 			}
-			filling := d.Unknown
+			status := policy.Unknown
 			if r.IntN(4) > 0 {
-				filling = d.CacheStatus(r.IntN(int(d.OriginFailed) + 1))
+				status = policy.CacheStatus(r.IntN(int(policy.OriginFailed) + 1))
 			}
-			if ending == d.Succeeded {
-				if filling > d.Stale {
-					filling = d.Filled
+			if result == policy.Succeeded {
+				if status > policy.Stale {
+					status = policy.Filled
 				}
-				f.dl.Done = true
+				f.request.Done = true
 			}
-			take(f.dl, b.AttemptDone(b.now, f.dl, d.Outcome{Attempt: f.pull, Result: ending, CacheStatus: filling, Final: f.dl.Done}))
+			take(f.request, b.AttemptDone(b.now, f.request, policy.Outcome{Attempt: f.pull, Result: result, CacheStatus: status, Final: f.request.Done}))
 		case what < 90 && len(waiting) > 0:
-			dl := waiting[0]
+			request := waiting[0]
 			waiting = waiting[1:]
-			take(dl, b.Route(b.now, dl))
+			take(request, b.Route(b.now, request))
 		case what < 96 && len(out) > 0:
 			f := out[r.IntN(len(out))]
-			if ans := b.Route(b.now, f.dl); ans.Action == d.CancelAttempt {
-				take(f.dl, ans)
+			if decision := b.Route(b.now, f.request); decision.Action == policy.CancelAttempt {
+				take(f.request, decision)
 			}
 		case what < 97:
-			b.Purge(b.now, []string{"", fmt.Sprint("/o/", r.IntN(60))}[r.IntN(2)], r.IntN(5)-1, b.now-d.Micros(r.IntN(int(d.Second))))
+			b.Purge(b.now, []string{"", fmt.Sprint("/o/", r.IntN(60))}[r.IntN(2)], r.IntN(5)-1, b.now-policy.Micros(r.IntN(int(policy.Second))))
 		case what < 98:
 			id, kind, zone := fmt.Sprint("e", r.IntN(5)), 0, 1
 			if r.IntN(3) == 0 {
 				id, kind, zone = fmt.Sprint("p", r.IntN(3)), 1, 0
 			}
-			started := d.Micros(0)
+			started := policy.Micros(0)
 			if r.IntN(2) == 0 {
 				started = b.now
 			}
-			b.list(d.Endpoint{ID: id, Kind: kind, Zone: zone, Cell: r.IntN(3), Weight: float64(1 + r.IntN(3)), State: d.EndpointState(r.IntN(8) / 6), Started: started})
+			b.updateEndpoints(policy.Endpoint{ID: id, Kind: kind, Zone: zone, Cell: r.IntN(3), Weight: float64(1 + r.IntN(3)), State: policy.EndpointState(r.IntN(8) / 6), Started: started})
 		case what < 99:
 			b.ClientConnected(b.now)
 			b.ProbeDone(b.now, fmt.Sprint("e", r.IntN(5)), r.IntN(2) == 0, r.IntN(2) == 0)
 		default:
-			fmt.Fprintln(&trace, step, b.Capacity(b.now), b.WarmCapacity(), b.jam, b.missing, b.trouble, b.gate.most, b.deep.most)
+			fmt.Fprintln(&trace, step, b.Capacity(b.now), b.WarmCapacity(), b.fillLatency, b.missRatio, b.errorRate, b.fillLimiter.limit, b.originLimiter.limit)
 		}
 	}
-	return pulls, sum64(&trace)
+	return attempts, sum64(&trace)
 }
 
 // TestGoldenMargins checks the times that sockets call for.
 func TestGoldenMargins(t *testing.T) {
 	s := settings()
-	s.AnswerGrace, s.ConnectTimeout, s.KeepAliveTimeout, s.MaxConcurrentStreams = 30*ms, 400*ms, 30*d.Second, 250
+	s.AnswerGrace, s.ConnectTimeout, s.KeepAliveTimeout, s.MaxConcurrentStreams = 30*ms, 400*ms, 30*policy.Second, 250
 	s.PurgePropagation, s.DrainPropagation = 900*ms, 700*ms
 	m := Timeouts(s)
 	got := fmt.Sprint(m.AnswerReserve, m.Connect, m.ReadStall, m.Idle, m.PreferredStreams, m.MaxStreams, m.CancelConfirm, m.RequestRead, m.DownstreamIdle, m.DefaultRetryAfter, m.WriteFlush, m.DrainAccept,
@@ -272,9 +273,9 @@
 
 // TestGoldenNodes checks the words for kinds and states of nodes.
 func TestGoldenNodes(t *testing.T) {
-	b := newBed(settings(), 1, 1)
-	b.list(d.Endpoint{ID: "e1", Zone: 1, State: d.Draining, Started: b.now}, d.Endpoint{ID: "x", Zone: 2})
-	b.now += d.Second
+	b := newTestRouter(settings(), 1, 1)
+	b.updateEndpoints(policy.Endpoint{ID: "e1", Zone: 1, State: policy.Draining, Started: b.now}, policy.Endpoint{ID: "x", Zone: 2})
+	b.now += policy.Second
 	got, err := json.Marshal(b.Endpoints(b.now))
 	if want := `[{"id":"e0","kind":"edge","state":"ready","warm":1,"out":0,"limit":8,"skipped":0,"trial":false,"heard":1},{"id":"e1","kind":"edge","state":"draining","warm":0.28,"out":0,"limit":8,"skipped":0,"trial":false,"heard":1},{"id":"o","kind":"origin","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1},{"id":"p0","kind":"parent","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1},{"id":"x","kind":"other","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1}]`; err != nil || string(got) != want {
 		t.Errorf("%s, %v", got, err)
