--- a/overload/controller.go
+++ b/overload/controller.go
@@ -6,7 +6,7 @@
 // A Controller is told of every request before it is routed (Admit), of every request that succeeded (Completed) and of every new client
 // connection (ClientConnected), and is asked for a time when a request is rejected (RetryAfter).
 //
-// During a storm: a storm is rising when demand exceeds capacity and there is a sign of a storm (many retries, many new connections, or
+// A storm is rising when demand exceeds capacity and there is a sign of a storm (many retries, many new connections, or
 // cold caches). It is held after a few windows, draining once demand has stayed below capacity, and over once no reservation is left.
 package overload
 
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -31,7 +31,7 @@
 				}
 			}
 			if got := g.RetryAfter(policy.Second, &Admission{Work: 1, RelativeCost: 1}, min(250*ms, c.most)); got != c.want {
-				t.Errorf("told %d, want %d", got, c.want)
+				t.Errorf("given %d, want %d", got, c.want)
 			}
 		})
 	}
@@ -68,10 +68,10 @@
 				}
 				p := a.RetryAfter(now, &x, 250*ms)
 				if q := b.RetryAfter(now, &y, 250*ms); p != q {
-					t.Fatalf("two that saw the same tell %d and %d", p, q)
+					t.Fatalf("two that saw the same give %d and %d", p, q)
 				}
 				if p <= 0 || p > policy.Second+200*ms {
-					t.Fatalf("told to come after %d", p)
+					t.Fatalf("given %d", p)
 				}
 			}
 			for _, work := range a.reservedWork {
--- a/overload/reserve_test.go
+++ b/overload/reserve_test.go
@@ -75,13 +75,13 @@
 	}
 	retryAt := c.retryAt[150]
 	if retryAt <= c.now {
-		t.Fatal("150 was told no time")
+		t.Fatal("150 was given no time")
 	}
 	for i := range 20 {
 		c.now += ms
 		a := request(150, true)
 		if ok, retryAfter := c.try(150, a); ok || c.now+retryAfter != retryAt && i < 10 {
-			t.Fatalf("early, try %d: served %v, told %d, had %d", i, ok, c.now+retryAfter, retryAt)
+			t.Fatalf("early, try %d: served %v, given %d, had %d", i, ok, c.now+retryAfter, retryAt)
 		}
 		if a.OnTime() {
 			t.Fatal("early is not due")
@@ -95,7 +95,7 @@
 	}
 	// early time and again: a place in a window less full than others may have
 	if at := c.controller.Report(c.now); at.EarlyRetries == 0 {
-		t.Error("the report tells of none that were early")
+		t.Error("the report counts no early retries")
 	}
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -43,11 +43,11 @@
 	Withdrawn
 )
 
-// CacheStatus is what an answer tells of the copy or of the fill. The statuses from SourceRejected on tell why a fill failed.
+// CacheStatus is what an answer reports of the copy or of the fill. The statuses from SourceRejected on report why a fill failed.
 type CacheStatus int
 
 const (
-	// Unknown is an answer that tells nothing.
+	// Unknown is an answer that reports neither.
 	Unknown CacheStatus = iota
 	// Hit is an answer from a fresh copy.
 	Hit
@@ -75,6 +75,6 @@
 type Outcome struct {
 	Attempt     int         // number of the attempt, in the order of the decisions to send, from 0
 	Result      Result      // how it ended
-	CacheStatus CacheStatus // what its answer tells of the copy or the fill
+	CacheStatus CacheStatus // what its answer reports of the copy or the fill
 	Final       bool        // the request is finished: no decision is needed
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -59,7 +59,7 @@
 	OriginKind          int            // machine kind of the origin
 	AllowDirect         bool           // requests may be sent straight to a parent or the origin
 	CoalesceFills       bool           // caches can join a request to a fill under way
-	ReportsCacheStatus  bool           // answers tell how a fill went and why it failed
+	ReportsCacheStatus  bool           // answers report how a fill went and why it failed
 	WeightsAreSizes     bool           // the endpoint list's weights are sizes; otherwise every endpoint counts as one
 	CanCancel           bool           // an attempt can be cancelled
 	ConcurrentAttempts  bool           // two attempts of a request may be in flight together
--- a/routing/cancel.go
+++ b/routing/cancel.go
@@ -12,7 +12,7 @@
 
 // checkAttempt looks at an attempt in flight. Where its endpoint has answered no attempt since this one was sent, the endpoint may be
 // silent; where it has, but nothing came through the attempt's source, the source may be. Once several checks found that, the endpoint is
-// ejected and the attempt cancelled, so that the request goes elsewhere. A source is suspected only where answers tell how fills went,
+// ejected and the attempt cancelled, so that the request goes elsewhere. A source is suspected only where answers report how fills went,
 // since few fills from here go through one source, and slow is not silent.
 //
 // That protects against machines that vanish without a connection reset, and against any that hang. It can harm where all of an
--- a/routing/cancel_test.go
+++ b/routing/cancel_test.go
@@ -31,11 +31,11 @@
 	b.finish(requests[3], ms, policy.Succeeded, policy.Hit)
 	b.now += b.RecheckAfter(b.now, requests[0])
 	if decision := b.Route(b.now, requests[0]); decision.Action != policy.None {
-		t.Errorf("a node that was heard of: %+v", decision)
+		t.Errorf("an endpoint that has answered: %+v", decision)
 	}
 }
 
-// TestSilentSource: a source that lets nothing through while its edges answer others is ejected where answers tell how fills went. Where
+// TestSilentSource: a source that lets nothing through while its edges answer others is ejected where answers report how fills went. Where
 // they don't, fills that take long have many reasons, and the source is left alone.
 func TestSilentSource(t *testing.T) {
 	for _, reported := range []bool{true, false} {
--- a/routing/cost_test.go
+++ b/routing/cost_test.go
@@ -12,7 +12,7 @@
 func TestUncacheableSendingTime(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		passThrough bool
+		uncacheable bool
 		status      policy.CacheStatus
 		learned     bool
 	}{
@@ -24,14 +24,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
 			s.ReportsCacheStatus = c.status != policy.Unknown
-			s.ContentTypes[0].Uncacheable = c.passThrough
+			s.ContentTypes[0].Uncacheable = c.uncacheable
 			b := newTestRouter(s, 3, 1)
 			route := func(object string) (*policy.Request, policy.Decision) {
 				request := b.request(object)
 				request.SizeKB = 0
 				return request, b.Route(b.now, request)
 			}
-			sent := func() (n int) { // to a cold node in a window
+			sent := func() (n int) { // to a cold endpoint in a window
 				b.missRatio = 0.5
 				b.updateEndpoints(policy.Endpoint{ID: "e9", Zone: 1, Started: b.now})
 				for until := b.now + s.EdgeSlowStart.OverloadWindow; b.now < until; b.now += 50 * ms {
@@ -58,7 +58,7 @@
 				b.finish(request, s.ContentTypes[0].LatencyObjective/20, policy.Succeeded, c.status)
 			}
 			if after := sent(); (after > 3*before) != c.learned {
-				t.Errorf("a cold node had %d in a window, %d before anything was known", after, before)
+				t.Errorf("a cold endpoint had %d in a window, %d before anything was known", after, before)
 			}
 		})
 	}
--- a/routing/fill.go
+++ b/routing/fill.go
@@ -17,20 +17,20 @@
 	slowParentRatio      = 0.9                // a parent is slow where its fills take more of their latency objective on average,
 	fasterParentFactor   = 2                  // and more than this multiple of another parent's
 	parentLatencyMemory  = 16                 // fills over which a parent's mean looks back, about
-	maxEdgesAsked        = 2                  // edge caches that are asked for what they hold before a fill
+	maxEdgesQueried      = 2                  // edge caches that are asked for what they hold before a fill
 )
 
 // fillStage is how far a request may go for an object while fills are congested.
 type fillStage int
 
 const (
-	askEdgeCache        fillStage = iota // ask an edge cache for what it holds
+	queryEdgeCache      fillStage = iota // ask an edge cache for what it holds
 	fillFromParentCache                  // fill from what a parent holds
 	fillFromOrigin                       // fill through a parent from the origin
 )
 
 // initFillLimits sets the limits for fills from the settings: this director's share of the fill link, with a margin for chance. Where
-// answers don't tell the cause of a failed fill, the limits are cut for other reasons too, such as a dead parent's rejections, and so
+// answers don't report the cause of a failed fill, the limits are cut for other reasons too, such as a dead parent's rejections, and so
 // gain twice as much by fills that go well.
 func (r *Router) initFillLimits() {
 	r.fillLatencyMemory = max(minFillLatencyMemory, initialConcurrency/float64(max(1, r.settings.ZoneDirectors)))
@@ -59,11 +59,11 @@
 		state.fillStage = max(state.fillStage, fillFromParentCache)
 	}
 	full := !r.fillLimiter.Allow(p.limitShare, 0) || state.fillStage == fillFromOrigin && !r.originLimiter.Allow(1, p.originObject)
-	if full && state.fillStage != askEdgeCache && r.congested() {
+	if full && state.fillStage != queryEdgeCache && r.congested() {
 		r.congestedAt = p.now
 	}
 	switch {
-	case state.fillStage == askEdgeCache:
+	case state.fillStage == queryEdgeCache:
 		a.cacheOnly = true
 	case full:
 		a.endpoint = nil
@@ -77,8 +77,8 @@
 // advanceAfterMiss moves a request to its next fill stage after a cache lacked the object. While fills are congested a second edge cache
 // is asked first: the object may be there since its home was full, slow or away.
 func (s *requestState) advanceAfterMiss(a *attempt, congested bool) {
-	s.edgesAsked += boolean.Int(a.cacheOnly)
-	if !a.cacheOnly || s.edgesAsked >= maxEdgesAsked || !congested || s.fillStage != askEdgeCache {
+	s.edgesQueried += boolean.Int(a.cacheOnly)
+	if !a.cacheOnly || s.edgesQueried >= maxEdgesQueried || !congested || s.fillStage != queryEdgeCache {
 		s.fillStage++
 	}
 }
@@ -96,14 +96,14 @@
 		r.originLimiter.Observe(ratio, 1, originDecrease, r.fillIncrease)
 	}
 	late := !reachedOrigin && now > a.sentAt+a.objective
-	if a.countedAsFill && (ratio <= 1 || late) { // a rejection tells nothing of the link
+	if a.countedAsFill && (ratio <= 1 || late) { // a rejection says nothing about the link
 		r.fillLimiter.Observe(ratio, 1, concurrencyDecrease, r.fillIncrease)
 	}
 	r.observeSource(now, a, ratio)
 }
 
 // observeSource takes a fill into its source's mean. A parent whose fills are late, and much slower than another parent's, is ejected.
-// docs/design.md ejects a source that answers call slow; here the time that fills through it take tells.
+// docs/design.md ejects a source that answers call slow; here the time that fills through it take decides.
 func (r *Router) observeSource(now policy.Micros, a *attempt, ratio float64) {
 	source := a.source
 	source.fillLatency += (ratio - source.fillLatency) / parentLatencyMemory
--- a/routing/fill_test.go
+++ b/routing/fill_test.go
@@ -59,8 +59,8 @@
 func TestCostlyObjectsQueue(t *testing.T) {
 	cases := []struct {
 		name string
-		size float64 // of the download, where most have 200
-		want float64 // part of the objects
+		size float64 // of the request, where most have 200
+		want float64 // share of the objects
 	}{{"as most", 200, 0.5}, {"twice as long", 400, 0.5 / 7.8}, {"half as long", 100, 0.5}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestFillIncreaseWithoutCacheStatus: where answers tell nothing of a rejection's cause, the limits of fills gain twice as much by what
+// TestFillIncreaseWithoutCacheStatus: where answers report nothing of a rejection's cause, the limits of fills gain twice as much by what
 // goes well.
 func TestFillIncreaseWithoutCacheStatus(t *testing.T) {
 	for _, c := range []struct {
@@ -98,12 +98,12 @@
 			s := settings()
 			s.ReportsCacheStatus = c.reported
 			b := newTestRouter(s, 1, 1)
-			p := &attempt{endpoint: b.endpoints["e0"], source: b.endpoints["p0"], countedAsFill: true, mayReachOrigin: true}
-			gate, deep := b.fillLimiter.limit, b.originLimiter.limit
-			b.fillLimiter.inFlight, b.originLimiter.inFlight = int(gate), int(deep)
-			b.observeFill(b.now, p, 0, true)
-			if got := b.originLimiter.limit - deep; got != c.want || b.fillLimiter.limit-gate != c.want {
-				t.Errorf("gains of %v and %v, want %v", got, b.fillLimiter.limit-gate, c.want)
+			a := &attempt{endpoint: b.endpoints["e0"], source: b.endpoints["p0"], countedAsFill: true, mayReachOrigin: true}
+			fills, origin := b.fillLimiter.limit, b.originLimiter.limit
+			b.fillLimiter.inFlight, b.originLimiter.inFlight = int(fills), int(origin)
+			b.observeFill(b.now, a, 0, true)
+			if got := b.originLimiter.limit - origin; got != c.want || b.fillLimiter.limit-fills != c.want {
+				t.Errorf("gains of %v and %v, want %v", got, b.fillLimiter.limit-fills, c.want)
 			}
 		})
 	}
@@ -136,10 +136,10 @@
 // the home was full, slow or away. That edge is asked once before a fill, which is still the home's.
 func TestSecondEdgeQueried(t *testing.T) {
 	cases := []struct {
-		name   string
-		edges  int
-		gated  bool
-		second policy.Result
+		name      string
+		edges     int
+		congested bool
+		second    policy.Result
 	}{
 		{"it holds it", 3, true, policy.Succeeded},
 		{"it lacks it too", 3, true, policy.CacheMiss},
@@ -152,7 +152,7 @@
 			request, decision := b.route("x")
 			home := decision.Endpoint.ID
 			b.finish(request, ms, policy.Succeeded, policy.Hit)
-			if !c.gated {
+			if !c.congested {
 				b.endpoints[home].halfOpen = true // then the home alone is asked
 			} else {
 				b.congestedAt = b.now
@@ -162,7 +162,7 @@
 				t.Fatalf("the home was not asked: %+v", decision)
 			}
 			decision = b.finish(request, ms, policy.CacheMiss, policy.Unknown)
-			if another := c.edges > 1 && c.gated; another != (decision.Endpoint.ID != home && decision.Source == decision.Endpoint) {
+			if another := c.edges > 1 && c.congested; another != (decision.Endpoint.ID != home && decision.Source == decision.Endpoint) {
 				t.Fatalf("after the home: %+v", decision)
 			} else if another {
 				decision = b.finish(request, ms, c.second, policy.Hit)
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -34,7 +34,7 @@
 			request, _ := b.route("a")
 			b.Purge(b.now, c.object, c.group, b.now-c.ago)
 			if decision := b.finish(request, 0, policy.Rejected, policy.Unknown); decision.MaxAge != c.oldest || decision.Revalidate != (c.fresh > 0) {
-				t.Errorf("later pull of a download in hand: %+v", decision)
+				t.Errorf("later attempt of a request in hand: %+v", decision)
 			}
 			b.now += 7 * policy.Second
 			b.Purge(b.now, "z", 1, b.now)
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestGoldenPlacement checks the order in which the rendezvous hash prefers nodes, one letter a node, for objects and sizes.
+// TestGoldenPlacement checks the order in which the rendezvous hash prefers endpoints, one digit an endpoint, for objects and sizes.
 func TestGoldenPlacement(t *testing.T) {
 	want := map[string]string{
 		"/object/0 [1 1 1 1 1]":    "31024",
@@ -108,7 +108,7 @@
 	}
 }
 
-// TestGoldenDecisions plays a drawn history against the module and compares a hash of every decision, in its order.
+// TestGoldenDecisions plays a drawn history against the router and compares a hash of every decision, in its order.
 func TestGoldenDecisions(t *testing.T) {
 	for _, c := range []struct {
 		seed     uint64
@@ -152,19 +152,19 @@
 	b.SetOptions(o)
 	type flight struct {
 		request *policy.Request
-		pull    int
+		attempt int
 	}
 	var out []flight
 	var waiting []*policy.Request
 	take := func(request *policy.Request, decision policy.Decision) {
-		node, source := "-", "-"
+		target, source := "-", "-"
 		if decision.Endpoint != nil {
-			node = decision.Endpoint.ID
+			target = decision.Endpoint.ID
 		}
 		if decision.Source != nil {
 			source = decision.Source.ID
 		}
-		fmt.Fprintf(&trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, decision.Action, node, source, decision.CacheRank, decision.MaxAge,
+		fmt.Fprintf(&trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, decision.Action, target, source, decision.CacheRank, decision.MaxAge,
 			decision.Coalesce, decision.OnlyIfCached, decision.Revalidate, decision.Timeout, decision.NotAfter, decision.Attempt, decision.RetryAfter, decision.Unprocessable, b.RecheckAfter(b.now, request))
 		switch decision.Action {
 		case policy.Send:
@@ -211,7 +211,7 @@
 				}
 				f.request.Done = true
 			}
-			take(f.request, b.AttemptDone(b.now, f.request, policy.Outcome{Attempt: f.pull, Result: result, CacheStatus: status, Final: f.request.Done}))
+			take(f.request, b.AttemptDone(b.now, f.request, policy.Outcome{Attempt: f.attempt, Result: result, CacheStatus: status, Final: f.request.Done}))
 		case what < 90 && len(waiting) > 0:
 			request := waiting[0]
 			waiting = waiting[1:]
@@ -243,8 +243,8 @@
 	return attempts, sum64(&trace)
 }
 
-// TestGoldenMargins checks the times that sockets call for.
-func TestGoldenMargins(t *testing.T) {
+// TestGoldenTimeouts checks the times that sockets call for.
+func TestGoldenTimeouts(t *testing.T) {
 	s := settings()
 	s.AnswerGrace, s.ConnectTimeout, s.KeepAliveTimeout, s.MaxConcurrentStreams = 30*ms, 400*ms, 30*policy.Second, 250
 	s.PurgePropagation, s.DrainPropagation = 900*ms, 700*ms
@@ -271,8 +271,8 @@
 	}
 }
 
-// TestGoldenNodes checks the words for kinds and states of nodes.
-func TestGoldenNodes(t *testing.T) {
+// TestGoldenEndpoints checks the words for kinds and states of endpoints.
+func TestGoldenEndpoints(t *testing.T) {
 	b := newTestRouter(settings(), 1, 1)
 	b.updateEndpoints(policy.Endpoint{ID: "e1", Zone: 1, State: policy.Draining, Started: b.now}, policy.Endpoint{ID: "x", Zone: 2})
 	b.now += policy.Second
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -8,7 +8,7 @@
 
 const ms policy.Micros = 1000
 
-// testRouter is a module with a fleet: edges e0.. in zone 1, parents p0.. in zone 0, origin o.
+// testRouter is a router with edges e0, e1, ... in its own zone 1, parents p0, p1, ... in zone 0, and the origin o.
 type testRouter struct {
 	*Router
 	t   *policy.ContentType
@@ -46,13 +46,13 @@
 	return &policy.Request{Type: b.t, Object: object, Group: 7, SizeKB: 200, ArrivedAt: b.now, Deadline: b.now + 3*policy.Second}
 }
 
-// route asks where a new download for the object goes.
+// route routes a new request for the object.
 func (b *testRouter) route(object string) (*policy.Request, policy.Decision) {
 	request := b.request(object)
 	return request, b.Route(b.now, request)
 }
 
-// finish reports the end of the download's latest pull after a while.
+// finish reports the end of the request's last attempt after a while.
 func (b *testRouter) finish(request *policy.Request, after policy.Micros, result policy.Result, status policy.CacheStatus) policy.Decision {
 	b.now += after
 	last := len(request.PolicyState.(*requestState).attempts) - 1
@@ -60,7 +60,7 @@
 	return b.AttemptDone(b.now, request, policy.Outcome{Attempt: last, Result: result, CacheStatus: status, Final: request.Done})
 }
 
-// serve asks for n objects one after another and has each succeeded.
+// serve routes requests for n objects one after another, and each succeeds.
 func (b *testRouter) serve(n int, after policy.Micros, status policy.CacheStatus) {
 	for i := range n {
 		if request, decision := b.route(fmt.Sprint("s", i)); decision.Action == policy.Send {
@@ -69,7 +69,7 @@
 	}
 }
 
-// objects gives n whose home edge is the node, by asking while all is well.
+// objects returns n objects whose home is the edge, by routing requests that all succeed.
 func (b *testRouter) objects(home string, n int) (found []string) {
 	for i := 0; len(found) < n; i++ {
 		request, decision := b.route(fmt.Sprint("/o/", i))
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -57,7 +57,7 @@
 	state.unexplainedErrors = nil
 }
 
-// learnSuccess takes an answer with what was asked for. Where answers tell nothing of the copy, the miss ratio stays as it is, and an
+// learnSuccess takes an answer with what was asked for. Where answers report nothing of the copy, the miss ratio stays as it is, and an
 // attempt that may have been a fill clears its source and counts as a fill.
 func (r *Router) learnSuccess(now policy.Micros, request *policy.Request, a *attempt, status policy.CacheStatus) {
 	a.endpoint.recordSuccess(now, a, status == policy.Hit || status == policy.Stale)
--- a/routing/outcome_test.go
+++ b/routing/outcome_test.go
@@ -13,11 +13,11 @@
 	cases := []struct {
 		name   string
 		then   policy.Result
-		action policy.Action // of the answer to it
+		action policy.Action // decided after it
 		ejects bool
 	}{
-		{"another node errs too", policy.Failed, policy.Reject, false},
-		{"another node succeeds", policy.Succeeded, policy.None, true},
+		{"another endpoint errs too", policy.Failed, policy.Reject, false},
+		{"another endpoint succeeds", policy.Succeeded, policy.None, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 					t.Fatalf("after the first error: %+v", decision)
 				}
 				if decision := b.finish(request, ms, c.then, policy.Unknown); decision.Action != c.action {
-					t.Fatalf("after the second node: %+v", decision)
+					t.Fatalf("after the second endpoint: %+v", decision)
 				}
 			}
 			if ejected := b.endpoints["e1"].ejectedUntil > b.now; ejected != c.ejects {
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestUnknownCacheStatus: where answers tell neither hit nor fill, quick ones end a congestion and clear the parent that they came through;
+// TestUnknownCacheStatus: where answers report neither hit nor fill, quick ones end a congestion and clear the parent that they came through;
 // they don't move the miss ratio.
 func TestUnknownCacheStatus(t *testing.T) {
 	for _, c := range []struct {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -56,7 +56,7 @@
 
 // recordSourceFailure counts a fill that a source failed or was slow with, and ejects the source after some in a row.
 //
-// Where answers don't tell whose fault it was, every answer through a source clears it, and when no other parent could be used instead
+// Where answers don't report whose fault it was, every answer through a source clears it, and when no other parent could be used instead
 // the fault lies behind the parents: all of them are used again. That protects against dead and slow parents, and against giving up what
 // parents hold while the origin fails. It can harm while all parents are dead but still listed.
 func (r *Router) recordSourceFailure(now policy.Micros, source *endpoint, a *attempt) {
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -20,8 +20,8 @@
 	}{
 		{"connect failed, probed, connect failed", false, policy.ConnectFailed, policy.Unknown, 2, true, false},
 		{"connect failed once", false, policy.ConnectFailed, policy.Unknown, 1, false, false},
-		{"broken", false, policy.ConnectionLost, policy.Unknown, 9, true, false},
-		{"broken a few times", false, policy.ConnectionLost, policy.Unknown, 8, false, false},
+		{"connection lost", false, policy.ConnectionLost, policy.Unknown, 9, true, false},
+		{"connection lost a few times", false, policy.ConnectionLost, policy.Unknown, 8, false, false},
 		{"one error", false, policy.Failed, policy.Unknown, 1, false, false},
 		{"rejects for a while", true, policy.Rejected, policy.Unknown, 8, false, false},
 		{"rejects again and again", true, policy.Rejected, policy.Unknown, 9, true, false},
@@ -96,7 +96,7 @@
 	}{
 		{"empty", policy.ConnectFailed, policy.CacheMiss, policy.Unknown, true},
 		{"still holds what it had", policy.ConnectFailed, policy.Succeeded, policy.Hit, false},
-		{"only a break", policy.ConnectionLost, policy.CacheMiss, policy.Unknown, false},
+		{"connection lost", policy.ConnectionLost, policy.CacheMiss, policy.Unknown, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 		b.now += ms
 		for i, request := range together {
 			if decision := b.finish(request, 0, policy.ConnectionLost, policy.Unknown); decision.Action != policy.Send || decision.Endpoint.ID != "e1" {
-				t.Fatalf("download %d: %+v", i, decision)
+				t.Fatalf("request %d: %+v", i, decision)
 			}
 		}
 		if decision := b.finish(together[0], 0, policy.ConnectionLost, policy.Unknown); decision.Action != policy.Send || decision.Endpoint.ID == "e1" {
@@ -155,7 +155,7 @@
 	})
 }
 
-// TestAllParentsFailing: where answers don't tell the cause, the fault lies behind the parents and they stay in use.
+// TestAllParentsFailing: where answers don't report the cause, the fault lies behind the parents and they stay in use.
 func TestAllParentsFailing(t *testing.T) {
 	for _, reported := range []bool{false, true} {
 		t.Run(fmt.Sprint("cache status reported: ", reported), func(t *testing.T) {
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -36,7 +36,7 @@
 		return r.queueOrReject(&p)
 	}
 	if a.endpoint.halfOpen && !a.countedAsFill && !a.direct && !request.Type.Uncacheable {
-		a.cacheOnly = true // a question tells soonest whether the endpoint is back
+		a.cacheOnly = true // the quickest way to learn whether the endpoint is back
 	}
 	decision := p.decision()
 	if !p.chooseSource(&decision) {
@@ -62,16 +62,18 @@
 
 // allowed reports whether an endpoint may run an attempt of the request at all.
 func (p *placement) allowed(e *endpoint) bool {
-	return !p.state.tried(e) && mayRunAgain(p.now, p.request, p.state, e)
+	return !p.state.tried(e) && retryAllowedAt(p.now, p.request, p.state, e)
 }
 
-// hasRoom reports whether an edge cache is allowed and its concurrency limit has room.
-func (p *placement) hasRoom(e *endpoint) bool {
+// hasCapacity reports whether an edge cache is allowed and its concurrency limit has room.
+func (p *placement) hasCapacity(e *endpoint) bool {
 	return e.concurrency.Allow((1+p.limitShare)/2, hash.Unit(pairHash(p.state.objectHash, e))) && p.allowed(e)
 }
 
-// hasRoomUnasked is hasRoom for edge caches that were not asked for what they hold.
-func (p *placement) hasRoomUnasked(e *endpoint) bool { return p.hasRoom(e) && !p.state.wasAsked(e) }
+// hasCapacityUnqueried is hasCapacity for edge caches that were not asked for what they hold.
+func (p *placement) hasCapacityUnqueried(e *endpoint) bool {
+	return p.hasCapacity(e) && !p.state.wasQueried(e)
+}
 
 func (p *placement) pickEdge(allowed func(*endpoint) bool) *endpoint {
 	return p.router.pick(p.now, &p.router.edges, p.state.objectHash, p.work, allowed)
@@ -81,13 +83,13 @@
 // cache can take the request, with room or not, a parent may.
 func (p *placement) chooseEdge() {
 	r, a, state := p.router, p.attempt, p.state
-	if state.edgesAsked > 0 && state.fillStage == askEdgeCache {
-		if a.endpoint = p.pickEdge(p.hasRoomUnasked); a.endpoint == nil {
+	if state.edgesQueried > 0 && state.fillStage == queryEdgeCache {
+		if a.endpoint = p.pickEdge(p.hasCapacityUnqueried); a.endpoint == nil {
 			state.fillStage++
 		}
 	}
 	if a.endpoint == nil {
-		a.endpoint = p.pickEdge(p.hasRoom)
+		a.endpoint = p.pickEdge(p.hasCapacity)
 	}
 	if a.endpoint == nil && r.settings.AllowDirect && p.pickEdge(p.allowed) == nil {
 		a.endpoint = r.pick(p.now, &r.parents, state.objectHash, p.work, p.allowed)
--- a/routing/placement_test.go
+++ b/routing/placement_test.go
@@ -9,10 +9,10 @@
 // TestDirectToParent: without an edge cache requests go straight to a parent, within the fill limiter.
 func TestDirectToParent(t *testing.T) {
 	cases := []struct {
-		name   string
-		direct bool
-		change policy.Endpoint
-		node   string
+		name     string
+		direct   bool
+		change   policy.Endpoint
+		endpoint string
 	}{
 		{"no edge cache left", true, policy.Endpoint{ID: "e0", Zone: 1, State: policy.Removed}, "p0"},
 		{"not allowed", false, policy.Endpoint{ID: "e0", Zone: 1, State: policy.Removed}, ""},
@@ -25,10 +25,10 @@
 			b := newTestRouter(s, 1, 1)
 			b.updateEndpoints(c.change)
 			request, decision := b.route("a")
-			if decision.Endpoint == nil != (c.node == "") || decision.Endpoint != nil && decision.Endpoint.ID != c.node {
+			if decision.Endpoint == nil != (c.endpoint == "") || decision.Endpoint != nil && decision.Endpoint.ID != c.endpoint {
 				t.Fatalf("%+v", decision)
 			}
-			if c.node != "p0" {
+			if c.endpoint != "p0" {
 				return
 			}
 			if decision.Source.ID != "o" || b.fillLimiter.inFlight != 1 {
@@ -52,7 +52,7 @@
 		name   string
 		repeat policy.RetrySafety
 		window policy.Micros
-		before policy.Micros // of the second pull, after the first was sent
+		before policy.Micros // of the second attempt, after the first was sent
 	}{
 		{"idempotent", policy.Idempotent, policy.Second, 3 * policy.Second},
 		{"with a key, a short window", policy.IdempotentWithKey, policy.Second, policy.Second},
--- a/routing/request.go
+++ b/routing/request.go
@@ -19,7 +19,7 @@
 	checkedAt         policy.Micros // when the last attempt was checked, or sent
 	fullAttempts      int           // attempts that asked for more than what caches hold
 	withdrawn         int           // attempts that were never written since an event overtook their decision
-	edgesAsked        int           // edge caches that were asked for what they hold and lack the object
+	edgesQueried      int           // edge caches that were asked for what they hold and lack the object
 	fillStage         fillStage
 	admission         overload.Admission
 }
@@ -80,8 +80,8 @@
 	})
 }
 
-// wasAsked reports whether the endpoint was asked for what it holds.
-func (s *requestState) wasAsked(e *endpoint) bool {
+// wasQueried reports whether the endpoint was asked for what it holds.
+func (s *requestState) wasQueried(e *endpoint) bool {
 	return slices.ContainsFunc(s.attempts, func(a *attempt) bool { return a.endpoint == e && a.cacheOnly })
 }
 
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -19,8 +19,8 @@
 	return true
 }
 
-// mayRunAgain reports whether an attempt may be sent to an endpoint after what may have run already: rule 2 of docs/design.md.
-func mayRunAgain(now policy.Micros, request *policy.Request, state *requestState, e *endpoint) bool {
+// retryAllowedAt reports whether an attempt may be sent to an endpoint after what may have run already: rule 2 of docs/design.md.
+func retryAllowedAt(now policy.Micros, request *policy.Request, state *requestState, e *endpoint) bool {
 	switch contentType, first := request.Type, state.mayHaveRun; {
 	case first == nil || contentType.RetrySafety == policy.Idempotent:
 		return true
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -22,7 +22,7 @@
 		{"not idempotent that may have run", policy.NotIdempotent, policy.DedupScopeAll, policy.ConnectionLost, 0, policy.Fail},
 		{"not idempotent, error answer", policy.NotIdempotent, policy.DedupScopeAll, policy.Failed, 0, policy.Fail},
 		{"not idempotent that never ran", policy.NotIdempotent, policy.DedupScopeAll, policy.Rejected, 0, policy.Send},
-		{"not idempotent, not reached", policy.NotIdempotent, policy.DedupScopeAll, policy.ConnectFailed, 0, policy.Send},
+		{"not idempotent, connect failed", policy.NotIdempotent, policy.DedupScopeAll, policy.ConnectFailed, 0, policy.Send},
 		{"with a key in its window", policy.IdempotentWithKey, policy.DedupScopeAll, policy.ConnectionLost, policy.Second, policy.Send},
 		{"with a key past its window", policy.IdempotentWithKey, policy.DedupScopeAll, policy.ConnectionLost, 3 * policy.Second, policy.Reject},
 		{"with a key, same cell", policy.IdempotentWithKey, policy.DedupScopeCell, policy.ConnectionLost, 0, policy.Send},
@@ -43,7 +43,7 @@
 				t.Errorf("an uncacheable attempt: %+v", first)
 			}
 			if decision := b.finish(request, c.after, c.result, policy.Unknown); decision.Action != c.action ||
-				decision.Action == policy.Send && (decision.Endpoint == first.Endpoint) != (c.result == policy.ConnectionLost) { // a connection, not its node
+				decision.Action == policy.Send && (decision.Endpoint == first.Endpoint) != (c.result == policy.ConnectionLost) { // the connection's fault, not its endpoint's
 				t.Errorf("%+v", decision)
 			}
 		})
@@ -98,7 +98,7 @@
 		}
 		for i := range 4 * b.settings.MaxAttempts {
 			if decision.Action != policy.Send {
-				t.Fatalf("overloaded %v: after %d recalls %+v", overloaded, i, decision)
+				t.Fatalf("overloaded %v: after %d withdrawals %+v", overloaded, i, decision)
 			}
 			decision = b.finish(request, ms, policy.Withdrawn, policy.Unknown)
 		}
@@ -112,7 +112,7 @@
 func TestIdempotencyKeysOverRetries(t *testing.T) {
 	cases := []struct {
 		name   string
-		result policy.Result // of the first try's pull
+		result policy.Result // of the first try's attempt
 		lost   bool          // the client had left before the first answer
 		after  policy.Micros
 		scope  policy.DedupScope
@@ -120,7 +120,7 @@
 	}{
 		{"failed, inside the window", policy.Failed, false, 2 * policy.Second, policy.DedupScopeAll, policy.Send},
 		{"failed, past it", policy.Failed, false, 3100 * ms, policy.DedupScopeAll, policy.Fail},
-		{"broken, past it", policy.ConnectionLost, false, 5 * policy.Second, policy.DedupScopeAll, policy.Fail},
+		{"connection lost, past it", policy.ConnectionLost, false, 5 * policy.Second, policy.DedupScopeAll, policy.Fail},
 		{"succeeded but the answer was lost, past it", policy.Succeeded, true, 4 * policy.Second, policy.DedupScopeAll, policy.Fail},
 		{"succeeded but the answer was lost, inside", policy.Succeeded, true, policy.Second, policy.DedupScopeAll, policy.Send},
 		{"rejected: it never ran", policy.Rejected, false, 5 * policy.Second, policy.DedupScopeAll, policy.Send},
@@ -196,15 +196,15 @@
 		}
 	})
 	t.Run("a retry with an unknown key", func(t *testing.T) {
-		for _, abandon := range []bool{false, true} {
+		for _, fails := range []bool{false, true} {
 			s := settings()
-			s.ContentTypes[0].RetrySafety = policy.IdempotentWithKey // its expiry is longer than its window
+			s.ContentTypes[0].RetrySafety = policy.IdempotentWithKey // the timeout is longer than the dedup window
 			b := newTestRouter(s, 2, 1)
-			b.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20, FailUnknownRetries: abandon}})
+			b.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20, FailUnknownRetries: fails}})
 			request := b.request("o")
 			request.IdempotencyKey, request.IsRetry = "k", true
-			if decision := b.Route(b.now, request); (decision.Action == policy.Fail) != abandon {
-				t.Errorf("abandon %v: %+v", abandon, decision)
+			if decision := b.Route(b.now, request); (decision.Action == policy.Fail) != fails {
+				t.Errorf("unknown keys fail: %v: %+v", fails, decision)
 			}
 		}
 	})
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -85,7 +85,7 @@
 			b := newTestRouter(s, 0, 1)
 			b.updateEndpoints(policy.Endpoint{ID: "e0", Zone: 1, Weight: 4}, policy.Endpoint{ID: "e1", Zone: 1, Weight: 6})
 			if got := b.Capacity(b.now); got != c.want || b.WarmCapacity() != c.want {
-				t.Errorf("able to %v, %v when warm, want %v", got, b.WarmCapacity(), c.want)
+				t.Errorf("capacity %v, %v when warm, want %v", got, b.WarmCapacity(), c.want)
 			}
 		})
 	}
--- a/routing/timeouts.go
+++ b/routing/timeouts.go
@@ -8,9 +8,9 @@
 
 // Figures of the platform's protocol.
 const (
-	clientsComeAfterStop = 6 * policy.Second / 10 // clients go on connecting for this long after the signal to stop
-	stopKillsAfter       = 3 * policy.Second      // the process is killed this long after the signal, or after the longest timeout if that is less,
-	stopSlackTime        = 7 * policy.Second / 10 // and this much later at the soonest
+	acceptAfterStop      = 6 * policy.Second / 10 // clients go on connecting for this long after the signal to stop
+	killAfterStop        = 3 * policy.Second      // the process is killed this long after the signal, or the longest timeout if that is less,
+	killSlack            = 7 * policy.Second / 10 // plus at least this
 	staleAttemptLimit    = policy.Second / 10     // no attempt may begin this long after its client has left
 	malformedAnswerLimit = 3 * policy.Second      // a client that sends what is no message is answered within this time
 )
@@ -29,7 +29,7 @@
 		RequestRead:       2 * malformedAnswerLimit / 3,
 		DownstreamIdle:    s.KeepAliveTimeout / 6,
 		DefaultRetryAfter: min(s.MaxRetryAfter, s.ConnectTimeout),
-		DrainAccept:       clientsComeAfterStop + clientsComeAfterStop/3,
+		DrainAccept:       acceptAfterStop + acceptAfterStop/3,
 		LongPoll:          s.PurgeRetention / 5,
 		PollRetry:         s.ConnectTimeout / 4,
 		SuspectTimeout:    2 * s.ConnectTimeout,
@@ -41,6 +41,6 @@
 	for _, contentType := range s.ContentTypes {
 		t.WriteFlush = max(t.WriteFlush, contentType.Timeout)
 	}
-	t.DrainDeadline = min(t.WriteFlush, stopKillsAfter) + stopSlackTime/2
+	t.DrainDeadline = min(t.WriteFlush, killAfterStop) + killSlack/2
 	return t
 }
