--- a/internal/experiment/eventqueue.go
+++ b/internal/experiment/eventqueue.go
@@ -6,6 +6,8 @@
 	"tallyproxy/policy"
 )
 
+const millisecond = policy.Second / 1000
+
 // eventQueue is the clock of a discrete-event simulation and what is to happen on it. Events run in the order of their times, those of
 // one time in the order in which they were scheduled. It belongs to the goroutine that runs the simulation.
 type eventQueue struct {
--- a/internal/experiment/rolloutsim.go
+++ b/internal/experiment/rolloutsim.go
@@ -10,8 +10,6 @@
 )
 
 const (
-	millisecond = policy.Second / 1000
-
 	toolTickInterval  = 50 * millisecond
 	agentTickInterval = 2 * toolTickInterval
 	rolloutDeadline   = 600 * policy.Second // by which a schedule has ended, in simulated time
@@ -166,7 +164,9 @@
 			reply := f.handle(a.Name, other, envelope.Message)
 			f.deliver(func() {
 				if a.isProcess(start) && other.partitioned == a.partitioned {
-					f.agentStep(a, start, func() ([]rollout.Envelope, []rollout.Command) { return a.recovery.HandleReply(f.now, other.Name, reply) })
+					f.agentStep(a, start, func() ([]rollout.Envelope, []rollout.Command) {
+						return a.recovery.HandleReply(f.now, other.Name, reply)
+					})
 				}
 			})
 		})
--- a/internal/experiment/startupsim.go
+++ b/internal/experiment/startupsim.go
@@ -1,7 +1,6 @@
 package experiment
 
 import (
-	"container/heap"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -10,340 +9,247 @@
 
 	"tallyproxy/backoff"
 	"tallyproxy/internal/fakes"
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 	"tallyproxy/relays"
 )
 
-// startSim plays a fleet's calls of the command channel in simulated time, for fleets that no machine holds as processes: who calls and
-// when is decided by the real modules (manners, follow), the network and the channel are not real. What a director hears of purges goes
-// to four others at once, as between processes; lists go by questions.
-type startSim struct {
-	now     d.Micros
-	r       *rand.Rand
-	dirs    []*simDirector
-	zones   [][]string // names by location,
-	met     []int      // and how many of them have met the others
-	byName  map[string]int
-	events  startEvents
-	seq     int
-	serving bool
-	able    fakes.ChannelCapacity
-	busy    d.Micros
-	news    int      // events that the channel has
-	lists   int      // version of its list
-	told    d.Micros // when the last event came
-	waiting map[int]func()
-	calls   []fakes.ChannelCall
-	rows    []relays.Endpoint // of the version at hand
-	of      int
-	alone   bool
-	times   backoff.Intervals
-	poll    d.Micros
-	retry   d.Micros
-}
-
-type simDirector struct {
-	name    string
-	zone    int
-	book    *relays.Relay
-	caller  *backoff.Poller
-	cursor  int      // events that the own channel has told
-	list    int      // version of the list in force
-	met     bool     // it sees the others,
-	saw     int      // so many of them,
-	look    d.Micros // and looks again then
-	known   int      // events heard, by whomever
-	knew    d.Micros // when it heard the last one,
-	listed  d.Micros // and took the last list
-	calling bool
-	pause   d.Micros // not before this
-	wait    d.Micros
-}
-
-type startEvent struct {
-	at  d.Micros
-	seq int
-	do  func()
-}
-
-type startEvents []startEvent
-
-func (e startEvents) Len() int { return len(e) }
-func (e startEvents) Less(a, b int) bool {
-	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].seq < e[b].seq
-}
-func (e startEvents) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
-func (e *startEvents) Push(x any)   { *e = append(*e, x.(startEvent)) }
-func (e *startEvents) Pop() any {
-	last := len(*e) - 1
-	x := (*e)[last]
-	*e = (*e)[:last]
-	return x
-}
-
-const simAtOnce = 4 // as peering sends words on
+const (
+	simulatedZoneSize = 500 // directors of a location in simulated time
+	gossipFanout      = 4   // directors that are sent an event at once, as package gossipnet does
+	delegates         = 3   // of a location, that poll the channel
+	delegateZones     = 8
+	delegateKinds     = 4
+	pollRecheck       = 40 * millisecond  // after which a director that is no delegate looks again whether it should poll
+	memberRecheck     = policy.Second / 5 // between changes of the members that a director takes in
+)
 
-// newStartSim makes a fleet of so many in locations of about so many.
-func newStartSim(n, location int, alone bool, seed uint64, able fakes.ChannelCapacity) *startSim {
-	s := &startSim{now: d.Second, r: rand.New(rand.NewPCG(seed, 3)), byName: map[string]int{}, serving: true, able: able, waiting: map[int]func(){},
-		news: 1, lists: 1, alone: alone}
-	settings := d.Settings{ConnectTimeout: 400_000, PurgePropagation: 500_000, PurgeRetention: 6 * d.Second}
-	margins := d.Timeouts{LongPoll: settings.PurgeRetention / 5, PollRetry: settings.ConnectTimeout / 4}
-	s.times, s.retry = backoff.DeriveIntervals(settings, margins), margins.PollRetry
-	if !alone {
-		s.times = s.times.ForDelegates()
-	}
-	zones := max(1, (n+location-1)/location)
-	s.zones, s.met = make([][]string, zones), make([]int, zones)
+// startupSim plays a fleet's polls of the command channel in simulated time, for fleets that no machine holds as processes. Who polls
+// and when is decided by packages backoff and relays; the network and the channel are simulated. What a director learns of purges goes
+// to others at once, as by gossip; endpoint lists go by relays' queries. All of it belongs to the goroutine that runs it.
+type startupSim struct {
+	eventQueue
+	random    *rand.Rand
+	directors []*startupDirector
+	byName    map[string]*startupDirector
+	zones     []startupZone
+	noPeers   bool // every director polls the channel for itself
+	intervals backoff.Intervals
+	channel   simulatedChannel
+	list      []relays.Endpoint // of listAt
+	listAt    int               // version of list
+}
+
+// startupZone is a location of directors.
+type startupZone struct {
+	names []string
+	met   int // directors that have met the others
+}
+
+// startupDirector is a director, as far as it polls and relays.
+type startupDirector struct {
+	index       int
+	name        string
+	zone        *startupZone
+	relay       *relays.Relay // nil before its start
+	poller      *backoff.Poller
+	cursor      int           // events that its own polls have brought
+	listVersion int           // of the endpoint list in force
+	listedAt    policy.Micros // when it took that list
+	met         bool          // it has met the others
+	metCount    int           // members of its zone when it last took them in
+	membersAt   policy.Micros // when it may take them in again
+	known       int           // events known, from any source
+	knownAt     policy.Micros // when it learned of the last one
+	pollAt      policy.Micros // the earliest time of its next poll
+	longPoll    policy.Micros // how long that poll waits for news
+}
+
+// newStartupSim makes n directors, in locations of about zoneSize, that all start within a second.
+func newStartupSim(n, zoneSize int, noPeers bool, seed uint64, capacity fakes.ChannelCapacity) *startupSim {
+	s := &startupSim{
+		eventQueue: eventQueue{now: policy.Second}, random: rand.New(rand.NewPCG(seed, 3)), byName: map[string]*startupDirector{}, noPeers: noPeers,
+		channel: simulatedChannel{serving: true, capacity: capacity, waiting: map[int]func(){}, events: 1, listVersion: 1},
+	}
+	settings := policy.Settings{ConnectTimeout: 400 * millisecond, PurgePropagation: 500 * millisecond, PurgeRetention: 6 * policy.Second}
+	timeouts := policy.Timeouts{LongPoll: settings.PurgeRetention / 5, PollRetry: settings.ConnectTimeout / 4}
+	s.intervals = backoff.DeriveIntervals(settings, timeouts)
+	if !noPeers {
+		s.intervals = s.intervals.ForDelegates()
+	}
+	s.zones = make([]startupZone, max(1, (n+zoneSize-1)/zoneSize))
 	for i := range n {
-		dir := &simDirector{name: fmt.Sprint("n", i), zone: i % zones}
-		s.zones[dir.zone] = append(s.zones[dir.zone], dir.name)
-		s.byName[dir.name], s.dirs = i, append(s.dirs, dir)
+		d := &startupDirector{index: i, name: fmt.Sprint("n", i), zone: &s.zones[i%len(s.zones)]}
+		d.zone.names = append(d.zone.names, d.name)
+		s.byName[d.name] = d
+		s.directors = append(s.directors, d)
 	}
-	for i, dir := range s.dirs {
-		s.after(d.Micros(s.r.Int64N(int64(d.Second))), func() { s.start(i, dir, settings) }) // all within a second
+	for _, d := range s.directors {
+		s.after(s.randomDelay(policy.Second), func() { s.start(d, settings) })
 	}
 	return s
 }
 
-func (s *startSim) after(span d.Micros, do func()) {
-	s.seq++
-	heap.Push(&s.events, startEvent{s.now + span, s.seq, do})
+// randomDelay draws a time below a bound.
+func (s *startupSim) randomDelay(bound policy.Micros) policy.Micros {
+	return policy.Micros(s.random.Int64N(int64(bound)))
 }
 
-// delay is how long a message takes.
-func (s *startSim) delay() d.Micros { return 100 + d.Micros(s.r.Int64N(2000)) }
+// networkDelay draws how long a message takes.
+func (s *startupSim) networkDelay() policy.Micros { return 100 + s.randomDelay(2*millisecond) }
 
-func (s *startSim) start(i int, dir *simDirector, settings d.Settings) {
-	f := relays.DeriveSettings(dir.name, 3, 8, 4, settings)
-	dir.caller = backoff.New(s.times, backoff.Seed(1, dir.name))
-	dir.pause, dir.wait = dir.caller.First()
-	dir.pause += s.now
-	if dir.book = relays.New(s.now, f); !s.alone {
-		s.after(d.Micros(s.r.Int64N(int64(400*d.Second/1000))), func() { dir.met = true; s.met[dir.zone]++ }) // lists of who is there come
-		s.tick(dir, f.QueryInterval/4)
+// start starts a director. It meets the others a moment later.
+func (s *startupSim) start(d *startupDirector, settings policy.Settings) {
+	relaySettings := relays.DeriveSettings(d.name, delegates, delegateZones, delegateKinds, settings)
+	d.poller = backoff.New(s.intervals, backoff.Seed(1, d.name))
+	pause, longPoll := d.poller.First()
+	d.pollAt, d.longPoll = s.now+pause, longPoll
+	d.relay = relays.New(s.now, relaySettings)
+	if !s.noPeers {
+		s.after(s.randomDelay(400*millisecond), func() {
+			d.met = true
+			d.zone.met++
+		})
+		s.tick(d, relaySettings.QueryInterval/4)
 	}
-	s.call(i, dir)
+	s.poll(d)
 }
 
-// others are those of the location that have met the others too.
-func (s *startSim) others(dir *simDirector) (names []string) {
-	for _, name := range s.zones[dir.zone] {
-		if o := s.dirs[s.byName[name]]; o.met && o != dir {
+// members are the other directors of a location that have met the others too.
+func (s *startupSim) members(d *startupDirector) (names []string) {
+	for _, name := range d.zone.names {
+		if other := s.byName[name]; other.met && other != d {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-func (s *startSim) tick(dir *simDirector, every d.Micros) {
-	if dir.met && dir.saw != s.met[dir.zone] && s.now >= dir.look { // the fleet comes up
-		dir.saw, dir.look = s.met[dir.zone], s.now+d.Second/5
-		dir.book.SetMembers(s.others(dir))
+// tick has a director's relay act, now and at an interval from now on.
+func (s *startupSim) tick(d *startupDirector, interval policy.Micros) {
+	if d.met && d.metCount != d.zone.met && s.now >= d.membersAt {
+		d.metCount, d.membersAt = d.zone.met, s.now+memberRecheck
+		d.relay.SetMembers(s.members(d))
 	}
-	for _, to := range dir.book.Tick(s.now) {
-		s.ask(dir, s.dirs[s.byName[to]])
+	for _, to := range d.relay.Tick(s.now) {
+		s.query(d, s.byName[to])
 	}
-	s.after(every, func() { s.tick(dir, every) })
+	s.after(interval, func() { s.tick(d, interval) })
 }
 
-func (s *startSim) ask(from, to *simDirector) {
-	number := s.now
-	s.after(s.delay(), func() {
-		if to.book == nil {
+// query sends a relay's query to another director. The response brings purges that the asker lacks, and, where the asker wants it, the
+// endpoint list a round trip later.
+func (s *startupSim) query(from, to *startupDirector) {
+	sentAt := s.now
+	s.after(s.networkDelay(), func() {
+		if to.relay == nil {
 			return
 		}
-		a, version, known := to.book.HandleQuery(s.now, relays.Query{SentAt: number}), to.list, to.known
-		s.after(s.delay(), func() {
-			s.hear(from, known) // purges that it lacks come along
-			if want := from.book.HandleResponse(s.now, to.name, a); want != "" {
-				s.after(s.delay()+s.delay(), func() {
-					if _, ok := from.book.AcceptList(s.version(version)); ok {
-						s.take(from, version)
-					}
-				})
+		response := to.relay.HandleQuery(s.now, relays.Query{SentAt: sentAt})
+		version, known := to.listVersion, to.known
+		s.after(s.networkDelay(), func() {
+			s.learnEvents(from, known)
+			if from.relay.HandleResponse(s.now, to.name, response) == "" {
+				return
 			}
+			s.after(s.networkDelay()+s.networkDelay(), func() {
+				if _, ok := from.relay.AcceptList(s.endpointList(version)); ok {
+					s.takeList(from, version)
+				}
+			})
 		})
 	})
 }
 
-// version is a list of the channel's.
-func (s *startSim) version(n int) []relays.Endpoint {
-	if s.of != n {
-		s.of, s.rows = n, []relays.Endpoint{{ID: fmt.Sprint("list-", n)}}
+// endpointList is the channel's list of a version. The last one is kept, since most directors want the same one.
+func (s *startupSim) endpointList(version int) []relays.Endpoint {
+	if s.listAt != version {
+		s.listAt, s.list = version, []relays.Endpoint{{ID: fmt.Sprint("list-", version)}}
 	}
-	return s.rows
+	return s.list
 }
 
-func (s *startSim) take(dir *simDirector, version int) {
-	if version > dir.list {
-		dir.listed = s.now
+// takeList puts an endpoint list in force.
+func (s *startupSim) takeList(d *startupDirector, version int) {
+	if version > d.listVersion {
+		d.listedAt = s.now
 	}
-	dir.list = version
+	d.listVersion = version
 }
 
-// hear has one know of events, and send them on where they are news.
-func (s *startSim) hear(dir *simDirector, known int) {
-	if known <= dir.known {
+// learnEvents has a director know so many events, and gossip them where they are new to it.
+func (s *startupSim) learnEvents(d *startupDirector, known int) {
+	if known <= d.known {
 		return
 	}
-	dir.known, dir.knew = known, s.now
-	if s.alone {
+	d.known, d.knownAt = known, s.now
+	if s.noPeers {
 		return
 	}
-	for range simAtOnce {
-		to := s.dirs[s.r.IntN(len(s.dirs))]
-		s.after(s.delay(), func() { s.hear(to, known) })
+	for range gossipFanout {
+		to := s.directors[s.random.IntN(len(s.directors))]
+		s.after(s.networkDelay(), func() { s.learnEvents(to, known) })
 	}
 }
 
-// call has one call the channel as soon as it may.
-func (s *startSim) call(i int, dir *simDirector) {
-	if s.now < dir.pause {
-		s.after(dir.pause-s.now, func() { s.call(i, dir) })
-		return
-	}
-	if !s.alone && !dir.book.ShouldPoll(s.now) {
-		s.after(40*d.Second/1000, func() { s.call(i, dir) })
-		return
-	}
-	began := s.now
-	s.calls = append(s.calls, fakes.ChannelCall{At: span(s.now)})
-	number := len(s.calls) - 1
-	end := func(how backoff.PollResult) {
-		pause, wait := dir.caller.Next(how, 0, 0)
-		dir.pause, dir.wait = s.now+pause, wait
-		s.call(i, dir)
-	}
-	answer := func() {
-		takes, can := s.work(s.news - dir.cursor)
-		if !can {
-			s.calls[number].Refused = true
-			s.after(s.delay(), func() { end(backoff.Unavailable) })
-			return
-		}
-		news, version := s.news, s.lists
-		s.after(takes+s.delay(), func() {
-			s.calls[number].Answered = true
-			fresh := news > dir.cursor
-			dir.cursor = news
-			s.take(dir, version)
-			dir.book.PollSucceeded(s.now, relays.Sum(s.version(version)), began, fresh)
-			if s.hear(dir, news); fresh {
-				end(backoff.Changed)
-			} else {
-				end(backoff.Unchanged)
-			}
-		})
-	}
-	s.after(s.delay(), func() {
-		switch {
-		case !s.serving:
-			s.calls[number].Refused = true
-			s.after(s.delay(), func() { end(backoff.Unavailable) })
-		case s.news > dir.cursor:
-			answer()
-		default:
-			done := false
-			once := func() {
-				if !done {
-					done = true
-					delete(s.waiting, i)
-					answer()
-				}
-			}
-			s.waiting[i] = once
-			s.after(dir.wait, once)
+// runFor runs events for a while.
+func (s *startupSim) runFor(duration policy.Micros) {
+	until := s.now + duration
+	for at, ok := s.next(); ok && at < until; {
+		s.runNext()
+		if at, ok = s.next(); !ok || at >= until {
+			s.now = until
 		}
-	})
-}
-
-// work books an answer with so many events, and says how long it takes; false where the channel turns the call away.
-func (s *startSim) work(lines int) (d.Micros, bool) {
-	takes := micros(s.able.PerCall) + d.Micros(lines)*micros(s.able.PerEvent)
-	if !s.serving || takes > 0 && max(s.now, s.busy)+takes-s.now > micros(s.able.MaxWait) {
-		return 0, false
-	}
-	if takes > 0 {
-		s.busy = max(s.now, s.busy) + takes
-		return s.busy - s.now, true
-	}
-	return 0, true
-}
-
-// tell puts an event on the channel: of a purge, or a list.
-func (s *startSim) tell(list bool) {
-	s.news++
-	s.lists += bit(list)
-	if s.told = s.now; s.serving {
-		s.wake()
-	}
-}
-
-func (s *startSim) wake() {
-	var who []int
-	for i := range s.waiting {
-		who = append(who, i)
-	}
-	slices.Sort(who)
-	for _, i := range who {
-		s.waiting[i]()
 	}
 }
 
-func (s *startSim) run(span d.Micros) {
-	for until := s.now + span; len(s.events) > 0 && s.events[0].at < until; {
-		e := heap.Pop(&s.events).(startEvent)
-		s.now = e.at
-		e.do()
-		if len(s.events) == 0 || s.events[0].at >= until {
-			s.now = until
+// knownP99 is the time in ms, from a time on, until 99 of 100 directors knew something; ok is false where fewer do. knownAt says when a
+// director learned of it.
+func (s *startupSim) knownP99(from policy.Micros, knownAt func(*startupDirector) (at policy.Micros, known bool)) (ms float64, ok bool) {
+	var times []float64
+	for _, d := range s.directors {
+		if at, known := knownAt(d); known {
+			times = append(times, float64(max(0, at-from))/1000)
 		}
 	}
+	slices.Sort(times)
+	if want := int(math.Ceil(0.99 * float64(len(s.directors)))); want <= len(times) {
+		return times[want-1], true
+	}
+	return 0, false
 }
 
-// simulateStartup plays the phases of a start, as Start.play does with processes.
-func simulateStartup(n int, alone bool, seed uint64, able fakes.ChannelCapacity, phase time.Duration) StartupRun {
-	run := StartupRun{Directors: n, Alone: alone, Simulated: true}
-	s := newStartSim(n, simLocation, alone, seed, able)
-	know := func(from d.Micros, when func(*simDirector) (d.Micros, bool)) float64 {
-		var all []float64
-		for _, dir := range s.dirs {
-			if at, knows := when(dir); knows {
-				all = append(all, float64(max(0, at-from))/1000)
-			}
-		}
-		slices.Sort(all)
-		if want := int(math.Ceil(0.99 * float64(n))); want <= len(all) {
-			return all[want-1]
-		}
-		run.NeverKnown++
-		return 0
-	}
-	for _, p := range []struct {
-		name string
-		do   func()
-	}{
-		{"start", func() {}}, {"calm", func() {}}, {"away", func() { s.serving = false; s.wake(); s.after(d.Second, func() { s.tell(true) }) }},
-		{"back", func() { s.serving = true }}, {"an event", func() { s.tell(false) }},
-	} {
+// simulateStartup plays the phases of a start, as Startup.playPhases does with processes.
+func simulateStartup(n int, noPeers bool, seed uint64, capacity fakes.ChannelCapacity, phaseDuration time.Duration) StartupRun {
+	run := StartupRun{Directors: n, Alone: noPeers, Simulated: true}
+	s := newStartupSim(n, simulatedZoneSize, noPeers, seed, capacity)
+	// play plays a phase, and returns when it began
+	play := func(name string, begin func()) policy.Micros {
 		from := s.now
-		p.do()
-		s.run(micros(phase))
-		run.Phases = append(run.Phases, measurePhase(p.name, s.calls, span(from), span(s.now), n))
-		switch p.name {
-		case "back":
-			run.ListKnownP99 = know(from, func(dir *simDirector) (d.Micros, bool) { return dir.listed, dir.list == s.lists })
-		case "an event":
-			run.EventKnownP99 = know(from, func(dir *simDirector) (d.Micros, bool) { return dir.knew, dir.known == s.news })
+		begin()
+		s.runFor(policy.MicrosOf(phaseDuration))
+		run.Phases = append(run.Phases, measurePhase(name, s.channel.calls, from.Duration(), s.now.Duration(), n))
+		return from
+	}
+	known := func(from policy.Micros, knownAt func(*startupDirector) (policy.Micros, bool)) float64 {
+		ms, ok := s.knownP99(from, knownAt)
+		if !ok {
+			run.NeverKnown++
 		}
-	}
+		return ms
+	}
+	play("start", func() {})
+	play("calm", func() {})
+	play("away", func() {
+		s.channel.serving = false
+		s.wakePolls()
+		s.after(policy.Second, s.announceList)
+	})
+	from := play("back", func() { s.channel.serving = true })
+	run.ListKnownP99 = known(from, func(d *startupDirector) (policy.Micros, bool) {
+		return d.listedAt, d.listVersion == s.channel.listVersion
+	})
+	from = play("an event", s.announceEvent)
+	run.EventKnownP99 = known(from, func(d *startupDirector) (policy.Micros, bool) { return d.knownAt, d.known == s.channel.events })
 	run.relateToCalm()
 	return run
 }
-
-// simLocation is how many directors a location of the simulated fleet has.
-const simLocation = 500
-
-func span(t d.Micros) time.Duration   { return time.Duration(t) * time.Microsecond }
-func micros(t time.Duration) d.Micros { return d.Micros(t / time.Microsecond) }
