--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -18,6 +18,9 @@
 	"tallyproxy/internal/faulttest"
 )
 
+// maxSeeds is how many directors a new one is told of, to find its cluster by.
+const maxSeeds = 3
+
 // LoopbackFleet is a fleet on loopback: an authority, an inventory, agents in this process and directors as processes of their own.
 type LoopbackFleet struct {
 	Cluster      *fakes.Cluster
--- a/internal/experiment/peers.go
+++ b/internal/experiment/peers.go
@@ -9,6 +9,7 @@
 	"slices"
 	"time"
 
+	"tallyproxy/internal/boolean"
 	"tallyproxy/internal/faulttest"
 )
 
@@ -226,7 +227,7 @@
 		r := simulateMembership(s)
 		run.PeakQuotaSum, run.QuotaExceeded = max(run.PeakQuotaSum, r.PeakQuotaSum), run.QuotaExceeded+r.QuotaExceeded
 		run.convergences, run.Packets = append(run.convergences, float64(r.Convergence)/1000), r.MessageRate
-		if run.Unfinished += bit(r.Unfinished); r.QuotaExceeded > 0 || r.Unfinished {
+		if run.Unfinished += boolean.Int(r.Unfinished); r.QuotaExceeded > 0 || r.Unfinished {
 			p.recordFailure(run, s, func(s faulttest.Schedule) bool {
 				r := simulateMembership(s)
 				return r.QuotaExceeded > 0 || r.Unfinished
@@ -279,7 +280,7 @@
 }
 
 func (r *MembershipRun) add(o faulttest.Outcome) {
-	r.Lost, r.QuotaExceeded, r.OverloadedNodes, r.Unfinished = r.Lost+o.Lost, r.QuotaExceeded+o.QuotaViolations, r.OverloadedNodes+o.OverloadedNodes, r.Unfinished+bit(o.Incomplete)
+	r.Lost, r.QuotaExceeded, r.OverloadedNodes, r.Unfinished = r.Lost+o.Lost, r.QuotaExceeded+o.QuotaViolations, r.OverloadedNodes+o.OverloadedNodes, r.Unfinished+boolean.Int(o.Incomplete)
 	r.RulesBroken += o.RuleViolations()
 	r.PeakQuotaSum, r.PeakColdLoad, r.Memory = max(r.PeakQuotaSum, o.QuotaPeak[0], o.QuotaPeak[1]), max(r.PeakColdLoad, o.ColdPeakLoad), max(r.Memory, o.MemoryMB)
 	r.detections, r.convergences = append(r.detections, o.DetectionMS...), append(r.convergences, o.ConvergenceMS)
--- a/internal/experiment/start.go
+++ b/internal/experiment/start.go
@@ -10,6 +10,7 @@
 	"strings"
 	"time"
 
+	"tallyproxy/internal/boolean"
 	"tallyproxy/internal/fakes"
 	"tallyproxy/internal/faulttest"
 	"tallyproxy/internal/logevent"
@@ -292,7 +293,7 @@
 		Argv: s.Argv, NoPeers: alone, CacheNodes: s.CacheNodes, Clients: s.Clients, LoadFactor: s.Load, LoadAfter: 3 * s.PhaseDuration / 2, Log: s.Log,
 		EarlyClients: true, BeforeStart: func(r *faulttest.Harness) { r.Cluster.SetChannelCapacity(s.capacity()) },
 	}, schedule, nil)
-	return ColdStart{o.RuleViolations() + o.QuotaViolations, o.Lost, o.OverloadedNodes, bit(o.Incomplete), o.Requests, o.SuccessRate, o.RecoveryMS, o.ColdPeakLoad}, err
+	return ColdStart{o.RuleViolations() + o.QuotaViolations, o.Lost, o.OverloadedNodes, boolean.Int(o.Incomplete), o.Requests, o.SuccessRate, o.RecoveryMS, o.ColdPeakLoad}, err
 }
 
 // measurePhase counts the calls of a phase.
@@ -302,7 +303,7 @@
 	for _, c := range calls {
 		if c.At >= from && c.At < to {
 			at = append(at, c.At)
-			p.Refused += bit(c.Refused)
+			p.Refused += boolean.Int(c.Refused)
 		}
 	}
 	slices.Sort(at)
--- /dev/null
+++ b/internal/experiment/stormfaults.go
@@ -0,0 +1,144 @@
+package experiment
+
+import (
+	"context"
+	"syscall"
+	"time"
+
+	"tallyproxy/internal/fakes"
+)
+
+const purgedGroups = 128 // every second group, which is half of them
+
+// stormFaults are the faults of a storm by the names that --trouble has for them. Each schedules what goes wrong.
+var stormFaults = map[string]func(*faultInjector){
+	"drain":    (*faultInjector).drainNode,
+	"purge":    (*faultInjector).purgeSlowly,
+	"pause":    (*faultInjector).pauseDirector,
+	"restart":  (*faultInjector).killDirector,
+	"roll":     (*faultInjector).rollDirector,
+	"reload":   (*faultInjector).reloadDirector,
+	"die":      (*faultInjector).killNode,
+	"second":   (*faultInjector).secondStorm,
+	"slow":     (*faultInjector).slowNode,
+	"turnover": (*faultInjector).turnOverNode,
+	"mute":     func(f *faultInjector) { f.breakNode(0, fakes.FaultNoAnswer) },
+	"spoil":    func(f *faultInjector) { f.breakNode(2, fakes.FaultMalformed) },
+	"reset":    func(f *faultInjector) { f.breakNode(4, fakes.FaultReset) },
+}
+
+// injectFaults schedules the faults that are asked for.
+func (r *stormRun) injectFaults(ctx context.Context) {
+	injector := &faultInjector{r, ctx}
+	for _, name := range r.Faults {
+		if schedule := stormFaults[name]; schedule != nil {
+			schedule(injector)
+		}
+	}
+}
+
+// faultInjector schedules parts of faults until its context ends.
+type faultInjector struct {
+	*stormRun
+	ctx context.Context
+}
+
+// at calls a function at a time since the storm's begin, in a goroutine of its own.
+func (f *faultInjector) at(offset time.Duration, inject func()) {
+	f.running.Go(func() {
+		select {
+		case <-time.After(f.begin + offset - f.cluster.Now()):
+			inject()
+		case <-f.ctx.Done():
+		}
+	})
+}
+
+// drainNode announces that a cache node drains, and removes it later.
+func (f *faultInjector) drainNode() {
+	node := f.cluster.Nodes[0]
+	f.at(1500*time.Millisecond, func() { node.Announce("draining") })
+	f.at(6*time.Second, func() {
+		node.Announce("removed")
+		node.Kill()
+	})
+}
+
+// purgeSlowly purges half of the groups, one every 10 ms.
+func (f *faultInjector) purgeSlowly() {
+	for i := range purgedGroups {
+		f.at(1500*time.Millisecond+time.Duration(i)*10*time.Millisecond, func() { f.cluster.Purge("", 2*i) })
+	}
+}
+
+// pauseDirector stops a director while a cache node is announced as draining and half of the groups are purged.
+func (f *faultInjector) pauseDirector() {
+	director := f.directors[0]
+	f.at(2*time.Second, func() { director.Pause(true) })
+	f.at(2*time.Second+f.PauseDuration/4, func() {
+		f.cluster.Nodes[0].Announce("draining")
+		for i := range purgedGroups {
+			f.cluster.Purge("", 2*i)
+		}
+	})
+	f.at(2*time.Second+f.PauseDuration, func() { director.Pause(false) })
+}
+
+// killDirector kills a director, and starts it two seconds later.
+func (f *faultInjector) killDirector() {
+	director := f.directors[0]
+	f.at(2*time.Second, func() { director.Kill() })
+	f.at(4*time.Second, func() { director.Restart(f.ctx) })
+}
+
+// rollDirector ends a director by SIGTERM, and starts it at once.
+func (f *faultInjector) rollDirector() {
+	director := f.directors[len(f.directors)-1]
+	f.at(3*time.Second, func() {
+		director.Signal(syscall.SIGTERM)
+		director.Restart(f.ctx)
+	})
+}
+
+// reloadDirector has a director reload its script five times.
+func (f *faultInjector) reloadDirector() {
+	for i := range 5 {
+		f.at(time.Duration(i+1)*time.Second, func() { f.directors[0].Signal(syscall.SIGHUP) })
+	}
+}
+
+// killNode kills a cache node, and restarts it three seconds later.
+func (f *faultInjector) killNode() {
+	node := f.cluster.Nodes[1]
+	f.at(3*time.Second, func() { node.Kill() })
+	f.at(6*time.Second, func() { node.Restart() })
+}
+
+// turnOverNode announces a cache node as draining and as up in turn, ten times a second.
+func (f *faultInjector) turnOverNode() {
+	node := f.cluster.Nodes[3%f.CacheNodes]
+	for i := range int(f.Duration / (100 * time.Millisecond)) {
+		status := []string{"draining", "up"}[i%2]
+		f.at(time.Duration(i+5)*100*time.Millisecond, func() { node.Announce(status) })
+	}
+}
+
+// breakNode gives a cache node a fault for two seconds.
+func (f *faultInjector) breakNode(index int, fault fakes.Fault) {
+	node := f.cluster.Nodes[index%f.CacheNodes]
+	f.at(2*time.Second, func() { node.SetFault(fault, 1) })
+	f.at(4*time.Second, func() { node.SetFault(fakes.FaultNone, 1) })
+}
+
+// slowNode makes a cache node four times slower.
+func (f *faultInjector) slowNode() {
+	f.at(2*time.Second, func() { f.cluster.Nodes[2%f.CacheNodes].SetFault(fakes.FaultNone, 4) })
+}
+
+// secondStorm has half as many clients again connect at once later on, for one request each.
+func (f *faultInjector) secondStorm() {
+	for i := range f.Clients / 2 {
+		client := f.newClient(f.Clients + f.IdleClients + i)
+		f.running.Go(func() { client.Run(f.ctx, f.begin+f.Duration/3, f.Duration) })
+	}
+}
--- /dev/null
+++ b/internal/experiment/stormresult.go
@@ -0,0 +1,194 @@
+package experiment
+
+import (
+	"fmt"
+	"time"
+
+	"tallyproxy/internal/boolean"
+	"tallyproxy/internal/fakes"
+)
+
+// StormResult is what clients, cache nodes and directors counted in a storm. Shares are of 1. SettleMS is -1 where the storm did not
+// settle.
+type StormResult struct {
+	Clients            int         `json:"clients"`
+	Requests           int         `json:"asked"`    // that ended
+	FirstAnswered      int         `json:"answered"` // requests whose first attempt was answered, ended or not
+	Attempts           int         `json:"tries"`    // of requests that ended
+	Succeeded          int         `json:"fulfilled"`
+	Rejected           int         `json:"throttled"`      // requests whose last answer was a rejection
+	Failed             int         `json:"abandoned"`      // requests whose last answer was another one
+	Unanswered         int         `json:"unanswered"`     // requests without an answer
+	Lost               int         `json:"lost"`           // attempts without the answer that a director owed
+	DoubleFinal        int         `json:"double_final"`   // answers beyond the one of an attempt
+	WrongBodies        int         `json:"wrong_bytes"`    // answers with another object's bytes
+	RepeatedEffects    int         `json:"effects_twice"`  // effects that a key had beyond the first
+	ConcurrentAttempts int         `json:"pulls_together"` // upstream attempts of a request beside another of it
+	OverloadedNodes    int         `json:"boxes_fallen"`
+	DrainedUses        int         `json:"drains_broken"` // attempts sent to a drained node
+	StaleCopies        int         `json:"purges_broken"` // answers older than a purge
+	PeakLoad           float64     `json:"peak_load"`     // of any cache node, relative to what overloads it
+	SettleMS           int64       `json:"settle_ms"`     // until 95 % of the requests of two seconds succeeded
+	WastedShare        float64     `json:"wasted_share"`  // of attempts
+	BenefitShare       float64     `json:"benefit_share"` // of the requests' priority weight; late answers count a tenth
+	CacheUtilization   float64     `json:"boxes_used"`    // work done in the first ten seconds, relative to the caches' capacity
+	EarlyRetries       int         `json:"early_tries"`
+	ObeyingSuccess     float64     `json:"heeders_served"`  // share of requests that succeeded, of clients that obey the time they are told
+	IgnoringSuccess    float64     `json:"ignorers_served"` // share of requests that succeeded, of clients that ignore it
+	LostToKills        int         `json:"killed_tries"`    // attempts that ended with a director that was killed
+	LostToPauses       int         `json:"lost_paused"`     // attempts that timed out while their director was stopped
+	ClockStalls        int         `json:"jumps_noticed"`   // logged by directors
+	Crashes            int         `json:"crashes"`
+	PeakMemoryMB       float64     `json:"rss_mb_peak"`    // of any director
+	OverloadsDetected  int         `json:"storms_noticed"` // logged by directors
+	Series             StormSeries `json:"-"`
+	SuccessBySecond    []float64   `json:"met"`                // share of requests that succeeded, by the second of their start
+	LostReasons        string      `json:"lost_how,omitempty"` // errors of the attempts in Lost, with counts
+}
+
+// StormSeries are counts over time, one value for each fakes.SeriesInterval.
+type StormSeries struct {
+	Attempts   []int     // of clients
+	RetryAfter []int     // times at which clients were told to retry
+	Succeeded  []int     // answers with the object
+	Load       []float64 // peak load so far
+}
+
+// Broken names the rules that were broken.
+func (r StormResult) Broken() (rules []string) {
+	for _, rule := range []struct {
+		name   string
+		broken int
+	}{
+		{"lost", r.Lost}, {"double_final", r.DoubleFinal}, {"wrong_bytes", r.WrongBodies}, {"effects_twice", r.RepeatedEffects},
+		{"pulls_together", r.ConcurrentAttempts}, {"boxes_fallen", r.OverloadedNodes}, {"drains_broken", r.DrainedUses},
+		{"purges_broken", r.StaleCopies}, {"crashes", r.Crashes},
+	} {
+		if rule.broken > 0 {
+			rules = append(rules, rule.name)
+		}
+	}
+	return rules
+}
+
+const (
+	settleWindow      = time.Second      // of requests that are counted together
+	settledShare      = 0.95             // of a window's requests that succeed once the storm has settled
+	unsettledTail     = 7 * time.Second  // at the end, whose requests may not have ended
+	utilizationWindow = 10 * time.Second // from the begin
+	lateWeight        = 0.1              // of an answer after the latency objective
+)
+
+// summarize adds what clients and nodes counted to the result.
+func (r *stormRun) summarize(result *StormResult) {
+	result.Clients = r.Clients
+	violations := r.cluster.Violations()
+	result.RepeatedEffects, result.ConcurrentAttempts = violations.RepeatedEffects, violations.ConcurrentAttempts
+	result.OverloadedNodes, result.DrainedUses = violations.OverloadedNodes, violations.DrainedUses
+	result.PeakLoad = peakLoad(r.cluster)
+	r.cluster.Clients.WithLock(func(stats *fakes.ClientStats) {
+		result.addClientStats(stats)
+		tally := requestTally{begin: r.begin}
+		for i := range stats.Requests {
+			tally.add(&stats.Requests[i], result)
+		}
+		for _, window := range tally.windows {
+			result.SuccessBySecond = append(result.SuccessBySecond, window.successShare())
+		}
+		result.SettleMS = tally.settleMS(r.Duration)
+		result.CacheUtilization = ratio(tally.earlyWork, r.cluster.EdgeWork(r.begin, r.begin+utilizationWindow))
+		result.BenefitShare = ratio(tally.weightGained, tally.weight)
+		result.WastedShare = ratio(float64(result.Attempts-result.Succeeded), float64(result.Attempts))
+		result.ObeyingSuccess = tally.obeying.successShare()
+		result.IgnoringSuccess = tally.ignoring.successShare()
+	})
+}
+
+// addClientStats takes over what clients counted themselves.
+func (r *StormResult) addClientStats(stats *fakes.ClientStats) {
+	r.Lost, r.DoubleFinal, r.WrongBodies, r.StaleCopies = stats.Lost, stats.Duplicates, stats.WrongBodies, stats.StaleCopies
+	r.FirstAnswered = stats.FirstAnswered
+	r.LostToKills, r.EarlyRetries, r.LostToPauses = stats.LostToKills, stats.EarlyRetries, stats.LostToPauses
+	r.Series.Attempts, r.Series.RetryAfter, r.Series.Succeeded = stats.AttemptSeries, stats.RetryAfterSeries, stats.SuccessSeries
+	if len(stats.LostReasons) > 0 {
+		r.LostReasons = fmt.Sprint(stats.LostReasons)
+	}
+}
+
+// requestCount counts requests and those that succeeded.
+type requestCount struct{ requests, succeeded int }
+
+func (c *requestCount) add(succeeded bool) {
+	c.requests++
+	c.succeeded += boolean.Int(succeeded)
+}
+
+func (c requestCount) successShare() float64 {
+	return ratio(float64(c.succeeded), float64(c.requests))
+}
+
+// requestTally sums up requests that ended.
+type requestTally struct {
+	begin        time.Duration
+	windows      []requestCount // by settleWindow of their start
+	obeying      requestCount   // of clients that obey the time they are told
+	ignoring     requestCount   // of clients that ignore it
+	weight       float64        // priority weight of all requests
+	weightGained float64        // of those that succeeded
+	earlyWork    float64        // µs of transfer that ended in utilizationWindow
+}
+
+// add adds a request to the sums, and to the result's counts of requests.
+func (t *requestTally) add(request *fakes.ClientRequest, result *StormResult) {
+	result.Requests++
+	result.Attempts += request.Attempts
+	t.weight += request.ContentType.PriorityWeight
+	if request.IgnoresRetryAfter {
+		t.ignoring.add(request.Succeeded)
+	} else {
+		t.obeying.add(request.Succeeded)
+	}
+	window := int(max(0, request.StartedAt-t.begin) / settleWindow)
+	for len(t.windows) <= window {
+		t.windows = append(t.windows, requestCount{})
+	}
+	t.windows[window].add(request.Succeeded)
+	switch {
+	case request.Succeeded:
+		result.Succeeded++
+		t.addSuccess(request)
+	case request.LastStatus == "503":
+		result.Rejected++
+	case request.LastStatus == "":
+		result.Unanswered++
+	default:
+		result.Failed++
+	}
+}
+
+// addSuccess adds the work and the weight of a request that succeeded.
+func (t *requestTally) addSuccess(request *fakes.ClientRequest) {
+	if request.StartedAt+request.Duration < t.begin+utilizationWindow {
+		t.earlyWork += request.TransferMicros
+	}
+	contentType := request.ContentType
+	objective := contentType.LatencyObjective + time.Duration(contentType.TransferFactor*float64(contentType.MeanTransfer))
+	t.weightGained += contentType.PriorityWeight
+	if request.Duration > objective {
+		t.weightGained -= (1 - lateWeight) * contentType.PriorityWeight
+	}
+}
+
+// settleMS is the start, in ms, of the first two windows in a row in which nearly all requests succeeded; -1 where there are none.
+func (t *requestTally) settleMS(duration time.Duration) int64 {
+	settled := func(window int) bool {
+		return float64(t.windows[window].succeeded) >= settledShare*float64(t.windows[window].requests)
+	}
+	for i := range t.windows {
+		start := time.Duration(i) * settleWindow
+		if start <= duration-unsettledTail && i+1 < len(t.windows) && settled(i) && settled(i+1) {
+			return start.Milliseconds()
+		}
+	}
+	return -1
+}
--- a/internal/experiment/work.go
+++ b/internal/experiment/work.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"tallyproxy/internal/boolean"
 	"tallyproxy/maintenance"
 	d "tallyproxy/policy"
 )
@@ -95,7 +96,7 @@
 	for _, j := range jobs {
 		depot := depots[j.Machines[0]]
 		end := at[depot] + j.Duration
-		at[depot], done, late = end+wait, max(done, end), late+bit(j.Deadline > 0 && end > j.Deadline)
+		at[depot], done, late = end+wait, max(done, end), late+boolean.Int(j.Deadline > 0 && end > j.Deadline)
 	}
 	return done, late
 }
@@ -114,9 +115,9 @@
 		out.MaxPlanningMS = max(out.MaxPlanningMS, float64(time.Since(begun).Microseconds())/1000)
 		out.Schedules++
 		out.Infeasible += len(plan.Infeasible)
-		out.Violations += bit(len(maintenance.Violations(s, jobs, plan)) > 0)
+		out.Violations += boolean.Int(len(maintenance.Violations(s, jobs, plan)) > 0)
 		for _, p := range plan.Placements {
-			late += bit(p.Tardiness > 0)
+			late += boolean.Int(p.Tardiness > 0)
 		}
 		byHand, lates := planByHand(s, jobs)
 		lateHand += lates
@@ -139,13 +140,13 @@
 		out.OrdersTried += exact.OrdersTried
 		s.ExactLimit = 0
 		fast := maintenance.MakePlan(s, jobs, w.Seed)
-		out.Violations += bit(len(maintenance.Violations(s, jobs, exact))+len(maintenance.Violations(s, jobs, fast)) > 0)
+		out.Violations += boolean.Int(len(maintenance.Violations(s, jobs, exact))+len(maintenance.Violations(s, jobs, fast)) > 0)
 		gap := 0.0
 		if exact.Makespan > 0 {
 			gap = float64(fast.Makespan+fast.Tardiness)/float64(exact.Makespan+exact.Tardiness) - 1
 		}
 		out.MeanGap, out.MaxGap = out.MeanGap+gap/float64(w.SmallSchedules), max(out.MaxGap, ratio(gap, 1))
-		same += bit(fast.Makespan == exact.Makespan && fast.Tardiness == exact.Tardiness)
+		same += boolean.Int(fast.Makespan == exact.Makespan && fast.Tardiness == exact.Tardiness)
 	}
 	out.MeanGap, out.NoGapShare = ratio(out.MeanGap, 1), ratio(float64(same), float64(w.SmallSchedules))
 	return out, nil
