--- a/internal/experiment/membershipsim.go
+++ b/internal/experiment/membershipsim.go
@@ -57,6 +57,9 @@
 	MessageRate   float64       // messages a second of each director
 }
 
+// failed says whether a rule was broken.
+func (r membershipSimResult) failed() bool { return r.QuotaExceeded > 0 || r.Unfinished }
+
 // simulateMembership plays a schedule.
 func simulateMembership(schedule faulttest.Schedule) (out membershipSimResult) {
 	m := newMembershipSim(schedule)
