--- a/internal/experiment/cores.go
+++ b/internal/experiment/cores.go
@@ -1,72 +1,79 @@
-// Package lab runs experiments: stand-ins, real directors as processes of their own, and a report of what came of it.
+// Package experiment runs the experiments of tallybench: fakes of all that directors talk to, directors as processes or their decision
+// modules in simulated time, and a report of the result. Fields of options are explained by their help texts; JSON keys of results keep
+// their names from version to version.
 package experiment
 
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
-	"io"
 	"math"
 	"os"
 	"runtime"
-	"strconv"
-	"strings"
+	"slices"
 	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"golang.org/x/sys/unix"
 
 	"tallyproxy/internal/fakes"
 	"tallyproxy/internal/faulttest"
 )
 
-// Cores is what `tallybench cores` plays.
+// Cores is the experiment `tallybench cores`: the rate and latency of a director on several cores.
 type Cores struct {
 	Cores        []int         `default:"1,2,4" placeholder:"N,..." help:"Cores of the director."`
-	ContentTypes []string      `name:"mix" default:"thumbnails,clips,picks" help:"What is asked for."`
-	Duration     time.Duration `name:"seconds" default:"5s" help:"How long each is measured."`
+	ContentTypes []string      `name:"mix" default:"thumbnails,clips,picks" help:"Content types that are requested."`
+	Duration     time.Duration `name:"seconds" default:"5s" help:"How long each number of cores is measured."`
 	Connections  int           `default:"64" help:"Clients' connections."`
-	Pipelining   int           `name:"depth" default:"16" help:"Downloads that one has open together, when as many as can be are asked for."`
-	Rate         float64       `default:"0" help:"Downloads a second for each core, sent by the clock; 0: as many as can be."`
-	Division     string        `default:"whole" enum:"whole,divided,separate" help:"whole: one belief; divided: one a core; separate: a director a core."`
-	NoScript     bool          `name:"plain" help:"Give the director no operator's file: for versions without."`
-	CacheNodes   int           `name:"boxes" default:"8" help:"Caches."`
+	Pipelining   int           `name:"depth" default:"16" help:"Requests that a connection has open at a time, without --rate."`
+	Rate         float64       `default:"0" help:"Requests a second for each core, sent on schedule; 0: as many as possible."`
+	Division     string        `default:"whole" enum:"whole,divided,separate" help:"whole: a director's cores share its state; divided: each core has its own; separate: a director for each core."`
+	NoScript     bool          `name:"plain" help:"Give the director no operator's script: for versions without."`
+	CacheNodes   int           `name:"boxes" default:"8" help:"Cache nodes."`
 	ProfileDir   string        `name:"profile" placeholder:"FILE" help:"Have the director write profiles there."`
 	JSON         bool          `name:"json" help:"Print one JSON object."`
-	PlotPath     string        `name:"plot" placeholder:"FILE.png" help:"Draw rate and latency over cores."`
-	DirectorPath string        `name:"director" placeholder:"FILE" help:"The director's program; by default the one beside this."`
+	PlotPath     string        `name:"plot" placeholder:"FILE.png" help:"Plot rate and latency over cores."`
+	DirectorPath string        `name:"director" placeholder:"FILE" help:"The director's program; by default tallyproxy beside this program."`
 
-	Argv []string  `kong:"-"`
-	Log  io.Writer `kong:"-"`
+	Argv []string `kong:"-"` // starts a director
 }
 
-// CoresRun is what came of one number of cores.
+// Values of Cores.Division.
+const (
+	divisionDivided  = "divided"
+	divisionSeparate = "separate"
+)
+
+const coresWarmUp = time.Second // before the measurement
+
+// CoresRun is the result of one number of cores.
 type CoresRun struct {
 	Cores           int     `json:"cores"`
-	OwnCores        bool    `json:"own_cores"` // the director had cores that the load did not use
-	LoadCores       int     `json:"load_cores"`
-	Rate            float64 `json:"rate"` // fulfilled a second
-	P50             float64 `json:"p50_ms"`
-	P99             float64 `json:"p99_ms"`
-	P999            float64 `json:"p999_ms"`
-	CPUPerAnswer    float64 `json:"cpu_us_per_answer"` // of the directors
-	PeakMemoryMB    float64 `json:"rss_mb_peak"`
+	OwnCores        bool    `json:"own_cores"`         // the load used other cores than the directors
+	LoadCores       int     `json:"load_cores"`        // that the load used
+	Rate            float64 `json:"rate"`              // requests a second that succeeded
+	P50             float64 `json:"p50_ms"`            // latency of those
+	P99             float64 `json:"p99_ms"`            // latency of those
+	P999            float64 `json:"p999_ms"`           // latency of those
+	CPUPerAnswer    float64 `json:"cpu_us_per_answer"` // of the directors, for each request that succeeded
+	PeakMemoryMB    float64 `json:"rss_mb_peak"`       // of all directors
 	Rejected        int     `json:"throttled"`
 	Failed          int     `json:"failed"`
-	Lost            int     `json:"lost"`
-	DoubleFinal     int     `json:"double_final"`
-	WrongBodies     int     `json:"wrong_bytes"`
-	RepeatedEffects int     `json:"effects_twice"`
+	Lost            int     `json:"lost"`          // requests without an answer
+	DoubleFinal     int     `json:"double_final"`  // answers beyond the one of a request
+	WrongBodies     int     `json:"wrong_bytes"`   // answers with another object's bytes
+	RepeatedEffects int     `json:"effects_twice"` // effects that a key had beyond the first
 }
 
-// CoresResult is what came of it all.
+// CoresResult has a run for each number of cores.
 type CoresResult struct {
 	Division string     `json:"division"`
 	Runs     []CoresRun `json:"runs"`
 }
 
-// Broken names the rules that broke.
+// Broken names the runs in which a rule was broken.
 func (r CoresResult) Broken() (rules []string) {
 	for _, run := range r.Runs {
 		if run.Lost+run.DoubleFinal+run.WrongBodies+run.RepeatedEffects > 0 {
@@ -76,219 +83,203 @@
 	return rules
 }
 
-// pin lets this program's threads, or only the calling one, run on some cores.
-func pin(cores []int, all bool) error {
-	var set unix.CPUSet
-	for _, c := range cores {
-		set.Set(c)
-	}
-	if !all {
-		return unix.SchedSetaffinity(0, &set)
-	}
-	tasks, err := os.ReadDir("/proc/self/task")
-	if err != nil {
-		return err
-	}
-	for _, t := range tasks {
-		id, _ := strconv.Atoi(t.Name())
-		if err := unix.SchedSetaffinity(id, &set); err != nil && err != unix.ESRCH {
-			return err
-		}
-	}
-	return nil
-}
-
-// allowedCores are the cores that this program may use.
-func allowedCores() (cores []int, err error) {
-	var set unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &set); err != nil {
-		return nil, err
-	}
-	for c := range 1024 {
-		if set.IsSet(c) {
-			cores = append(cores, c)
-		}
-	}
-	return cores, nil
-}
-
-// Execute plays it.
-func (s *Cores) Execute(ctx context.Context) (r CoresResult, err error) {
-	r.Division = s.Division
-	all, err := allowedCores()
+// Execute runs the experiment. It changes the cores that this process may use, and restores them.
+func (s *Cores) Execute(ctx context.Context) (result CoresResult, err error) {
+	result.Division = s.Division
+	machineCores, err := allowedCores()
 	if err != nil {
-		return r, err
+		return result, err
 	}
 	for _, n := range s.Cores {
 		if n < 1 {
-			return r, fmt.Errorf("--cores: %d is under 1", n)
+			return result, fmt.Errorf("--cores: %d is under 1", n)
 		}
-		run, err := s.playCores(ctx, n, all)
+		run, err := s.measure(ctx, n, machineCores)
 		if err != nil {
-			return r, fmt.Errorf("with %d cores: %w", n, err)
+			return result, fmt.Errorf("with %d cores: %w", n, err)
 		}
-		r.Runs = append(r.Runs, run)
+		result.Runs = append(result.Runs, run)
 	}
-	return r, nil
+	return result, nil
 }
 
+// contentTypeNames are the names in --mix of the fakes' content types.
+var contentTypeNames = map[string]string{"thumbnail": "thumbnails", "preview-clip": "clips", "cover-pick": "picks"}
+
+// spec is the cluster's: fakes that answer at once, and only the content types that are asked for, with small bodies.
 func (s *Cores) spec(directors int) (fakes.Spec, error) {
 	spec := fakes.DefaultSpec(s.CacheNodes, directors)
 	spec.Instant, spec.ColdEdges, spec.LinkCapacity, spec.Objects = true, false, 1e5, 10_000
 	known := map[string]fakes.ContentType{}
-	for _, t := range spec.ContentTypes {
-		known[map[string]string{"thumbnail": "thumbnails", "preview-clip": "clips", "cover-pick": "picks"}[t.Name]] = t
+	for _, contentType := range spec.ContentTypes {
+		known[contentTypeNames[contentType.Name]] = contentType
 	}
 	spec.ContentTypes = nil
-	sum := 0.0
+	totalShare := 0.0
 	for _, name := range s.ContentTypes {
-		t, ok := known[name]
+		contentType, ok := known[name]
 		if !ok {
 			return spec, fmt.Errorf("--mix: %q is none of thumbnails, clips, picks", name)
 		}
-		if t.MeanTransfer = t.MeanTransfer / 16; t.Name == "cover-pick" { // bytes: about 3 KB, 12 KB, a few
-			t.MeanTransfer = 16 * time.Microsecond
+		contentType.MeanTransfer /= 16 // bodies of about 3 KB and 12 KB
+		if contentType.Name == "cover-pick" {
+			contentType.MeanTransfer = 16 * time.Microsecond // of a few bytes
 		}
-		spec.ContentTypes = append(spec.ContentTypes, t)
-		sum += t.RequestShare
+		spec.ContentTypes = append(spec.ContentTypes, contentType)
+		totalShare += contentType.RequestShare
 	}
 	for i := range spec.ContentTypes {
-		spec.ContentTypes[i].RequestShare /= sum
+		spec.ContentTypes[i].RequestShare /= totalShare
 	}
 	return spec, nil
 }
 
-func (s *Cores) playCores(ctx context.Context, n int, all []int) (run CoresRun, err error) {
-	run.Cores, run.LoadCores = n, len(all)
-	directorCores, loadCores := all, all
-	if run.OwnCores = n < len(all); run.OwnCores {
-		directorCores, loadCores = all[:n], all[n:]
-		run.LoadCores = len(loadCores)
+// coresMeasurement is a measurement with one number of cores.
+type coresMeasurement struct {
+	*Cores
+	cores        int // of each director
+	cluster      *fakes.Cluster
+	directors    []*faulttest.Director
+	log          *directorLog
+	directorCPUs []int // that the directors may use
+}
+
+// measure measures n cores on a machine that has machineCores.
+func (s *Cores) measure(ctx context.Context, n int, machineCores []int) (result CoresRun, err error) {
+	result.Cores = n
+	directorCPUs, loadCPUs := machineCores, machineCores
+	if n < len(machineCores) {
+		result.OwnCores = true
+		directorCPUs, loadCPUs = machineCores[:n], machineCores[n:]
 	}
-	if err := pin(loadCores, true); err != nil {
-		return run, err
+	result.LoadCores = len(loadCPUs)
+	if err := pinProcess(loadCPUs); err != nil {
+		return result, err
 	}
-	defer pin(all, true)
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(len(loadCores)))
+	defer func() { err = errors.Join(err, pinProcess(machineCores)) }()
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(len(loadCPUs)))
 	directors, cores := 1, n
-	if s.Division == "separate" {
+	if s.Division == divisionSeparate {
 		directors, cores = n, 1
 	}
 	spec, err := s.spec(directors)
 	if err != nil {
-		return run, err
+		return result, err
 	}
-	w, err := fakes.New(spec)
+	cluster, err := fakes.New(spec)
 	if err != nil {
-		return run, err
+		return result, err
 	}
-	defer w.Close()
+	defer cluster.Close()
 	folder, err := os.MkdirTemp("", "tallybench")
 	if err != nil {
-		return run, err
+		return result, err
 	}
 	defer os.RemoveAll(folder)
-	script, argv := fmt.Sprintf("machine(cores = %d)\n", cores), s.Argv
-	if s.NoScript {
+	run := &coresMeasurement{Cores: s, cores: cores, cluster: cluster, log: &directorLog{output: &bytes.Buffer{}}, directorCPUs: directorCPUs}
+	defer func() {
+		if stopErr := run.stopDirectors(); err == nil {
+			err = stopErr
+		}
+	}()
+	if err := run.startDirectors(ctx, folder, directors); err != nil {
+		return result, err
+	}
+	err = run.load(ctx, &result)
+	return result, err
+}
+
+// startDirectors starts directors on their cores, one after another.
+func (r *coresMeasurement) startDirectors(ctx context.Context, folder string, count int) error {
+	script, argv := fmt.Sprintf("machine(cores = %d)\n", r.cores), slices.Clone(r.Argv)
+	if r.NoScript {
 		script = ""
 	}
-	if s.Division == "divided" {
-		argv = append(append([]string(nil), argv...), "--divided")
+	if r.Division == divisionDivided {
+		argv = append(argv, "--divided")
 	}
-	if s.ProfileDir != "" {
-		argv = append(append([]string(nil), argv...), "--profile", s.ProfileDir)
+	if r.ProfileDir != "" {
+		argv = append(argv, "--profile", r.ProfileDir)
 	}
-	var text bytes.Buffer
-	log := &directorLog{output: &text}
-	var processes []*faulttest.Director
-	defer func() {
-		for _, d := range processes {
-			if e := d.Stop(); e != nil && err == nil {
-				err = fmt.Errorf("a director ended with %w\n%s", e, log)
-			}
-		}
-	}()
-	for i := range directors {
-		d, err := faulttest.NewDirector(w, folder, fmt.Sprint("n", i), argv, script, faulttest.Limits{Sockets: 4096, MemoryMB: 512, Cores: float64(cores)}, log)
+	limits := faulttest.Limits{Sockets: 4096, MemoryMB: 512, Cores: float64(r.cores)}
+	for i := range count {
+		director, err := faulttest.NewDirector(r.cluster, folder, fmt.Sprint("n", i), argv, script, limits, r.log)
 		if err != nil {
-			return run, err
+			return err
 		}
-		if err := startOn(ctx, d, directorCores); err != nil {
-			return run, fmt.Errorf("%w\n%s", err, log)
+		if err := startOn(ctx, director, r.directorCPUs); err != nil {
+			return fmt.Errorf("%w\n%s", err, r.log)
 		}
-		processes = append(processes, d)
+		r.directors = append(r.directors, director)
 	}
-	every := time.Duration(0)
-	if s.Rate > 0 {
-		every = time.Duration(float64(time.Second) * float64(s.Connections) / (s.Rate * float64(n)))
+	return nil
+}
+
+// stopDirectors stops the directors one after another, and returns the first error with their log.
+func (r *coresMeasurement) stopDirectors() (err error) {
+	for _, director := range r.directors {
+		if stopErr := director.Stop(); stopErr != nil && err == nil {
+			err = fmt.Errorf("a director ended with %w\n%s", stopErr, r.log)
+		}
 	}
-	warm := time.Second
-	from := time.Now().Add(warm)
-	playing, leave := context.WithTimeout(ctx, warm+s.Duration)
-	defer leave()
-	var streams []*loadConnection
-	var wait sync.WaitGroup
-	failed := make([]error, s.Connections)
-	for i := range s.Connections {
-		st := newLoadConnection(w, processes[i%directors].Addr, s.Pipelining, every, uint64(i)+1)
-		streams = append(streams, st)
-		wait.Go(func() { failed[i] = st.run(playing, from) })
+	return err
+}
+
+// load sends requests on all connections, and measures from the end of the warm-up on.
+func (r *coresMeasurement) load(ctx context.Context, result *CoresRun) error {
+	interval := time.Duration(0) // of a connection's requests
+	if r.Rate > 0 {
+		interval = time.Duration(float64(time.Second) * float64(r.Connections) / (r.Rate * float64(result.Cores)))
+	}
+	from := time.Now().Add(coresWarmUp)
+	ctx, cancel := context.WithTimeout(ctx, coresWarmUp+r.Duration)
+	defer cancel()
+	connections, errs := make([]*loadConnection, r.Connections), make([]error, r.Connections)
+	var running sync.WaitGroup
+	for i := range connections {
+		connections[i] = newLoadConnection(r.cluster, r.directors[i%len(r.directors)].Addr, r.Pipelining, interval, uint64(i)+1)
+		running.Go(func() { errs[i] = connections[i].run(ctx, from) })
 	}
 	time.Sleep(time.Until(from))
-	before := cpuTime(processes)
-	time.Sleep(time.Until(from.Add(s.Duration)))
-	used := cpuTime(processes) - before
-	wait.Wait()
-	hist := hdrhistogram.New(1, 10_000_000, 3)
-	fulfilled := 0
-	for i, st := range streams {
-		if failed[i] != nil && st.lost == 0 {
-			return run, failed[i]
+	cpuBefore := cpuTime(r.directors)
+	time.Sleep(time.Until(from.Add(r.Duration)))
+	cpuUsed := cpuTime(r.directors) - cpuBefore
+	running.Wait()
+	for i, connection := range connections {
+		if errs[i] != nil && connection.lost == 0 {
+			return errs[i]
 		}
-		hist.Merge(st.hist)
-		fulfilled += st.succeeded
-		run.Rejected += st.rejected
-		run.Failed += st.failed
-		run.Lost += st.lost
-		run.DoubleFinal += st.duplicates
-		run.WrongBodies += st.wrongBodies
-	}
-	run.RepeatedEffects = w.RepeatedInstantEffects()
-	run.Rate = math.Round(float64(fulfilled) / s.Duration.Seconds())
-	ms := func(q float64) float64 { return float64(hist.ValueAtQuantile(q)) / 1000 }
-	run.P50, run.P99, run.P999 = ms(50), ms(99), ms(99.9)
-	run.CPUPerAnswer = math.Round(used.Seconds()/float64(max(1, fulfilled))*1e8) / 100
-	for _, d := range processes {
-		run.PeakMemoryMB += math.Round(d.PeakMemoryMB()*10) / 10
 	}
-	return run, nil
+	r.summarize(connections, cpuUsed, result)
+	return nil
 }
 
-// startOn starts a director on some cores: it has those of the thread that starts it.
-func startOn(ctx context.Context, d *faulttest.Director, cores []int) error {
-	done := make(chan error)
-	go func() {
-		runtime.LockOSThread() // and the thread ends with the goroutine
-		if err := pin(cores, false); err != nil {
-			done <- err
-			return
-		}
-		done <- d.Start(ctx)
-	}()
-	return <-done
+// summarize adds what the connections counted to the result.
+func (r *coresMeasurement) summarize(connections []*loadConnection, cpuUsed time.Duration, result *CoresRun) {
+	latencies := newLatencyHistogram()
+	succeeded := 0
+	for _, connection := range connections {
+		latencies.Merge(connection.latencies)
+		succeeded += connection.succeeded
+		result.Rejected += connection.rejected
+		result.Failed += connection.failed
+		result.Lost += connection.lost
+		result.DoubleFinal += connection.duplicates
+		result.WrongBodies += connection.wrongBodies
+	}
+	result.RepeatedEffects = r.cluster.RepeatedInstantEffects()
+	result.Rate = math.Round(float64(succeeded) / r.Duration.Seconds())
+	result.P50, result.P99, result.P999 = quantileMS(latencies, 50), quantileMS(latencies, 99), quantileMS(latencies, 99.9)
+	result.CPUPerAnswer = math.Round(cpuUsed.Seconds()/float64(max(1, succeeded))*1e8) / 100
+	for _, director := range r.directors {
+		result.PeakMemoryMB += math.Round(director.PeakMemoryMB()*10) / 10
+	}
 }
 
-// cpuTime is the processor time that directors have used.
-func cpuTime(of []*faulttest.Director) (sum time.Duration) {
-	for _, d := range of {
-		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID()))
-		_, rest, _ := strings.Cut(string(text), ") ")
-		if words := strings.Fields(rest); len(words) > 12 {
-			for _, word := range words[11:13] { // user and system, in hundredths of a second
-				n, _ := strconv.Atoi(word)
-				sum += time.Duration(n) * 10 * time.Millisecond
-			}
-		}
-	}
-	return sum
+// newLatencyHistogram counts latencies in µs, up to 10 s.
+func newLatencyHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
+
+// quantileMS is a quantile, in percent, of latencies in ms.
+func quantileMS(latencies *hdrhistogram.Histogram, percent float64) float64 {
+	return float64(latencies.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/experiment/detectors.go
+++ b/internal/experiment/detectors.go
@@ -15,78 +15,56 @@
 	"tallyproxy/policy"
 )
 
-// DetectorTrial plays the directors' talk with nothing else of a director: as many as there may be in one process, by the real detector
-// and over real sockets, where as many whole directors would want more processors than a machine has. Some die without a word,
-// and what is measured is how long it takes until all that live know of each, and until they have one view.
+// DetectorTrial runs the directors' failure detectors alone: up to 1000 in one process, in real time and over real sockets, where as many
+// whole directors would want more processors than a machine has. Some fail without a word; measured is how long it takes until all that
+// are left know of each, and until they have one view.
 type DetectorTrial struct {
 	Directors int
-	Failing   int // at once,
-	Rounds    int // and so often
-	Slowdown  int // times slower than usual, all of it; what is told is divided by it
+	Failing   int // at once
+	Rounds    int // of failures
+	Slowdown  int // factor on all times of the detectors, by which the measured ones are divided; 0 is 1
 }
 
-// startBatch is how many start at a time.
-const startBatch = 25
-
-// detectorDeadline is the longest that any wait takes, at full pace.
-const detectorDeadline = 30 * time.Second
+const (
+	maxDetectors          = 1000
+	detectorBatch         = 25 // that start at once, before there is one view again
+	detectorDeadline      = 30 * time.Second
+	failurePollInterval   = 10 * time.Millisecond
+	convergenceCheckEvery = 50 * time.Millisecond
+)
 
-func (g DetectorTrial) deadline() time.Duration {
-	return detectorDeadline * time.Duration(max(1, g.Slowdown))
+// detectorFleet are the detectors that run, by number. It belongs to the goroutine that runs the trial.
+type detectorFleet struct {
+	DetectorTrial
+	begun   time.Time
+	seeds   []string
+	running map[int]*gossipnet.Driver
 }
 
-// Execute plays it; what came of it is one run, whose Unended counts what did not come about in time.
-func (g DetectorTrial) Execute(ctx context.Context) (*MembershipRun, error) {
-	if g.Directors < 3 || g.Directors > 1000 || g.Failing < 1 || g.Rounds*g.Failing > g.Directors-2 {
-		return nil, fmt.Errorf("--together: %d times %d deaths of %d: 3 to 1000, of whom two are left", g.Rounds, g.Failing, g.Directors)
-	}
-	logs := slog.Default()
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // each tells of each
-	defer slog.SetDefault(logs)
-	slow := policy.Micros(max(1, g.Slowdown))
-	run := &MembershipRun{Directors: g.Directors, Faults: fmt.Sprintf("%dx%d die", g.Rounds, g.Failing), Schedules: 1}
-	begun := time.Now()
-	now := func() policy.Micros { return policy.Second + policy.Micros(time.Since(begun)/time.Microsecond) }
-	live := map[int]*gossipnet.Driver{}
-	defer func() {
-		for _, t := range live {
-			t.Shutdown()
-		}
-	}()
-	var seeds []string
-	for i := range g.Directors {
-		listen, err := faulttest.FreeAddress()
-		if err != nil {
-			return nil, err
-		}
-		s := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: g.Directors, TotalDirectors: g.Directors,
-			ConnectTimeout: 400_000 * slow, EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second * slow}})
-		t, err := gossipnet.Start(config.Peers{Listen: listen, Seeds: seeds, Fleet: "lab", SharedKey: bytes.Repeat([]byte{7}, 32)}, s, now,
-			gossipnet.Handlers{})
-		if err != nil {
-			return nil, err
-		}
-		if live[i] = t; len(seeds) < 3 {
-			seeds = append(seeds, listen)
-		}
-		if i%startBatch == startBatch-1 { // a start of all at once is of hundreds of machines, not of one
-			if !awaitConvergence(ctx, live, g.deadline()) {
-				break
-			}
-		}
+// Execute runs the trial. Unfinished of the result counts the rounds that did not come to one view in time.
+func (t DetectorTrial) Execute(ctx context.Context) (*MembershipRun, error) {
+	if t.Directors < 3 || t.Directors > maxDetectors || t.Failing < 1 || t.Rounds*t.Failing > t.Directors-2 {
+		return nil, fmt.Errorf("--together: %d times %d failures of %d: 3 to %d, of whom two are left", t.Rounds, t.Failing, t.Directors, maxDetectors)
 	}
-	if len(live) < g.Directors || !awaitConvergence(ctx, live, g.deadline()) {
-		run.Unfinished++ // too many for this machine
+	defer slog.SetDefault(slog.Default())
+	slog.SetDefault(slog.New(slog.DiscardHandler)) // each detector logs what it finds of each other one
+	t.Slowdown = max(1, t.Slowdown)
+	run := &MembershipRun{Directors: t.Directors, Faults: fmt.Sprintf("%dx%d die", t.Rounds, t.Failing), Schedules: 1}
+	fleet := &detectorFleet{DetectorTrial: t, begun: time.Now(), running: map[int]*gossipnet.Driver{}}
+	defer fleet.shutdown()
+	if started, err := fleet.start(ctx); err != nil {
+		return nil, err
+	} else if !started { // too many for this machine
+		run.Unfinished++
 		return run, nil
 	}
-	for time := range g.Rounds {
-		took, views, ok := g.failSome(ctx, live, time*g.Failing)
-		for i := range took {
-			took[i] /= float64(slow)
+	for round := range t.Rounds {
+		detections, convergence, ok := fleet.failSome(ctx, round*t.Failing)
+		for _, ms := range detections {
+			run.detections = append(run.detections, ms/float64(t.Slowdown))
 		}
-		views /= float64(slow)
-		run.detections = append(run.detections, took...)
-		if run.convergences = append(run.convergences, views); !ok {
+		run.convergences = append(run.convergences, convergence/float64(t.Slowdown))
+		if !ok {
 			run.Unfinished++
 		}
 	}
@@ -94,58 +72,121 @@
 	return run, ctx.Err()
 }
 
-// failSome has some die at once, by turns over the fleet, and gives how long it took until all knew of each, and had one view, in ms.
-func (g DetectorTrial) failSome(ctx context.Context, live map[int]*gossipnet.Driver, first int) (took []float64, view float64, ok bool) {
-	waits := map[int]map[int]bool{} // for whom, who
-	var dying []*gossipnet.Driver
-	for k := range g.Failing {
-		i := (first + k) * 7 % g.Directors // numbers are not in order of their seeds
-		for ; live[i] == nil; i = (i + 1) % g.Directors {
+// deadline is the longest that any wait takes.
+func (t DetectorTrial) deadline() time.Duration { return detectorDeadline * time.Duration(t.Slowdown) }
+
+// start starts the detectors in batches, since a machine does not start hundreds at once as hundreds of machines do. ok is false where they
+// did not come to one view.
+func (f *detectorFleet) start(ctx context.Context) (ok bool, err error) {
+	for i := range f.Directors {
+		if err := f.startDetector(i); err != nil {
+			return false, err
+		}
+		endOfBatch := i%detectorBatch == detectorBatch-1
+		if endOfBatch && !f.awaitConvergence(ctx) && i < f.Directors-1 {
+			return false, nil
 		}
-		waits[i], dying = map[int]bool{}, append(dying, live[i])
-		delete(live, i)
 	}
-	for i := range waits {
-		for who := range live {
-			waits[i][who] = true
+	return f.awaitConvergence(ctx), nil
+}
+
+func (f *detectorFleet) startDetector(i int) error {
+	address, err := faulttest.FreeAddress()
+	if err != nil {
+		return err
+	}
+	slowdown := policy.Micros(f.Slowdown)
+	settings := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: f.Directors, TotalDirectors: f.Directors,
+		ConnectTimeout: 400 * millisecond * slowdown, EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second * slowdown}})
+	peers := config.Peers{Listen: address, Seeds: f.seeds, Fleet: "lab", SharedKey: bytes.Repeat([]byte{7}, 32)}
+	now := func() policy.Micros { return policy.Second + policy.MicrosOf(time.Since(f.begun)) }
+	driver, err := gossipnet.Start(peers, settings, now, gossipnet.Handlers{})
+	if err != nil {
+		return err
+	}
+	f.running[i] = driver
+	if len(f.seeds) < maxSeeds {
+		f.seeds = append(f.seeds, address)
+	}
+	return nil
+}
+
+func (f *detectorFleet) shutdown() {
+	for _, driver := range f.running {
+		driver.Shutdown()
+	}
+}
+
+// failSome stops detectors at once, spread over the fleet, and returns how long it took in ms until all others knew of each, and until
+// they had one view; ok is false where that did not happen in time.
+func (f *detectorFleet) failSome(ctx context.Context, first int) (detections []float64, convergence float64, ok bool) {
+	failing := f.removeSome(first)
+	unaware := map[int]map[int]bool{} // by the number that failed: those that don't know it yet
+	for i := range failing {
+		unaware[i] = map[int]bool{}
+		for j := range f.running {
+			unaware[i][j] = true
 		}
 	}
 	begun := time.Now()
-	for _, t := range dying {
-		t.Shutdown()
+	for _, driver := range failing {
+		driver.Shutdown()
 	}
-	for len(waits) > 0 && time.Since(begun) < g.deadline() && ctx.Err() == nil {
-		for i, who := range waits {
-			for w := range who {
-				if s, _ := live[w].State(fmt.Sprint("n", i)); s >= membership.Failed {
-					delete(who, w)
-				}
-			}
-			if len(who) == 0 {
-				delete(waits, i)
-				took = append(took, float64(time.Since(begun).Milliseconds()))
+	for len(unaware) > 0 && time.Since(begun) < f.deadline() && ctx.Err() == nil {
+		for i, by := range unaware {
+			f.removeAware(i, by)
+			if len(by) == 0 {
+				delete(unaware, i)
+				detections = append(detections, float64(time.Since(begun).Milliseconds()))
 			}
 		}
-		fakes.Sleep(ctx, 10*time.Millisecond)
+		fakes.Sleep(ctx, failurePollInterval)
 	}
-	same := awaitConvergence(ctx, live, g.deadline())
-	return took, float64(time.Since(begun).Milliseconds()), same && len(waits) == 0
+	converged := f.awaitConvergence(ctx)
+	return detections, float64(time.Since(begun).Milliseconds()), converged && len(unaware) == 0
 }
 
-// awaitConvergence waits until all see the same ones.
-func awaitConvergence(ctx context.Context, live map[int]*gossipnet.Driver, bound time.Duration) bool {
-	for until := time.Now().Add(bound); time.Now().Before(until) && ctx.Err() == nil; fakes.Sleep(ctx, 50*time.Millisecond) {
-		ok, sum := true, ""
-		for _, t := range live {
-			s, count := t.ViewDigest()
-			if ok = ok && count == len(live) && (sum == "" || s == sum); !ok {
-				break
-			}
-			sum = s
+// removeSome takes the detectors that are to fail out of the fleet. Steps of seven keep them from following the order of the seeds.
+func (f *detectorFleet) removeSome(first int) map[int]*gossipnet.Driver {
+	failing := map[int]*gossipnet.Driver{}
+	for k := range f.Failing {
+		i := (first + k) * 7 % f.Directors
+		for f.running[i] == nil {
+			i = (i + 1) % f.Directors
 		}
-		if ok {
+		failing[i] = f.running[i]
+		delete(f.running, i)
+	}
+	return failing
+}
+
+// removeAware removes from a set those that know that a director has failed.
+func (f *detectorFleet) removeAware(failed int, unaware map[int]bool) {
+	for i := range unaware {
+		if state, _ := f.running[i].State(fmt.Sprint("n", failed)); state >= membership.Failed {
+			delete(unaware, i)
+		}
+	}
+}
+
+// awaitConvergence waits until all have the same view, of all that run; false where the time was over.
+func (f *detectorFleet) awaitConvergence(ctx context.Context) bool {
+	for until := time.Now().Add(f.deadline()); time.Now().Before(until) && ctx.Err() == nil; fakes.Sleep(ctx, convergenceCheckEvery) {
+		if f.converged() {
 			return true
 		}
 	}
 	return false
 }
+
+func (f *detectorFleet) converged() bool {
+	common := ""
+	for _, driver := range f.running {
+		digest, count := driver.ViewDigest()
+		if count != len(f.running) || common != "" && digest != common {
+			return false
+		}
+		common = digest
+	}
+	return true
+}
--- a/internal/experiment/loadconnection.go
+++ b/internal/experiment/loadconnection.go
@@ -3,9 +3,11 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"os"
 	"strconv"
 	"time"
 
@@ -15,138 +17,181 @@
 	"tallyproxy/internal/fakes"
 )
 
-// loadConnection is one connection that asks for one download after another, many at a time, and checks what it gets.
+const (
+	maxPending    = 32               // requests of a connection that are sent on schedule
+	answerTimeout = 10 * time.Second // after which a connection counts its requests as lost
+	readBuffer    = 256 << 10
+)
+
+// loadConnection is a connection that sends one request after another, many at a time, and checks the answers. Its counts may be read
+// once run has returned.
 type loadConnection struct {
-	cluster  *fakes.Cluster
-	addr     string
-	depth    int           // asked for together
-	interval time.Duration // between one download and the next; 0: the next as soon as one ends
-	rand     *rand.Rand
-	zipf     *fakes.Zipf
-	conn     net.Conn
-	tag      int
-	pending  map[int]pendingRequest
-	unsent   []byte
-	counted  bool // after the warm-up
+	cluster    *fakes.Cluster
+	addr       string
+	pipelining int           // requests that are open together, without an interval
+	interval   time.Duration // between requests; 0: the next one is sent as soon as one ends
+	random     *rand.Rand
+	zipf       *fakes.Zipf
+	conn       net.Conn
+	tag        int // of the request sent last
+	pending    map[int]pendingRequest
+	unsent     []byte
+	unread     []byte    // the beginning of an answer
+	nextDue    time.Time // of the next request, with an interval
+	measuring  bool      // after the warm-up
 
-	hist                                                               *hdrhistogram.Histogram
-	succeeded, rejected, failed, lost, duplicates, wrongBodies, refuse int
+	latencies *hdrhistogram.Histogram // of requests that succeeded, in µs
+	succeeded, rejected, failed, lost,
+	duplicates, wrongBodies int
 }
 
+// pendingRequest is a request without an answer yet.
 type pendingRequest struct {
 	object string
-	due    time.Time // when it was to be sent
+	due    time.Time // when it was to be sent, from which its latency counts
 }
 
-func newLoadConnection(w *fakes.Cluster, addr string, depth int, every time.Duration, seed uint64) *loadConnection {
+func newLoadConnection(cluster *fakes.Cluster, addr string, pipelining int, interval time.Duration, seed uint64) *loadConnection {
 	return &loadConnection{
-		cluster: w, addr: addr, depth: depth, interval: every, rand: rand.New(rand.NewPCG(seed, 3)),
-		zipf: fakes.NewZipf(w.Objects, w.ZipfExponent), pending: map[int]pendingRequest{}, hist: hdrhistogram.New(1, 10_000_000, 3),
+		cluster: cluster, addr: addr, pipelining: pipelining, interval: interval, random: rand.New(rand.NewPCG(seed, 3)),
+		zipf: fakes.NewZipf(cluster.Objects, cluster.ZipfExponent), pending: map[int]pendingRequest{}, latencies: newLatencyHistogram(),
 	}
 }
 
-// appendRequest words the next download, due at a time.
-func (s *loadConnection) appendRequest(due time.Time) {
-	o := s.cluster.DrawObject(s.rand, s.zipf)
-	s.tag++
-	fields := fmt.Sprintf("txn=%016x,limit=%d,item=%s,n=0,shard=%d", s.rand.Uint64(), o.Type.Timeout.Milliseconds(), o.ID, o.Group)
-	if o.Type.IdempotentWithKey {
-		fields += fmt.Sprintf(",unique=%016x%016x", s.rand.Uint64(), s.rand.Uint64())
-	}
-	s.unsent = redcon.AppendArray(s.unsent, 4)
-	for _, w := range []string{"ASK", strconv.Itoa(s.tag), o.Type.Name, fields} {
-		s.unsent = redcon.AppendBulkString(s.unsent, w)
-	}
-	s.pending[s.tag] = pendingRequest{o.ID, due}
-}
-
-// run asks until the context ends; what is counted begins at a time.
-func (s *loadConnection) run(ctx context.Context, from time.Time) error {
-	nc, err := net.Dial("tcp", s.addr)
+// run sends requests until the context ends, and waits for their answers. Answers before a time are not counted.
+func (c *loadConnection) run(ctx context.Context, measureFrom time.Time) error {
+	conn, err := net.Dial("tcp", c.addr)
 	if err != nil {
 		return err
 	}
-	s.conn = nc
-	defer nc.Close()
-	in, buf := []byte(nil), make([]byte, 256<<10)
-	next := time.Now()
+	defer conn.Close()
+	c.conn = conn
+	buffer := make([]byte, readBuffer)
+	c.nextDue = time.Now()
 	for {
 		now := time.Now()
-		s.counted = now.After(from)
-		over := ctx.Err() != nil
-		switch {
-		case over && len(s.pending) == 0:
+		c.measuring = now.After(measureFrom)
+		ending := ctx.Err() != nil
+		if ending && len(c.pending) == 0 {
 			return nil
-		case over:
-		case s.interval == 0:
-			for len(s.pending) < s.depth {
-				s.appendRequest(now)
-			}
-		default: // what is due is due, whether there is room or not: its time counts from then
-			for len(s.pending) < 32 && !next.After(now) {
-				s.appendRequest(next)
-				next = next.Add(s.interval)
-			}
 		}
-		if len(s.unsent) > 0 {
-			if _, err := nc.Write(s.unsent); err != nil {
-				s.lost += len(s.pending)
-				return err
-			}
-			s.unsent = s.unsent[:0]
+		if !ending {
+			c.appendDue(now)
 		}
-		until := now.Add(10 * time.Second)
-		if s.interval > 0 && !over && len(s.pending) < 32 {
-			until = next
+		if err := c.flush(); err != nil {
+			return err
 		}
-		nc.SetReadDeadline(until)
-		n, err := nc.Read(buf)
-		if timed, ok := err.(net.Error); ok && timed.Timeout() && time.Now().Before(now.Add(9*time.Second)) {
-			continue
+		if err := c.read(buffer, now, ending); err != nil {
+			return err
 		}
+	}
+}
+
+// appendDue appends the requests that are to be sent now. With an interval a request that could not be sent when it was due keeps that
+// time, and its latency counts from then.
+func (c *loadConnection) appendDue(now time.Time) {
+	if c.interval == 0 {
+		for len(c.pending) < c.pipelining {
+			c.appendRequest(now)
+		}
+		return
+	}
+	for len(c.pending) < maxPending && !c.nextDue.After(now) {
+		c.appendRequest(c.nextDue)
+		c.nextDue = c.nextDue.Add(c.interval)
+	}
+}
+
+// appendRequest appends a request for a random object to what is unsent.
+func (c *loadConnection) appendRequest(due time.Time) {
+	object := c.cluster.DrawObject(c.random, c.zipf)
+	c.tag++
+	fields := fmt.Sprintf("txn=%016x,limit=%d,item=%s,n=0,shard=%d", c.random.Uint64(), object.Type.Timeout.Milliseconds(), object.ID, object.Group)
+	if object.Type.IdempotentWithKey {
+		fields += fmt.Sprintf(",unique=%016x%016x", c.random.Uint64(), c.random.Uint64())
+	}
+	c.unsent = redcon.AppendArray(c.unsent, 4)
+	for _, word := range []string{"ASK", strconv.Itoa(c.tag), object.Type.Name, fields} {
+		c.unsent = redcon.AppendBulkString(c.unsent, word)
+	}
+	c.pending[c.tag] = pendingRequest{object.ID, due}
+}
+
+// flush writes what is unsent.
+func (c *loadConnection) flush() error {
+	if len(c.unsent) == 0 {
+		return nil
+	}
+	if _, err := c.conn.Write(c.unsent); err != nil {
+		c.lost += len(c.pending)
+		return err
+	}
+	c.unsent = c.unsent[:0]
+	return nil
+}
+
+// read waits for answers, until the next request is due at the latest, and handles them.
+func (c *loadConnection) read(buffer []byte, now time.Time, ending bool) error {
+	deadline := now.Add(answerTimeout)
+	if c.interval > 0 && !ending && len(c.pending) < maxPending {
+		deadline = c.nextDue
+	}
+	if err := c.conn.SetReadDeadline(deadline); err != nil {
+		return err
+	}
+	n, err := c.conn.Read(buffer)
+	if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(now.Add(answerTimeout-time.Second)) {
+		return nil // a request is due
+	}
+	if err != nil {
+		c.lost += len(c.pending)
+		return err
+	}
+	return c.handleAnswers(buffer[:n], time.Now())
+}
+
+// handleAnswers handles the answers that are complete, and keeps the rest.
+func (c *loadConnection) handleAnswers(data []byte, received time.Time) error {
+	c.unread = append(c.unread, data...)
+	rest := c.unread
+	for {
+		complete, fields, _, left, err := redcon.ReadNextCommand(rest, nil)
 		if err != nil {
-			s.lost += len(s.pending)
 			return err
 		}
-		came := time.Now()
-		in = append(in, buf[:n]...)
-		rest := in
-		for {
-			whole, words, _, left, err := redcon.ReadNextCommand(rest, nil)
-			if err != nil {
-				return err
-			}
-			if !whole {
-				break
-			}
-			s.handleAnswer(words, came)
-			rest = left
+		if !complete {
+			break
 		}
-		in = append(in[:0], rest...)
+		c.handleAnswer(fields, received)
+		rest = left
 	}
+	c.unread = append(c.unread[:0], rest...)
+	return nil
 }
 
-func (s *loadConnection) handleAnswer(words [][]byte, came time.Time) {
-	tag, _ := strconv.Atoi(string(words[0]))
-	a, ok := s.pending[tag]
+// handleAnswer counts an answer: tag, status, a field that is not needed, and the body.
+func (c *loadConnection) handleAnswer(fields [][]byte, received time.Time) {
+	tag, _ := strconv.Atoi(string(fields[0])) // what is no number is no pending request's
+	request, ok := c.pending[tag]
 	if !ok {
-		s.duplicates++
+		c.duplicates++
 		return
 	}
-	delete(s.pending, tag)
-	if !s.counted {
+	delete(c.pending, tag)
+	if !c.measuring {
 		return
 	}
-	switch string(words[1]) {
+	switch string(fields[1]) {
 	case "200":
-		s.succeeded++
-		if !bytes.HasPrefix(words[3], []byte(a.object)) {
-			s.wrongBodies++
+		c.succeeded++
+		if !bytes.HasPrefix(fields[3], []byte(request.object)) {
+			c.wrongBodies++
 		}
-		s.hist.RecordValue(max(1, came.Sub(a.due).Microseconds()))
+		// a latency above the histogram's range is not counted
+		_ = c.latencies.RecordValue(max(1, received.Sub(request.due).Microseconds()))
 	case "503":
-		s.rejected++
+		c.rejected++
 	default:
-		s.failed++
+		c.failed++
 	}
 }
--- a/internal/experiment/maintenance.go
+++ b/internal/experiment/maintenance.go
@@ -9,39 +9,58 @@
 
 	"tallyproxy/internal/boolean"
 	"tallyproxy/maintenance"
-	d "tallyproxy/policy"
+	"tallyproxy/policy"
 )
 
-// MaintenancePlan is what `tallybench plan` plays: orders in which machines are taken out for work, as the planner makes them, without processes.
+// MaintenancePlan is the experiment `tallybench plan`: orders in which machines are taken out for maintenance, as package maintenance
+// plans them for random sites.
 type MaintenancePlan struct {
 	Locations      int     `name:"depots" default:"10" help:"Locations."`
-	CacheNodes     int     `name:"boxes" default:"170" help:"Caches, over all of them, unequally."`
+	CacheNodes     int     `name:"boxes" default:"170" help:"Cache nodes, over all locations, unequally."`
 	Parents        int     `default:"30" help:"Parents, over three hubs."`
 	Jobs           int     `default:"60" help:"Machines to be taken out."`
-	Demand         float64 `default:"0.5" help:"What is asked for at the busiest time, over what all can do; 0.4 of that at night."`
-	Schedules      int     `default:"20" help:"Sites and jobs that are drawn."`
-	SmallSchedules int     `name:"small" default:"200" help:"Small ones, of seven jobs, on which the fast planner is set against the exact one."`
-	Seed           uint64  `default:"1" help:"Of sites and jobs."`
+	Demand         float64 `default:"0.5" help:"Demand at the busiest time, relative to the capacity of all; 0.4 of that at night."`
+	Schedules      int     `default:"20" help:"Random sites with jobs."`
+	SmallSchedules int     `name:"small" default:"200" help:"Small sites with seven jobs, on which the fast planner is compared with the exact one."`
+	Seed           uint64  `default:"1" help:"Seed of sites and jobs."`
 	JSON           bool    `name:"json" help:"Print one JSON object."`
 }
 
-// MaintenancePlanResult is what came of it. Times are means, over the exact or the planned ones.
+const (
+	hubs                   = 3
+	smallCacheNodes        = 5 // of a small site
+	smallParents           = 6
+	smallJobs              = 7
+	localSearchMoves       = 400
+	exactLimit             = 7 // jobs up to which the exact planner is used
+	slotDuration           = 3600 * policy.Second
+	manualPause            = 60 * policy.Second // between two jobs of a location, by hand
+	nightDemand            = 0.4                // of the busiest time's
+	maintenanceStream      = 41                 // of the random generator
+	maxUnavailable         = 0.34
+	reservedCapacity       = 0.1
+	parentCapacity         = 10.0
+	minimumNodesOfLocation = 2
+)
+
+// MaintenancePlanResult is the result of all sites.
 type MaintenancePlanResult struct {
 	Schedules          int     `json:"schedules"`
-	Violations         int     `json:"over_planned_out"` // plans that break what they are to keep
-	Infeasible         int     `json:"never"`            // jobs that can't be done, with a reason
-	LateOverManual     float64 `json:"late_over_hand"`   // jobs done after they were due, over those of one by one by hand
-	MakespanOverManual float64 `json:"done_over_hand"`   // until all is done, over one by one by hand in each location
-	RandomOverPlan     float64 `json:"random_over_plan"` // until all is done in a random order with the same limits, over the plan
-	MaxPlanningMS      float64 `json:"planner_ms"`       // for the largest
-	MeanGap            float64 `json:"gap_mean"`         // of small ones: the fast planner's time over the exact one's, less 1
-	MaxGap             float64 `json:"gap_most"`
-	NoGapShare         float64 `json:"gap_none_share"` // in which there is none
-	OrdersTried        int     `json:"orders_looked_at"`
-	planned, manual    float64
+	Violations         int     `json:"over_planned_out"` // plans that break a constraint
+	Infeasible         int     `json:"never"`            // jobs without a place, for which the plan has a reason
+	LateOverManual     float64 `json:"late_over_hand"`   // late jobs, relative to one after another by hand
+	MakespanOverManual float64 `json:"done_over_hand"`   // time until all is done, relative to one after another by hand
+	RandomOverPlan     float64 `json:"random_over_plan"` // time until all is done in a random order, relative to the plan
+	MaxPlanningMS      float64 `json:"planner_ms"`       // wall-clock time of the slowest plan
+	MeanGap            float64 `json:"gap_mean"`         // of small sites: time of the fast plan relative to the exact one, less 1
+	MaxGap             float64 `json:"gap_most"`         // the largest
+	NoGapShare         float64 `json:"gap_none_share"`   // share of small sites on which the two are equal
+	OrdersTried        int     `json:"orders_looked_at"` // by the exact planner
+
+	planned, manual float64 // sums of the time until all is done, in µs
 }
 
-// Broken says what must not be.
+// Broken names the rule that was broken, with its count; empty for none.
 func (r MaintenancePlanResult) Broken() string {
 	if r.Violations > 0 {
 		return fmt.Sprintf("over_planned_out %d", r.Violations)
@@ -49,116 +68,156 @@
 	return ""
 }
 
-// drawSite draws one, and what is asked for.
-func (w *MaintenancePlan) drawSite(r *rand.Rand, depots, boxes, parents, jobs int) (maintenance.Site, []maintenance.Job) {
-	s := maintenance.Site{WarmUp: [3]d.Micros{10 * d.Second, 20 * d.Second, 0}, MaxUnavailable: 0.34, Reserve: 0.1, LocalSearchMoves: 400, ExactLimit: 7}
-	of, names := map[string]float64{}, []string{}
-	add := func(kind maintenance.Kind, name, depot string, capacity float64) {
-		s.Machines = append(s.Machines, maintenance.Machine{Name: name, Kind: kind, Location: depot, Capacity: capacity})
-		of[depot] += capacity
-		names = append(names, name)
+// siteSize is what a random site is drawn for.
+type siteSize struct{ locations, cacheNodes, parents, jobs int }
+
+// drawSite draws a site, its demand over three hours, and jobs.
+func (m *MaintenancePlan) drawSite(random *rand.Rand, size siteSize) (maintenance.Site, []maintenance.Job) {
+	site := maintenance.Site{
+		WarmUp: [3]policy.Micros{10 * policy.Second, 20 * policy.Second, 0}, MaxUnavailable: maxUnavailable, Reserve: reservedCapacity,
+		LocalSearchMoves: localSearchMoves, ExactLimit: exactLimit,
 	}
-	for i := range boxes {
-		depot := i % depots
-		if i >= 2*depots { // two each at the least, the rest unequally
-			depot = int(float64(depots) * math.Pow(r.Float64(), 1.5))
+	for i := range size.cacheNodes {
+		location := i % size.locations
+		if i >= minimumNodesOfLocation*size.locations { // the rest unequally
+			location = int(float64(size.locations) * math.Pow(random.Float64(), 1.5))
 		}
-		add(maintenance.CacheNode, fmt.Sprint("box-", i), fmt.Sprint("depot-", depot), float64(4+r.IntN(4)))
+		site.Machines = append(site.Machines, maintenance.Machine{Name: fmt.Sprint("box-", i), Kind: maintenance.CacheNode,
+			Location: fmt.Sprint("depot-", location), Capacity: float64(4 + random.IntN(4))})
 	}
-	for i := range parents {
-		add(maintenance.Parent, fmt.Sprint("parent-", i), fmt.Sprint("hub-", i%3), 10)
+	for i := range size.parents {
+		site.Machines = append(site.Machines, maintenance.Machine{Name: fmt.Sprint("parent-", i), Kind: maintenance.Parent,
+			Location: fmt.Sprint("hub-", i%hubs), Capacity: parentCapacity})
 	}
-	for i, part := range []float64{1, 0.4, 1} { // the day's end, the night, the morning
-		slot := maintenance.Slot{Start: d.Micros(i) * 3600 * d.Second, Demand: map[string]float64{}}
-		for name, all := range of {
-			slot.Demand[name] = all * w.Demand * part
+	site.Demand = m.demand(site.Machines)
+	return site, drawJobs(random, site.Machines, size.jobs)
+}
+
+// demand is the demand at the day's end, by night and in the morning.
+func (m *MaintenancePlan) demand(machines []maintenance.Machine) (slots []maintenance.Slot) {
+	capacity := map[string]float64{} // by location
+	for _, machine := range machines {
+		capacity[machine.Location] += machine.Capacity
+	}
+	for i, share := range []float64{1, nightDemand, 1} {
+		slot := maintenance.Slot{Start: policy.Micros(i) * slotDuration, Demand: map[string]float64{}}
+		for location, total := range capacity {
+			slot.Demand[location] = total * m.Demand * share
 		}
-		s.Demand = append(s.Demand, slot)
+		slots = append(slots, slot)
 	}
-	var all []maintenance.Job
-	for i, k := range r.Perm(len(names))[:min(jobs, len(names))] {
-		j := maintenance.Job{ID: fmt.Sprint("job-", i), Machines: []string{names[k]}, Duration: d.Micros(300+r.IntN(900)) * d.Second}
-		if r.IntN(4) == 0 {
-			j.Deadline = j.Duration + d.Micros(r.IntN(7200))*d.Second
+	return slots
+}
+
+// drawJobs draws jobs of one machine each, a quarter of them with a deadline.
+func drawJobs(random *rand.Rand, machines []maintenance.Machine, count int) (jobs []maintenance.Job) {
+	for i, k := range random.Perm(len(machines))[:min(count, len(machines))] {
+		duration := policy.Micros(300+random.IntN(900)) * policy.Second
+		job := maintenance.Job{ID: fmt.Sprint("job-", i), Machines: []string{machines[k].Name}, Duration: duration}
+		if random.IntN(4) == 0 {
+			job.Deadline = job.Duration + policy.Micros(random.IntN(7200))*policy.Second
 		}
-		all = append(all, j)
+		jobs = append(jobs, job)
 	}
-	return s, all
+	return jobs
 }
 
-// planByHand is one by one by hand: in each location one after another, with a fixed wait in between, whatever is asked for.
-func planByHand(s maintenance.Site, jobs []maintenance.Job) (done d.Micros, late int) {
-	const wait = 60 * d.Second
-	at, depots := map[string]d.Micros{}, map[string]string{}
-	for _, m := range s.Machines {
-		depots[m.Name] = m.Location
+// planByHand does the jobs of each location one after another, with a fixed pause in between, whatever the demand. It returns when all
+// are done, and how many are late.
+func planByHand(site maintenance.Site, jobs []maintenance.Job) (makespan policy.Micros, late int) {
+	free := map[string]policy.Micros{} // when the next job of a location may begin
+	locations := map[string]string{}
+	for _, machine := range site.Machines {
+		locations[machine.Name] = machine.Location
 	}
-	for _, j := range jobs {
-		depot := depots[j.Machines[0]]
-		end := at[depot] + j.Duration
-		at[depot], done, late = end+wait, max(done, end), late+boolean.Int(j.Deadline > 0 && end > j.Deadline)
+	for _, job := range jobs {
+		location := locations[job.Machines[0]]
+		end := free[location] + job.Duration
+		free[location] = end + manualPause
+		makespan = max(makespan, end)
+		late += boolean.Int(job.Deadline > 0 && end > job.Deadline)
 	}
-	return done, late
+	return makespan, late
 }
 
-// Execute plays it.
-func (w *MaintenancePlan) Execute() (out MaintenancePlanResult, err error) {
-	if w.Locations < 1 || w.CacheNodes < 2*w.Locations || w.Parents < 6 || w.Jobs < 1 || w.Schedules < 1 || w.Demand < 0 || w.Demand > 1 {
-		return out, fmt.Errorf("two boxes to a location, two parents to each of three hubs, a job, a schedule and a demand from 0 to 1 at the least")
+// Execute runs the experiment.
+func (m *MaintenancePlan) Execute() (result MaintenancePlanResult, err error) {
+	if m.Locations < 1 || m.CacheNodes < minimumNodesOfLocation*m.Locations || m.Parents < 2*hubs || m.Jobs < 1 || m.Schedules < 1 ||
+		m.Demand < 0 || m.Demand > 1 {
+		return result, fmt.Errorf("two boxes to a location, two parents to each of three hubs, a job, a schedule and a demand from 0 to 1 at the least")
 	}
-	r := rand.New(rand.NewPCG(w.Seed, 41))
-	late, lateHand, random := 0, 0, 0.0
-	for range w.Schedules {
-		s, jobs := w.drawSite(r, w.Locations, w.CacheNodes, w.Parents, w.Jobs)
+	random := rand.New(rand.NewPCG(m.Seed, maintenanceStream))
+	m.compareWithManual(random, &result)
+	m.compareWithExact(random, &result)
+	return result, nil
+}
+
+// compareWithManual plans large sites, and compares the plans with work by hand and with a random order.
+func (m *MaintenancePlan) compareWithManual(random *rand.Rand, result *MaintenancePlanResult) {
+	late, lateByHand, randomOrder := 0, 0, 0.0
+	for range m.Schedules {
+		site, jobs := m.drawSite(random, siteSize{m.Locations, m.CacheNodes, m.Parents, m.Jobs})
 		begun := time.Now()
-		plan := maintenance.MakePlan(s, jobs, w.Seed)
-		out.MaxPlanningMS = max(out.MaxPlanningMS, float64(time.Since(begun).Microseconds())/1000)
-		out.Schedules++
-		out.Infeasible += len(plan.Infeasible)
-		out.Violations += boolean.Int(len(maintenance.Violations(s, jobs, plan)) > 0)
-		for _, p := range plan.Placements {
-			late += boolean.Int(p.Tardiness > 0)
+		plan := maintenance.MakePlan(site, jobs, m.Seed)
+		result.MaxPlanningMS = max(result.MaxPlanningMS, float64(time.Since(begun).Microseconds())/1000)
+		result.Schedules++
+		result.Infeasible += len(plan.Infeasible)
+		result.Violations += boolean.Int(len(maintenance.Violations(site, jobs, plan)) > 0)
+		for _, placement := range plan.Placements {
+			late += boolean.Int(placement.Tardiness > 0)
 		}
-		byHand, lates := planByHand(s, jobs)
-		lateHand += lates
-		out.planned, out.manual = out.planned+float64(plan.Makespan), out.manual+float64(byHand)
-		one := s
-		one.LocalSearchMoves = 0 // the order in which they were asked for, which is a random one
-		shuffled := make([]maintenance.Job, len(jobs))
-		for i, j := range jobs {
-			j.Deadline, j.NotBefore = 0, 0
-			shuffled[i] = j
-		}
-		random += float64(maintenance.PlanInOrder(one, shuffled).Makespan)
+		makespan, lateJobs := planByHand(site, jobs)
+		lateByHand += lateJobs
+		result.planned += float64(plan.Makespan)
+		result.manual += float64(makespan)
+		randomOrder += float64(randomOrderMakespan(site, jobs))
+	}
+	result.MakespanOverManual = ratio(result.planned, result.manual)
+	result.RandomOverPlan = ratio(randomOrder, result.planned)
+	result.LateOverManual = ratio(float64(late), max(1, float64(lateByHand)))
+}
+
+// randomOrderMakespan is when all jobs are done in the order in which they were drawn, which is a random one, without their deadlines.
+func randomOrderMakespan(site maintenance.Site, jobs []maintenance.Job) policy.Micros {
+	site.LocalSearchMoves = 0
+	unbound := make([]maintenance.Job, len(jobs))
+	for i, job := range jobs {
+		job.Deadline, job.NotBefore = 0, 0
+		unbound[i] = job
 	}
-	out.MakespanOverManual, out.RandomOverPlan = ratio(out.planned, out.manual), ratio(random, out.planned)
-	out.LateOverManual = ratio(float64(late), max(1, float64(lateHand)))
-	same := 0
-	for range w.SmallSchedules {
-		s, jobs := w.drawSite(r, 1, 5, 6, 7)
-		exact := maintenance.MakePlan(s, jobs, w.Seed)
-		out.OrdersTried += exact.OrdersTried
-		s.ExactLimit = 0
-		fast := maintenance.MakePlan(s, jobs, w.Seed)
-		out.Violations += boolean.Int(len(maintenance.Violations(s, jobs, exact))+len(maintenance.Violations(s, jobs, fast)) > 0)
+	return maintenance.PlanInOrder(site, unbound).Makespan
+}
+
+// compareWithExact plans small sites by the exact planner and by the fast one.
+func (m *MaintenancePlan) compareWithExact(random *rand.Rand, result *MaintenancePlanResult) {
+	equal := 0
+	for range m.SmallSchedules {
+		site, jobs := m.drawSite(random, siteSize{1, smallCacheNodes, smallParents, smallJobs})
+		exact := maintenance.MakePlan(site, jobs, m.Seed)
+		result.OrdersTried += exact.OrdersTried
+		site.ExactLimit = 0
+		fast := maintenance.MakePlan(site, jobs, m.Seed)
+		broken := len(maintenance.Violations(site, jobs, exact)) + len(maintenance.Violations(site, jobs, fast))
+		result.Violations += boolean.Int(broken > 0)
 		gap := 0.0
 		if exact.Makespan > 0 {
 			gap = float64(fast.Makespan+fast.Tardiness)/float64(exact.Makespan+exact.Tardiness) - 1
 		}
-		out.MeanGap, out.MaxGap = out.MeanGap+gap/float64(w.SmallSchedules), max(out.MaxGap, ratio(gap, 1))
-		same += boolean.Int(fast.Makespan == exact.Makespan && fast.Tardiness == exact.Tardiness)
+		result.MeanGap += gap / float64(m.SmallSchedules)
+		result.MaxGap = max(result.MaxGap, ratio(gap, 1))
+		equal += boolean.Int(fast.Makespan == exact.Makespan && fast.Tardiness == exact.Tardiness)
 	}
-	out.MeanGap, out.NoGapShare = ratio(out.MeanGap, 1), ratio(float64(same), float64(w.SmallSchedules))
-	return out, nil
+	result.MeanGap = ratio(result.MeanGap, 1)
+	result.NoGapShare = ratio(float64(equal), float64(m.SmallSchedules))
 }
 
-// Table is the result for people.
+// Table is the result as text.
 func (r MaintenancePlanResult) Table() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d schedules: all done in %.2f of the time of one by one by hand, %.2f of its lates; a random order takes %.2f times the plan's\n",
-		r.Schedules, r.MakespanOverManual, r.LateOverManual, r.RandomOverPlan)
-	fmt.Fprintf(&b, "%d jobs can't be done, %d plans break what they are to keep, the slowest plan took %.0f ms\n", r.Infeasible, r.Violations, r.MaxPlanningMS)
-	fmt.Fprintf(&b, "small ones: the fast planner is %.4f slower than the exact one on average, %.4f at the most, no slower in %.2f of them\n", r.MeanGap,
+	fmt.Fprintf(&b, "%d schedules: all done in %.2f of the time of one after another by hand, with %.2f of its late jobs; a random order takes "+
+		"%.2f times the plan's time\n", r.Schedules, r.MakespanOverManual, r.LateOverManual, r.RandomOverPlan)
+	fmt.Fprintf(&b, "%d jobs can't be placed, %d plans break a constraint, the slowest plan took %.0f ms\n", r.Infeasible, r.Violations, r.MaxPlanningMS)
+	fmt.Fprintf(&b, "small sites: the fast planner is %.4f slower than the exact one on average, %.4f at most, no slower on %.2f of them\n", r.MeanGap,
 		r.MaxGap, r.NoGapShare)
 	return b.String()
 }
