--- a/internal/experiment/plots.go
+++ b/internal/experiment/plots.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"image/color"
 	"os"
 
@@ -14,7 +15,16 @@
 	"tallyproxy/internal/fakes"
 )
 
-// plotLine is one of a plot's.
+// plotPanel is one of several plots, drawn one under another.
+type plotPanel struct {
+	title  string
+	yLabel string
+	xLabel string    // empty for the time in seconds
+	x      []float64 // of the points; nil for the times of fakes.SeriesInterval
+	lines  []plotLine
+}
+
+// plotLine is a line of a panel.
 type plotLine struct {
 	name   string
 	color  color.Color
@@ -27,82 +37,98 @@
 	green = color.RGBA{R: 40, G: 130, B: 70, A: 255}
 )
 
-func ratePerSecond(series []int) []float64 {
-	out := make([]float64, len(series))
-	for i, n := range series {
-		out[i] = float64(n) / fakes.SeriesInterval.Seconds()
+const (
+	plotWidth   = 18 * vg.Centimeter
+	panelHeight = 7 * vg.Centimeter
+)
+
+// ratePerSecond turns counts by fakes.SeriesInterval into rates.
+func ratePerSecond(counts []int) []float64 {
+	rates := make([]float64, len(counts))
+	for i, n := range counts {
+		rates[i] = float64(n) / fakes.SeriesInterval.Seconds()
 	}
-	return out
+	return rates
 }
 
-// DrawStorm draws demand and advice over load, as PNG.
-func DrawStorm(path string, r StormResult) error {
+// DrawStorm writes a PNG of attempts, advised retries and load over time.
+func DrawStorm(path string, result StormResult) error {
+	series := result.Series
 	return drawPanels(path, []plotPanel{
-		{title: "downloads and advice", y: "a second", lines: []plotLine{
-			{"asked", blue, ratePerSecond(r.Series.Attempts)}, {"told to come", red, ratePerSecond(r.Series.RetryAfter)},
-			{"fulfilled", green, ratePerSecond(r.Series.Succeeded)},
+		{title: "attempts and advised retries", yLabel: "a second", lines: []plotLine{
+			{"attempts", blue, ratePerSecond(series.Attempts)},
+			{"told to retry", red, ratePerSecond(series.RetryAfter)},
+			{"succeeded", green, ratePerSecond(series.Succeeded)},
 		}},
-		{title: "worst box so far, over what pushes it over", y: "load", lines: []plotLine{{"load", red, r.Series.Load}}},
+		{title: "highest load of a cache node so far, over what overloads it", yLabel: "load", lines: []plotLine{{"load", red, series.Load}}},
 	})
 }
 
-// DrawCores draws rate and latency over the number of cores, as PNG.
-func DrawCores(path string, r CoresResult) error {
+// DrawCores writes a PNG of rate and latency over the number of cores.
+func DrawCores(path string, result CoresResult) error {
 	var cores, rate, p50, p99 []float64
-	for _, x := range r.Runs {
-		cores, rate = append(cores, float64(x.Cores)), append(rate, x.Rate)
-		p50, p99 = append(p50, x.P50), append(p99, x.P99)
+	for _, run := range result.Runs {
+		cores, rate = append(cores, float64(run.Cores)), append(rate, run.Rate)
+		p50, p99 = append(p50, run.P50), append(p99, run.P99)
 	}
 	return drawPanels(path, []plotPanel{
-		{title: "downloads fulfilled, " + r.Division, y: "a second", x: "cores", at: cores, lines: []plotLine{{"rate", blue, rate}}},
-		{title: "latency", y: "ms", x: "cores", at: cores, lines: []plotLine{{"p50", green, p50}, {"p99", red, p99}}},
+		{title: "requests that succeeded, " + result.Division, yLabel: "a second", xLabel: "cores", x: cores, lines: []plotLine{{"rate", blue, rate}}},
+		{title: "latency", yLabel: "ms", xLabel: "cores", x: cores, lines: []plotLine{{"p50", green, p50}, {"p99", red, p99}}},
 	})
 }
 
-type plotPanel struct {
-	title, y string
-	lines    []plotLine
-	x        string    // with nothing said, the time in seconds,
-	at       []float64 // by bucket
-}
-
-// drawPanels draws plots one under the other.
+// drawPanels writes a PNG of panels one under another.
 func drawPanels(path string, panels []plotPanel) error {
 	plots := make([][]*plot.Plot, len(panels))
-	for i, of := range panels {
-		p := plot.New()
-		p.Title.Text, p.X.Label.Text, p.Y.Label.Text, p.Y.Min = of.title, cmp.Or(of.x, "seconds"), of.y, 0
-		p.Legend.Top = true
-		p.Add(plotter.NewGrid())
-		for _, l := range of.lines {
-			xy := make(plotter.XYs, len(l.points))
-			for j, v := range l.points {
-				if xy[j].X, xy[j].Y = float64(j)*fakes.SeriesInterval.Seconds(), v; of.at != nil {
-					xy[j].X = of.at[j]
-				}
-			}
-			drawn, err := plotter.NewLine(xy)
-			if err != nil {
-				return err
-			}
-			drawn.Color = l.color
-			p.Add(drawn)
-			p.Legend.Add(l.name, drawn)
+	for i, panel := range panels {
+		p, err := panel.plot()
+		if err != nil {
+			return err
 		}
 		plots[i] = []*plot.Plot{p}
 	}
-	canvas := vgimg.New(18*vg.Centimeter, vg.Length(len(panels))*7*vg.Centimeter)
+	canvas := vgimg.New(plotWidth, vg.Length(len(panels))*panelHeight)
 	tiles := draw.Tiles{Rows: len(panels), Cols: 1, PadY: 4 * vg.Millimeter, PadX: 2 * vg.Millimeter}
 	for i, row := range plot.Align(plots, tiles, draw.New(canvas)) {
 		plots[i][0].Draw(row[0])
 	}
+	return writePNG(path, canvas)
+}
+
+func (panel plotPanel) plot() (*plot.Plot, error) {
+	p := plot.New()
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = panel.title, cmp.Or(panel.xLabel, "seconds"), panel.yLabel
+	p.Y.Min = 0
+	p.Legend.Top = true
+	p.Add(plotter.NewGrid())
+	for _, line := range panel.lines {
+		drawn, err := plotter.NewLine(panel.coordinates(line.points))
+		if err != nil {
+			return nil, err
+		}
+		drawn.Color = line.color
+		p.Add(drawn)
+		p.Legend.Add(line.name, drawn)
+	}
+	return p, nil
+}
+
+func (panel plotPanel) coordinates(points []float64) plotter.XYs {
+	xy := make(plotter.XYs, len(points))
+	for i, y := range points {
+		xy[i].X, xy[i].Y = float64(i)*fakes.SeriesInterval.Seconds(), y
+		if panel.x != nil {
+			xy[i].X = panel.x[i]
+		}
+	}
+	return xy
+}
+
+func writePNG(path string, canvas *vgimg.Canvas) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if _, err := (vgimg.PngCanvas{Canvas: canvas}).WriteTo(f); err != nil {
-		f.Close()
-		return err
-	}
-	return f.Close()
+	_, err = (vgimg.PngCanvas{Canvas: canvas}).WriteTo(f)
+	return errors.Join(err, f.Close())
 }
