--- a/internal/status/server.go
+++ b/internal/status/server.go
@@ -13,6 +13,8 @@
 	"os"
 	"runtime/debug"
 	"time"
+
+	"tallyproxy/internal/logevent"
 )
 
 // Errors of Serve, wrapped with the socket's path.
@@ -101,7 +103,7 @@
 // recoverPanic logs a panic of a request, which must not end the director.
 func recoverPanic() {
 	if value := recover(); value != nil {
-		slog.Error("panic", "where", "state", "err", value, "stack", string(debug.Stack()))
+		slog.Error(logevent.PanicRecovered, "component", "status", "err", value, "stack", string(debug.Stack()))
 	}
 }
 
