--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"time"
 
 	"tallyproxy/internal/bufpool"
@@ -43,7 +42,7 @@
 	if r.MaxAge > 0 {
 		to = fmt.Appendf(to, ",oldest=%d", atLeastOneMillisecond(r.MaxAge))
 	}
-	to = appendField(to, ",mode=", strings.Join(r.modes(), "+"))
+	to = appendModes(to, r)
 	to = appendField(to, ",seen=", r.ClientTag)
 	to = fmt.Appendf(to, " %d\r\n", r.Body.Len())
 	for _, part := range r.Body.Parts() {
@@ -52,19 +51,20 @@
 	return append(to, "\r\n"...)
 }
 
-// modes returns the modes that are set, in the order in which they are written.
-func (r *Request) modes() []string {
-	var modes []string
-	if r.Coalesce {
-		modes = append(modes, "join")
+// appendModes appends the modes that are set. It runs for each request under the endpoint's lock, so it makes no slice of them.
+func appendModes(to []byte, r *Request) []byte {
+	separator := ",mode="
+	for _, mode := range [...]struct {
+		name string
+		set  bool
+	}{{"join", r.Coalesce}, {"held", r.OnlyIfCached}, {"renew", r.Revalidate}} {
+		if mode.set {
+			to = append(to, separator...)
+			to = append(to, mode.name...)
+			separator = "+"
+		}
 	}
-	if r.OnlyIfCached {
-		modes = append(modes, "held")
-	}
-	if r.Revalidate {
-		modes = append(modes, "renew")
-	}
-	return modes
+	return to
 }
 
 // appendField appends a field's name and value, unless the value is empty.
