--- a/gossip/golden_test.go
+++ b/gossip/golden_test.go
@@ -1,43 +1,24 @@
 package gossip
 
 import (
-	"encoding/json"
-	"reflect"
 	"testing"
-)
 
-// checkJSON holds a type to the text that other versions send and read: the value is written as that text, and the text is read as that value.
-func checkJSON[T any](t *testing.T, value T, text string) {
-	t.Helper()
-	raw, err := json.Marshal(value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(raw) != text {
-		t.Errorf("%T is written as\n%s, want\n%s", value, raw, text)
-	}
-	var read T
-	if err := json.Unmarshal([]byte(text), &read); err != nil {
-		t.Fatal(err)
-	}
-	if !reflect.DeepEqual(read, value) {
-		t.Errorf("%s is read as\n%+v, want\n%+v", text, read, value)
-	}
-}
+	"tallyproxy/internal/goldentest"
+)
 
 // The encoded forms are recorded from a version in service: other versions send and read them during a roll-out.
 func TestGoldenUpdate(t *testing.T) {
-	checkJSON(t, Update{Object: "o", Group: 1, PurgedAt: 2, Node: "n", Started: 3, Removed: true, Age: 4},
+	goldentest.JSON(t, Update{Object: "o", Group: 1, PurgedAt: 2, Node: "n", Started: 3, Removed: true, Age: 4},
 		`{"o":"o","g":1,"t":2,"n":"n","s":3,"x":true,"a":4}`)
-	checkJSON(t, Update{}, `{"a":0}`)
-	checkJSON(t, Update{Object: "a", Group: -1, PurgedAt: 1500000}, `{"o":"a","g":-1,"t":1500000,"a":0}`)
-	checkJSON(t, Update{Node: "box-1", Started: 7, Age: 20}, `{"n":"box-1","s":7,"a":20}`)
+	goldentest.JSON(t, Update{}, `{"a":0}`)
+	goldentest.JSON(t, Update{Object: "a", Group: -1, PurgedAt: 1500000}, `{"o":"a","g":-1,"t":1500000,"a":0}`)
+	goldentest.JSON(t, Update{Node: "box-1", Started: 7, Age: 20}, `{"n":"box-1","s":7,"a":20}`)
 }
 
 // The report goes into the state socket's JSON.
 func TestGoldenReport(t *testing.T) {
-	checkJSON(t, Report{ChannelAge: 1, NewestAge: 2, Avoided: []string{"box-1"}, Received: 3}, `{"own_age_us":1,"newest_age_us":2,"avoided":["box-1"],"heard":3}`)
-	checkJSON(t, Report{}, `{"own_age_us":0,"newest_age_us":0,"avoided":null,"heard":0}`)
+	goldentest.JSON(t, Report{ChannelAge: 1, NewestAge: 2, Avoided: []string{"box-1"}, Received: 3}, `{"own_age_us":1,"newest_age_us":2,"avoided":["box-1"],"heard":3}`)
+	goldentest.JSON(t, Report{}, `{"own_age_us":0,"newest_age_us":0,"avoided":null,"heard":0}`)
 }
 
 // The digest of recent purges is compared with those of other versions.
--- a/internal/ctl/golden_test.go
+++ b/internal/ctl/golden_test.go
@@ -1,11 +1,10 @@
 package ctl
 
 import (
-	"encoding/json"
-	"reflect"
 	"testing"
 
 	"tallyproxy/gossip"
+	"tallyproxy/internal/goldentest"
 	"tallyproxy/internal/status"
 	"tallyproxy/membership"
 	"tallyproxy/relays"
@@ -41,20 +40,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			text, err := json.Marshal(c.value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if string(text) != c.want {
-				t.Errorf("got  %s\nwant %s", text, c.want)
-			}
-			back := reflect.New(reflect.TypeOf(c.value))
-			if err := json.Unmarshal([]byte(c.want), back.Interface()); err != nil {
-				t.Fatal(err)
-			}
-			if !reflect.DeepEqual(back.Elem().Interface(), c.value) {
-				t.Errorf("read back as %+v, want %+v", back.Elem().Interface(), c.value)
-			}
+			goldentest.JSON(t, c.value, c.want)
 		})
 	}
 }
--- a/internal/gossipnet/golden_test.go
+++ b/internal/gossipnet/golden_test.go
@@ -1,66 +1,46 @@
 package gossipnet
 
 import (
-	"encoding/json"
-	"reflect"
 	"testing"
 
 	"tallyproxy/gossip"
+	"tallyproxy/internal/goldentest"
 	"tallyproxy/membership"
 	"tallyproxy/policy"
 	"tallyproxy/relays"
 )
 
-// checkJSON holds a type to the text that other versions send and read: the value is written as that text, and the text is read as that value.
-func checkJSON[T any](t *testing.T, value T, text string) {
-	t.Helper()
-	raw, err := json.Marshal(value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(raw) != text {
-		t.Errorf("%T is written as\n%s, want\n%s", value, raw, text)
-	}
-	var read T
-	if err := json.Unmarshal([]byte(text), &read); err != nil {
-		t.Fatal(err)
-	}
-	if !reflect.DeepEqual(read, value) {
-		t.Errorf("%s is read as\n%+v, want\n%+v", text, read, value)
-	}
-}
-
 // The encoded forms are recorded from a version in service: other versions send and read them during a roll-out.
 func TestGoldenMessages(t *testing.T) {
 	updates := []gossip.Update{{Object: "o", Group: 1, PurgedAt: 2, Age: 3}, {Node: "box-1", Started: 4, Removed: true, Age: 5}}
-	checkJSON(t, message{From: "n0"}, `{"f":"n0"}`)
-	checkJSON(t, message{From: "n0", LeaseRequest: &membership.LeaseRequest{RequestedAt: 1, Incarnation: 2, Zone: 3, Digest: 4}},
+	goldentest.JSON(t, message{From: "n0"}, `{"f":"n0"}`)
+	goldentest.JSON(t, message{From: "n0", LeaseRequest: &membership.LeaseRequest{RequestedAt: 1, Incarnation: 2, Zone: 3, Digest: 4}},
 		`{"f":"n0","a":{"Number":1,"Born":2,"Zone":3,"Sum":4}}`)
-	checkJSON(t, message{From: "n0", LeaseGrant: &membership.LeaseGrant{RequestedAt: 1, Counts: [2]int{2, 3}, Digest: 4}},
+	goldentest.JSON(t, message{From: "n0", LeaseGrant: &membership.LeaseGrant{RequestedAt: 1, Counts: [2]int{2, 3}, Digest: 4}},
 		`{"f":"n0","g":{"Number":1,"Count":[2,3],"Sum":4}}`)
-	checkJSON(t, message{From: "n0", Hint: &membership.Hint{Node: "box-1", Condition: membership.Unreachable, Age: 6}},
+	goldentest.JSON(t, message{From: "n0", Hint: &membership.Hint{Node: "box-1", Condition: membership.Unreachable, Age: 6}},
 		`{"f":"n0","h":{"Node":"box-1","What":"gone","Age":6}}`)
-	checkJSON(t, message{From: "n0", Updates: updates},
+	goldentest.JSON(t, message{From: "n0", Updates: updates},
 		`{"f":"n0","w":[{"o":"o","g":1,"t":2,"a":3},{"n":"box-1","s":4,"x":true,"a":5}]}`)
-	checkJSON(t, message{From: "n0", Relay: &relays.Message{Query: &relays.Query{SentAt: 1, PurgeDigest: 2}}},
+	goldentest.JSON(t, message{From: "n0", Relay: &relays.Message{Query: &relays.Query{SentAt: 1, PurgeDigest: 2}}},
 		`{"f":"n0","o":{"q":{"n":1,"w":2}}}`)
-	checkJSON(t, message{From: "n0", Relay: &relays.Message{Response: &relays.Response{SentAt: 1, Age: 2, ListSum: "ab"}, WantList: "cd"}},
+	goldentest.JSON(t, message{From: "n0", Relay: &relays.Message{Response: &relays.Response{SentAt: 1, Age: 2, ListSum: "ab"}, WantList: "cd"}},
 		`{"f":"n0","o":{"a":{"n":1,"a":2,"s":"ab"},"w":"cd"}}`)
-	checkJSON(t, message{From: "n0", Relay: &relays.Message{List: []relays.Endpoint{
+	goldentest.JSON(t, message{From: "n0", Relay: &relays.Message{List: []relays.Endpoint{
 		{ID: "box-1", Address: "127.0.0.1:1", Zone: 2, Kind: 1, Cell: 3, Weight: 1.5, Started: 4, State: policy.Draining}}}},
 		`{"f":"n0","o":{"l":[{"i":"box-1","a":"127.0.0.1:1","z":2,"k":1,"c":3,"w":1.5,"s":4,"x":1}]}}`)
-	checkJSON(t, message{From: "n0", SnapshotRequest: 7}, `{"f":"n0","q":7}`)
-	checkJSON(t, message{From: "n0", SnapshotReply: &snapshotReply{7, Snapshot{"n1", 8, updates, []membership.Hint{{Node: "box-2", Condition: membership.Overloaded}}}}},
+	goldentest.JSON(t, message{From: "n0", SnapshotRequest: 7}, `{"f":"n0","q":7}`)
+	goldentest.JSON(t, message{From: "n0", SnapshotReply: &snapshotReply{7, Snapshot{"n1", 8, updates, []membership.Hint{{Node: "box-2", Condition: membership.Overloaded}}}}},
 		`{"f":"n0","r":{"q":7,"f":"n1","a":8,"w":[{"o":"o","g":1,"t":2,"a":3},{"n":"box-1","s":4,"x":true,"a":5}],"b":[{"Node":"box-2","What":"full","Age":0}]}}`)
 }
 
 // The metadata of a node, the state that goes along with a push/pull exchange, and the payload of an answer to a probe.
 func TestGoldenStates(t *testing.T) {
-	checkJSON(t, nodeMeta{Incarnation: 18446744073709551615, Zone: 2, Leaving: true}, `{"b":18446744073709551615,"z":2,"l":true}`)
-	checkJSON(t, nodeMeta{Incarnation: 1}, `{"b":1,"z":0}`)
-	checkJSON(t, Snapshot{From: "n0", ChannelAge: 1, Updates: []gossip.Update{{Group: 2, PurgedAt: 3, Age: 4}}, UnhealthyNodes: []membership.Hint{{Node: "box-1", Condition: membership.Recovered, Age: 5}}},
+	goldentest.JSON(t, nodeMeta{Incarnation: 18446744073709551615, Zone: 2, Leaving: true}, `{"b":18446744073709551615,"z":2,"l":true}`)
+	goldentest.JSON(t, nodeMeta{Incarnation: 1}, `{"b":1,"z":0}`)
+	goldentest.JSON(t, Snapshot{From: "n0", ChannelAge: 1, Updates: []gossip.Update{{Group: 2, PurgedAt: 3, Age: 4}}, UnhealthyNodes: []membership.Hint{{Node: "box-1", Condition: membership.Recovered, Age: 5}}},
 		`{"f":"n0","a":1,"w":[{"g":2,"t":3,"a":4}],"b":[{"Node":"box-1","What":"back","Age":5}]}`)
-	checkJSON(t, Snapshot{}, `{"f":"","a":0,"w":null}`)
+	goldentest.JSON(t, Snapshot{}, `{"f":"","a":0,"w":null}`)
 
 	s := membership.Settings{Name: "n0", Zone: 2, Incarnation: 7, MaxEntries: 9}
 	driver := newDriver(s, func() policy.Micros { return 1 }, Handlers{
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -1,58 +1,38 @@
 package membership
 
 import (
-	"encoding/json"
-	"reflect"
 	"slices"
 	"testing"
 
+	"tallyproxy/internal/goldentest"
 	"tallyproxy/internal/hash"
 )
 
-// checkJSON holds a type to the text that other versions send and read: the value is written as that text, and the text is read as that value.
-func checkJSON[T any](t *testing.T, value T, text string) {
-	t.Helper()
-	raw, err := json.Marshal(value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(raw) != text {
-		t.Errorf("%T is written as\n%s, want\n%s", value, raw, text)
-	}
-	var read T
-	if err := json.Unmarshal([]byte(text), &read); err != nil {
-		t.Fatal(err)
-	}
-	if !reflect.DeepEqual(read, value) {
-		t.Errorf("%s is read as\n%+v, want\n%+v", text, read, value)
-	}
-}
-
 // The encoded forms are recorded from a version in service: other versions send and read them during a roll-out.
 func TestGoldenMessages(t *testing.T) {
-	checkJSON(t, LeaseRequest{RequestedAt: 1, Incarnation: 18446744073709551615, Zone: 3, Digest: 9223372036854775809},
+	goldentest.JSON(t, LeaseRequest{RequestedAt: 1, Incarnation: 18446744073709551615, Zone: 3, Digest: 9223372036854775809},
 		`{"Number":1,"Born":18446744073709551615,"Zone":3,"Sum":9223372036854775809}`)
-	checkJSON(t, LeaseRequest{}, `{"Number":0,"Born":0,"Zone":0,"Sum":0}`)
-	checkJSON(t, LeaseGrant{RequestedAt: -1, Counts: [2]int{4, 5}, Digest: 6}, `{"Number":-1,"Count":[4,5],"Sum":6}`)
-	checkJSON(t, LeaseGrant{}, `{"Number":0,"Count":[0,0],"Sum":0}`)
-	checkJSON(t, Hint{Node: "box-1", Condition: Restarted, Age: 1500}, `{"Node":"box-1","What":"warms","Age":1500}`)
-	checkJSON(t, Hint{}, `{"Node":"","What":"","Age":0}`)
-	checkJSON(t, []Condition{Unreachable, Recovered, Restarted, Overloaded}, `["gone","back","warms","full"]`)
+	goldentest.JSON(t, LeaseRequest{}, `{"Number":0,"Born":0,"Zone":0,"Sum":0}`)
+	goldentest.JSON(t, LeaseGrant{RequestedAt: -1, Counts: [2]int{4, 5}, Digest: 6}, `{"Number":-1,"Count":[4,5],"Sum":6}`)
+	goldentest.JSON(t, LeaseGrant{}, `{"Number":0,"Count":[0,0],"Sum":0}`)
+	goldentest.JSON(t, Hint{Node: "box-1", Condition: Restarted, Age: 1500}, `{"Node":"box-1","What":"warms","Age":1500}`)
+	goldentest.JSON(t, Hint{}, `{"Node":"","What":"","Age":0}`)
+	goldentest.JSON(t, []Condition{Unreachable, Recovered, Restarted, Overloaded}, `["gone","back","warms","full"]`)
 }
 
 // The report goes into the state socket's JSON.
 func TestGoldenReport(t *testing.T) {
-	checkJSON(t, Report{Name: "n0", Incarnation: 7, PartitionState: "few", Digest: "00000000000000ff", StableFor: 12, AgreeingPeers: 2, NameConflict: "127.0.0.1:1",
+	goldentest.JSON(t, Report{Name: "n0", Incarnation: 7, PartitionState: "few", Digest: "00000000000000ff", StableFor: 12, AgreeingPeers: 2, NameConflict: "127.0.0.1:1",
 		ZoneQuota: 1.25, FleetQuota: 0.5, Peers: []PeerReport{{Name: "n1", Incarnation: 8, State: "up", StateAge: 9, Agrees: true}}},
 		`{"name":"n0","born":7,"standing":"few","sum":"00000000000000ff","since":12,"sharing":2,"clash":"127.0.0.1:1",`+
 			`"zone_part":1.25,"fleet_part":0.5,"peers":[{"name":"n1","born":8,"state":"up","since":9,"alike":true}]}`)
-	checkJSON(t, Report{}, `{"name":"","born":0,"standing":"","sum":"","since":0,"sharing":0,"zone_part":0,"fleet_part":0,"peers":null}`)
+	goldentest.JSON(t, Report{}, `{"name":"","born":0,"standing":"","sum":"","since":0,"sharing":0,"zone_part":0,"fleet_part":0,"peers":null}`)
 
 	view := New(0, Settings{Name: "n0", Incarnation: 7, ConfiguredDirectors: [2]int{3, 4}, MaxEntries: 9})
 	view.UpdatePeer(5, "n1", 8, 0, Up)
 	view.UpdatePeer(6, "n2", 9, 1, Failed)
 	view.SetNameConflict("127.0.0.1:1")
-	checkJSON(t, view.Report(10), `{"name":"n0","born":7,"standing":"few","sum":"49d447cd1d96caba","since":5,"sharing":0,"clash":"127.0.0.1:1",`+
+	goldentest.JSON(t, view.Report(10), `{"name":"n0","born":7,"standing":"few","sum":"49d447cd1d96caba","since":5,"sharing":0,"clash":"127.0.0.1:1",`+
 		`"zone_part":1,"fleet_part":1,"peers":[{"name":"n1","born":8,"state":"up","since":5,"alike":false},{"name":"n2","born":9,"state":"failed","since":4,"alike":false}]}`)
 	var states, standings []string
 	for s := Up; s <= Left; s++ {
