--- a/internal/fakes/instant.go
+++ b/internal/fakes/instant.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"fmt"
 	"io"
 	"net"
 	"strconv"
