--- a/internal/faulttest/check_membership.go
+++ b/internal/faulttest/check_membership.go
@@ -7,14 +7,15 @@
 	"time"
 
 	"tallyproxy/internal/logevent"
+	"tallyproxy/membership"
 )
 
-// States of other directors in the log lines of PeerState.
-const (
-	stateUp        = "up"
-	stateSuspected = "suspected"
-	stateFailed    = "failed"
-	stateLeft      = "left"
+// States of other directors, as log lines and status reports name them.
+var (
+	stateUp        = membership.Up.String()
+	stateSuspected = membership.Suspected.String()
+	stateFailed    = membership.Failed.String()
+	stateLeft      = membership.Left.String()
 )
 
 // minUptime is for how long a director has to be up before a death for it to be waited for.
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"reflect"
 	"testing"
+
+	"tallyproxy/internal/goldentest"
 )
 
 // goldenSchedule has every field set, in a schedule and in a fault.
@@ -12,25 +14,19 @@
 	{Kind: Purge, AtMS: 0},
 }}
 
-// The JSON of schedules is what files of scripted faults hold and what a failed run prints.
+// TestGoldenSchedule holds the JSON of schedules, which files of scripted faults have and a failed run prints.
 func TestGoldenSchedule(t *testing.T) {
 	const want = `{"seed":7,"number":3,"directors":5,"length_ms":8000,"faults":[{"kind":"cut","at_ms":500,"for_ms":4000,"who":[1],"to":[0,2],"both":true,"groups":[[0,1],[2,3,4]],"rate":0.25},{"kind":"purge","at_ms":0}]}`
 	if got := goldenSchedule.String(); got != want {
 		t.Errorf("encoded as\n%s\nwant\n%s", got, want)
 	}
-	var got Schedule
-	if err := json.Unmarshal([]byte(want), &got); err != nil {
-		t.Fatal(err)
-	}
-	if !reflect.DeepEqual(got, goldenSchedule) {
-		t.Errorf("decoded as %+v", got)
-	}
+	goldentest.JSON(t, goldenSchedule, want)
 	if got, want := (Schedule{}).String(), `{"seed":0,"number":0,"directors":0,"length_ms":0,"faults":null}`; got != want {
 		t.Errorf("empty: %s, want %s", got, want)
 	}
 }
 
-// The names of faults stand in schedules and on command lines.
+// TestGoldenKinds holds the names of faults, which stand in schedules and in messages, and their order.
 func TestGoldenKinds(t *testing.T) {
 	want := []Kind{"cut", "groups", "poor", "flap", "kill", "stop", "term", "restart", "twin", "liar", "cold", "purge", "drain", "busy", "zone", "away",
 		"service", "followers", "move", "roll", "replace", "rubbish", "forget"}
@@ -39,7 +35,7 @@
 	}
 }
 
-// A drawn schedule is the same for the same seed and number in every version.
+// TestGoldenDraw holds drawn schedules, which are the same for the same seed and number in every version.
 func TestGoldenDraw(t *testing.T) {
 	for _, c := range []struct {
 		got  Schedule
@@ -56,7 +52,7 @@
 	}
 }
 
-// The JSON of an outcome, which --json and journals hold.
+// TestGoldenOutcome holds the JSON of outcomes, which --json and journals have.
 func TestGoldenOutcome(t *testing.T) {
 	outcome := Outcome{
 		Schedule: Schedule{Directors: 2}, Lost: 1, LostReasons: "a", LostToPauses: 2, DuplicateAnswers: 3, WrongBodies: 4, RepeatedEffects: 5, ConcurrentAttempts: 6, DrainViolations: 7, PurgeViolations: 8, OverloadedNodes: 9,
@@ -65,21 +61,8 @@
 		BytesPerSecond: 23.5, DirectorHours: 24.5, NameConflicts: 25, HintProbes: 26, UpdatesReceived: 27, ListsRelayed: 28, CallsPerSecond: 29.5,
 	}
 	const want = `{"schedule":{"seed":0,"number":0,"directors":2,"length_ms":0,"faults":null},"lost":1,"lost_how":"a","lost_paused":2,"double_final":3,"wrong_bytes":4,"effects_twice":5,"pulls_together":6,"drains_broken":7,"purges_broken":8,"fallen":9,"crashes":10,"panics":11,"why":"b","parts_peak":[1.5,2.5],"parts_over":12,"unended":true,"one_view_ms":13.5,"know_death_ms":[14,15],"wrongly_failed":16,"wrongly_suspected":17,"cold_peak_load":18.5,"asked":19,"fulfilled_share":0.5,"recovery_ms":20.5,"series":[0.25,1],"memory_mb":21.5,"packets_per_s":22.5,"bytes_per_s":23.5,"director_hours":24.5,"name_taken_lines":25,"questions":26,"words_bound":27,"lists_taken":28,"calls_per_s":29.5}`
-	text, err := json.Marshal(outcome)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(text) != want {
-		t.Errorf("encoded as\n%s\nwant\n%s", text, want)
-	}
-	var got Outcome
-	if err := json.Unmarshal([]byte(want), &got); err != nil {
-		t.Fatal(err)
-	}
-	if !reflect.DeepEqual(got, outcome) {
-		t.Errorf("decoded as %+v", got)
-	}
-	text, err = json.Marshal(Outcome{History: &History{}})
+	goldentest.JSON(t, outcome, want)
+	text, err := json.Marshal(Outcome{History: &History{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +71,7 @@
 	}
 }
 
-// The names under which broken rules are reported, and their order.
+// TestGoldenBroken holds the names under which broken rules are reported, and their order.
 func TestGoldenBroken(t *testing.T) {
 	outcome := Outcome{Lost: 1, DuplicateAnswers: 2, WrongBodies: 3, RepeatedEffects: 4, ConcurrentAttempts: 5, DrainViolations: 6, PurgeViolations: 7, OverloadedNodes: 8, Crashes: 9, Panics: 10, QuotaViolations: 11, Incomplete: true}
 	want := []string{"lost 1", "double_final 2", "wrong_bytes 3", "effects_twice 4", "pulls_together 5", "drains_broken 6", "purges_broken 7", "fallen 8",
--- a/internal/faulttest/harness.go
+++ b/internal/faulttest/harness.go
@@ -267,7 +267,7 @@
 		}
 		members := 1
 		for _, peer := range report.Membership.Peers {
-			members += bit(peer.State == "up")
+			members += bit(peer.State == stateUp)
 		}
 		if members != len(up) || digest != "" && digest != report.Membership.Digest {
 			return false
--- a/internal/faulttest/main_test.go
+++ b/internal/faulttest/main_test.go
@@ -65,6 +65,15 @@
 	return []string{path}
 }
 
+// testSchedule plays faults on so many directors until half a second after the last.
+func testSchedule(seed uint64, directors int, faults []Fault) Schedule {
+	s := Schedule{Seed: seed, Directors: directors, Faults: faults}
+	for _, f := range faults {
+		s.LengthMS = max(s.LengthMS, f.AtMS+f.ForMS+500)
+	}
+	return s
+}
+
 // checkOutcome fails the test for an error, a violation, or too little load to show any.
 func checkOutcome(t *testing.T, o Outcome, err error) {
 	t.Helper()
@@ -76,6 +85,6 @@
 		t.Errorf("the end of the history:\n%s\n%s\nlost: %s\nbroken: %v", history[max(0, len(history)-3000):], o.CrashDetail, o.LostReasons, broken)
 	}
 	if o.Requests < 50 || o.SuccessRate < 0.5 {
-		t.Errorf("%d asked, %v fulfilled", o.Requests, o.SuccessRate)
+		t.Errorf("%d requests, %v succeeded", o.Requests, o.SuccessRate)
 	}
 }
