--- a/internal/experiment/cores_test.go
+++ b/internal/experiment/cores_test.go
@@ -27,7 +27,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := c.cores
 			s.ContentTypes, s.Duration, s.Connections, s.Pipelining = []string{"thumbnails", "clips", "picks"}, time.Second/2, 16, 4
-			s.CacheNodes, s.Argv = 4, argv(t)
+			s.CacheNodes, s.Argv = 4, selfAsDirector(t)
 			if s.Cores[0] == 300 { // the file may ask for no more than 256: refused, with its key
 				if _, err := s.Execute(t.Context()); err == nil {
 					t.Error("300 cores were taken")
@@ -63,7 +63,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := c.storm
-			s.Clients, s.ConnectWindow, s.Seed, s.OverloadMode, s.Argv, s.IgnoreShare = 400, time.Second, 1, "on", argv(t), 0.25
+			s.Clients, s.ConnectWindow, s.Seed, s.OverloadMode, s.Argv, s.IgnoreShare = 400, time.Second, 1, "on", selfAsDirector(t), 0.25
 			s.MaxRetries, s.RetryPause, s.MemoryLimitMB, s.SocketLimit = 12, 100*time.Millisecond, 128, 512
 			if s.Scenario == "" {
 				s.Scenario = "storm"
@@ -81,34 +81,34 @@
 }
 
 // The same id on two cores at once: one download of it, and the other is refused; the same key: one effect.
-func TestSameOnTwoCores(t *testing.T) {
-	b := newBed(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
+func TestSameRequestOnTwoCores(t *testing.T) {
+	b := newSingleDirector(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
 	for _, n := range b.Nodes {
 		n.SetFault(fakes.FaultNone, 20) // so that both are open together
 	}
 	for round := range 5 {
-		words := make([]string, 2)
+		statuses := make([]string, 2)
 		var all sync.WaitGroup
-		for i := range words {
-			c := b.client()
+		for i := range statuses {
+			c := b.newClient()
 			c.Rand = rand.New(rand.NewPCG(7, uint64(round))) // the same ids
 			all.Go(func() {
 				defer c.Close()
-				words[i], _, _, _ = c.Attempt(t.Context(), b.Object(&b.ContentTypes[1], round), 5*time.Second, false, "")
+				statuses[i], _, _, _ = c.Attempt(t.Context(), b.Object(&b.ContentTypes[1], round), 5*time.Second, false, "")
 			})
 		}
 		all.Wait()
-		if words[0] > words[1] {
-			words[0], words[1] = words[1], words[0]
+		if statuses[0] > statuses[1] {
+			statuses[0], statuses[1] = statuses[1], statuses[0]
 		}
-		if words[0] != "200" && words[0] != "503" || words[1] != "500" {
-			t.Errorf("answered %v", words)
+		if statuses[0] != "200" && statuses[0] != "503" || statuses[1] != "500" {
+			t.Errorf("answered %v", statuses)
 		}
 	}
 	key := fmt.Sprintf("%032x", 5)
 	var all sync.WaitGroup
 	for range 4 {
-		c := b.client()
+		c := b.newClient()
 		c.Rand = rand.New(rand.NewPCG(rand.Uint64(), 1))
 		all.Go(func() {
 			defer c.Close()
@@ -126,21 +126,21 @@
 
 // A client that floods its core costs the others nothing but their share: they are answered in time.
 func TestFloodOnOneCore(t *testing.T) {
-	b := newBed(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
-	ctx, leave := context.WithCancel(t.Context())
-	flood := newLoadConnection(b.Cluster, b.d.Addr, 32, 0, 1)
+	b := newSingleDirector(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
+	ctx, cancel := context.WithCancel(t.Context())
+	flood := newLoadConnection(b.Cluster, b.director.Addr, 32, 0, 1)
 	var all sync.WaitGroup
 	all.Go(func() { flood.run(ctx, time.Now()) })
 	for i := range 40 {
-		c := b.client()
+		c := b.newClient()
 		c.Rand = rand.New(rand.NewPCG(uint64(i), 9))
 		begun := time.Now()
-		word, _, _, err := c.Attempt(ctx, b.Object(&b.ContentTypes[0], i), 3*time.Second, false, "")
+		status, _, _, err := c.Attempt(ctx, b.Object(&b.ContentTypes[0], i), 3*time.Second, false, "")
 		if err != nil || time.Since(begun) > 2*time.Second {
-			t.Errorf("client %d: %s, %v after %v", i, word, err, time.Since(begun))
+			t.Errorf("client %d: %s, %v after %v", i, status, err, time.Since(begun))
 		}
 		c.Close()
 	}
-	leave()
+	cancel()
 	all.Wait()
 }
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -16,20 +16,20 @@
 	auditRecord     = fleetpb.AuditRecord
 )
 
-// places are the tests that go on beside each other: fleets of agents mostly wait for each other's clocks.
-var places = make(chan bool, max(1, runtime.NumCPU()/2))
+// parallelTests are the tests that go on beside each other: fleets of agents mostly wait for each other's clocks.
+var parallelTests = make(chan bool, max(1, runtime.NumCPU()/2))
 
-// beside lets a test go on beside others, where there is a place, once those that need the processors to themselves are over.
-func beside(t *testing.T) {
+// inParallel lets a test go on beside others, where there is a place, once those that need the processors to themselves are over.
+func inParallel(t *testing.T) {
 	t.Parallel()
-	places <- true
-	t.Cleanup(func() { <-places })
+	parallelTests <- true
+	t.Cleanup(func() { <-parallelTests })
 }
 
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 5)) }
 
-// listenOf is where a director's configuration has it listen.
-func listenOf(t *testing.T, path string) string {
+// listenAddress is where a director's configuration has it listen.
+func listenAddress(t *testing.T, path string) string {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/loopbackfleet_test.go
+++ b/internal/experiment/loopbackfleet_test.go
@@ -27,17 +27,17 @@
 func newFleet(t *testing.T, agents, each int) (*LoopbackFleet, *ctl.Fleet) {
 	spec := fakes.DefaultSpec(4, agents*each)
 	spec.ColdEdges = false
-	w, err := fakes.New(spec)
+	cluster, err := fakes.New(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
+	t.Cleanup(cluster.Close)
 	dir, err := os.MkdirTemp("", "fleet") // sockets need short paths
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	f, err := NewLoopbackFleet(w, dir, agents, each, argv(t), "", false)
+	f, err := NewLoopbackFleet(cluster, dir, agents, each, selfAsDirector(t), "", false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,30 +53,30 @@
 	return f, op
 }
 
-// adding makes a change that adds a line to every director's script.
-func adding(t *testing.T, v ctl.Snapshot, line string, limit int) *rollout.Change {
+// addLine makes a change that adds a line to every director's script.
+func addLine(t *testing.T, v ctl.Snapshot, line string, limit int) *rollout.Change {
 	t.Helper()
-	places, err := v.Candidates()
+	candidates, err := v.Candidates()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rollout.Plan(ctl.NewChangeID(), "op", line, places, limit, func(s string) string { return config.Digest([]byte(s)) },
+	return rollout.Plan(ctl.NewChangeID(), "op", line, candidates, limit, func(s string) string { return config.Digest([]byte(s)) },
 		func(p rollout.Candidate) string { return p.Script + line + "\n" })
 }
 
-// settled waits until every director tells by itself that it runs a line, or none does, and gives how many do.
-func settled(t *testing.T, op *ctl.Fleet, line string) (with int) {
+// awaitScripts waits until every director tells by itself that it runs a line, or none does, and gives how many do.
+func awaitScripts(t *testing.T, op *ctl.Fleet, line string) (with int) {
 	t.Helper()
 	for end := time.Now().Add(40 * time.Second); ; time.Sleep(100 * time.Millisecond) {
-		v, whole := op.Snapshot(t.Context()), true
+		v, complete := op.Snapshot(t.Context()), true
 		with = 0
 		for _, d := range v.Directors {
-			whole = whole && d.Up && !d.Drifted
+			complete = complete && d.Up && !d.Drifted
 			if strings.Contains(d.Script, line) {
 				with++
 			}
 		}
-		if whole && (with == 0 || with == len(v.Directors)) {
+		if complete && (with == 0 || with == len(v.Directors)) {
 			return with
 		}
 		if time.Now().After(end) {
@@ -86,10 +86,10 @@
 }
 
 // Twenty instances, one killed during a change: it comes back changed, as all others are, and the tool says which.
-func TestTwentyWithOneKilled(t *testing.T) {
-	beside(t)
+func TestChangeWithDirectorKilled(t *testing.T) {
+	inParallel(t)
 	f, op := newFleet(t, 10, 2)
-	change := adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 5)
+	change := addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, 5)
 	killed := false
 	r, err := op.Run(t.Context(), change, nil, func(s rollout.Step, wave int) {
 		if s == rollout.StepApply && wave == 2 && !killed {
@@ -100,7 +100,7 @@
 	if err != nil || !r.AllOrNone() || r.Outcome != rollout.Commit || !killed || len(r.Targets) != 20 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if n := settled(t, op, "warn"); n != 20 {
+	if n := awaitScripts(t, op, "warn"); n != 20 {
 		t.Errorf("%d have it", n)
 	}
 	// taken back, as a change of its own
@@ -110,7 +110,7 @@
 	if r, err := op.Run(t.Context(), undo, nil, nil); err != nil || !r.AllOrNone() {
 		t.Fatalf("undo: %+v, %v", r, err)
 	}
-	if n := settled(t, op, "warn"); n != 0 {
+	if n := awaitScripts(t, op, "warn"); n != 0 {
 		t.Errorf("%d have it after the undo", n)
 	}
 	seen := 0
@@ -128,9 +128,9 @@
 	}{{"before it has prepared", rollout.StepPrepare, 0}, {"after it was decided", rollout.StepApply, 5}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			beside(t)
+			inParallel(t)
 			f, op := newFleet(t, 5, 1)
-			change := adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0)
+			change := addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0)
 			if c.at == rollout.StepPrepare {
 				f.StopAgent("a02")
 			}
@@ -152,7 +152,7 @@
 			if err := f.StartAgent("a02"); err != nil {
 				t.Fatal(err)
 			}
-			if n := settled(t, op, "warn"); n != c.want {
+			if n := awaitScripts(t, op, "warn"); n != c.want {
 				t.Errorf("%d have it, want %d", n, c.want)
 			}
 		})
@@ -160,7 +160,7 @@
 }
 
 // A tool that is gone leaves nothing open: the agents settle what it began, with no other tool, and no wave that it had not begun.
-func TestAgentsSettle(t *testing.T) {
+func TestAgentsRecover(t *testing.T) {
 	cases := []struct {
 		name      string
 		at        rollout.Step
@@ -176,9 +176,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			beside(t)
+			inParallel(t)
 			f, op := newFleet(t, 5, 1)
-			change := adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, c.limit)
+			change := addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, c.limit)
 			begun := time.Now()
 			if c.interrupt {
 				ctx, leave := context.WithCancel(t.Context())
@@ -191,7 +191,7 @@
 					t.Fatalf("%v", err)
 				}
 			} else {
-				killed(t, f, change, c.at)
+				driveUntil(t, f, change, c.at)
 			}
 			for end := time.Now().Add(40 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 				v := op.Snapshot(t.Context())
@@ -216,7 +216,7 @@
 				if _, err := op.Run(t.Context(), nil, nil, nil); err != nil {
 					t.Fatal(err)
 				}
-				if n := settled(t, op, "warn"); n != 5 {
+				if n := awaitScripts(t, op, "warn"); n != 5 {
 					t.Errorf("%d have it after it was resumed", n)
 				}
 			}
@@ -224,8 +224,8 @@
 	}
 }
 
-// killed takes a change so far as a step, whose first messages are not sent any more.
-func killed(t *testing.T, f *LoopbackFleet, change *rollout.Change, at rollout.Step) {
+// driveUntil takes a change so far as a step, whose first messages are not sent any more.
+func driveUntil(t *testing.T, f *LoopbackFleet, change *rollout.Change, at rollout.Step) {
 	t.Helper()
 	id, err := f.identity("op")
 	if err != nil {
@@ -249,7 +249,7 @@
 }
 
 // A director that ends by itself is started again with what is in force; one that was told to stop stays down.
-func TestDirectorStartedAgain(t *testing.T) {
+func TestDirectorRestart(t *testing.T) {
 	cases := []struct {
 		name   string
 		signal syscall.Signal
@@ -257,9 +257,9 @@
 	}{{"killed", syscall.SIGKILL, true}, {"told to stop", syscall.SIGTERM, false}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			beside(t)
+			inParallel(t)
 			f, op := newFleet(t, 1, 1)
-			if r, err := op.Run(t.Context(), adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0), nil, nil); err != nil || !r.AllOrNone() {
+			if r, err := op.Run(t.Context(), addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0), nil, nil); err != nil || !r.AllOrNone() {
 				t.Fatalf("%+v, %v", r, err)
 			}
 			before := op.Snapshot(t.Context()).Directors[0].Report.PID
@@ -267,7 +267,7 @@
 				t.Fatal(err)
 			}
 			down := false
-			back := func() bool {
+			isRestarted := func() bool {
 				x := op.Snapshot(t.Context()).Directors[0]
 				down = down || !x.Up
 				return x.Up && x.Report.PID != before && !x.Drifted && strings.Contains(x.Script, "warn")
@@ -276,12 +276,12 @@
 			if !c.back { // three times as long as the first start would take
 				wait = 4 * time.Second
 			}
-			came := false
-			for end := time.Now().Add(wait); !came && time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-				came = back()
+			restarted := false
+			for end := time.Now().Add(wait); !restarted && time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+				restarted = isRestarted()
 			}
-			if came != c.back || !down {
-				t.Errorf("back: %v, was down: %v", came, down)
+			if restarted != c.back || !down {
+				t.Errorf("back: %v, was down: %v", restarted, down)
 			}
 		})
 	}
@@ -289,7 +289,7 @@
 
 // Agents whose disks are full refuse what they could not remember, and nothing has changed; with room again the same change goes through.
 func TestDiskFull(t *testing.T) {
-	beside(t)
+	inParallel(t)
 	if os.Getenv("TALLY_DISK_FULL") == "" { // in a process of its own: the limit holds for all files of one
 		cmd := exec.Command(os.Args[0], "-test.run=^TestDiskFull$")
 		cmd.Env = append(os.Environ(), "TALLY_DISK_FULL=1", "TALLYPROXY_TEST_DIRECTOR=") // not as a director
@@ -310,30 +310,30 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &full); err != nil {
 		t.Fatal(err)
 	}
-	r, err := op.Run(t.Context(), adding(t, view, `log(level = "warn")`, 0), nil, nil)
+	r, err := op.Run(t.Context(), addLine(t, view, `log(level = "warn")`, 0), nil, nil)
 	if rerr := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limit); rerr != nil {
 		t.Fatal(rerr)
 	}
 	if err != nil || r.RefusalReason == "" || r.Outcome == rollout.Commit {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if n := settled(t, op, "warn"); n != 0 {
+	if n := awaitScripts(t, op, "warn"); n != 0 {
 		t.Fatalf("%d have it", n)
 	}
-	r, err = op.Run(t.Context(), adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0), nil, nil)
+	r, err = op.Run(t.Context(), addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0), nil, nil)
 	if err != nil || !r.AllOrNone() || r.Outcome != rollout.Commit {
 		t.Fatalf("with room again: %+v, %v", r, err)
 	}
-	if n := settled(t, op, "warn"); n != 3 {
+	if n := awaitScripts(t, op, "warn"); n != 3 {
 		t.Errorf("%d have it", n)
 	}
 }
 
 // A tool always has an answer: also where most agents take calls and never answer them.
-func TestToolReturns(t *testing.T) {
-	beside(t)
+func TestToolReturnsWithoutMajority(t *testing.T) {
+	inParallel(t)
 	f, op := newFleet(t, 3, 1)
-	change := adding(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0)
+	change := addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0)
 	for _, name := range []string{"a01", "a02"} {
 		f.StopAgent(name)
 		l, err := net.Listen("tcp", f.Inventory.Agent(name).Address) // a machine that hangs: the kernel takes the connection
@@ -351,7 +351,7 @@
 
 // Two operators at once: one change is taken through, the other is told who holds the right; nothing is mixed.
 func TestTwoOperatorsAtOnce(t *testing.T) {
-	beside(t)
+	inParallel(t)
 	f, op := newFleet(t, 3, 1)
 	other, err := f.Operator("op")
 	if err != nil {
@@ -362,35 +362,35 @@
 	results := make([]rollout.Result, 2)
 	var all sync.WaitGroup
 	for i, o := range []*ctl.Fleet{op, other} {
-		change := adding(t, v, fmt.Sprintf(`log(level = %q)`, []string{"warn", "error"}[i]), 0)
+		change := addLine(t, v, fmt.Sprintf(`log(level = %q)`, []string{"warn", "error"}[i]), 0)
 		all.Go(func() { results[i], _ = o.Run(t.Context(), change, nil, nil) })
 	}
 	all.Wait()
-	went := 0
+	committed := 0
 	for _, r := range results {
 		if r.Outcome == rollout.Commit && r.AllOrNone() {
-			went++
+			committed++
 		} else if r.RefusalReason == "" {
 			t.Errorf("neither whole nor refused: %+v", r)
 		}
 	}
-	warn, errs := settled(t, op, "warn"), settled(t, op, "error")
-	if went > 1 || warn > 0 && errs > 0 || went == 1 && warn+errs != 3 {
-		t.Errorf("%d went; %d and %d have it: %+v", went, warn, errs, results)
+	warn, errs := awaitScripts(t, op, "warn"), awaitScripts(t, op, "error")
+	if committed > 1 || warn > 0 && errs > 0 || committed == 1 && warn+errs != 3 {
+		t.Errorf("%d went; %d and %d have it: %+v", committed, warn, errs, results)
 	}
 }
 
 func TestRefusals(t *testing.T) {
-	beside(t)
+	inParallel(t)
 	f, op := newFleet(t, 3, 1)
 	t.Run("a faulty script: nobody has it", func(t *testing.T) {
-		r, err := op.Run(t.Context(), adding(t, op.Snapshot(t.Context()), "storm(rise = 0)", 0), nil, nil)
+		r, err := op.Run(t.Context(), addLine(t, op.Snapshot(t.Context()), "storm(rise = 0)", 0), nil, nil)
 		if err != nil || r.Outcome != rollout.Abort || !strings.Contains(r.RefusalReason, "storm.rise") || !r.AllOrNone() {
 			t.Errorf("%+v, %v", r, err)
 		}
 	})
 	t.Run("what the agent had checked and the director would not have", func(t *testing.T) {
-		r, err := op.Run(t.Context(), adding(t, op.Snapshot(t.Context()), "machine(cores = 4)", 0), nil, nil)
+		r, err := op.Run(t.Context(), addLine(t, op.Snapshot(t.Context()), "machine(cores = 4)", 0), nil, nil)
 		// cores are one by the platform's limit: the script is fine and the director takes it
 		if err != nil || r.Outcome != rollout.Commit || !r.AllOrNone() {
 			t.Errorf("%+v, %v", r, err)
@@ -408,7 +408,7 @@
 				t.Errorf("%+v", e)
 			}
 		}
-		if n := settled(t, op, "elsewhere"); n != 0 {
+		if n := awaitScripts(t, op, "elsewhere"); n != 0 {
 			t.Errorf("%d have it", n)
 		}
 	})
@@ -425,7 +425,7 @@
 		if len(v.Directors) != 3 || !v.Directors[0].Up {
 			t.Errorf("can't look: %+v", v)
 		}
-		r, err := looker.Run(t.Context(), adding(t, v, `log(level = "warn")`, 0), nil, nil)
+		r, err := looker.Run(t.Context(), addLine(t, v, `log(level = "warn")`, 0), nil, nil)
 		if err != nil || r.RefusalReason == "" || r.Outcome != rollout.Undecided {
 			t.Errorf("%+v, %v", r, err)
 		}
@@ -472,31 +472,31 @@
 
 // A box kept out at every director while clients ask: nothing new reaches it a second after the directors have it, and no
 // download is lost over the rolling change.
-func TestDrainOverAll(t *testing.T) {
-	beside(t)
+func TestDrainByChange(t *testing.T) {
+	inParallel(t)
 	f, op := newFleet(t, 3, 1)
 	v := op.Snapshot(t.Context())
-	places, err := v.Candidates()
+	candidates, err := v.Candidates()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, leave := context.WithCancel(t.Context())
-	var all sync.WaitGroup
+	ctx, stopClients := context.WithCancel(t.Context())
+	var clients sync.WaitGroup
 	zipf := fakes.NewZipf(200, 1)
 	for i, d := range f.Inventory.Directors {
 		c := &fakes.Client{
-			Cluster: f.Cluster, Targets: []*fakes.Target{{Addr: listenOf(t, d.PlatformFile)}}, MaxRetries: 5, RetryPause: 50 * time.Millisecond,
+			Cluster: f.Cluster, Targets: []*fakes.Target{{Addr: listenAddress(t, d.PlatformFile)}}, MaxRetries: 5, RetryPause: 50 * time.Millisecond,
 			Rand: newRand(uint64(i)), Zipf: zipf,
 		}
-		all.Go(func() { c.Run(ctx, 0, 20*time.Millisecond) })
+		clients.Go(func() { c.Run(ctx, 0, 20*time.Millisecond) })
 	}
-	box := f.Cluster.Node("box-0")
-	for end := time.Now().Add(20 * time.Second); box.RequestCount() < 20; time.Sleep(20 * time.Millisecond) {
+	node := f.Cluster.Node("box-0")
+	for end := time.Now().Add(20 * time.Second); node.RequestCount() < 20; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the box has no share")
 		}
 	}
-	change := rollout.Plan(ctl.NewChangeID(), "op", "drain", places, 1, func(s string) string { return config.Digest([]byte(s)) },
+	change := rollout.Plan(ctl.NewChangeID(), "op", "drain", candidates, 1, func(s string) string { return config.Digest([]byte(s)) },
 		func(p rollout.Candidate) string {
 			script, err := ctl.EditAvoidedNodes(p.Script, "box-0", true)
 			if err != nil {
@@ -509,13 +509,13 @@
 		t.Fatalf("%+v, %v", r, err)
 	}
 	time.Sleep(time.Second)
-	before := box.RequestCount()
+	before := node.RequestCount()
 	time.Sleep(time.Second)
-	if n := box.RequestCount(); n != before {
+	if n := node.RequestCount(); n != before {
 		t.Errorf("%d more reached the box", n-before)
 	}
-	leave()
-	all.Wait()
+	stopClients()
+	clients.Wait()
 	f.Cluster.Clients.WithLock(func(b *fakes.ClientStats) {
 		if b.Lost+b.Duplicates+b.WrongBodies > 0 || len(b.Requests) == 0 {
 			t.Errorf("%d lost %v, %d twice, of %d", b.Lost, b.LostReasons, b.Duplicates, len(b.Requests))
@@ -524,8 +524,8 @@
 }
 
 // Agents find out who of them is there, by the same detector as directors.
-func TestAgentsMeet(t *testing.T) {
-	beside(t)
+func TestAgentMembership(t *testing.T) {
+	inParallel(t)
 	f, op := newFleet(t, 3, 1)
 	sees := func(want map[string]string) func() bool {
 		return func() bool {
--- a/internal/experiment/maintenance_test.go
+++ b/internal/experiment/maintenance_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Plans of two hundred machines keep what they are to keep, and are done in half the time of one by one by hand.
-func TestWork(t *testing.T) {
+func TestMaintenancePlan(t *testing.T) {
 	w := MaintenancePlan{Locations: 10, CacheNodes: 170, Parents: 30, Jobs: 60, Demand: 0.5, Schedules: 2, SmallSchedules: 20, Seed: 1}
 	r, err := w.Execute()
 	if err != nil || r.Violations > 0 || r.MakespanOverManual > 0.5 || r.RandomOverPlan < 1 || r.MeanGap > 0.02 {
--- a/internal/experiment/membership_test.go
+++ b/internal/experiment/membership_test.go
@@ -7,7 +7,7 @@
 
 // Schedules of faults in simulated time: the parts are within bounds at every step, all have one view in the end, and where some
 // are dead for long the others use more than their fixed parts.
-func TestPeerSim(t *testing.T) {
+func TestMembershipSimulated(t *testing.T) {
 	for _, c := range []struct {
 		kind   string
 		n, of  int
@@ -24,8 +24,8 @@
 				if r.QuotaExceeded > 0 || r.Unfinished || c.raised && !r.QuotaRaised || c.kind == "none" && r.PeakQuotaSum > 1 {
 					t.Errorf("%+v\n%v", r, s)
 				}
-				if again := simulateMembership(s); again != r {
-					t.Errorf("played again: %+v, before %+v", again, r)
+				if repeated := simulateMembership(s); repeated != r {
+					t.Errorf("played again: %+v, before %+v", repeated, r)
 				}
 			}
 		})
@@ -33,8 +33,8 @@
 }
 
 // The experiment from end to end, as a command runs it: with processes, and the exit that goes by what came of it.
-func TestPeersCommand(t *testing.T) {
-	p := Membership{Directors: []int{3}, Faults: []string{"restart"}, Schedules: 1, OnlySchedule: -1, Seed: 1, CacheNodes: 6, Clients: 80, Load: 0.3, Argv: argv(t)}
+func TestMembershipProcesses(t *testing.T) {
+	p := Membership{Directors: []int{3}, Faults: []string{"restart"}, Schedules: 1, OnlySchedule: -1, Seed: 1, CacheNodes: 6, Clients: 80, Load: 0.3, Argv: selfAsDirector(t)}
 	begun := time.Now()
 	r, err := p.Execute(t.Context())
 	if err != nil {
@@ -53,7 +53,7 @@
 }
 
 // Detectors alone, in one process: each death becomes known to all, and all have one view after.
-func TestTogether(t *testing.T) {
+func TestDetectorTrial(t *testing.T) {
 	r, err := DetectorTrial{Directors: 8, Failing: 2, Rounds: 1}.Execute(t.Context())
 	if err != nil || r.Unfinished > 0 || len(r.detections) != 2 || r.DetectionP99 <= 0 || r.DetectionP99 > 20_000 {
 		t.Errorf("%+v, %v", r, err)
--- a/internal/experiment/pause_test.go
+++ b/internal/experiment/pause_test.go
@@ -9,7 +9,7 @@
 // A director that is stopped under load while a box drains and half of the groups are purged, and goes on: it sends nothing to
 // the box and serves nothing older than the purges, however long it stood, on one core and on several. A process that was
 // stopped decides what lies in its sockets before it hears what lies in the channel's.
-func TestPauses(t *testing.T) {
+func TestPausedDirector(t *testing.T) {
 	cases := []struct {
 		name  string
 		storm Storm
@@ -25,7 +25,7 @@
 			s := c.storm
 			s.Clients, s.Directors, s.CacheNodes, s.Scenario, s.Load, s.OverloadMode, s.Seed = 400, 2, 6, "morning", 0.4, "fixed", 1
 			s.ConnectWindow, s.MaxRetries, s.RetryPause, s.MemoryLimitMB, s.SocketLimit = time.Second, 12, 100*time.Millisecond, 64, 512
-			s.Faults, s.Duration, s.Argv = []string{"pause"}, s.PauseDuration+3500*time.Millisecond, argv(t)
+			s.Faults, s.Duration, s.Argv = []string{"pause"}, s.PauseDuration+3500*time.Millisecond, selfAsDirector(t)
 			var log bytes.Buffer
 			s.Log = &log
 			r, err := s.Execute(t.Context())
--- a/internal/experiment/rollout_test.go
+++ b/internal/experiment/rollout_test.go
@@ -8,7 +8,7 @@
 )
 
 // Every schedule of faults ends, whole or untouched.
-func TestFleetSimEnds(t *testing.T) {
+func TestRolloutEnds(t *testing.T) {
 	rough := Rollout{Schedules: 150, LossRate: 0.2, DuplicateRate: 0.1, AgentCrashRate: 0.2, ToolCrashRate: 0.3, PartitionRate: 1, OnlySchedule: -1}
 	usual := Rollout{Schedules: 150, LossRate: 0.05, DuplicateRate: 0.05, AgentCrashRate: 0.02, ToolCrashRate: 0.3, PartitionRate: 0.1, OnlySchedule: -1}
 	cases := []struct {
@@ -35,16 +35,16 @@
 						r.Untouched, r.Problems)
 				}
 			}
-			again, _ := c.s.Execute()
-			if !reflect.DeepEqual(runs, again) {
-				t.Errorf("the same seed gave %+v and %+v", runs, again)
+			repeated, _ := c.s.Execute()
+			if !reflect.DeepEqual(runs, repeated) {
+				t.Errorf("the same seed gave %+v and %+v", runs, repeated)
 			}
 		})
 	}
 }
 
 // What does not end within its events is told with its seed, its number and who waits, and is no hang.
-func TestFleetSimWatchdog(t *testing.T) {
+func TestRolloutEventLimit(t *testing.T) {
 	s := Rollout{Instances: []int{5}, Schedules: 3, Seed: 7, MaxEvents: 40, OnlySchedule: -1}
 	runs, err := s.Execute()
 	if err != nil {
--- a/internal/experiment/startup_test.go
+++ b/internal/experiment/startup_test.go
@@ -10,8 +10,8 @@
 // Forty directors that start at once, and a list service that is away: alone they neither call in step nor hold it down (before their
 // manners they made 13 times the calls of a calm moment, all in the same tenth of a second); those that know each other have a few of
 // them ask, and all know what was told before long.
-func TestStart(t *testing.T) {
-	s := Startup{Directors: []int{40}, PhaseDuration: 1500 * time.Millisecond, Seed: 1, Argv: program(t), CacheNodes: 4, Clients: 60, Load: 0.2, Peers: true, CompareAlone: true,
+func TestStartup(t *testing.T) {
+	s := Startup{Directors: []int{40}, PhaseDuration: 1500 * time.Millisecond, Seed: 1, Argv: buildDirector(t), CacheNodes: 4, Clients: 60, Load: 0.2, Peers: true, CompareAlone: true,
 		Faults: []string{"away", "event"}, CallsPerSecond: 400, EventsPerSecond: 40_000, MaxAnswerDelay: 500 * time.Millisecond}
 	r, err := s.Execute(t.Context())
 	if err != nil {
@@ -46,12 +46,12 @@
 
 // The same in simulated time: the channel's calls are as many for 300 as for 100, a few call while it is away, and an event is known by
 // 99 of 100 within 300 ms.
-func TestStartSimulated(t *testing.T) {
+func TestStartupSimulated(t *testing.T) {
 	calls := map[int]float64{}
 	for _, n := range []int{100, 300} {
 		alone, few := simulateStartup(n, true, 5, fakes.ChannelCapacity{}, 2*time.Second), simulateStartup(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second)
-		if again := simulateStartup(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second); again.EventKnownP99 != few.EventKnownP99 || again.Phases[0] != few.Phases[0] {
-			t.Errorf("played again: %+v, before %+v", again, few)
+		if repeated := simulateStartup(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second); repeated.EventKnownP99 != few.EventKnownP99 || repeated.Phases[0] != few.Phases[0] {
+			t.Errorf("played again: %+v, before %+v", repeated, few)
 		}
 		if few.NeverKnown+alone.NeverKnown > 0 || few.EventKnownP99 > 300 || few.ListKnownP99 > 3000 {
 			t.Errorf("%+v", few)
--- a/internal/experiment/storm_test.go
+++ b/internal/experiment/storm_test.go
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-func argv(t *testing.T) []string {
+func selfAsDirector(t *testing.T) []string {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -38,9 +38,9 @@
 	return []string{self}
 }
 
-// program is the director as it is built for use. Storms are about what it does when there is too much to do, and the race detector,
+// buildDirector is the director as it is built for use. Storms are about what it does when there is too much to do, and the race detector,
 // which makes it several times slower, would make that of every one; it looks on in all other tests.
-func program(t *testing.T) []string {
+func buildDirector(t *testing.T) []string {
 	path := filepath.Join(t.TempDir(), "tallyproxy")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", path, "tallyproxy/cmd/tallyproxy").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -69,7 +69,7 @@
 		{"a busy morning", Storm{Clients: 300, Scenario: "morning", Load: 0.4}, true},
 		{"one popular object", Storm{Clients: 300, Scenario: "popular", Load: 0.3}, true},
 	}
-	built := program(t)
+	built := buildDirector(t)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := c.storm
@@ -110,24 +110,24 @@
 	}
 }
 
-// bed is a world with one director for single downloads.
-type bed struct {
+// singleDirector is a world with one director for single downloads.
+type singleDirector struct {
 	*fakes.Cluster
-	d *faulttest.Director
-	c *fakes.Client
+	director *faulttest.Director
+	defaultClient *fakes.Client
 }
 
-func newBed(t *testing.T, change func(*fakes.Spec), script string) *bed {
+func newSingleDirector(t *testing.T, change func(*fakes.Spec), script string) *singleDirector {
 	spec := fakes.DefaultSpec(2, 1)
 	spec.ColdEdges, spec.Parents = false, 1
 	change(&spec)
-	w, err := fakes.New(spec)
+	cluster, err := fakes.New(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
+	t.Cleanup(cluster.Close)
 	var log bytes.Buffer
-	d, err := faulttest.NewDirector(w, t.TempDir(), "n0", argv(t), script, faulttest.Limits{Sockets: 128, MemoryMB: 64, Cores: 1}, &log)
+	d, err := faulttest.NewDirector(cluster, t.TempDir(), "n0", selfAsDirector(t), script, faulttest.Limits{Sockets: 128, MemoryMB: 64, Cores: 1}, &log)
 	if err == nil {
 		err = d.Start(t.Context())
 	}
@@ -139,35 +139,35 @@
 			t.Errorf("%v\n%s", err, log.String())
 		}
 	})
-	b := &bed{Cluster: w, d: d}
-	b.c = b.client()
+	b := &singleDirector{Cluster: cluster, director: d}
+	b.defaultClient = b.newClient()
 	return b
 }
 
-func (b *bed) client() *fakes.Client {
+func (b *singleDirector) newClient() *fakes.Client {
 	return &fakes.Client{
-		Cluster: b.Cluster, Targets: []*fakes.Target{&b.d.Target}, MaxRetries: 5, RetryPause: 50 * time.Millisecond,
+		Cluster: b.Cluster, Targets: []*fakes.Target{&b.director.Target}, MaxRetries: 5, RetryPause: 50 * time.Millisecond,
 		Rand: rand.New(rand.NewPCG(1, uint64(b.Now()))), Zipf: fakes.NewZipf(10, 1),
 	}
 }
 
 // A cover pick whose pull ran but whose answer was lost: repeated inside its window it has its effect once, repeated after
 // more than 3 s, on another connection, it is given up and has no second effect.
-func TestCoverPickRepeatedLate(t *testing.T) {
-	b := newBed(t, func(s *fakes.Spec) { s.ContentTypes[2].Timeout = 20 * time.Second }, "")
+func TestLateRetryOfCoverPick(t *testing.T) {
+	b := newSingleDirector(t, func(s *fakes.Spec) { s.ContentTypes[2].Timeout = 20 * time.Second }, "")
 	pick := &b.ContentTypes[2]
 	for i, x := range []struct {
 		after time.Duration
 		want  string
 	}{{time.Second, "200"}, {3200 * time.Millisecond, "500"}} {
 		key := fmt.Sprintf("%032x", i+1)
-		ctx, leave := context.WithCancel(t.Context())
-		first := b.client()
+		ctx, cancel := context.WithCancel(t.Context())
+		first := b.newClient()
 		go func() { // it leaves before the answer, which takes as long as the origin's
 			for b.EffectCount(key) == 0 && ctx.Err() == nil {
 				time.Sleep(time.Millisecond)
 			}
-			leave()
+			cancel()
 		}()
 		first.Connect(ctx)
 		first.Attempt(ctx, b.Object(pick, i), 10*time.Second, false, key)
@@ -175,76 +175,76 @@
 			t.Fatalf("key %d: %d effects of the first try", i, b.EffectCount(key))
 		}
 		time.Sleep(x.after)
-		word, _, _, err := b.client().Attempt(t.Context(), b.Object(pick, i), 5*time.Second, true, key)
-		if err != nil || word != x.want || b.EffectCount(key) != 1 {
-			t.Errorf("repeated after %v: %s, %v; %d effects", x.after, word, err, b.EffectCount(key))
+		status, _, _, err := b.newClient().Attempt(t.Context(), b.Object(pick, i), 5*time.Second, true, key)
+		if err != nil || status != x.want || b.EffectCount(key) != 1 {
+			t.Errorf("repeated after %v: %s, %v; %d effects", x.after, status, err, b.EffectCount(key))
 		}
 	}
 }
 
 // Clients whose requests are well formed but name what no node knows cost a pull each after the first, and none of their
 // answers is lost; others are served.
-func TestUnknownToAllNodes(t *testing.T) {
-	b := newBed(t, func(*fakes.Spec) {}, "")
+func TestUnknownObjects(t *testing.T) {
+	b := newSingleDirector(t, func(*fakes.Spec) {}, "")
 	for _, n := range b.Nodes {
 		n.SetFault(fakes.FaultError, 1)
 	}
-	asked := func() (n int) {
+	requestCount := func() (n int) {
 		for _, x := range b.Nodes {
 			n += x.RequestCount()
 		}
 		return n
 	}
 	for i := range 100 {
-		if word, _, _, err := b.c.Attempt(t.Context(), b.Object(&b.ContentTypes[0], i), time.Second, false, ""); err != nil || word != "503" {
-			t.Errorf("download %d: %s, %v", i, word, err)
+		if status, _, _, err := b.defaultClient.Attempt(t.Context(), b.Object(&b.ContentTypes[0], i), time.Second, false, ""); err != nil || status != "503" {
+			t.Errorf("download %d: %s, %v", i, status, err)
 		}
 	}
-	if n := asked(); n > 103 {
+	if n := requestCount(); n > 103 {
 		t.Errorf("100 downloads cost %d pulls", n)
 	}
 	for _, n := range b.Nodes {
 		n.SetFault(fakes.FaultNone, 1)
 	}
 	time.Sleep(1200 * time.Millisecond) // boxes that erred are asked again
-	if word, _, _, err := b.client().Attempt(t.Context(), b.Object(&b.ContentTypes[0], 1), 3*time.Second, false, ""); word != "200" {
-		t.Errorf("another client: %s, %v", word, err)
+	if status, _, _, err := b.newClient().Attempt(t.Context(), b.Object(&b.ContentTypes[0], 1), 3*time.Second, false, ""); status != "200" {
+		t.Errorf("another client: %s, %v", status, err)
 	}
 }
 
 // What waits in the listener's queue when SIGTERM comes was taken, and is answered.
 func TestQueueAtSIGTERM(t *testing.T) {
-	b := newBed(t, func(*fakes.Spec) {}, "")
+	b := newSingleDirector(t, func(*fakes.Spec) {}, "")
 	for _, n := range b.Nodes { // holds every download, so that places stay taken
 		n.SetFault(fakes.FaultNone, 30)
 	}
 	var all sync.WaitGroup
 	answered := make(chan string, 200)
 	for i := range 120 { // the director has 64 places
-		c := b.client()
+		c := b.newClient()
 		all.Go(func() {
 			defer c.Close()
-			word, _, _, err := c.Attempt(t.Context(), b.Object(&b.ContentTypes[1], i), 3*time.Second, false, "")
+			status, _, _, err := c.Attempt(t.Context(), b.Object(&b.ContentTypes[1], i), 3*time.Second, false, "")
 			if err != nil {
-				word = err.Error()
+				status = err.Error()
 			}
-			answered <- word
+			answered <- status
 		})
 	}
 	time.Sleep(200 * time.Millisecond)
-	b.d.Signal(os.Interrupt)
+	b.director.Signal(os.Interrupt)
 	all.Wait()
 	close(answered)
-	words := map[string]int{}
-	for word := range answered {
-		words[word]++
+	statuses := map[string]int{}
+	for status := range answered {
+		statuses[status]++
 	}
-	if words["200"]+words["503"] != 120 {
-		t.Errorf("answered %v", words)
+	if statuses["200"]+statuses["503"] != 120 {
+		t.Errorf("answered %v", statuses)
 	}
 }
 
-func TestDraw(t *testing.T) {
+func TestDrawStorm(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.png")
 	r := StormResult{Series: StormSeries{Attempts: []int{1, 2, 3}, Succeeded: []int{1, 1}, Load: []float64{0.1, 0.5}}}
 	if err := DrawStorm(path, r); err != nil {
