--- a/internal/experiment/cores.go
+++ b/internal/experiment/cores.go
@@ -50,7 +50,7 @@
 
 // CoresRun is the result of one number of cores.
 type CoresRun struct {
-	Cores           int     `json:"cores"`
+	Cores           int     `json:"cores"`             // of the director, or directors together
 	OwnCores        bool    `json:"own_cores"`         // the load used other cores than the directors
 	LoadCores       int     `json:"load_cores"`        // that the load used
 	Rate            float64 `json:"rate"`              // requests a second that succeeded
@@ -59,18 +59,18 @@
 	P999            float64 `json:"p999_ms"`           // latency of those
 	CPUPerAnswer    float64 `json:"cpu_us_per_answer"` // of the directors, for each request that succeeded
 	PeakMemoryMB    float64 `json:"rss_mb_peak"`       // of all directors
-	Rejected        int     `json:"throttled"`
-	Failed          int     `json:"failed"`
-	Lost            int     `json:"lost"`          // requests without an answer
-	DoubleFinal     int     `json:"double_final"`  // answers beyond the one of a request
-	WrongBodies     int     `json:"wrong_bytes"`   // answers with another object's bytes
-	RepeatedEffects int     `json:"effects_twice"` // effects that a key had beyond the first
+	Rejected        int     `json:"throttled"`         // requests that were rejected
+	Failed          int     `json:"failed"`            // requests with another answer
+	Lost            int     `json:"lost"`              // requests without an answer
+	DoubleFinal     int     `json:"double_final"`      // answers beyond the one of a request
+	WrongBodies     int     `json:"wrong_bytes"`       // answers with another object's bytes
+	RepeatedEffects int     `json:"effects_twice"`     // effects that a key had beyond the first
 }
 
 // CoresResult has a run for each number of cores.
 type CoresResult struct {
-	Division string     `json:"division"`
-	Runs     []CoresRun `json:"runs"`
+	Division string     `json:"division"` // as in Cores.Division
+	Runs     []CoresRun `json:"runs"`     // in the order of Cores.Cores
 }
 
 // Broken names the runs in which a rule was broken.
--- a/internal/experiment/detectors.go
+++ b/internal/experiment/detectors.go
@@ -19,7 +19,7 @@
 // whole directors would want more processors than a machine has. Some fail without a word; measured is how long it takes until all that
 // are left know of each, and until they have one view.
 type DetectorTrial struct {
-	Directors int
+	Directors int // whose detectors run
 	Failing   int // at once
 	Rounds    int // of failures
 	Slowdown  int // factor on all times of the detectors, by which the measured ones are divided; 0 is 1
--- a/internal/experiment/eventqueue.go
+++ b/internal/experiment/eventqueue.go
@@ -6,6 +6,7 @@
 	"tallyproxy/policy"
 )
 
+// millisecond in simulated time.
 const millisecond = policy.Second / 1000
 
 // eventQueue is the clock of a discrete-event simulation and what is to happen on it. Events run in the order of their times, those of
@@ -47,12 +48,21 @@
 // eventHeap implements heap.Interface, the earliest event first.
 type eventHeap []event
 
+// Len implements sort.Interface.
 func (h eventHeap) Len() int { return len(h) }
+
+// Less implements sort.Interface: by time, then in the order of scheduling.
 func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
+
+// Swap implements sort.Interface.
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+
+// Push implements heap.Interface.
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
+
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -62,8 +62,8 @@
 			if err := json.Unmarshal([]byte(c.want), decoded); err != nil {
 				t.Fatal(err)
 			}
-			if again, err := json.Marshal(decoded); err != nil || string(again) != c.want {
-				t.Errorf("decoded and encoded again as\n%s, %v\nwant\n%s", again, err, c.want)
+			if reencoded, err := json.Marshal(decoded); err != nil || string(reencoded) != c.want {
+				t.Errorf("decoded and encoded again as\n%s, %v\nwant\n%s", reencoded, err, c.want)
 			}
 		})
 	}
--- a/internal/experiment/maintenance.go
+++ b/internal/experiment/maintenance.go
@@ -45,7 +45,7 @@
 
 // MaintenancePlanResult is the result of all sites.
 type MaintenancePlanResult struct {
-	Schedules          int     `json:"schedules"`
+	Schedules          int     `json:"schedules"`        // large sites that were planned
 	Violations         int     `json:"over_planned_out"` // plans that break a constraint
 	Infeasible         int     `json:"never"`            // jobs without a place, for which the plan has a reason
 	LateOverManual     float64 `json:"late_over_hand"`   // late jobs, relative to one after another by hand
--- a/internal/experiment/membership.go
+++ b/internal/experiment/membership.go
@@ -46,16 +46,16 @@
 
 // MembershipRun is the result of one number of directors with one kind of fault. Without processes only few of the values are measured.
 type MembershipRun struct {
-	Directors       int            `json:"instances"`
-	Faults          string         `json:"faults"` // their kind
-	Simulated       bool           `json:"simulated"`
-	Schedules       int            `json:"schedules"`
-	RulesBroken     int            `json:"rules_broken"`
-	Lost            int            `json:"lost"`       // attempts without the answer that a director owed
-	QuotaExceeded   int            `json:"parts_over"` // times at which the sum of quotas was above its bound
-	OverloadedNodes int            `json:"fallen"`     // cache nodes
-	Unfinished      int            `json:"unended"`    // schedules that did not end with a common view in time
-	PeakQuotaSum    float64        `json:"parts_peak"`
+	Directors       int            `json:"instances"`                  // in the cluster
+	Faults          string         `json:"faults"`                     // their kind
+	Simulated       bool           `json:"simulated"`                  // in simulated time
+	Schedules       int            `json:"schedules"`                  // that were played
+	RulesBroken     int            `json:"rules_broken"`               // of answers, copies, drains and processes
+	Lost            int            `json:"lost"`                       // attempts without the answer that a director owed
+	QuotaExceeded   int            `json:"parts_over"`                 // times at which the sum of quotas was above its bound
+	OverloadedNodes int            `json:"fallen"`                     // cache nodes
+	Unfinished      int            `json:"unended"`                    // schedules that did not end with a common view in time
+	PeakQuotaSum    float64        `json:"parts_peak"`                 // most that the quotas came to together
 	DetectionP50    float64        `json:"know_death_ms_p50"`          // ms until all knew that a director had failed
 	DetectionP99    float64        `json:"know_death_ms_p99"`          // ms until all knew that a director had failed
 	ConvergenceP99  float64        `json:"one_view_ms_p99"`            // ms from the end of the last fault until the common view
@@ -81,13 +81,13 @@
 
 // MembershipResult has all runs and their sums.
 type MembershipResult struct {
-	Runs            []*MembershipRun `json:"runs"`
-	RulesBroken     int              `json:"rules_broken"`
-	Lost            int              `json:"lost"`
-	QuotaExceeded   int              `json:"parts_over"`
-	OverloadedNodes int              `json:"fallen"`
-	Schedules       int              `json:"schedules"`
-	Unfinished      int              `json:"unended"`
+	Runs            []*MembershipRun `json:"runs"`              // for each kind of fault and number of directors
+	RulesBroken     int              `json:"rules_broken"`      // of answers, copies, drains and processes
+	Lost            int              `json:"lost"`              // attempts without the answer that a director owed
+	QuotaExceeded   int              `json:"parts_over"`        // times at which the sum of quotas was above its bound
+	OverloadedNodes int              `json:"fallen"`            // cache nodes
+	Schedules       int              `json:"schedules"`         // that were played
+	Unfinished      int              `json:"unended"`           // schedules that did not end with a common view in time
 	DetectionP99    float64          `json:"know_death_ms_p99"` // of all runs' failures, in ms
 
 	detections []float64 // ms
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -27,8 +27,8 @@
 
 // RolloutRun sums up the schedules of one size. Times are simulated, in ms.
 type RolloutRun struct {
-	Instances     int      `json:"instances"`
-	Schedules     int      `json:"schedules"`
+	Instances     int      `json:"instances"`       // agents, with a director each
+	Schedules     int      `json:"schedules"`       // changes that were played
 	Changed       int      `json:"changed"`         // schedules that ended with all directors changed
 	Untouched     int      `json:"untouched"`       // schedules that ended with no director changed
 	Partial       int      `json:"partly"`          // schedules stopped between waves and reported so
--- a/internal/experiment/startup.go
+++ b/internal/experiment/startup.go
@@ -54,46 +54,46 @@
 
 // StartupRun is the result of one number of directors.
 type StartupRun struct {
-	Directors     int            `json:"directors"`
-	Alone         bool           `json:"alone"`     // the directors form no cluster
-	Simulated     bool           `json:"simulated"` // in simulated time
-	Phases        []StartupPhase `json:"phases"`
+	Directors     int            `json:"directors"`         // that started at once
+	Alone         bool           `json:"alone"`             // the directors form no cluster
+	Simulated     bool           `json:"simulated"`         // in simulated time
+	Phases        []StartupPhase `json:"phases"`            // in the order of time
 	Memory        float64        `json:"memory_mb"`         // most of any director
 	ListKnownP99  float64        `json:"know_list_ms_p99"`  // ms from the channel's return until 99 % had the endpoint list that changed meanwhile
 	EventKnownP99 float64        `json:"know_event_ms_p99"` // ms until 99 % knew a purge
 	NeverKnown    int            `json:"unknown"`           // lists and purges that 99 % did not know by the end of the phase
-	Crashes       int            `json:"crashes"`
-	CrashReasons  string         `json:"why,omitempty"`
-	ColdStart     ColdStart      `json:"cold"`
+	Crashes       int            `json:"crashes"`           // of directors, and other faults of the run
+	CrashReasons  string         `json:"why,omitempty"`     // a line for each crash
+	ColdStart     ColdStart      `json:"cold"`              // with processes only
 }
 
 // ColdStart is the result of a start on cold caches under load.
 type ColdStart struct {
-	RulesBroken     int     `json:"rules_broken"`
-	Lost            int     `json:"lost"`   // attempts without the answer that a director owed
-	OverloadedNodes int     `json:"fallen"` // cache nodes
-	Unfinished      int     `json:"unended"`
-	Requests        int     `json:"asked"`
-	SuccessShare    float64 `json:"fulfilled_share"`
-	Recovery        float64 `json:"recovery_ms"`    // until nine tenths of the requests succeeded; -1 for not
-	PeakLoad        float64 `json:"cold_peak_load"` // of any cache node, relative to what overloads it
+	RulesBroken     int     `json:"rules_broken"`    // of answers, copies, drains and processes
+	Lost            int     `json:"lost"`            // attempts without the answer that a director owed
+	OverloadedNodes int     `json:"fallen"`          // cache nodes
+	Unfinished      int     `json:"unended"`         // 1 where the run did not come to its end
+	Requests        int     `json:"asked"`           // that ended
+	SuccessShare    float64 `json:"fulfilled_share"` // of requests
+	Recovery        float64 `json:"recovery_ms"`     // until nine tenths of the requests succeeded; -1 for not
+	PeakLoad        float64 `json:"cold_peak_load"`  // of any cache node, relative to what overloads it
 }
 
 // StartupResult has all runs, and the worst or the sum of those that the experiment is about: with Peers those of clusters, else those of
 // directors on their own.
 type StartupResult struct {
-	Runs            []StartupRun `json:"runs"`
+	Runs            []StartupRun `json:"runs"`              // those for comparison too
 	OutageOverCalm  float64      `json:"outage_over_calm"`  // of a phase in which the channel was unavailable
 	ReturnPeakShare float64      `json:"back_peak_share"`   // of the phase in which it was back
 	ListKnownP99    float64      `json:"know_list_ms_p99"`  // ms from the channel's return
 	EventKnownP99   float64      `json:"know_event_ms_p99"` // ms
 	PeakCallShare   float64      `json:"peak_calls_share"`  // of any phase
-	PeakColdLoad    float64      `json:"cold_peak_load"`
-	RulesBroken     int          `json:"rules_broken"`
-	Lost            int          `json:"lost"`
-	OverloadedNodes int          `json:"fallen"`
-	Unfinished      int          `json:"unended"` // and what directors never knew
-	Crashes         int          `json:"crashes"`
+	PeakColdLoad    float64      `json:"cold_peak_load"`    // of any cold start
+	RulesBroken     int          `json:"rules_broken"`      // of answers, copies, drains and processes
+	Lost            int          `json:"lost"`              // attempts without the answer that a director owed
+	OverloadedNodes int          `json:"fallen"`            // cache nodes
+	Unfinished      int          `json:"unended"`           // and what directors never knew
+	Crashes         int          `json:"crashes"`           // of directors, and other faults of the run
 }
 
 // Broken names the rules that were broken, with counts.
--- a/internal/experiment/startupsim.go
+++ b/internal/experiment/startupsim.go
@@ -41,8 +41,8 @@
 
 // startupZone is a location of directors.
 type startupZone struct {
-	names []string
-	met   int // directors that have met the others
+	names  []string
+	joined int // directors that have joined the cluster
 }
 
 // startupDirector is a director, as far as it polls and relays.
@@ -55,8 +55,8 @@
 	cursor      int           // events that its own polls have brought
 	listVersion int           // of the endpoint list in force
 	listedAt    policy.Micros // when it took that list
-	met         bool          // it has met the others
-	metCount    int           // members of its zone when it last took them in
+	joined      bool          // it has joined the cluster
+	membersSeen int           // of its zone, when it last took them in
 	membersAt   policy.Micros // when it may take them in again
 	known       int           // events known, from any source
 	knownAt     policy.Micros // when it learned of the last one
@@ -97,7 +97,7 @@
 // networkDelay draws how long a message takes.
 func (s *startupSim) networkDelay() policy.Micros { return 100 + s.randomDelay(2*millisecond) }
 
-// start starts a director. It meets the others a moment later.
+// start starts a director. It joins the cluster a moment later.
 func (s *startupSim) start(d *startupDirector, settings policy.Settings) {
 	relaySettings := relays.DeriveSettings(d.name, delegates, delegateZones, delegateKinds, settings)
 	d.poller = backoff.New(s.intervals, backoff.Seed(1, d.name))
@@ -106,18 +106,18 @@
 	d.relay = relays.New(s.now, relaySettings)
 	if !s.noPeers {
 		s.after(s.randomDelay(400*millisecond), func() {
-			d.met = true
-			d.zone.met++
+			d.joined = true
+			d.zone.joined++
 		})
 		s.tick(d, relaySettings.QueryInterval/4)
 	}
 	s.poll(d)
 }
 
-// members are the other directors of a location that have met the others too.
+// members are the other directors of a location that have joined the cluster too.
 func (s *startupSim) members(d *startupDirector) (names []string) {
 	for _, name := range d.zone.names {
-		if other := s.byName[name]; other.met && other != d {
+		if other := s.byName[name]; other.joined && other != d {
 			names = append(names, name)
 		}
 	}
@@ -126,8 +126,8 @@
 
 // tick has a director's relay act, now and at an interval from now on.
 func (s *startupSim) tick(d *startupDirector, interval policy.Micros) {
-	if d.met && d.metCount != d.zone.met && s.now >= d.membersAt {
-		d.metCount, d.membersAt = d.zone.met, s.now+memberRecheck
+	if d.joined && d.membersSeen != d.zone.joined && s.now >= d.membersAt {
+		d.membersSeen, d.membersAt = d.zone.joined, s.now+memberRecheck
 		d.relay.SetMembers(s.members(d))
 	}
 	for _, to := range d.relay.Tick(s.now) {
--- a/internal/experiment/stormresult.go
+++ b/internal/experiment/stormresult.go
@@ -11,37 +11,37 @@
 // StormResult is what clients, cache nodes and directors counted in a storm. Shares are of 1. SettleMS is -1 where the storm did not
 // settle.
 type StormResult struct {
-	Clients            int         `json:"clients"`
-	Requests           int         `json:"asked"`    // that ended
-	FirstAnswered      int         `json:"answered"` // requests whose first attempt was answered, ended or not
-	Attempts           int         `json:"tries"`    // of requests that ended
-	Succeeded          int         `json:"fulfilled"`
-	Rejected           int         `json:"throttled"`      // requests whose last answer was a rejection
-	Failed             int         `json:"abandoned"`      // requests whose last answer was another one
-	Unanswered         int         `json:"unanswered"`     // requests without an answer
-	Lost               int         `json:"lost"`           // attempts without the answer that a director owed
-	DoubleFinal        int         `json:"double_final"`   // answers beyond the one of an attempt
-	WrongBodies        int         `json:"wrong_bytes"`    // answers with another object's bytes
-	RepeatedEffects    int         `json:"effects_twice"`  // effects that a key had beyond the first
-	ConcurrentAttempts int         `json:"pulls_together"` // upstream attempts of a request beside another of it
-	OverloadedNodes    int         `json:"boxes_fallen"`
-	DrainedUses        int         `json:"drains_broken"` // attempts sent to a drained node
-	StaleCopies        int         `json:"purges_broken"` // answers older than a purge
-	PeakLoad           float64     `json:"peak_load"`     // of any cache node, relative to what overloads it
-	SettleMS           int64       `json:"settle_ms"`     // until 95 % of the requests of two seconds succeeded
-	WastedShare        float64     `json:"wasted_share"`  // of attempts
-	BenefitShare       float64     `json:"benefit_share"` // of the requests' priority weight; late answers count a tenth
-	CacheUtilization   float64     `json:"boxes_used"`    // work done in the first ten seconds, relative to the caches' capacity
-	EarlyRetries       int         `json:"early_tries"`
-	ObeyingSuccess     float64     `json:"heeders_served"`  // share of requests that succeeded, of clients that obey the time they are told
-	IgnoringSuccess    float64     `json:"ignorers_served"` // share of requests that succeeded, of clients that ignore it
-	LostToKills        int         `json:"killed_tries"`    // attempts that ended with a director that was killed
-	LostToPauses       int         `json:"lost_paused"`     // attempts that timed out while their director was stopped
-	ClockStalls        int         `json:"jumps_noticed"`   // logged by directors
-	Crashes            int         `json:"crashes"`
-	PeakMemoryMB       float64     `json:"rss_mb_peak"`    // of any director
-	OverloadsDetected  int         `json:"storms_noticed"` // logged by directors
-	Series             StormSeries `json:"-"`
+	Clients            int         `json:"clients"`            // without the idle ones
+	Requests           int         `json:"asked"`              // that ended
+	FirstAnswered      int         `json:"answered"`           // requests whose first attempt was answered, ended or not
+	Attempts           int         `json:"tries"`              // of requests that ended
+	Succeeded          int         `json:"fulfilled"`          // requests that succeeded
+	Rejected           int         `json:"throttled"`          // requests whose last answer was a rejection
+	Failed             int         `json:"abandoned"`          // requests whose last answer was another one
+	Unanswered         int         `json:"unanswered"`         // requests without an answer
+	Lost               int         `json:"lost"`               // attempts without the answer that a director owed
+	DoubleFinal        int         `json:"double_final"`       // answers beyond the one of an attempt
+	WrongBodies        int         `json:"wrong_bytes"`        // answers with another object's bytes
+	RepeatedEffects    int         `json:"effects_twice"`      // effects that a key had beyond the first
+	ConcurrentAttempts int         `json:"pulls_together"`     // upstream attempts of a request beside another of it
+	OverloadedNodes    int         `json:"boxes_fallen"`       // cache nodes that were pushed over
+	DrainedUses        int         `json:"drains_broken"`      // attempts sent to a drained node
+	StaleCopies        int         `json:"purges_broken"`      // answers older than a purge
+	PeakLoad           float64     `json:"peak_load"`          // of any cache node, relative to what overloads it
+	SettleMS           int64       `json:"settle_ms"`          // until 95 % of the requests of two seconds succeeded
+	WastedShare        float64     `json:"wasted_share"`       // of attempts
+	BenefitShare       float64     `json:"benefit_share"`      // of the requests' priority weight; late answers count a tenth
+	CacheUtilization   float64     `json:"boxes_used"`         // work done in the first ten seconds, relative to the caches' capacity
+	EarlyRetries       int         `json:"early_tries"`        // attempts before the time that was told
+	ObeyingSuccess     float64     `json:"heeders_served"`     // share of requests that succeeded, of clients that obey the time they are told
+	IgnoringSuccess    float64     `json:"ignorers_served"`    // share of requests that succeeded, of clients that ignore it
+	LostToKills        int         `json:"killed_tries"`       // attempts that ended with a director that was killed
+	LostToPauses       int         `json:"lost_paused"`        // attempts that timed out while their director was stopped
+	ClockStalls        int         `json:"jumps_noticed"`      // logged by directors
+	Crashes            int         `json:"crashes"`            // directors that did not end well
+	PeakMemoryMB       float64     `json:"rss_mb_peak"`        // of any director
+	OverloadsDetected  int         `json:"storms_noticed"`     // logged by directors
+	Series             StormSeries `json:"-"`                  // for the plot
 	SuccessBySecond    []float64   `json:"met"`                // share of requests that succeeded, by the second of their start
 	LostReasons        string      `json:"lost_how,omitempty"` // errors of the attempts in Lost, with counts
 }
