--- a/cmd/tallybench/commands.go
+++ b/cmd/tallybench/commands.go
@@ -80,7 +80,7 @@
 		"after fault |    tools   agents one by one ms")
 	for _, r := range runs {
 		fmt.Printf("%9d %9d %7d %9d %7d %6d %7d | %12.0f %7.0f %10.0f | %12.0f %7.0f %12.0f | %8.0f %8.0f %13.0f\n", r.Instances, r.Schedules,
-			r.Changed, r.Untouched, r.Partial, r.Inconsistent, r.Unfinished, r.P50, r.P99, r.NoCrashP99, r.KnownP50, r.KnownP99, r.SettledP99,
+			r.Changed, r.Untouched, r.Partial, r.Inconsistent, r.Unfinished, r.P50, r.P99, r.NoCrashP99, r.KnownP50, r.KnownP99, r.ConvergenceP99,
 			r.ToolMessages, r.AgentMessages, r.Sequential)
 	}
 }
--- a/internal/experiment/fleetrefusal_test.go
+++ b/internal/experiment/fleetrefusal_test.go
@@ -30,8 +30,8 @@
 			t.Errorf("%+v, %v", r, err)
 		}
 		v := op.Snapshot(t.Context())
-		places, _ := v.Candidates()
-		change := rollout.Plan(ctl.NewChangeID(), "op", "x", places, 1, func(s string) string { return config.Digest([]byte(s)) },
+		candidates, _ := v.Candidates()
+		change := rollout.Plan(ctl.NewChangeID(), "op", "x", candidates, 1, func(s string) string { return config.Digest([]byte(s)) },
 			func(p rollout.Candidate) string { return strings.Replace(p.Script, ".sock", ".elsewhere", 1) })
 		r, err = op.Run(t.Context(), change, nil, nil)
 		if err != nil || r.StopReason == "" || !strings.Contains(r.StopReason, "needs a restart") {
--- a/internal/experiment/loopbackfleet_test.go
+++ b/internal/experiment/loopbackfleet_test.go
@@ -10,9 +10,9 @@
 // TestDirectorRestart: a director that ends by itself is restarted with the script in force; one that was told to stop stays down.
 func TestDirectorRestart(t *testing.T) {
 	cases := []struct {
-		name   string
-		signal syscall.Signal
-		back   bool
+		name     string
+		signal   syscall.Signal
+		restarts bool
 	}{{"killed", syscall.SIGKILL, true}, {"told to stop", syscall.SIGTERM, false}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -32,14 +32,14 @@
 				return x.Up && x.Report.PID != before && !x.Drifted && strings.Contains(x.Script, "warn")
 			}
 			wait := 20 * time.Second
-			if !c.back { // three times as long as the first start would take
+			if !c.restarts { // three times as long as the first start would take
 				wait = 4 * time.Second
 			}
 			restarted := false
 			for end := time.Now().Add(wait); !restarted && time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 				restarted = isRestarted()
 			}
-			if restarted != c.back || !down {
+			if restarted != c.restarts || !down {
 				t.Errorf("back: %v, was down: %v", restarted, down)
 			}
 		})
--- a/internal/experiment/ratio.go
+++ b/internal/experiment/ratio.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// ratio is part/whole, rounded to four decimals; 0 where the whole is 0.
-func ratio(part, whole float64) float64 {
-	if whole == 0 {
+// ratio is part/total, rounded to four decimals; 0 where the total is 0.
+func ratio(part, total float64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return math.Round(part/whole*10000) / 10000
+	return math.Round(part/total*10000) / 10000
 }
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -27,24 +27,24 @@
 
 // RolloutRun sums up the schedules of one size. Times are simulated, in ms.
 type RolloutRun struct {
-	Instances     int      `json:"instances"`       // agents, with a director each
-	Schedules     int      `json:"schedules"`       // changes that were played
-	Changed       int      `json:"changed"`         // schedules that ended with all directors changed
-	Untouched     int      `json:"untouched"`       // schedules that ended with no director changed
-	Partial       int      `json:"partly"`          // schedules stopped between waves and reported so
-	Inconsistent  int      `json:"neither"`         // schedules with directors in another state, or reported wrongly
-	Unfinished    int      `json:"unended"`         // schedules that did not end
-	P50           float64  `json:"p50_ms"`          // from the start until the last tool ended
-	P99           float64  `json:"p99_ms"`          // from the start until the last tool ended
-	NoCrashP99    float64  `json:"lived_p99_ms"`    // P99 of schedules in which no tool crashed
-	ToolMessages  float64  `json:"messages"`        // mean of messages that tools sent
-	AgentMessages float64  `json:"between"`         // mean of messages that agents sent each other
-	KnownP50      float64  `json:"known_p50_ms"`    // from the start until every agent knew the outcome
-	KnownP99      float64  `json:"known_p99_ms"`    // from the start until every agent knew the outcome
-	SettledP99    float64  `json:"settled_ms"`      // from the end of the last fault until every director was in its final state
-	MaxEvents     int      `json:"events"`          // events of the longest schedule
-	Sequential    float64  `json:"by_hand_ms"`      // estimate for changing the directors one after another, without faults
-	Problems      []string `json:"stuck,omitempty"` // flags that repeat an unfinished or inconsistent schedule, and who waits for whom
+	Instances      int      `json:"instances"`       // agents, with a director each
+	Schedules      int      `json:"schedules"`       // changes that were played
+	Changed        int      `json:"changed"`         // schedules that ended with all directors changed
+	Untouched      int      `json:"untouched"`       // schedules that ended with no director changed
+	Partial        int      `json:"partly"`          // schedules stopped between waves and reported so
+	Inconsistent   int      `json:"neither"`         // schedules with directors in another state, or reported wrongly
+	Unfinished     int      `json:"unended"`         // schedules that did not end
+	P50            float64  `json:"p50_ms"`          // from the start until the last tool ended
+	P99            float64  `json:"p99_ms"`          // from the start until the last tool ended
+	NoCrashP99     float64  `json:"lived_p99_ms"`    // P99 of schedules in which no tool crashed
+	ToolMessages   float64  `json:"messages"`        // mean of messages that tools sent
+	AgentMessages  float64  `json:"between"`         // mean of messages that agents sent each other
+	KnownP50       float64  `json:"known_p50_ms"`    // from the start until every agent knew the outcome
+	KnownP99       float64  `json:"known_p99_ms"`    // from the start until every agent knew the outcome
+	ConvergenceP99 float64  `json:"settled_ms"`      // from the end of the last fault until every director was in its final state
+	MaxEvents      int      `json:"events"`          // events of the longest schedule
+	Sequential     float64  `json:"by_hand_ms"`      // estimate for changing the directors one after another, without faults
+	Problems       []string `json:"stuck,omitempty"` // flags that repeat an unfinished or inconsistent schedule, and who waits for whom
 }
 
 const maxProblems = 20 // reported of one size
@@ -96,14 +96,14 @@
 // summarizeRollouts makes the report of the schedules of a fleet of n agents.
 func summarizeRollouts(n int, outcomes []rolloutOutcome) RolloutRun {
 	run := RolloutRun{Instances: n, Schedules: len(outcomes)}
-	var reported, noCrash, known, settled []float64
+	var reported, noCrash, known, convergences []float64
 	for _, o := range outcomes {
 		run.count(o)
 		if o.problem != "" && len(run.Problems) < maxProblems {
 			run.Problems = append(run.Problems, o.problem)
 		}
 		reported = append(reported, float64(o.reported)/1000)
-		settled = append(settled, float64(o.settled)/1000)
+		convergences = append(convergences, float64(o.convergence)/1000)
 		known = append(known, float64(o.known)/1000)
 		if !o.toolCrashed {
 			noCrash = append(noCrash, float64(o.reported)/1000)
@@ -114,7 +114,7 @@
 	}
 	run.P50, run.P99, run.NoCrashP99 = quantile(reported, 0.5), quantile(reported, 0.99), quantile(noCrash, 0.99)
 	run.KnownP50, run.KnownP99 = quantile(known, 0.5), quantile(known, 0.99)
-	run.SettledP99 = quantile(settled, 0.99)
+	run.ConvergenceP99 = quantile(convergences, 0.99)
 	run.Sequential = float64(n) * (110 + 2*11) // a write and a read back of each, and the wire's delay twice
 	return run
 }
--- a/internal/experiment/rolloutschedule.go
+++ b/internal/experiment/rolloutschedule.go
@@ -22,7 +22,7 @@
 	state         fleetState
 	reported      policy.Micros // from the start until the last tool ended
 	known         policy.Micros // from the start until every agent knew the outcome; 0 for never
-	settled       policy.Micros // from the end of the last fault until the final state
+	convergence   policy.Micros // from the end of the last fault until the final state
 	toolMessages  int
 	agentMessages int
 	events        int
@@ -50,11 +50,11 @@
 	coordinator = f.resume(coordinator, change, out.toolCrashed)
 	out.reported = f.now - begun
 	result, toolDone := coordinator.Result(), coordinator.Step() == rollout.StepDone
-	out.state = f.awaitSettled(lastFault, &out.known)
+	out.state = f.awaitConvergence(lastFault, &out.known)
 	if !reportIsTrue(result, out.state) {
 		out.state = fleetInconsistent
 	}
-	out.settled = max(0, f.now-lastFault)
+	out.convergence = max(0, f.now-lastFault)
 	out.toolMessages, out.agentMessages, out.events = f.toolMessages, f.agentMessages, f.eventsRun
 	out.finished = toolDone && f.eventsRun < f.eventBudget && out.known > 0
 	if !out.finished || out.state == fleetInconsistent {
@@ -82,22 +82,22 @@
 	if crashed {
 		change = nil
 	}
-	again := crashed || c.Result().NeedsResume
-	for again && f.now < rolloutDeadline && f.eventsRun < f.eventBudget {
+	unfinished := crashed || c.Result().NeedsResume
+	for unfinished && f.now < rolloutDeadline && f.eventsRun < f.eventBudget {
 		f.runUntil(f.now+policy.Second, never)
 		c = f.runTool(change, 0)
 		result := c.Result()
-		again = c.Step() != rollout.StepDone || result.RefusalReason != "" || result.NeedsResume
+		unfinished = c.Step() != rollout.StepDone || result.RefusalReason != "" || result.NeedsResume
 	}
 	return c
 }
 
-// awaitSettled runs on until all agents are back, know the outcome and agree with their directors; for two minutes at the most.
-func (f *rolloutSim) awaitSettled(lastFault policy.Micros, known *policy.Micros) fleetState {
+// awaitConvergence runs on until all agents are back, know the outcome and agree with their directors; for two minutes at the most.
+func (f *rolloutSim) awaitConvergence(lastFault policy.Micros, known *policy.Micros) fleetState {
 	for deadline := f.now + 120*policy.Second; ; {
 		state := f.state()
-		settled := state != fleetInconsistent && f.now >= lastFault && *known > 0
-		if settled || f.now >= deadline || f.eventsRun >= f.eventBudget {
+		converged := state != fleetInconsistent && f.now >= lastFault && *known > 0
+		if converged || f.now >= deadline || f.eventsRun >= f.eventBudget {
 			return state
 		}
 		f.runUntil(f.now+2*toolTickInterval, never)
--- a/internal/experiment/startup.go
+++ b/internal/experiment/startup.go
@@ -48,7 +48,7 @@
 	CallRate     float64 `json:"calls_per_s"` // of all directors
 	PeakShare    float64 `json:"peak_share"`  // most calls in 100 ms, relative to the number of directors
 	Refused      int     `json:"turned_away"` // calls that got no answer
-	OverCalm     float64 `json:"over_calm"`   // CallRate, relative to the phase "calm"
+	RelativeRate float64 `json:"over_calm"`   // CallRate, relative to the phase "calm"
 	AllCalledP99 float64 `json:"know_ms_p99"` // ms until 0.99 calls a director had come; 0 for not
 }
 
@@ -82,18 +82,18 @@
 // StartupResult has all runs, and the worst or the sum of those that the experiment is about: with Peers those of clusters, else those of
 // directors on their own.
 type StartupResult struct {
-	Runs            []StartupRun `json:"runs"`              // those for comparison too
-	OutageOverCalm  float64      `json:"outage_over_calm"`  // of a phase in which the channel was unavailable
-	ReturnPeakShare float64      `json:"back_peak_share"`   // of the phase in which it was back
-	ListKnownP99    float64      `json:"know_list_ms_p99"`  // ms from the channel's return
-	EventKnownP99   float64      `json:"know_event_ms_p99"` // ms
-	PeakCallShare   float64      `json:"peak_calls_share"`  // of any phase
-	PeakColdLoad    float64      `json:"cold_peak_load"`    // of any cold start
-	RulesBroken     int          `json:"rules_broken"`      // of answers, copies, drains and processes
-	Lost            int          `json:"lost"`              // attempts without the answer that a director owed
-	OverloadedNodes int          `json:"fallen"`            // cache nodes
-	Unfinished      int          `json:"unended"`           // and what directors never knew
-	Crashes         int          `json:"crashes"`           // of directors, and other faults of the run
+	Runs               []StartupRun `json:"runs"`              // those for comparison too
+	OutageRelativeRate float64      `json:"outage_over_calm"`  // of a phase in which the channel was unavailable
+	ReturnPeakShare    float64      `json:"back_peak_share"`   // of the phase in which it was back
+	ListKnownP99       float64      `json:"know_list_ms_p99"`  // ms from the channel's return
+	EventKnownP99      float64      `json:"know_event_ms_p99"` // ms
+	PeakCallShare      float64      `json:"peak_calls_share"`  // of any phase
+	PeakColdLoad       float64      `json:"cold_peak_load"`    // of any cold start
+	RulesBroken        int          `json:"rules_broken"`      // of answers, copies, drains and processes
+	Lost               int          `json:"lost"`              // attempts without the answer that a director owed
+	OverloadedNodes    int          `json:"fallen"`            // cache nodes
+	Unfinished         int          `json:"unended"`           // and what directors never knew
+	Crashes            int          `json:"crashes"`           // of directors, and other faults of the run
 }
 
 // Broken names the rules that were broken, with counts.
@@ -174,8 +174,8 @@
 	for _, phase := range run.Phases {
 		switch phase.Name {
 		case phaseUnavailable, phaseHanging, phaseTruncating, phaseRetryAfter:
-			r.OutageOverCalm = max(r.OutageOverCalm, phase.OverCalm)
-		case phaseBack:
+			r.OutageRelativeRate = max(r.OutageRelativeRate, phase.RelativeRate)
+		case phaseRestored:
 			r.ReturnPeakShare = max(r.ReturnPeakShare, phase.PeakShare)
 		}
 		r.PeakCallShare = max(r.PeakCallShare, phase.PeakShare)
@@ -191,10 +191,10 @@
 	r.Unfinished += run.NeverKnown + cold.Unfinished
 }
 
-// relateToCalm sets each phase's rate in relation to that of the second phase, which is the calm one.
-func (r *StartupRun) relateToCalm() {
+// computeRelativeRates sets each phase's rate in relation to that of the second phase, which is the calm one.
+func (r *StartupRun) computeRelativeRates() {
 	for i := range r.Phases {
-		r.Phases[i].OverCalm = ratio(r.Phases[i].CallRate, r.Phases[1].CallRate)
+		r.Phases[i].RelativeRate = ratio(r.Phases[i].CallRate, r.Phases[1].CallRate)
 	}
 }
 
@@ -232,7 +232,7 @@
 	fmt.Fprintln(&b, "directors         phase                    calls/s  over calm  most in 100 ms      refused")
 	for _, run := range r.Runs {
 		for _, p := range run.Phases {
-			fmt.Fprintf(&b, "%9d  %s  %-24s %7.1f %10.2f %15.2f %12d\n", run.Directors, kind(run.Alone), p.Name, p.CallRate, p.OverCalm, p.PeakShare, p.Refused)
+			fmt.Fprintf(&b, "%9d  %s  %-24s %7.1f %10.2f %15.2f %12d\n", run.Directors, kind(run.Alone), p.Name, p.CallRate, p.RelativeRate, p.PeakShare, p.Refused)
 		}
 	}
 	fmt.Fprintln(&b, "directors         list known p99, ms    purge p99  never  MB | cold caches under load: succeeded          recovery ms  "+
--- a/internal/experiment/startup_test.go
+++ b/internal/experiment/startup_test.go
@@ -26,7 +26,7 @@
 		}
 		for _, p := range run.Phases {
 			switch {
-			case p.Name == "away" && (p.OverCalm > 1.8 || p.PeakShare > 0.5), p.Name == "back" && p.PeakShare > 0.5:
+			case p.Name == "away" && (p.RelativeRate > 1.8 || p.PeakShare > 0.5), p.Name == "back" && p.PeakShare > 0.5:
 				t.Errorf("alone %v: %+v", run.Alone, p)
 			case p.Name == "calm" && !run.Alone && p.CallRate > 24:
 				t.Errorf("%v calls a second where three are to ask", p.CallRate)
--- a/internal/experiment/startupphases.go
+++ b/internal/experiment/startupphases.go
@@ -16,12 +16,12 @@
 // Names of phases, as results have them.
 const (
 	phaseStart       = "start"
-	phaseCalm        = "calm"
+	phaseBaseline    = "calm"
 	phaseUnavailable = "away"
 	phaseRetryAfter  = "away, come back in 5 s"
 	phaseHanging     = "hangs"
 	phaseTruncating  = "half answers"
-	phaseBack        = "back"
+	phaseRestored    = "back"
 	phaseEvent       = "an event"
 	phaseEvents      = "an event every 200 ms"
 )
@@ -83,25 +83,25 @@
 		fakes.Sleep(ctx, s.PhaseDuration-(cluster.Now()-from))
 		result.Phases = append(result.Phases, measurePhase(phase.name, cluster.ChannelCalls(), from, cluster.Now(), n))
 	}
-	result.relateToCalm()
+	result.computeRelativeRates()
 	run.measurePropagation(harness.History.Entries())
 	return result, ctx.Err()
 }
 
 // phases are the start, a calm phase, and those of the faults that are asked for.
 func (r *phaseRun) phases() []channelPhase {
-	phases := []channelPhase{{phaseStart, nil}, {phaseCalm, func() {}}}
-	back := channelPhase{phaseBack, r.channelBack}
+	phases := []channelPhase{{phaseStart, nil}, {phaseBaseline, func() {}}}
+	restored := channelPhase{phaseRestored, r.restoreChannel}
 	for _, fault := range r.Faults {
 		switch fault {
 		case "away":
-			phases = append(phases, r.outage(phaseUnavailable, fakes.ChannelUnavailable, 0, "draining"), back)
+			phases = append(phases, r.outage(phaseUnavailable, fakes.ChannelUnavailable, 0, "draining"), restored)
 		case "retry":
-			phases = append(phases, r.outage(phaseRetryAfter, fakes.ChannelUnavailable, retryAfter, "up"), back)
+			phases = append(phases, r.outage(phaseRetryAfter, fakes.ChannelUnavailable, retryAfter, "up"), restored)
 		case "hangs":
-			phases = append(phases, r.outage(phaseHanging, fakes.ChannelHanging, 0, "draining"), back)
+			phases = append(phases, r.outage(phaseHanging, fakes.ChannelHanging, 0, "draining"), restored)
 		case "half":
-			phases = append(phases, r.outage(phaseTruncating, fakes.ChannelTruncating, 0, "up"), back)
+			phases = append(phases, r.outage(phaseTruncating, fakes.ChannelTruncating, 0, "up"), restored)
 		case "event":
 			phases = append(phases, channelPhase{phaseEvent, r.purgeOnce})
 		case "events":
@@ -119,8 +119,8 @@
 	}}
 }
 
-// channelBack has the channel serve again; directors are to learn the endpoint list from now on.
-func (r *phaseRun) channelBack() {
+// restoreChannel has the channel serve again; directors are to learn the endpoint list from now on.
+func (r *phaseRun) restoreChannel() {
 	r.cluster.SetChannelMode(fakes.ChannelServing, 0)
 	r.announcements = append(r.announcements, announcement{time.Now(), showsEndpointList, &r.result.ListKnownP99})
 }
--- a/internal/experiment/startupsim.go
+++ b/internal/experiment/startupsim.go
@@ -237,19 +237,19 @@
 		}
 		return ms
 	}
-	play("start", func() {})
-	play("calm", func() {})
-	play("away", func() {
+	play(phaseStart, func() {})
+	play(phaseBaseline, func() {})
+	play(phaseUnavailable, func() {
 		s.channel.serving = false
 		s.wakePolls()
 		s.after(policy.Second, s.announceList)
 	})
-	from := play("back", func() { s.channel.serving = true })
+	from := play(phaseRestored, func() { s.channel.serving = true })
 	run.ListKnownP99 = known(from, func(d *startupDirector) (policy.Micros, bool) {
 		return d.listedAt, d.listVersion == s.channel.listVersion
 	})
-	from = play("an event", s.announceEvent)
+	from = play(phaseEvent, s.announceEvent)
 	run.EventKnownP99 = known(from, func(d *startupDirector) (policy.Micros, bool) { return d.knownAt, d.known == s.channel.events })
-	run.relateToCalm()
+	run.computeRelativeRates()
 	return run
 }
--- a/internal/experiment/storm_test.go
+++ b/internal/experiment/storm_test.go
@@ -64,7 +64,7 @@
 			if r.FirstAnswered < s.Clients || r.Requests < s.Clients/2 || r.Succeeded == 0 {
 				t.Errorf("%d first tries were answered, %d downloads ended, %d of them fulfilled", r.FirstAnswered, r.Requests, r.Succeeded)
 			}
-			if c.calm != (r.OverloadsDetected == 0) {
+			if c.noOverload != (r.OverloadsDetected == 0) {
 				t.Errorf("%d storms noticed: %+v", r.OverloadsDetected, r)
 			}
 		})
--- a/internal/experiment/stormresult.go
+++ b/internal/experiment/stormresult.go
@@ -28,9 +28,9 @@
 	DrainedUses        int         `json:"drains_broken"`      // attempts sent to a drained node
 	StaleCopies        int         `json:"purges_broken"`      // answers older than a purge
 	PeakLoad           float64     `json:"peak_load"`          // of any cache node, relative to what overloads it
-	SettleMS           int64       `json:"settle_ms"`          // until 95 % of the requests of two seconds succeeded
+	RecoveryMS         int64       `json:"settle_ms"`          // until 95 % of the requests of two seconds succeeded
 	WastedShare        float64     `json:"wasted_share"`       // of attempts
-	BenefitShare       float64     `json:"benefit_share"`      // of the requests' priority weight; late answers count a tenth
+	WeightShare        float64     `json:"benefit_share"`      // of the requests' priority weight; late answers count a tenth
 	CacheUtilization   float64     `json:"boxes_used"`         // work done in the first ten seconds, relative to the caches' capacity
 	EarlyRetries       int         `json:"early_tries"`        // attempts before the time that was told
 	ObeyingSuccess     float64     `json:"heeders_served"`     // share of requests that succeeded, of clients that obey the time they are told
@@ -72,9 +72,9 @@
 }
 
 const (
-	settleWindow      = time.Second      // of requests that are counted together
-	settledShare      = 0.95             // of a window's requests that succeed once the storm has settled
-	unsettledTail     = 7 * time.Second  // at the end, whose requests may not have ended
+	recoveryWindow    = time.Second      // of requests that are counted together
+	recoveredShare    = 0.95             // of a window's requests that succeed once the storm has settled
+	unfinishedTail    = 7 * time.Second  // at the end, whose requests may not have ended
 	utilizationWindow = 10 * time.Second // from the begin
 	lateWeight        = 0.1              // of an answer after the latency objective
 )
@@ -95,9 +95,9 @@
 		for _, window := range tally.windows {
 			result.SuccessBySecond = append(result.SuccessBySecond, window.successShare())
 		}
-		result.SettleMS = tally.settleMS(r.Duration)
+		result.RecoveryMS = tally.recoveryMS(r.Duration)
 		result.CacheUtilization = ratio(tally.earlyWork, r.cluster.EdgeWork(r.begin, r.begin+utilizationWindow))
-		result.BenefitShare = ratio(tally.weightGained, tally.weight)
+		result.WeightShare = ratio(tally.weightGained, tally.weight)
 		result.WastedShare = ratio(float64(result.Attempts-result.Succeeded), float64(result.Attempts))
 		result.ObeyingSuccess = tally.obeying.successShare()
 		result.IgnoringSuccess = tally.ignoring.successShare()
@@ -148,7 +148,7 @@
 	} else {
 		t.obeying.add(request.Succeeded)
 	}
-	window := int(max(0, request.StartedAt-t.begin) / settleWindow)
+	window := int(max(0, request.StartedAt-t.begin) / recoveryWindow)
 	for len(t.windows) <= window {
 		t.windows = append(t.windows, requestCount{})
 	}
@@ -179,14 +179,14 @@
 	}
 }
 
-// settleMS is the start, in ms, of the first two windows in a row in which nearly all requests succeeded; -1 where there are none.
-func (t *requestTally) settleMS(duration time.Duration) int64 {
-	settled := func(window int) bool {
-		return float64(t.windows[window].succeeded) >= settledShare*float64(t.windows[window].requests)
+// recoveryMS is the start, in ms, of the first two windows in a row in which nearly all requests succeeded; -1 where there are none.
+func (t *requestTally) recoveryMS(duration time.Duration) int64 {
+	recovered := func(window int) bool {
+		return float64(t.windows[window].succeeded) >= recoveredShare*float64(t.windows[window].requests)
 	}
 	for i := range t.windows {
-		start := time.Duration(i) * settleWindow
-		if start <= duration-unsettledTail && i+1 < len(t.windows) && settled(i) && settled(i+1) {
+		start := time.Duration(i) * recoveryWindow
+		if start <= duration-unfinishedTail && i+1 < len(t.windows) && recovered(i) && recovered(i+1) {
 			return start.Milliseconds()
 		}
 	}
