--- a/internal/experiment/storm_test.go
+++ b/internal/experiment/storm_test.go
@@ -13,9 +13,9 @@
 // checks the rules, and that an overload is detected where there is one and only there.
 func TestStorms(t *testing.T) {
 	cases := []struct {
-		name  string
-		storm Storm
-		calm  bool // there is no overload, and none must be detected
+		name       string
+		storm      Storm
+		noOverload bool // there is no overload, and none must be detected
 	}{
 		{"2,000 clients within a second on fresh boxes", Storm{Clients: 2000, IgnoreShare: 0.25}, false},
 		{"half of them ignore the advice", Storm{Clients: 500, IgnoreShare: 0.5}, false},
--- a/internal/experiment/stormresult.go
+++ b/internal/experiment/stormresult.go
@@ -8,8 +8,8 @@
 	"tallyproxy/internal/fakes"
 )
 
-// StormResult is what clients, cache nodes and directors counted in a storm. Shares are of 1. SettleMS is -1 where the storm did not
-// settle.
+// StormResult is what clients, cache nodes and directors counted in a storm. Shares are of 1. RecoveryMS is -1 where it did not
+// end.
 type StormResult struct {
 	Clients            int         `json:"clients"`            // without the idle ones
 	Requests           int         `json:"asked"`              // that ended
@@ -73,7 +73,7 @@
 
 const (
 	recoveryWindow    = time.Second      // of requests that are counted together
-	recoveredShare    = 0.95             // of a window's requests that succeed once the storm has settled
+	recoveredShare    = 0.95             // of a window's requests that succeed once the storm is over
 	unfinishedTail    = 7 * time.Second  // at the end, whose requests may not have ended
 	utilizationWindow = 10 * time.Second // from the begin
 	lateWeight        = 0.1              // of an answer after the latency objective
@@ -130,7 +130,7 @@
 // requestTally sums up requests that ended.
 type requestTally struct {
 	begin        time.Duration
-	windows      []requestCount // by settleWindow of their start
+	windows      []requestCount // by recoveryWindow of their start
 	obeying      requestCount   // of clients that obey the time they are told
 	ignoring     requestCount   // of clients that ignore it
 	weight       float64        // priority weight of all requests
