--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -119,8 +119,8 @@
 	if string(text) != want {
 		t.Errorf("got  %s\nwant %s", text, want)
 	}
-	var back AuditRecord
-	if err := json.Unmarshal([]byte(want), &back); err != nil || back != goldenRecords()[1] {
-		t.Errorf("read back as %+v, %v", back, err)
+	var decoded AuditRecord
+	if err := json.Unmarshal([]byte(want), &decoded); err != nil || decoded != goldenRecords()[1] {
+		t.Errorf("read back as %+v, %v", decoded, err)
 	}
 }
--- a/internal/ctl/golden_test.go
+++ b/internal/ctl/golden_test.go
@@ -48,12 +48,12 @@
 			if string(text) != c.want {
 				t.Errorf("got  %s\nwant %s", text, c.want)
 			}
-			back := reflect.New(reflect.TypeOf(c.value))
-			if err := json.Unmarshal([]byte(c.want), back.Interface()); err != nil {
+			decoded := reflect.New(reflect.TypeOf(c.value))
+			if err := json.Unmarshal([]byte(c.want), decoded.Interface()); err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(back.Elem().Interface(), c.value) {
-				t.Errorf("read back as %+v, want %+v", back.Elem().Interface(), c.value)
+			if !reflect.DeepEqual(decoded.Elem().Interface(), c.value) {
+				t.Errorf("read back as %+v, want %+v", decoded.Elem().Interface(), c.value)
 			}
 		})
 	}
@@ -63,9 +63,9 @@
 func TestGoldenAvoidLine(t *testing.T) {
 	const one, two = "avoid(boxes = [\"box-1\"]) # by tallyctl\n", "avoid(boxes = [\"box-1\", \"box-2\"]) # by tallyctl\n"
 	for _, c := range []struct {
-		name, script, box string
-		avoid             bool
-		want              string
+		name, script, node string
+		avoid              bool
+		want               string
 	}{
 		{"first", "", "box-1", true, one},
 		{"second", one, "box-2", true, two},
@@ -74,7 +74,7 @@
 		{"below other lines", "# x", "box-1", true, "# x\n" + one},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got, err := EditAvoidedNodes(c.script, c.box, c.avoid); err != nil || got != c.want {
+			if got, err := EditAvoidedNodes(c.script, c.node, c.avoid); err != nil || got != c.want {
 				t.Errorf("got  %q, %v, want %q", got, err, c.want)
 			}
 		})
--- a/internal/ctl/run.go
+++ b/internal/ctl/run.go
@@ -44,7 +44,7 @@
 		return rollout.Result{}, err
 	}
 	agents := f.Inventory.AgentNames()
-	coordinator := rollout.NewCoordinator(f.HolderID, number, agents, change, f.timeouts, askAside(healthCheck))
+	coordinator := rollout.NewCoordinator(f.HolderID, number, agents, change, f.timeouts, asyncHealthCheck(healthCheck))
 	callContext, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the last calls outlive an interrupt
 	defer cancel()
 	m := newMessenger(callContext, f, 4*len(agents)+16)
@@ -73,9 +73,9 @@
 	return coordinator.Result(), nil
 }
 
-// askAside makes a rollout.HealthCheck of a function that may be slow: it runs in a goroutine of its own, once for each answer that is
+// asyncHealthCheck makes a rollout.HealthCheck of a function that may be slow: it runs in a goroutine of its own, once for each answer that is
 // taken.
-func askAside(healthCheck func() string) rollout.HealthCheck {
+func asyncHealthCheck(healthCheck func() string) rollout.HealthCheck {
 	if healthCheck == nil {
 		return nil
 	}
--- a/internal/ctl/snapshot.go
+++ b/internal/ctl/snapshot.go
@@ -121,14 +121,14 @@
 }
 
 // directorStatus combines a director's entry with what its agent told, nil where the agent is not reachable.
-func directorStatus(inventory *config.Inventory, entry config.DirectorEntry, told *fleetpb.DirectorStatus) DirectorStatus {
+func directorStatus(inventory *config.Inventory, entry config.DirectorEntry, reported *fleetpb.DirectorStatus) DirectorStatus {
 	s := DirectorStatus{Name: entry.Name, Agent: entry.Agent, Depot: inventory.Agent(entry.Agent).Depot, Reason: "its agent does not answer"}
-	if told == nil {
+	if reported == nil {
 		return s
 	}
-	s.AgentReachable, s.Up, s.Reason, s.Script, s.Settings = true, told.GetUp(), told.GetWhy(), told.GetScript(), told.GetSettings()
+	s.AgentReachable, s.Up, s.Reason, s.Script, s.Settings = true, reported.GetUp(), reported.GetWhy(), reported.GetScript(), reported.GetSettings()
 	if s.Up {
-		_ = json.Unmarshal(told.GetReport(), &s.Report) // of a report that can't be read, what could be read is shown
+		_ = json.Unmarshal(reported.GetReport(), &s.Report) // of a report that can't be read, what could be read is shown
 		s.Drifted = s.Settings != config.Digest([]byte(s.Script))
 	}
 	return s
--- a/internal/fleetpb/golden_test.go
+++ b/internal/fleetpb/golden_test.go
@@ -35,17 +35,17 @@
 		Entries: goldenEntries(),
 	}
 	cases := []struct {
-		name  string
-		value any
-		wire  proto.Message
-		want  string
-		empty proto.Message
-		back  func(m proto.Message) any
+		name   string
+		value  any
+		wire   proto.Message
+		want   string
+		empty  proto.Message
+		decode func(m proto.Message) any
 	}{
 		{"message", message, FromMessage(message), "080410041a08080712046f702f3120c08db7012a2b0a02633112046f702f311a03776879220263302a160a026e30120261301a0373756d22056c6f672829280232026331380240024801", &SayRequest{},
-			func(m proto.Message) any { back, _ := ToMessage(m.(*SayRequest)); return back }},
+			func(m proto.Message) any { decoded, _ := ToMessage(m.(*SayRequest)); return decoded }},
 		{"empty message", rollout.Message{}, FromMessage(rollout.Message{}), "1a00", &SayRequest{},
-			func(m proto.Message) any { back, _ := ToMessage(m.(*SayRequest)); return back }},
+			func(m proto.Message) any { decoded, _ := ToMessage(m.(*SayRequest)); return decoded }},
 		{"reply", reply, FromReply(reply), "080610041801220c68656c64206279206f702f322a08080812046f702f32300b380c42570a2b0a02633112046f702f311a03776879220263302a160a026e30120261301a0373756d22056c6f6728292802120c0a08080712046f702f31100218012002280132140a026e30120e080412036261641a056f6c642829", &SayReply{},
 			func(m proto.Message) any { return ToReply(m.(*SayReply)) }},
 		{"empty reply", rollout.Reply{}, FromReply(rollout.Reply{}), "2a00", &SayReply{},
@@ -80,8 +80,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if back := c.back(c.empty); !reflect.DeepEqual(back, c.value) {
-				t.Errorf("read back as %+v, want %+v", back, c.value)
+			if decoded := c.decode(c.empty); !reflect.DeepEqual(decoded, c.value) {
+				t.Errorf("read back as %+v, want %+v", decoded, c.value)
 			}
 		})
 	}
--- a/rollout/golden_test.go
+++ b/rollout/golden_test.go
@@ -57,12 +57,12 @@
 			if string(text) != c.want {
 				t.Errorf("got  %s\nwant %s", text, c.want)
 			}
-			back := reflect.New(reflect.TypeOf(c.value))
-			if err := json.Unmarshal([]byte(c.want), back.Interface()); err != nil {
+			decoded := reflect.New(reflect.TypeOf(c.value))
+			if err := json.Unmarshal([]byte(c.want), decoded.Interface()); err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(back.Elem().Interface(), c.value) {
-				t.Errorf("read back as %+v, want %+v", back.Elem().Interface(), c.value)
+			if !reflect.DeepEqual(decoded.Elem().Interface(), c.value) {
+				t.Errorf("read back as %+v, want %+v", decoded.Elem().Interface(), c.value)
 			}
 		})
 	}
