--- a/internal/ctl/golden_test.go
+++ b/internal/ctl/golden_test.go
@@ -49,9 +49,9 @@
 func TestGoldenAvoidLine(t *testing.T) {
 	const one, two = "avoid(boxes = [\"box-1\"]) # by tallyctl\n", "avoid(boxes = [\"box-1\", \"box-2\"]) # by tallyctl\n"
 	for _, c := range []struct {
-		name, script, box string
-		avoid             bool
-		want              string
+		name, script, node string
+		avoid              bool
+		want               string
 	}{
 		{"first", "", "box-1", true, one},
 		{"second", one, "box-2", true, two},
@@ -60,7 +60,7 @@
 		{"below other lines", "# x", "box-1", true, "# x\n" + one},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got, err := EditAvoidedNodes(c.script, c.box, c.avoid); err != nil || got != c.want {
+			if got, err := EditAvoidedNodes(c.script, c.node, c.avoid); err != nil || got != c.want {
 				t.Errorf("got  %q, %v, want %q", got, err, c.want)
 			}
 		})
