--- a/internal/experiment/fleetchange_test.go
+++ b/internal/experiment/fleetchange_test.go
@@ -73,8 +73,8 @@
 			if c.at == rollout.StepPrepare {
 				f.StopAgent("a02")
 			}
-			ctx, leave := context.WithTimeout(t.Context(), 40*time.Second)
-			defer leave()
+			ctx, cancel := context.WithTimeout(t.Context(), 40*time.Second)
+			defer cancel()
 			r, err := op.Run(ctx, change, nil, func(s rollout.Step, _ int) {
 				if s == c.at && s == rollout.StepApply {
 					f.StopAgent("a02")
@@ -120,10 +120,10 @@
 			change := addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, c.limit)
 			begun := time.Now()
 			if c.interrupt {
-				ctx, leave := context.WithCancel(t.Context())
+				ctx, cancel := context.WithCancel(t.Context())
 				_, err := op.Run(ctx, change, nil, func(s rollout.Step, _ int) {
 					if s == c.at {
-						leave()
+						cancel()
 					}
 				})
 				if err == nil || !strings.Contains(err.Error(), "left at putting in force") {
@@ -145,7 +145,7 @@
 					}
 				}
 				if x := v.Changes[i]; x.Outcome == c.outcome && x.InProgress == (c.limit > 0) && going == 0 && changed == c.changed {
-					t.Log("settled after", time.Since(begun))
+					t.Log("recovered after", time.Since(begun))
 					break
 				} else if time.Now().After(end) {
 					t.Fatalf("%+v", x)
@@ -236,12 +236,12 @@
 	defer other.Close()
 	v := op.Snapshot(t.Context())
 	results := make([]rollout.Result, 2)
-	var all sync.WaitGroup
+	var operators sync.WaitGroup
 	for i, o := range []*ctl.Fleet{op, other} {
 		change := addLine(t, v, fmt.Sprintf(`log(level = %q)`, []string{"warn", "error"}[i]), 0)
-		all.Go(func() { results[i], _ = o.Run(t.Context(), change, nil, nil) })
+		operators.Go(func() { results[i], _ = o.Run(t.Context(), change, nil, nil) })
 	}
-	all.Wait()
+	operators.Wait()
 	committed := 0
 	for _, r := range results {
 		if r.Outcome == rollout.Commit && r.AllOrNone() {
--- a/internal/experiment/fleethelpers_test.go
+++ b/internal/experiment/fleethelpers_test.go
@@ -17,6 +17,7 @@
 
 // listenAddress is the address at which a director's configuration has it listen.
 func listenAddress(t *testing.T, path string) string {
+	t.Helper()
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/main_test.go
+++ b/internal/experiment/main_test.go
@@ -17,6 +17,7 @@
 
 // inParallel runs the rest of a test in parallel with others, after those that need the processors to themselves.
 func inParallel(t *testing.T) {
+	t.Helper()
 	t.Parallel()
 	parallelTests <- true
 	t.Cleanup(func() { <-parallelTests })
@@ -37,7 +38,9 @@
 	os.Exit(m.Run())
 }
 
+// selfAsDirector is the command that starts this program as a director.
 func selfAsDirector(t *testing.T) []string {
+	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -48,6 +51,7 @@
 // buildDirector builds the director's program without the race detector, which makes it several times slower: a storm of any size would
 // overload it. All other tests run directors with the race detector.
 func buildDirector(t *testing.T) []string {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "tallyproxy")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", path, "tallyproxy/cmd/tallyproxy").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
--- a/internal/experiment/singledirector_test.go
+++ b/internal/experiment/singledirector_test.go
@@ -22,16 +22,16 @@
 	}
 	for round := range 5 {
 		statuses := make([]string, 2)
-		var all sync.WaitGroup
+		var requests sync.WaitGroup
 		for i := range statuses {
 			c := b.newClient()
 			c.Rand = rand.New(rand.NewPCG(7, uint64(round))) // the same ids
-			all.Go(func() {
+			requests.Go(func() {
 				defer c.Close()
 				statuses[i], _, _, _ = c.Attempt(t.Context(), b.Object(&b.ContentTypes[1], round), 5*time.Second, false, "")
 			})
 		}
-		all.Wait()
+		requests.Wait()
 		if statuses[0] > statuses[1] {
 			statuses[0], statuses[1] = statuses[1], statuses[0]
 		}
@@ -40,16 +40,16 @@
 		}
 	}
 	key := fmt.Sprintf("%032x", 5)
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	for range 4 {
 		c := b.newClient()
 		c.Rand = rand.New(rand.NewPCG(rand.Uint64(), 1))
-		all.Go(func() {
+		requests.Go(func() {
 			defer c.Close()
 			_, _, _, _ = c.Attempt(t.Context(), b.Object(&b.ContentTypes[2], 1), 3*time.Second, false, key) // only the effects matter
 		})
 	}
-	all.Wait()
+	requests.Wait()
 	if n := b.EffectCount(key); n != 1 {
 		t.Errorf("%d effects", n)
 	}
@@ -63,8 +63,8 @@
 	b := newSingleDirector(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
 	ctx, cancel := context.WithCancel(t.Context())
 	flood := newLoadConnection(b.Cluster, b.director.Addr, 32, 0, 1)
-	var all sync.WaitGroup
-	all.Go(func() { _ = flood.run(ctx, time.Now()) }) // only the others' answers matter
+	var requests sync.WaitGroup
+	requests.Go(func() { _ = flood.run(ctx, time.Now()) }) // only the others' answers matter
 	for i := range 40 {
 		c := b.newClient()
 		c.Rand = rand.New(rand.NewPCG(uint64(i), 9))
@@ -76,7 +76,7 @@
 		c.Close()
 	}
 	cancel()
-	all.Wait()
+	requests.Wait()
 }
 
 // singleDirector is a world with one director for single downloads.
@@ -86,7 +86,10 @@
 	defaultClient *fakes.Client
 }
 
+// newSingleDirector starts a director with a script on two cache nodes and a parent; change may alter the cluster before. All ends with
+// the test.
 func newSingleDirector(t *testing.T, change func(*fakes.Spec), script string) *singleDirector {
+	t.Helper()
 	spec := fakes.DefaultSpec(2, 1)
 	spec.ColdEdges, spec.Parents = false, 1
 	change(&spec)
@@ -113,6 +116,7 @@
 	return b
 }
 
+// newClient is a client of the director, with its own random generator.
 func (b *singleDirector) newClient() *fakes.Client {
 	return &fakes.Client{
 		Cluster: b.Cluster, Targets: []*fakes.Target{&b.director.Target}, MaxRetries: 5, RetryPause: 50 * time.Millisecond,
@@ -189,11 +193,11 @@
 	for _, n := range b.Nodes { // slow, so that places stay taken
 		n.SetFault(fakes.FaultNone, 30)
 	}
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	answered := make(chan string, 200)
 	for i := range 120 { // the director has 64 places
 		c := b.newClient()
-		all.Go(func() {
+		requests.Go(func() {
 			defer c.Close()
 			status, _, _, err := c.Attempt(t.Context(), b.Object(&b.ContentTypes[1], i), 3*time.Second, false, "")
 			if err != nil {
@@ -204,7 +208,7 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	b.director.Signal(os.Interrupt)
-	all.Wait()
+	requests.Wait()
 	close(answered)
 	statuses := map[string]int{}
 	for status := range answered {
