--- a/internal/agent/director.go
+++ b/internal/agent/director.go
@@ -136,8 +136,8 @@
 	return d.waitForReport(ctx)
 }
 
-// Stop tells the director to shut down and waits until it has answered all requests that it has taken. It returns without an error where
-// the context ends first.
+// Stop tells the director to shut down and waits until it has answered all requests that it has taken. It returns errDidNotExit where
+// the director or the context takes too long.
 func (d *Director) Stop(ctx context.Context) error {
 	if err := d.Signal(syscall.SIGTERM); err != nil {
 		return err
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -44,8 +44,8 @@
 		t.Errorf("on an open connection: %s %s", tag, code)
 	}
 	select {
-	case <-d.ended:
-		t.Error("ended with a request open")
+	case err := <-d.ended:
+		t.Errorf("ended with a request open: %v", err)
 	default:
 	}
 	close(proceed)
--- a/membership/quota.go
+++ b/membership/quota.go
@@ -16,7 +16,7 @@
 	ScopeFleet              // all directors, which share the parents
 )
 
-// MaxQuotaFactor is the highest quota as a multiple of the fixed one. By routing's budgetPart the directors together use 0.4 of what
+// MaxQuotaFactor is the highest quota as a multiple of the fixed one. By routing's slowStartBudgetShare the directors together use 0.4 of what
 // overloads a warming node. Were all of them to hold the highest quota, in whatever groups they see each other, it would be 0.8.
 const MaxQuotaFactor = 2
 
