--- a/internal/experiment/stormresult.go
+++ b/internal/experiment/stormresult.go
@@ -8,40 +8,40 @@
 	"tallyproxy/internal/fakes"
 )
 
-// StormResult is what clients, cache nodes and directors counted in a storm. Shares are of 1. SettleMS is -1 where the storm did not
-// settle.
+// StormResult is what clients, cache nodes and directors counted in a storm. Shares are of 1. RecoveryMS is -1 where it did not
+// end.
 type StormResult struct {
-	Clients            int         `json:"clients"`
-	Requests           int         `json:"asked"`    // that ended
-	FirstAnswered      int         `json:"answered"` // requests whose first attempt was answered, ended or not
-	Attempts           int         `json:"tries"`    // of requests that ended
-	Succeeded          int         `json:"fulfilled"`
-	Rejected           int         `json:"throttled"`      // requests whose last answer was a rejection
-	Failed             int         `json:"abandoned"`      // requests whose last answer was another one
-	Unanswered         int         `json:"unanswered"`     // requests without an answer
-	Lost               int         `json:"lost"`           // attempts without the answer that a director owed
-	DoubleFinal        int         `json:"double_final"`   // answers beyond the one of an attempt
-	WrongBodies        int         `json:"wrong_bytes"`    // answers with another object's bytes
-	RepeatedEffects    int         `json:"effects_twice"`  // effects that a key had beyond the first
-	ConcurrentAttempts int         `json:"pulls_together"` // upstream attempts of a request beside another of it
-	OverloadedNodes    int         `json:"boxes_fallen"`
-	DrainedUses        int         `json:"drains_broken"` // attempts sent to a drained node
-	StaleCopies        int         `json:"purges_broken"` // answers older than a purge
-	PeakLoad           float64     `json:"peak_load"`     // of any cache node, relative to what overloads it
-	SettleMS           int64       `json:"settle_ms"`     // until 95 % of the requests of two seconds succeeded
-	WastedShare        float64     `json:"wasted_share"`  // of attempts
-	BenefitShare       float64     `json:"benefit_share"` // of the requests' priority weight; late answers count a tenth
-	CacheUtilization   float64     `json:"boxes_used"`    // work done in the first ten seconds, relative to the caches' capacity
-	EarlyRetries       int         `json:"early_tries"`
-	ObeyingSuccess     float64     `json:"heeders_served"`  // share of requests that succeeded, of clients that obey the time they are told
-	IgnoringSuccess    float64     `json:"ignorers_served"` // share of requests that succeeded, of clients that ignore it
-	LostToKills        int         `json:"killed_tries"`    // attempts that ended with a director that was killed
-	LostToPauses       int         `json:"lost_paused"`     // attempts that timed out while their director was stopped
-	ClockStalls        int         `json:"jumps_noticed"`   // logged by directors
-	Crashes            int         `json:"crashes"`
-	PeakMemoryMB       float64     `json:"rss_mb_peak"`    // of any director
-	OverloadsDetected  int         `json:"storms_noticed"` // logged by directors
-	Series             StormSeries `json:"-"`
+	Clients            int         `json:"clients"`            // without the idle ones
+	Requests           int         `json:"asked"`              // that ended
+	FirstAnswered      int         `json:"answered"`           // requests whose first attempt was answered, ended or not
+	Attempts           int         `json:"tries"`              // of requests that ended
+	Succeeded          int         `json:"fulfilled"`          // requests that succeeded
+	Rejected           int         `json:"throttled"`          // requests whose last answer was a rejection
+	Failed             int         `json:"abandoned"`          // requests whose last answer was another one
+	Unanswered         int         `json:"unanswered"`         // requests without an answer
+	Lost               int         `json:"lost"`               // attempts without the answer that a director owed
+	DoubleFinal        int         `json:"double_final"`       // answers beyond the one of an attempt
+	WrongBodies        int         `json:"wrong_bytes"`        // answers with another object's bytes
+	RepeatedEffects    int         `json:"effects_twice"`      // effects that a key had beyond the first
+	ConcurrentAttempts int         `json:"pulls_together"`     // upstream attempts of a request beside another of it
+	OverloadedNodes    int         `json:"boxes_fallen"`       // cache nodes that were pushed over
+	DrainedUses        int         `json:"drains_broken"`      // attempts sent to a drained node
+	StaleCopies        int         `json:"purges_broken"`      // answers older than a purge
+	PeakLoad           float64     `json:"peak_load"`          // of any cache node, relative to what overloads it
+	RecoveryMS         int64       `json:"settle_ms"`          // until 95 % of the requests of two seconds succeeded
+	WastedShare        float64     `json:"wasted_share"`       // of attempts
+	WeightShare        float64     `json:"benefit_share"`      // of the requests' priority weight; late answers count a tenth
+	CacheUtilization   float64     `json:"boxes_used"`         // work done in the first ten seconds, relative to the caches' capacity
+	EarlyRetries       int         `json:"early_tries"`        // attempts before the time that was told
+	ObeyingSuccess     float64     `json:"heeders_served"`     // share of requests that succeeded, of clients that obey the time they are told
+	IgnoringSuccess    float64     `json:"ignorers_served"`    // share of requests that succeeded, of clients that ignore it
+	LostToKills        int         `json:"killed_tries"`       // attempts that ended with a director that was killed
+	LostToPauses       int         `json:"lost_paused"`        // attempts that timed out while their director was stopped
+	ClockStalls        int         `json:"jumps_noticed"`      // logged by directors
+	Crashes            int         `json:"crashes"`            // directors that did not end well
+	PeakMemoryMB       float64     `json:"rss_mb_peak"`        // of any director
+	OverloadsDetected  int         `json:"storms_noticed"`     // logged by directors
+	Series             StormSeries `json:"-"`                  // for the plot
 	SuccessBySecond    []float64   `json:"met"`                // share of requests that succeeded, by the second of their start
 	LostReasons        string      `json:"lost_how,omitempty"` // errors of the attempts in Lost, with counts
 }
@@ -72,9 +72,9 @@
 }
 
 const (
-	settleWindow      = time.Second      // of requests that are counted together
-	settledShare      = 0.95             // of a window's requests that succeed once the storm has settled
-	unsettledTail     = 7 * time.Second  // at the end, whose requests may not have ended
+	recoveryWindow    = time.Second      // of requests that are counted together
+	recoveredShare    = 0.95             // of a window's requests that succeed once the storm is over
+	unfinishedTail    = 7 * time.Second  // at the end, whose requests may not have ended
 	utilizationWindow = 10 * time.Second // from the begin
 	lateWeight        = 0.1              // of an answer after the latency objective
 )
@@ -95,9 +95,9 @@
 		for _, window := range tally.windows {
 			result.SuccessBySecond = append(result.SuccessBySecond, window.successShare())
 		}
-		result.SettleMS = tally.settleMS(r.Duration)
+		result.RecoveryMS = tally.recoveryMS(r.Duration)
 		result.CacheUtilization = ratio(tally.earlyWork, r.cluster.EdgeWork(r.begin, r.begin+utilizationWindow))
-		result.BenefitShare = ratio(tally.weightGained, tally.weight)
+		result.WeightShare = ratio(tally.weightGained, tally.weight)
 		result.WastedShare = ratio(float64(result.Attempts-result.Succeeded), float64(result.Attempts))
 		result.ObeyingSuccess = tally.obeying.successShare()
 		result.IgnoringSuccess = tally.ignoring.successShare()
@@ -130,7 +130,7 @@
 // requestTally sums up requests that ended.
 type requestTally struct {
 	begin        time.Duration
-	windows      []requestCount // by settleWindow of their start
+	windows      []requestCount // by recoveryWindow of their start
 	obeying      requestCount   // of clients that obey the time they are told
 	ignoring     requestCount   // of clients that ignore it
 	weight       float64        // priority weight of all requests
@@ -148,7 +148,7 @@
 	} else {
 		t.obeying.add(request.Succeeded)
 	}
-	window := int(max(0, request.StartedAt-t.begin) / settleWindow)
+	window := int(max(0, request.StartedAt-t.begin) / recoveryWindow)
 	for len(t.windows) <= window {
 		t.windows = append(t.windows, requestCount{})
 	}
@@ -179,14 +179,14 @@
 	}
 }
 
-// settleMS is the start, in ms, of the first two windows in a row in which nearly all requests succeeded; -1 where there are none.
-func (t *requestTally) settleMS(duration time.Duration) int64 {
-	settled := func(window int) bool {
-		return float64(t.windows[window].succeeded) >= settledShare*float64(t.windows[window].requests)
+// recoveryMS is the start, in ms, of the first two windows in a row in which nearly all requests succeeded; -1 where there are none.
+func (t *requestTally) recoveryMS(duration time.Duration) int64 {
+	recovered := func(window int) bool {
+		return float64(t.windows[window].succeeded) >= recoveredShare*float64(t.windows[window].requests)
 	}
 	for i := range t.windows {
-		start := time.Duration(i) * settleWindow
-		if start <= duration-unsettledTail && i+1 < len(t.windows) && settled(i) && settled(i+1) {
+		start := time.Duration(i) * recoveryWindow
+		if start <= duration-unfinishedTail && i+1 < len(t.windows) && recovered(i) && recovered(i+1) {
 			return start.Milliseconds()
 		}
 	}
