--- a/internal/boolean/boolean.go
+++ b/internal/boolean/boolean.go
@@ -1,7 +1,7 @@
-// Package boolean counts truth values.
+// Package boolean converts truth values to numbers.
 package boolean
 
-// Int is 1 for true and 0 for false.
+// Int returns 1 for true and 0 for false.
 func Int(value bool) int {
 	if value {
 		return 1
--- a/internal/hash/hash.go
+++ b/internal/hash/hash.go
@@ -1,41 +1,47 @@
-// Package hash holds the hash functions that decide placement and seeds. They are the same in every process and on every machine, and
-// their values are part of what directors agree on without a message: a change of one moves objects to other caches.
+// Package hash holds the hash functions that determine object placement and random seeds. They
+// give the same results in every process and on every machine. Directors rely on equal values to
+// agree on placement without exchanging messages, so changing a function moves objects to other
+// caches.
 package hash
 
 const (
-	fnvOffset    = 14695981039346656037 // FNV-1a, 64 bits
-	fnvPrime     = 1099511628211
-	splitMixStep = 0x9e3779b97f4a7c15 // the increment of splitmix64's state
+	fnvOffset    = 14695981039346656037 // offset basis of 64-bit FNV-1a
+	fnvPrime     = 1099511628211        // prime of 64-bit FNV-1a
+	splitMixStep = 0x9e3779b97f4a7c15   // increment of the splitmix64 state
 )
 
-// String is FNV-1a of the text, finished with Mix so that texts which differ in one byte differ in all bits.
+// String returns the FNV-1a hash of the text, finished with Mix so that texts that differ in one
+// byte have unrelated hashes.
 func String(text string) uint64 {
 	return Mix(fnv1a(fnvOffset, text))
 }
 
-// Seeded is FNV-1a of the text, begun from the seed and finished with Finalize. Instances of one fleet draw seeds of their own with it,
-// from the platform's seed, which all may share, and their name.
+// Seeded returns the FNV-1a hash of the text, started from the seed and finished with Finalize.
+// The instances of a fleet derive their own seeds with it from the platform's seed, which they may
+// all share, and from their names.
 func Seeded(seed uint64, text string) uint64 {
 	return Finalize(fnv1a(fnvOffset^seed, text))
 }
 
-// Mix is one step of splitmix64: the increment, then Finalize. It maps 0 to a number that looks random.
+// Mix performs one step of splitmix64: it adds the increment and applies Finalize. Unlike
+// Finalize, it maps 0 to a number that looks random.
 func Mix(x uint64) uint64 {
 	return Finalize(x + splitMixStep)
 }
 
-// Finalize is the finisher of splitmix64, a bijection that maps 0 to 0.
+// Finalize is the finalizer of splitmix64, a bijection that maps 0 to 0.
 func Finalize(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// Unit maps a hash to a number from 0 to 1, 1 excluded.
+// Unit maps a hash to a number in [0, 1).
 func Unit(x uint64) float64 {
 	return float64(Mix(x)>>11) / (1 << 53)
 }
 
+// fnv1a continues a 64-bit FNV-1a hash from the given state over the bytes of the text.
 func fnv1a(state uint64, text string) uint64 {
 	for i := range len(text) {
 		state = (state ^ uint64(text[i])) * fnvPrime
--- a/internal/hash/hash_test.go
+++ b/internal/hash/hash_test.go
@@ -2,7 +2,9 @@
 
 import "testing"
 
-// The values were recorded from the functions as they stood in the packages that use them now. They decide placement: they never change.
+// TestValuesStay guards against a change of the hash functions, which would move objects to other
+// caches. The values were recorded from the functions before they moved from their callers'
+// packages into this one, and must never change.
 func TestValuesStay(t *testing.T) {
 	for _, c := range []struct {
 		text string
--- a/policy/decision.go
+++ b/policy/decision.go
@@ -4,33 +4,36 @@
 type Action int
 
 const (
-	// None is nothing to do.
+	// None requires no action.
 	None Action = iota
-	// Queue holds the request: Route is called again after RecheckAfter.
+	// Queue holds the request. Route is called again after RecheckAfter.
 	Queue
 	// Send sends an attempt to Decision.Endpoint.
 	Send
-	// CancelAttempt stops waiting for attempt number Decision.Attempt, whose outcome follows.
+	// CancelAttempt cancels attempt number Decision.Attempt, whose outcome is reported afterwards.
 	CancelAttempt
-	// Reject is a final answer after which a retry of the client is harmless.
+	// Reject is a final answer after which the client can safely retry.
 	Reject
-	// Fail is a final answer without that promise.
+	// Fail is a final answer after which a retry by the client may not be safe.
 	Fail
 )
 
 // Decision is what the policy wants done for one request.
 type Decision struct {
-	Action        Action    // what to do
-	Endpoint      *Endpoint // with Send: where to
-	Source        *Endpoint // with Send: where a miss is filled from; the endpoint itself for no fill
-	CacheRank     int       // with Send: rank of the copy in the cache, 0 to keep none
-	MaxAge        Micros    // with Send: no older copy may answer; 0 for the content type's TTL
-	Coalesce      bool      // with Send: join a fill under way
-	OnlyIfCached  bool      // with Send: fill only from what the source holds
-	Revalidate    bool      // with Send: answer from an ageing copy and refresh it afterwards
-	Timeout       Micros    // with Send: of this attempt
-	NotAfter      Micros    // with Send: the attempt must not be written at this time or later; 0 for no bound
-	Attempt       int       // with CancelAttempt: the number of the attempt
-	RetryAfter    Micros    // with Reject: when the client should retry, from now; 0 for no advice
-	Unprocessable bool      // with Reject or Fail: endpoints agreed that they can't use the request
+	Action Action
+
+	// With Send.
+	Endpoint     *Endpoint // target of the attempt
+	Source       *Endpoint // where a miss is filled from; equal to Endpoint for no fill
+	CacheRank    int       // rank of the copy in the cache; 0 to keep no copy
+	MaxAge       Micros    // maximum age of a copy that may answer; 0 for the content type's TTL
+	Coalesce     bool      // the attempt may join a fill in progress
+	OnlyIfCached bool      // the source may fill only from its own cache
+	Revalidate   bool      // an ageing copy may answer and is refreshed afterwards
+	Timeout      Micros    // timeout of this attempt
+	NotAfter     Micros    // the attempt must be written before this time; 0 for no bound
+
+	Attempt       int    // with CancelAttempt: number of the attempt
+	RetryAfter    Micros // with Reject: advised delay before the client's retry; 0 for no advice
+	Unprocessable bool   // with Reject or Fail: endpoints agreed that they cannot process it
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -1,24 +1,24 @@
 package policy
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState int
 
 const (
-	// Ready endpoints take requests.
+	// Ready endpoints accept requests.
 	Ready EndpointState = iota
-	// Draining endpoints finish what they have and must not be sent more.
+	// Draining endpoints finish their open requests and must not be sent new ones.
 	Draining
-	// Removed endpoints are gone.
+	// Removed endpoints no longer exist.
 	Removed
 )
 
 // Endpoint is an entry of the endpoint list: an edge cache, a parent cache or the origin.
 type Endpoint struct {
 	ID      string        // the same at every router
-	Zone    int           // zone that it stands in
-	Kind    int           // machine kind; Settings name those of parents and of the origin
-	Cell    int           // cell of its zone, for DedupScopeCell
-	State   EndpointState // what the list says of it
-	Weight  float64       // its size, where Settings.WeightsAreSizes
-	Started Micros        // its latest start on the router's clock; 0 for long ago
+	Zone    int           // zone of the endpoint
+	Kind    int           // machine kind; Settings define the kinds of parents and of the origin
+	Cell    int           // cell within the zone, for DedupScopeCell
+	State   EndpointState // state according to the endpoint list
+	Weight  float64       // relative size, if Settings.WeightsAreSizes
+	Started Micros        // latest start on the router's clock; 0 if long ago
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,7 @@
-// Package policy holds what a director's adapters and its routing decisions say to each other: the Policy interface and the plain types
-// that pass through it. Nothing here decides anything, and nothing here belongs to one protocol: an adapter fills these types from its
-// wire and writes its wire from them. Package routing implements the interface.
+// Package policy defines the interface between a director's protocol adapters and its routing
+// decisions: the Policy interface and the plain types that pass through it. The package makes no
+// decisions and is independent of any protocol: an adapter converts between these types and its
+// wire format. Package routing implements the interface.
 package policy
 
 import "time"
@@ -8,32 +9,34 @@
 // Micros is a point in time or a duration, in whole microseconds.
 type Micros int64
 
-// Duration converts to the standard library's type, for timers and deadlines of the drivers.
+// Duration converts m to a time.Duration, for the timers and deadlines of the drivers.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// MicrosOf converts from the standard library's type; what is less than a microsecond is cut off.
+// MicrosOf converts d to Micros and truncates it to whole microseconds.
 func MicrosOf(d time.Duration) Micros { return Micros(d / time.Microsecond) }
 
-// Second is a second. Rates are per second.
+// Second is one second. Rates are per second.
 const Second Micros = 1_000_000
 
-// Policy decides for one router. An adapter calls Route for each request that arrives and AttemptDone for each attempt that ends. After
-// every decision to queue or to send it calls RecheckAfter, and when that time is over it calls Route again. The other methods bring
-// news. Calls must not overlap.
+// Policy makes the decisions of one router. An adapter calls Route for each request that arrives
+// and AttemptDone for each attempt that ends. After each decision to queue or to send, it calls
+// RecheckAfter and calls Route again when that time has passed. The other methods report events.
+// Calls must not overlap.
 type Policy interface {
-	// Route decides what to do with a request: a new one, one that is queued, or one whose attempt is due for a check.
+	// Route decides what to do with a request that is new, that is queued, or whose attempt is due
+	// for a check.
 	Route(now Micros, request *Request) Decision
-	// AttemptDone takes the end of an attempt and decides what to do with its request now.
+	// AttemptDone records the outcome of an attempt and decides what to do with its request next.
 	AttemptDone(now Micros, request *Request, outcome Outcome) Decision
-	// RecheckAfter is how long to wait before the next call of Route; 0 where none is needed.
+	// RecheckAfter returns how long to wait before the next call of Route, or 0 if none is needed.
 	RecheckAfter(now Micros, request *Request) Micros
 
-	// UpdateEndpoints brings the endpoint list: all of it, or the changed entries alone.
+	// UpdateEndpoints applies an endpoint list: a complete one, or only the changed entries.
 	UpdateEndpoints(now Micros, endpoints []Endpoint, complete bool)
 	// ClientConnected counts a new client connection.
 	ClientConnected(now Micros)
-	// Purge makes copies void that are older than a time: those of an object, or with no object those of a group, or of AllGroups. The
-	// time 0 takes an earlier purge back.
+	// Purge invalidates copies that are older than at: those of the object or, if object is empty,
+	// those of the group, which may be AllGroups. If at is 0, an earlier purge is revoked.
 	Purge(now Micros, object string, group int, at Micros)
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,37 +1,42 @@
 package policy
 
-// Request is what a client asked for. The adapter owns it until its final answer is written and every attempt has ended.
+// Request is a client's request. The adapter owns it until its final answer is written and every
+// attempt has ended.
 type Request struct {
-	Type           *ContentType // one of Settings.ContentTypes
-	Object         string       // name of the object
-	Part           int          // part of the object; every part is cached and filled on its own
-	Group          int          // group of the object, for purges
-	SizeKB         float64      // size of the answer; 0 where it is not known
-	IsRetry        bool         // the client tried before, where clients say so
-	ClientHash     uint64       // hash of the client's address; 0 where it is not known
-	IdempotencyKey string       // for IdempotentWithKey, the same for all tries of the client; empty where not given
-	ClientSuspect  bool         // no endpoint could use what its client asked for lately
-	ArrivedAt      Micros       // when the router received it
-	Deadline       Micros       // when the client stops waiting
-	Done           bool         // the final answer is written, or the client has left
-	PolicyState    any          // the policy's own, set by Policy.Route
+	Type       *ContentType // one of Settings.ContentTypes
+	Object     string       // name of the object
+	Part       int          // part of the object; every part is cached and filled separately
+	Group      int          // group of the object, for purges
+	SizeKB     float64      // size of the answer; 0 if unknown
+	IsRetry    bool         // the client marked the request as a retry
+	ClientHash uint64       // hash of the client's address; 0 if unknown
+
+	// IdempotencyKey is the key of an IdempotentWithKey request. It is the same for all retries of
+	// the client, and empty if the client gave none.
+	IdempotencyKey string
+
+	ClientSuspect bool   // no endpoint could process this client's recent requests
+	ArrivedAt     Micros // when the router received the request
+	Deadline      Micros // when the client stops waiting
+	Done          bool   // the final answer is written, or the client has disconnected
+	PolicyState   any    // private to the policy, set by Policy.Route
 }
 
 // Result is how an attempt ended.
 type Result int
 
 const (
-	// Succeeded is an answer with what was asked for.
+	// Succeeded is an answer with the requested content.
 	Succeeded Result = iota
 	// Failed is an error answer; the request may have run.
 	Failed
-	// Rejected is an answer that the endpoint did not run the request.
+	// Rejected is an answer stating that the endpoint did not run the request.
 	Rejected
-	// TimedOut is no answer within the attempt's timeout; the request may have run.
+	// TimedOut means no answer within the attempt's timeout; the request may have run.
 	TimedOut
-	// ConnectFailed is an endpoint that took no connection; the request has not run.
+	// ConnectFailed means that the endpoint accepted no connection; the request has not run.
 	ConnectFailed
-	// ConnectionLost is a connection that ended before the answer did; the request may have run.
+	// ConnectionLost means that the connection ended before the answer; the request may have run.
 	ConnectionLost
 	// Cancelled is the end of an attempt that the policy cancelled; the request may have run.
 	Cancelled
@@ -39,15 +44,17 @@
 	NotSent
 	// CacheMiss is the answer of a cache that was asked only for what it or its source holds.
 	CacheMiss
-	// Withdrawn is an attempt that was never written because an event came that its decision did not know.
+	// Withdrawn is an attempt that was never written because an event after its decision made that
+	// decision outdated.
 	Withdrawn
 )
 
-// CacheStatus is what an answer reports of the copy or of the fill. The statuses from SourceRejected on report why a fill failed.
+// CacheStatus is what an answer reports about the copy or the fill. The statuses from
+// SourceRejected on report why a fill failed.
 type CacheStatus int
 
 const (
-	// Unknown is an answer that reports neither.
+	// Unknown means that the answer reports nothing about a copy or a fill.
 	Unknown CacheStatus = iota
 	// Hit is an answer from a fresh copy.
 	Hit
@@ -55,26 +62,27 @@
 	Filled
 	// FilledByOrigin is an answer through a fill that reached the origin.
 	FilledByOrigin
-	// Coalesced is an answer through a fill that was under way for another request.
+	// Coalesced is an answer through a fill that was in progress for another request.
 	Coalesced
 	// Stale is an answer from an ageing copy.
 	Stale
-	// SourceRejected is a source that rejected the fill.
+	// SourceRejected means that the source rejected the fill.
 	SourceRejected
-	// SourceUnavailable is a source that was not reached, was lost during the fill, or took too long.
+	// SourceUnavailable means that the source could not be reached, that its connection was lost
+	// during the fill, or that it took too long.
 	SourceUnavailable
-	// SourceMiss is a source that was asked only for what it holds and lacks the object.
+	// SourceMiss means that the source was asked only for what it holds and lacks the object.
 	SourceMiss
-	// CacheFull is a cache without room for the fill.
+	// CacheFull means that the cache has no room for the fill.
 	CacheFull
-	// OriginFailed is an error of the origin behind the source.
+	// OriginFailed means that the origin behind the source returned an error.
 	OriginFailed
 )
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	Attempt     int         // number of the attempt, in the order of the decisions to send, from 0
-	Result      Result      // how it ended
-	CacheStatus CacheStatus // what its answer reports of the copy or the fill
-	Final       bool        // the request is finished: no decision is needed
+	Attempt     int         // number of the attempt, counting the decisions to send from 0
+	Result      Result      // how the attempt ended
+	CacheStatus CacheStatus // what the answer reports about the copy or the fill
+	Final       bool        // the request is finished and needs no further decision
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,18 +1,20 @@
 package policy
 
-// RetrySafety says what a second run of a request does.
+// RetrySafety describes the effect of running a request a second time.
 type RetrySafety int
 
 const (
 	// Idempotent requests may run any number of times.
 	Idempotent RetrySafety = iota
-	// IdempotentWithKey requests carry a key by which a group of endpoints drops repeats for a while.
+	// IdempotentWithKey requests carry a key by which a group of endpoints drops repeats for a
+	// limited time.
 	IdempotentWithKey
 	// NotIdempotent requests must never run twice.
 	NotIdempotent
 )
 
-// DedupScope is the group of endpoints that drops repeats of requests with the same idempotency key.
+// DedupScope is the group of endpoints that drops repeats of requests with the same idempotency
+// key.
 type DedupScope int
 
 const (
@@ -24,79 +26,103 @@
 	DedupScopeCell
 )
 
-// ContentType is what the settings say of one kind of request.
+// ContentType holds the settings of one kind of request.
 type ContentType struct {
 	LatencyObjective Micros      // answers within this time have the full priority weight
-	TransferFactor   float64     // the latency objective grows by this multiple of the request's sending time
-	Timeout          Micros      // how long a client waits in all, over its own retries
-	RetrySafety      RetrySafety // what a second run does
-	DedupScope       DedupScope  // for IdempotentWithKey: the endpoints that drop repeats
-	DedupWindow      Micros      // for IdempotentWithKey: how long they remember a key
-	PriorityWeight   float64     // worth of an answer within the latency objective
-	LateWeight       float64     // share of the priority weight for an answer after it
+	TransferFactor   float64     // multiple of the transfer time added to the latency objective
+	Timeout          Micros      // how long a client waits in total, including its own retries
+	RetrySafety      RetrySafety // effect of a second run
+	DedupScope       DedupScope  // with IdempotentWithKey: the endpoints that drop repeats
+	DedupWindow      Micros      // with IdempotentWithKey: how long the endpoints remember a key
+	PriorityWeight   float64     // value of an answer within the latency objective
+	LateWeight       float64     // share of the priority weight for a later answer
 	TTL              Micros      // how long a copy is fresh; 0 for no limit
 	Uncacheable      bool        // never kept by caches: requests run at the origin
 	Unsplit          bool        // objects have no parts
 }
 
-// SlowStart is the load that a freshly started endpoint bears.
+// SlowStart is the load that an endpoint can bear after it has started.
 type SlowStart struct {
-	InitialShare   float64 // share of its capacity that it can do at its start, at the least
-	Duration       Micros  // the share grows to 1 on a straight line over this time
-	OverloadFactor float64 // it fails when it is asked for more than this multiple of its share ...
-	OverloadWindow Micros  // ... over this time
+	InitialShare float64 // minimum share of its capacity that the endpoint has at its start
+	Duration     Micros  // time over which the share grows linearly to 1
+
+	// The endpoint fails if its load exceeds OverloadFactor times its share over OverloadWindow.
+	OverloadFactor float64
+	OverloadWindow Micros
 }
 
-// Settings are given once, when an instance of the policy starts.
+// Settings are passed once, when an instance of the policy is created.
 type Settings struct {
-	Seed                uint64         // of random decisions; differs between the directors of a fleet
+	Seed                uint64         // random seed; differs between the directors of a fleet
 	Zone                int            // the router's own zone
-	ZoneDirectors       int            // routers in this zone
-	TotalDirectors      int            // routers in all zones
-	FillLinkKBPerSecond float64        // capacity of the zone's link for fills; 0 where it is not known
-	ContentTypes        []*ContentType // all kinds of requests; a Request points to one of them
-	ParentKind          int            // machine kind of parent caches; -1 where there are none
+	ZoneDirectors       int            // number of routers in this zone
+	TotalDirectors      int            // number of routers in all zones
+	FillLinkKBPerSecond float64        // capacity of the zone's link for fills; 0 if unknown
+	ContentTypes        []*ContentType // all kinds of requests; each Request points to one of them
+	ParentKind          int            // machine kind of parent caches; -1 if there are none
 	OriginKind          int            // machine kind of the origin
-	AllowDirect         bool           // requests may be sent straight to a parent or the origin
-	CoalesceFills       bool           // caches can join a request to a fill under way
+	AllowDirect         bool           // requests may be sent directly to a parent or the origin
+	CoalesceFills       bool           // caches can join a request to a fill in progress
 	ReportsCacheStatus  bool           // answers report how a fill went and why it failed
-	WeightsAreSizes     bool           // the endpoint list's weights are sizes; otherwise every endpoint counts as one
+	WeightsAreSizes     bool           // listed weights are sizes; otherwise every weight is 1
 	CanCancel           bool           // an attempt can be cancelled
-	ConcurrentAttempts  bool           // two attempts of a request may be in flight together
-	MaxAttempts         int            // attempts for a request at the most
-	TransferKBPerSecond float64        // highest rate of one answer
-	EdgeSlowStart       SlowStart      // of edge caches
-	ParentSlowStart     SlowStart      // of parent caches
-	PurgeRetention      Micros         // this long after a purge no older copy is left anywhere
-	PurgePropagation    Micros         // this long after a purge was announced no older copy may be asked for; 0 where not stated
-	DrainPropagation    Micros         // this long after an endpoint was announced draining or removed nothing may be sent to it; 0 where not stated
-	MaxRetryAfter       Micros         // longest retry-after time that clients heed; 0 where none is passed on
+	ConcurrentAttempts  bool           // two attempts of a request may be in flight at once
+	MaxAttempts         int            // maximum number of attempts for a request
+	TransferKBPerSecond float64        // maximum transfer rate of one answer
+	EdgeSlowStart       SlowStart      // slow start of edge caches
+	ParentSlowStart     SlowStart      // slow start of parent caches
+
+	// PurgeRetention is the time after a purge by which no older copy is left anywhere.
+	PurgeRetention Micros
+	// PurgePropagation is the time after the announcement of a purge from which older copies must
+	// not be requested; 0 if not specified.
+	PurgePropagation Micros
+	// DrainPropagation is the time after an endpoint was announced as draining or removed from
+	// which nothing may be sent to it; 0 if not specified.
+	DrainPropagation Micros
+	// MaxRetryAfter is the longest retry-after time that clients obey; 0 if none is sent.
+	MaxRetryAfter Micros
 
-	AnswerGrace          Micros // a final answer still counts this long after its client stopped waiting
-	ConnectTimeout       Micros // for connections to endpoints
-	KeepAliveTimeout     Micros // endpoints close connections that are idle for this long
-	MaxConcurrentStreams int    // requests that a connection to an endpoint carries at once
+	AnswerGrace          Micros // time after the client's deadline in which an answer still counts
+	ConnectTimeout       Micros // timeout for connections to endpoints
+	KeepAliveTimeout     Micros // idle time after which endpoints close a connection
+	MaxConcurrentStreams int    // maximum concurrent requests on a connection to an endpoint
 }
 
-// Timeouts are the times and limits that sockets need beyond the settings. The policy derives them too, so that they fit its decisions.
+// Timeouts are the times and limits that connections need in addition to Settings. The policy
+// derives them too, so that they are consistent with its decisions.
 type Timeouts struct {
-	AnswerReserve     Micros // a final answer is written this long before its client stops waiting
-	Connect           Micros // a connection to an endpoint that takes longer to come up, or to take bytes, is closed
-	ReadStall         Micros // a connection to an endpoint that brings nothing for this long within an answer is closed
-	Idle              Micros // a connection to an endpoint that is idle for this long is closed
-	PreferredStreams  int    // requests on one connection to an endpoint before another is opened
-	MaxStreams        int    // requests on one connection at the most
-	CancelConfirm     Micros // an endpoint that does not confirm a cancelled attempt within this time counts as silent
-	RequestRead       Micros // a client's message that is not complete this long after its connection or its first byte is dropped
-	DownstreamIdle    Micros // a client's connection without open requests is closed after this time
-	DefaultRetryAfter Micros // retry-after time of a rejection that the policy was not asked about
-	WriteFlush        Micros // a client that takes no bytes for this long is dropped
-	DrainAccept       Micros // after the signal to stop new requests are accepted for this long
-	DrainDeadline     Micros // after the signal to stop all accepted requests are answered within this time
-	LongPoll          Micros // how long the command channel may hold an answer back
-	PollRetry         Micros // pause after an error of the command channel
-	Heartbeat         Micros // interval of a director's heartbeats to itself, which detect stalls of its process
-	StallThreshold    Micros // a gap between heartbeats above which the director asks the command channel before it goes on
-	SuspectTimeout    Micros // how long it waits for that at the most
-	MaxDecisionAge    Micros // a decision that waits this long to be written is made anew if a purge came since
+	AnswerReserve    Micros // a final answer is written this long before the client's deadline
+	Connect          Micros // maximum time for an endpoint to accept a connection or written bytes
+	ReadStall        Micros // maximum time without data within an endpoint's answer
+	Idle             Micros // idle time after which a connection to an endpoint is closed
+	PreferredStreams int    // requests on a connection to an endpoint before another is opened
+	MaxStreams       int    // maximum concurrent requests on a connection to an endpoint
+
+	// CancelConfirm is the time within which an endpoint must confirm a cancelled attempt.
+	// Otherwise the endpoint counts as unresponsive.
+	CancelConfirm Micros
+	// RequestRead is the time within which a client's message must be complete, counted from its
+	// connection or the message's first byte. Otherwise the message is dropped.
+	RequestRead Micros
+
+	DownstreamIdle    Micros // idle time after which a client connection without requests is closed
+	DefaultRetryAfter Micros // retry-after time of rejections made without asking the policy
+	WriteFlush        Micros // a client that accepts no bytes for this long is disconnected
+	DrainAccept       Micros // time after the stop signal in which new requests are accepted
+	DrainDeadline     Micros // time after the stop signal by which accepted requests are answered
+	LongPoll          Micros // maximum time for which the command channel may delay an answer
+	PollRetry         Micros // delay after an error of the command channel
+
+	// Heartbeat is the interval of the heartbeats that a director sends to itself to detect stalls
+	// of its process.
+	Heartbeat Micros
+	// StallThreshold is the gap between heartbeats above which the director queries the command
+	// channel before it continues.
+	StallThreshold Micros
+	// SuspectTimeout is the maximum time that the director waits for that query.
+	SuspectTimeout Micros
+	// MaxDecisionAge is the age above which a decision that is not yet written is made again if a
+	// purge has arrived since.
+	MaxDecisionAge Micros
 }
