--- a/routing/cancel.go
+++ b/routing/cancel.go
@@ -2,21 +2,25 @@
 
 import "tallyproxy/policy"
 
-// checksPerObjective is how often within its latency objective an unanswered attempt is checked.
+// checksPerObjective is the number of checks of an unanswered attempt within its latency
+// objective.
 const checksPerObjective = 2
 
-// nextCheck is when the request's attempt in flight is due for its next check.
+// nextCheck returns when the attempt, which is in flight, is due for its next check.
 func (s *requestState) nextCheck(a *attempt) policy.Micros {
 	return s.checkedAt + a.objective/checksPerObjective
 }
 
-// checkAttempt looks at an attempt in flight. Where its endpoint has answered no attempt since this one was sent, the endpoint may be
-// silent; where it has, but nothing came through the attempt's source, the source may be. Once several checks found that, the endpoint is
-// ejected and the attempt cancelled, so that the request goes elsewhere. A source is suspected only where answers report how fills went,
-// since few fills from here go through one source, and slow is not silent.
+// checkAttempt checks an attempt in flight. If its endpoint has answered no attempt since this one
+// was sent, the endpoint may be unresponsive. If the endpoint has answered but nothing has come
+// through the attempt's source, the source may be unresponsive. Once failureThreshold checks have
+// found the same endpoint or source unresponsive, it is ejected and the attempt is cancelled, so
+// that the request goes to another endpoint. A source is suspected only if answers report how
+// fills went, because only few of this director's fills go through one source, and a slow source
+// is not necessarily unresponsive.
 //
-// That protects against machines that vanish without a connection reset, and against any that hang. It can harm where all of an
-// endpoint's few answers take long.
+// This protects against machines that disappear without a connection reset and against machines
+// that hang. It can do harm if an endpoint has few answers and all of them take long.
 func (r *Router) checkAttempt(now policy.Micros, state *requestState, a *attempt) policy.Decision {
 	if a.cancelled || now < state.nextCheck(a) {
 		return policy.Decision{}
@@ -39,8 +43,9 @@
 	return policy.Decision{Action: policy.CancelAttempt, Attempt: len(state.attempts) - 1}
 }
 
-// observeLateFill counts an attempt that is past its objective as a late fill, without waiting for its end: its endpoint answers others,
-// so it is a miss.
+// observeLateFill counts an attempt that has exceeded its latency objective as a late fill without
+// waiting for its end. Its endpoint answers other attempts, so this attempt must be waiting for a
+// fill after a cache miss.
 func (r *Router) observeLateFill(now policy.Micros, a *attempt) {
 	if !a.countedLate && !a.cacheOnly && now >= a.sentAt+a.objective {
 		a.countedLate = true
--- a/routing/cost.go
+++ b/routing/cost.go
@@ -6,51 +6,58 @@
 )
 
 const (
-	meanMemory        = 100  // observations over which running means and shares look back, about
-	minPriorityWeight = 1e-9 // of a content type without a weight, which would divide by zero
+	// meanSamples is the approximate number of observations that running means and shares cover.
+	meanSamples = 100
+	// minPriorityWeight replaces a priority weight of 0, which would cause a division by zero.
+	minPriorityWeight = 1e-9
 )
 
-// runningMean is a mean that begins with the first value and then follows the last meanMemory, about.
+// runningMean is a mean that starts with the first value and then covers about the last
+// meanSamples values.
 type runningMean struct{ value, count float64 }
 
-// add takes a value into the mean.
+// add adds a value to the mean.
 func (m *runningMean) add(value float64) {
-	m.count = min(m.count+1, meanMemory)
+	m.count = min(m.count+1, meanSamples)
 	m.value += (value - m.value) / m.count
 }
 
-// observeShare moves a running share of events towards 1 or 0.
+// observeShare moves a running share of events towards 1 if the event occurred and towards 0 if
+// not.
 func observeShare(share *float64, event bool) {
-	*share += (float64(boolean.Int(event)) - *share) / meanMemory
+	*share += (float64(boolean.Int(event)) - *share) / meanSamples
 }
 
-// knowsSize reports whether the request's sending time follows from its size.
+// knowsSize reports whether the request's transfer time can be calculated from its size.
 func (r *Router) knowsSize(request *policy.Request) bool {
 	return request.SizeKB > 0 && r.settings.TransferKBPerSecond > 0
 }
 
-// sendingTime is the request's sending time at full pace, in microseconds; where its size is not known, the mean of its content type.
-func (r *Router) sendingTime(request *policy.Request) float64 {
+// transferTime returns the request's transfer time at the full rate, in microseconds. If the size
+// is unknown, it returns the mean of the content type.
+func (r *Router) transferTime(request *policy.Request) float64 {
 	if r.knowsSize(request) {
 		return request.SizeKB / r.settings.TransferKBPerSecond * float64(policy.Second)
 	}
-	return r.sendingTimes[request.Type].value
+	return r.transferTimes[request.Type].value
 }
 
-// latencyObjective is the time within which an answer has its full priority weight.
+// latencyObjective returns the time within which an answer has its full priority weight.
 func (r *Router) latencyObjective(request *policy.Request) policy.Micros {
 	contentType := request.Type
-	return min(contentType.LatencyObjective+policy.Micros(contentType.TransferFactor*r.sendingTime(request)), max(contentType.Timeout, 1))
+	return min(contentType.LatencyObjective+policy.Micros(contentType.TransferFactor*r.transferTime(request)), max(contentType.Timeout, 1))
 }
 
-// cost is the request's sending time for a unit of its priority weight.
+// cost returns the request's transfer time per unit of its priority weight.
 func (r *Router) cost(request *policy.Request) float64 {
-	return max(1, r.sendingTime(request)) / max(request.Type.PriorityWeight, minPriorityWeight)
+	return max(1, r.transferTime(request)) / max(request.Type.PriorityWeight, minPriorityWeight)
 }
 
-// limitShare is the share of the fill limiter that a request may use: all of it, or the less the more it costs compared with the average
-// request. Of an edge cache's concurrency limit it may use the mean of this share and 1. That protects many short requests from a few
-// long ones and acts only where limits are reached. It can harm a content type whose requests are all long.
+// limitShare returns the share of the fill limiter that a request may use: all of it for a request
+// of average cost or less, and a share inversely proportional to its cost above that. Of an edge
+// cache's concurrency limit, the request may use the mean of this share and 1. This protects many
+// short requests from a few long ones and has an effect only while limits are reached. It can harm
+// a content type whose requests are all long.
 func (r *Router) limitShare(request *policy.Request) float64 {
 	return min(1, r.averageCost.value/r.cost(request))
 }
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -8,57 +8,64 @@
 	"tallyproxy/policy"
 )
 
-const minWeight = 1e-3 // of an endpoint whose size is 0, which would divide by zero
+// minWeight replaces an endpoint size of 0, which would cause a division by zero.
+const minWeight = 1e-3
 
-// endpoint is an entry of the endpoint list with what the router has learned of it. An endpoint that starts anew is a new one: attempts in
-// flight keep the old one.
+// endpoint is an entry of the endpoint list together with what the router has observed of it. When
+// an endpoint restarts, a new value replaces the old one, which attempts in flight keep using.
 type endpoint struct {
 	policy.Endpoint
-	hash      uint64        // of the ID
-	startedAt policy.Micros // as far as known; 0 for long ago
+	hash      uint64        // hash of the ID
+	startedAt policy.Micros // latest known start; 0 if long ago
 
 	// Outlier detection.
-	connectFailedAt     policy.Micros // when it last took no connection; 0 once the reason is known
+
+	connectFailedAt     policy.Micros // last failed connect; 0 if none, or once its cause is known
 	consecutiveFailures int
-	ejectedAt           policy.Micros // when it was last ejected, or lost a connection: results of attempts sent before are not counted
-	ejectedUntil        policy.Micros // it gets no attempts before this time
-	ejectionTime        policy.Micros // length of the last ejection
-	halfOpen            bool          // back from an ejection: it gets one attempt at a time until one succeeds
-	probing             bool          // that attempt is in flight
-	lastAnswerAt        policy.Micros
-	unanswered          int // checks since then that found an attempt unanswered
+	// ejectedAt is when the endpoint was last ejected or lost a connection. Results of attempts
+	// sent before this time are not counted.
+	ejectedAt    policy.Micros
+	ejectedUntil policy.Micros // no attempts are sent to the endpoint before this time
+	ejectionTime policy.Micros // length of the last ejection
+	// halfOpen limits the endpoint to one attempt at a time, its probe, until one succeeds. It is
+	// set when the endpoint is ejected or may be unusable.
+	halfOpen     bool
+	probing      bool // the probe is in flight
+	lastAnswerAt policy.Micros
+	unanswered   int // checks since lastAnswerAt that found an attempt unanswered
 
-	concurrency concurrencyLimit // for attempts at it
-	fillLatency float64          // running mean of the time that fills through it take, over their latency objective
+	concurrency concurrencyLimit // limit of attempts at this endpoint
+	fillLatency float64          // running mean of fill time through it, over the latency objective
 
 	// Slow start.
-	windowWork float64       // work sent in the current half of the overload window
-	window     policy.Micros // number of that half
+
+	halfWindowWork float64       // work sent in the current half of the overload window
+	halfWindow     policy.Micros // number of that half
 }
 
-// tier is the ready endpoints of one kind.
+// tier holds the ready endpoints of one kind.
 type tier struct {
 	ready       []*endpoint // in the order of their IDs
 	slowStart   policy.SlowStart
 	totalWeight float64 // of the ready endpoints
 }
 
-// UpdateEndpoints takes the endpoint list: all of it, or the changed entries alone.
-func (r *Router) UpdateEndpoints(now policy.Micros, rows []policy.Endpoint, complete bool) {
+// UpdateEndpoints applies an endpoint list: a complete one, or only the changed entries.
+func (r *Router) UpdateEndpoints(now policy.Micros, entries []policy.Endpoint, complete bool) {
 	known := r.endpoints
 	if complete {
-		r.endpoints = make(map[string]*endpoint, len(rows))
+		r.endpoints = make(map[string]*endpoint, len(entries))
 	}
-	for _, row := range rows {
-		if row.State == policy.Removed {
-			delete(r.endpoints, row.ID)
+	for _, entry := range entries {
+		if entry.State == policy.Removed {
+			delete(r.endpoints, entry.ID)
 			continue
 		}
-		e := known[row.ID]
-		if e == nil || e.Started != row.Started {
-			e = r.newEndpoint(now, row)
+		e := known[entry.ID]
+		if e == nil || e.Started != entry.Started {
+			e = r.newEndpoint(now, entry)
 		}
-		e.Endpoint, r.endpoints[row.ID] = row, e
+		e.Endpoint, r.endpoints[entry.ID] = entry, e
 		if e.Weight = max(e.Weight, minWeight); !r.settings.WeightsAreSizes {
 			e.Weight = 1
 		}
@@ -66,14 +73,15 @@
 	r.rebuildTiers()
 }
 
-// newEndpoint makes an endpoint of which nothing is known but its row.
-func (r *Router) newEndpoint(now policy.Micros, row policy.Endpoint) *endpoint {
-	e := &endpoint{hash: hash.String(row.ID), startedAt: row.Started, lastAnswerAt: now}
+// newEndpoint returns an endpoint for a list entry, without any observations.
+func (r *Router) newEndpoint(now policy.Micros, entry policy.Endpoint) *endpoint {
+	e := &endpoint{hash: hash.String(entry.ID), startedAt: entry.Started, lastAnswerAt: now}
 	e.concurrency.limit = max(2, initialConcurrency/float64(max(1, r.settings.ZoneDirectors)))
 	return e
 }
 
-// rebuildTiers sorts the ready endpoints into edges, parents and the origin, in the order of their IDs.
+// rebuildTiers sorts the ready endpoints into edges, parents and the origin, in the order of their
+// IDs.
 func (r *Router) rebuildTiers() {
 	r.edges.ready, r.parents.ready, r.origin = nil, nil, nil
 	r.edges.totalWeight, r.parents.totalWeight = 0, 0
@@ -90,6 +98,7 @@
 	}
 }
 
+// add adds a ready endpoint to the tier.
 func (t *tier) add(e *endpoint) {
 	t.ready, t.totalWeight = append(t.ready, e), t.totalWeight+e.Weight
 }
--- a/routing/fill_test.go
+++ b/routing/fill_test.go
@@ -68,7 +68,7 @@
 			went := 0
 			const count = 1000
 			for i := range count {
-				b.congestedAt, b.fillLimiter.inFlight, b.originLimiter.inFlight, b.originLimiter.limit, b.averageCost = b.now, 0, 0, 0.5, runningMean{200_000, meanMemory}
+				b.congestedAt, b.fillLimiter.inFlight, b.originLimiter.inFlight, b.originLimiter.limit, b.averageCost = b.now, 0, 0, 0.5, runningMean{200_000, meanSamples}
 				request := b.request(fmt.Sprint("x", i))
 				request.SizeKB = c.size
 				b.Route(b.now, request)
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -5,12 +5,13 @@
 	"tallyproxy/policy"
 )
 
-// learn takes the end of an attempt into what is known of its endpoint and its source.
+// observeOutcome updates the state of an attempt's endpoint and source with the attempt's outcome.
 //
-// An error that names no cause is held against its endpoint only once another endpoint does what was asked; two endpoints that err are
-// taken to agree. That protects endpoints from clients that ask for what none can use. It can harm where two endpoints err on what a
-// third would do.
-func (r *Router) learn(now policy.Micros, request *policy.Request, state *requestState, a *attempt, outcome policy.Outcome) {
+// An error without a reported cause counts as a failure of its endpoint only once another endpoint
+// succeeds with the same request. If two endpoints return such errors, they are taken to agree
+// that the request is at fault. This protects endpoints from clients whose requests no endpoint
+// can process. It can do harm if two endpoints fail where a third would succeed.
+func (r *Router) observeOutcome(now policy.Micros, request *policy.Request, state *requestState, a *attempt, outcome policy.Outcome) {
 	r.release(now, a)
 	late := outcome.Result == policy.Succeeded && now-a.sentAt > a.objective
 	observeShare(&r.errorRate, outcome.Result == policy.Rejected || outcome.Result == policy.TimedOut || late)
@@ -24,17 +25,18 @@
 	}
 	switch outcome.Result {
 	case policy.Succeeded:
-		r.learnSuccess(now, request, a, outcome.CacheStatus)
+		r.observeSuccess(now, request, a, outcome.CacheStatus)
 	case policy.CacheMiss:
 		a.endpoint.recordSuccess(now, a, false)
 	case policy.ConnectFailed, policy.ConnectionLost:
-		r.learnConnectionFailure(now, state, a, outcome.Result)
+		r.observeConnectionFailure(now, state, a, outcome.Result)
 	case policy.Rejected, policy.Failed, policy.TimedOut:
-		r.learnFailure(now, a, outcome)
+		r.observeFailure(now, a, outcome)
 	}
 }
 
-// release gives back what the attempt took of the limits, and ends a congestion that shows no more signs.
+// release returns what the attempt used of the limits, and ends a congestion of which there have
+// been no signs for congestionTimeout.
 func (r *Router) release(now policy.Micros, a *attempt) {
 	a.endpoint.concurrency.inFlight--
 	r.fillLimiter.inFlight -= boolean.Int(a.countedAsFill)
@@ -42,12 +44,13 @@
 	if r.congested() && r.congestedAt+congestionTimeout < now {
 		r.congestedAt = 0
 	}
-	if a.probed != nil {
-		a.probed.probing = false
+	if a.probeTarget != nil {
+		a.probeTarget.probing = false
 	}
 }
 
-// recordUnexplainedErrors holds the request's unexplained errors against their endpoints, since another endpoint did what was asked.
+// recordUnexplainedErrors counts the request's errors without a reported cause as failures of
+// their endpoints, after another endpoint has succeeded with the request.
 func (r *Router) recordUnexplainedErrors(now policy.Micros, state *requestState) {
 	for _, a := range state.unexplainedErrors {
 		if a.endpoint.recordFailure(a) >= failureThreshold {
@@ -57,40 +60,44 @@
 	state.unexplainedErrors = nil
 }
 
-// learnSuccess takes an answer with what was asked for. Where answers report nothing of the copy, the miss ratio stays as it is, and an
-// attempt that may have been a fill clears its source and counts as a fill.
-func (r *Router) learnSuccess(now policy.Micros, request *policy.Request, a *attempt, status policy.CacheStatus) {
+// observeSuccess records an answer with the requested content. If answers report nothing about the
+// copy, the miss ratio is not updated, and an attempt that may have been a fill counts as a fill
+// and as a success of its source.
+func (r *Router) observeSuccess(now policy.Micros, request *policy.Request, a *attempt, status policy.CacheStatus) {
 	a.endpoint.recordSuccess(now, a, status == policy.Hit || status == policy.Stale)
 	ratio := float64(now-a.sentAt) / float64(a.objective)
 	if status != policy.Unknown {
 		observeShare(&r.missRatio, status > policy.Hit && status != policy.Stale)
 	}
-	plain := status == policy.Hit || request.Type.Uncacheable // no fill delayed it; what can't be cached is never a hit
-	if request.SizeKB == 0 && a.lightlyLoaded && plain {
-		r.sendingTimes[request.Type].add(float64(now - a.sentAt))
+	// No fill delayed the answer. Uncacheable content is never a hit.
+	withoutFill := status == policy.Hit || request.Type.Uncacheable
+	if request.SizeKB == 0 && a.lightlyLoaded && withoutFill {
+		r.transferTimes[request.Type].add(float64(now - a.sentAt))
 	}
 	switch status {
 	case policy.Hit, policy.Unknown:
 		a.endpoint.concurrency.Observe(ratio, slowHitRatio, concurrencyDecrease, concurrencyIncrease)
 		if status == policy.Unknown && a.source != a.endpoint {
-			r.learnFill(now, a, ratio, false, a.mayReachOrigin)
+			r.observeCompletedFill(now, a, ratio, false, a.mayReachOrigin)
 		}
 	case policy.Filled, policy.FilledByOrigin:
-		r.learnFill(now, a, ratio, true, a.mayReachOrigin || status == policy.FilledByOrigin)
+		r.observeCompletedFill(now, a, ratio, true, a.mayReachOrigin || status == policy.FilledByOrigin)
 	}
 }
 
-// learnFill takes a fill that succeeded, unless it was counted as a late one already.
-func (r *Router) learnFill(now policy.Micros, a *attempt, ratio float64, sourceHolds, reachedOrigin bool) {
+// observeCompletedFill records a fill that succeeded, unless it was already counted as a late
+// fill.
+func (r *Router) observeCompletedFill(now policy.Micros, a *attempt, ratio float64, sourceHolds, reachedOrigin bool) {
 	a.source.recordSuccess(now, a, sourceHolds)
 	if !a.countedLate {
 		r.observeFill(now, a, ratio, reachedOrigin)
 	}
 }
 
-// learnConnectionFailure takes an attempt whose connection did not come up or was lost. A connection that is lost is held against the
-// connection first: what it carried counts as one failure of the endpoint, and each request may go there once more.
-func (r *Router) learnConnectionFailure(now policy.Micros, state *requestState, a *attempt, result policy.Result) {
+// observeConnectionFailure records an attempt whose connection could not be established or was
+// lost. A loss is at first attributed to the connection: all attempts on it together count as one
+// failure of the endpoint, and each of their requests may be sent to the endpoint once more.
+func (r *Router) observeConnectionFailure(now policy.Micros, state *requestState, a *attempt, result policy.Result) {
 	e := a.endpoint
 	if result == policy.ConnectFailed && e.State == policy.Ready {
 		e.connectFailedAt, e.halfOpen = now, true
@@ -104,8 +111,9 @@
 	}
 }
 
-// learnFailure takes an attempt that was rejected, failed or timed out. Where the answer blames the source, the endpoint is excused.
-func (r *Router) learnFailure(now policy.Micros, a *attempt, outcome policy.Outcome) {
+// observeFailure records an attempt that was rejected, failed or timed out. If the answer reports
+// a fault of the source, the failure does not count against the endpoint.
+func (r *Router) observeFailure(now policy.Micros, a *attempt, outcome policy.Outcome) {
 	e, status := a.endpoint, outcome.CacheStatus
 	viaSource := a.source != e
 	if viaSource && status != policy.CacheFull && !a.countedLate {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -8,39 +8,45 @@
 )
 
 const (
-	failureThreshold         = 3                                   // consecutive failures that eject an endpoint
-	repeatedFailureThreshold = failureThreshold * failureThreshold // consecutive failures that may have another reason, and eject it too
+	failureThreshold = 3 // consecutive failures after which an endpoint is ejected
+	// repeatedFailureThreshold is the number of consecutive failures after which an endpoint is
+	// ejected even if each failure may have another cause.
+	repeatedFailureThreshold = failureThreshold * failureThreshold
 
 	minEjectionTime    = policy.Second
 	maxEjectionTime    = 10 * policy.Second
-	parentEjectionTime = maxEjectionTime // docs/design.md has the figure
+	parentEjectionTime = maxEjectionTime // see docs/design.md for the value
 )
 
-// eject keeps attempts from an endpoint for a while, twice as long as the last time, and makes it half-open: then it gets one attempt as
-// its probe. Neither the origin is ejected, nor an endpoint for an attempt that was sent before its last ejection.
-func (r *Router) eject(now policy.Micros, e *endpoint, a *attempt, least policy.Micros) {
+// eject keeps attempts away from an endpoint for a limited time, which doubles with every ejection
+// in a row, and makes it half-open: after that time, it gets one attempt as its probe. The origin
+// is never ejected, and an attempt that was sent before the endpoint's last ejection does not
+// eject it again.
+func (r *Router) eject(now policy.Micros, e *endpoint, a *attempt, minTime policy.Micros) {
 	if e == r.origin || e.ejectedUntil > now || a.sentAt < e.ejectedAt {
 		return
 	}
-	e.ejectionTime = min(max(least, 2*e.ejectionTime), maxEjectionTime)
+	e.ejectionTime = min(max(minTime, 2*e.ejectionTime), maxEjectionTime)
 	e.ejectedAt, e.ejectedUntil = now, now+e.ejectionTime
 	e.halfOpen, e.consecutiveFailures = true, 0
 }
 
-// recordFailure counts an attempt that failed and returns the consecutive failures. A failed probe counts as enough of them.
+// recordFailure counts a failed attempt and returns the number of consecutive failures. A failed
+// probe sets that number to repeatedFailureThreshold.
 func (e *endpoint) recordFailure(a *attempt) int {
-	if e.consecutiveFailures += boolean.Int(a.sentAt >= e.ejectedAt); a.probed == e {
+	if e.consecutiveFailures += boolean.Int(a.sentAt >= e.ejectedAt); a.probeTarget == e {
 		e.consecutiveFailures = repeatedFailureThreshold
 	}
 	return e.consecutiveFailures
 }
 
-// recordSuccess clears an endpoint of what was held against it. holdsObject is true where the answer shows that it held what it was asked
-// for.
+// recordSuccess clears the endpoint's failures. holdsObject is true if the answer shows that the
+// endpoint held the requested object.
 //
-// An endpoint that took no connection may have started anew before the endpoint list says so: unless it holds the object, it is in slow
-// start from now on. That protects endpoints that restart in numbers from overload. It can harm, until the next hit, where connections
-// fail for another reason.
+// An endpoint that accepted no connection may have restarted before the endpoint list reports it.
+// Unless it holds the object, it is therefore treated as in slow start from now on. This protects
+// endpoints that restart in large numbers from overload. If the connections failed for another
+// reason, it can do harm until the next hit.
 func (e *endpoint) recordSuccess(now policy.Micros, a *attempt, holdsObject bool) {
 	if e.connectFailedAt > 0 && holdsObject {
 		e.connectFailedAt = 0
@@ -51,14 +57,18 @@
 	e.consecutiveFailures, e.halfOpen, e.ejectionTime = 0, false, 0
 }
 
-// recordAnswer notes that the endpoint answered, well or not: it is not silent.
+// recordAnswer records that the endpoint answered, with success or with an error, and is therefore
+// not unresponsive.
 func (e *endpoint) recordAnswer(now policy.Micros) { e.lastAnswerAt, e.unanswered = now, 0 }
 
-// recordSourceFailure counts a fill that a source failed or was slow with, and ejects the source after some in a row.
+// recordSourceFailure counts a fill that a source failed or delayed, and ejects the source after
+// failureThreshold such fills in a row.
 //
-// Where answers don't report whose fault it was, every answer through a source clears it, and when no other parent could be used instead
-// the fault lies behind the parents: all of them are used again. That protects against dead and slow parents, and against giving up what
-// parents hold while the origin fails. It can harm while all parents are dead but still listed.
+// If answers do not report the cause of a failure, every successful answer through a source clears
+// its failures. If no other parent is usable either, the fault is assumed to be behind the
+// parents, and all of them are used again. This protects against dead and slow parents and keeps
+// the parents' cached content in use while the origin fails. It can do harm while all parents are
+// dead but still listed.
 func (r *Router) recordSourceFailure(now policy.Micros, source *endpoint, a *attempt) {
 	if source.recordFailure(a) < failureThreshold {
 		return
@@ -73,8 +83,10 @@
 	}
 }
 
-// ProbeDone takes the result of a probe that another director's hint caused: the endpoint did not take a connection, or it may be tried;
-// one that may be full is tried half-open. So a director need not find out alone what others know; a false hint costs one probe.
+// ProbeDone records the result of a probe that a hint from another director caused. If the
+// endpoint is healthy, it may be used again, half-open if it may be full; otherwise it accepted no
+// connection. Directors thus share what they find out about endpoints, and a false hint costs only
+// one probe.
 func (r *Router) ProbeDone(now policy.Micros, id string, healthy, full bool) {
 	if e := r.endpoints[id]; e != nil && healthy {
 		e.ejectedUntil, e.halfOpen = min(e.ejectedUntil, now), e.halfOpen || full
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -36,7 +36,7 @@
 			s := settings()
 			s.ReportsCacheStatus, s.MaxAttempts = c.reported, 1
 			b := newTestRouter(s, 3, 2)
-			b.fillLatencyMemory = 1e9 // fills never count as congested
+			b.fillLatencySamples = 1e9 // fills never count as congested
 			objects := b.objects("e1", 40)
 			home, source := b.endpoints["e1"], (*endpoint)(nil)
 			for _, object := range objects {
@@ -162,7 +162,7 @@
 			s := settings()
 			s.ReportsCacheStatus, s.MaxAttempts = reported, 1
 			b := newTestRouter(s, 2, 2)
-			b.fillLatencyMemory = 1e9
+			b.fillLatencySamples = 1e9
 			for i := range 60 {
 				if request, decision := b.route(fmt.Sprint(i)); decision.Source.ID != "o" {
 					b.finish(request, ms, policy.Rejected, policy.SourceUnavailable)
@@ -188,7 +188,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestRouter(settings(), 2, 2)
-			b.fillLatencyMemory = 1e9 // fills never count as congested
+			b.fillLatencySamples = 1e9 // fills never count as congested
 			for i := range 60 {
 				b.endpoints["p1"].halfOpen, b.endpoints["p1"].probing = c.halfOpen, c.halfOpen
 				if request, decision := b.route(fmt.Sprint(i)); decision.Source.ID == "p0" {
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -11,19 +11,23 @@
 // defaultCacheRank is the rank at which caches keep copies: the middle one.
 const defaultCacheRank = 2
 
-// placement is one choice of endpoint and source for a request. It lives for one call of chooseEndpoint.
+// placement is one choice of an endpoint and a source for a request. It exists only during one
+// call of chooseEndpoint.
 type placement struct {
-	router       *Router
-	now          policy.Micros
-	request      *policy.Request
-	state        *requestState
-	attempt      *attempt
-	work         float64 // what the attempt counts for in slow start, in microseconds of sending time
-	limitShare   float64 // share of the limits that the request may use
-	originObject float64 // the object's hash from 0 to 1, and more for costly requests, for the origin limiter
+	router     *Router
+	now        policy.Micros
+	request    *policy.Request
+	state      *requestState
+	attempt    *attempt
+	work       float64 // work of the attempt for slow start, in microseconds of transfer time
+	limitShare float64 // share of the limits that the request may use
+	// originUnitHash is the object's hash as a number from 0 to 1, scaled up for costly requests.
+	// The origin limiter uses it.
+	originUnitHash float64
 }
 
-// chooseEndpoint chooses endpoint and source for an attempt and decides to send it, to queue the request, or to end it.
+// chooseEndpoint chooses the endpoint and the source of an attempt, and decides to send the
+// attempt, to queue the request or to end it.
 func (r *Router) chooseEndpoint(now policy.Micros, request *policy.Request, state *requestState) policy.Decision {
 	if request.Deadline <= now || !r.dedup.CanRecord(request.IdempotencyKey) {
 		return r.reject(now, request, state)
@@ -36,7 +40,7 @@
 		return r.queueOrReject(&p)
 	}
 	if a.endpoint.halfOpen && !a.countedAsFill && !a.direct && !request.Type.Uncacheable {
-		a.cacheOnly = true // the quickest way to learn whether the endpoint is back
+		a.cacheOnly = true // the fastest way to find out whether the endpoint has recovered
 	}
 	decision := p.decision()
 	if !p.chooseSource(&decision) {
@@ -47,20 +51,22 @@
 	return decision
 }
 
-// newPlacement begins a choice. While the origin limiter's limit is below 1, a share of the objects may be filled from the origin, and a
-// smaller share of those that are costly.
+// newPlacement returns a placement without an endpoint. While the limit of the origin limiter is
+// below 1, only a share of the objects may be filled from the origin, and a smaller share of the
+// costly ones.
 func (r *Router) newPlacement(now policy.Micros, request *policy.Request, state *requestState) placement {
 	share := r.limitShare(request)
 	return placement{
 		router: r, now: now, request: request, state: state,
-		attempt:      &attempt{sentAt: now, objective: r.latencyObjective(request), sendingTime: r.sendingTime(request)},
-		work:         r.sendingTimes[request.Type].value,
-		limitShare:   share,
-		originObject: hash.Unit(state.objectHash) / (share * share * share),
+		attempt:        &attempt{sentAt: now, objective: r.latencyObjective(request), transferTime: r.transferTime(request)},
+		work:           r.transferTimes[request.Type].value,
+		limitShare:     share,
+		originUnitHash: hash.Unit(state.objectHash) / (share * share * share),
 	}
 }
 
-// allowed reports whether an endpoint may run an attempt of the request at all.
+// allowed reports whether an attempt of the request may be sent to the endpoint, regardless of
+// limits.
 func (p *placement) allowed(e *endpoint) bool {
 	return !p.state.tried(e) && retryAllowedAt(p.now, p.request, p.state, e)
 }
@@ -70,17 +76,21 @@
 	return e.concurrency.Allow((1+p.limitShare)/2, hash.Unit(pairHash(p.state.objectHash, e))) && p.allowed(e)
 }
 
-// hasCapacityUnqueried is hasCapacity for edge caches that were not asked for what they hold.
+// hasCapacityUnqueried reports whether an edge cache has capacity and has not yet been asked for
+// what it holds.
 func (p *placement) hasCapacityUnqueried(e *endpoint) bool {
 	return p.hasCapacity(e) && !p.state.wasQueried(e)
 }
 
+// pickEdge returns the edge cache that ranks first for the object among those that allowed
+// accepts, or nil.
 func (p *placement) pickEdge(allowed func(*endpoint) bool) *endpoint {
 	return p.router.pick(p.now, &p.router.edges, p.state.objectHash, p.work, allowed)
 }
 
-// chooseEdge chooses the edge cache: while fills are congested first one that was not asked yet, else the first with room. Where no edge
-// cache can take the request, with room or not, a parent may.
+// chooseEdge chooses the edge cache with capacity that ranks first. While fills are congested,
+// edge caches that have not yet been asked come before others. If no edge cache may take the
+// request, even without regard to capacity, the request may be sent to a parent.
 func (p *placement) chooseEdge() {
 	r, a, state := p.router, p.attempt, p.state
 	if state.edgesQueried > 0 && state.fillStage == queryEdgeCache {
@@ -97,7 +107,7 @@
 	}
 }
 
-// decision is the decision to send the attempt, without endpoint and source.
+// decision returns the decision to send the attempt, without its endpoint and source.
 func (p *placement) decision() policy.Decision {
 	request, contentType := p.request, p.request.Type
 	decision := policy.Decision{
@@ -112,7 +122,8 @@
 	return decision
 }
 
-// chooseSource chooses where a miss is filled from and adapts the decision to it. It reports false where the origin limiter has no room.
+// chooseSource chooses where a miss is filled from and adapts the decision accordingly. It returns
+// false if the origin limiter has no room.
 func (p *placement) chooseSource(decision *policy.Decision) bool {
 	r, a := p.router, p.attempt
 	switch {
@@ -132,8 +143,8 @@
 	return true
 }
 
-// chooseParent chooses the parent that a miss is filled through; where none is left, the origin. It reports false where that would pass
-// the origin limiter.
+// chooseParent chooses the parent through which a miss is filled or, if no parent is left, the
+// origin. It returns false if the origin limiter does not admit the object.
 func (p *placement) chooseParent(decision *policy.Decision) bool {
 	r, a, state := p.router, p.attempt, p.state
 	if !a.countedAsFill && slowStartShare(p.now, a.endpoint, r.settings.EdgeSlowStart) >= 1 {
@@ -145,7 +156,7 @@
 	}
 	if a.sourceCacheOnly {
 		a.sourceCacheOnly, a.mayReachOrigin, state.fillStage = false, true, fillFromOrigin
-		if !r.originLimiter.Allow(math.Inf(1), p.originObject) {
+		if !r.originLimiter.Allow(math.Inf(1), p.originUnitHash) {
 			return false
 		}
 	}
@@ -153,14 +164,14 @@
 	return true
 }
 
-// send counts the attempt as sent.
+// send records that the attempt is sent.
 func (p *placement) send() {
 	r, a, state := p.router, p.attempt, p.state
 	for _, e := range []*endpoint{a.endpoint, a.source} {
-		if e.halfOpen && !e.probing && a.probed == nil {
-			e.probing, a.probed = true, e
+		if e.halfOpen && !e.probing && a.probeTarget == nil {
+			e.probing, a.probeTarget = true, e
 		}
-		e.windowWork += p.work
+		e.halfWindowWork += p.work
 	}
 	r.fillLimiter.inFlight += boolean.Int(a.countedAsFill)
 	r.originLimiter.inFlight += boolean.Int(a.mayReachOrigin)
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -7,24 +7,29 @@
 )
 
 const (
-	queuedWorkRatio   = 0.3 // a queued request must not need more than this share of the time that it has left
-	pollsPerObjective = 20  // how often within its latency objective a queued request is looked at
+	// queuedWorkRatio is the maximum share of its remaining time that a queued request may need
+	// for its transfer.
+	queuedWorkRatio = 0.3
+	// queueRechecksPerObjective is the number of checks of a queued request within its latency
+	// objective.
+	queueRechecksPerObjective = 20
 )
 
-// queueOrReject queues a request that found no room, as long as it can still be answered in time. Retries are not queued, unless they
-// come at the time of their reserved slot.
+// queueOrReject queues a request for which there was no room, provided that it can still be
+// answered in time, and rejects it otherwise. Retries are queued only if they arrive at the time
+// of their reserved slot.
 func (r *Router) queueOrReject(p *placement) policy.Decision {
 	request, now := p.request, p.now
-	hopeful := len(r.edges.ready) == 0 || slices.ContainsFunc(r.edges.ready, p.allowed)
-	late := now-request.ArrivedAt+policy.Micros(p.attempt.sendingTime/queuedWorkRatio) >= p.attempt.objective ||
-		now+pollInterval(request) >= request.Deadline
-	if hopeful && (!request.IsRetry || p.state.admission.OnTime()) && !late {
+	hasCandidate := len(r.edges.ready) == 0 || slices.ContainsFunc(r.edges.ready, p.allowed)
+	late := now-request.ArrivedAt+policy.Micros(p.attempt.transferTime/queuedWorkRatio) >= p.attempt.objective ||
+		now+queueRecheckInterval(request) >= request.Deadline
+	if hasCandidate && (!request.IsRetry || p.state.admission.OnTime()) && !late {
 		return policy.Decision{Action: policy.Queue}
 	}
 	return r.reject(now, request, p.state)
 }
 
-// pollInterval is how long a queued request waits before it is looked at again.
-func pollInterval(request *policy.Request) policy.Micros {
-	return request.Type.LatencyObjective / pollsPerObjective
+// queueRecheckInterval returns the time between two checks of a queued request.
+func queueRecheckInterval(request *policy.Request) policy.Micros {
+	return request.Type.LatencyObjective / queueRechecksPerObjective
 }
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -6,11 +6,15 @@
 )
 
 const (
-	maxRetries        = 2   // attempts for a request after the first, beside questions for what caches hold
-	overloadErrorRate = 0.1 // share of attempts rejected or late above which there is no further attempt
+	// maxRetries is the maximum number of attempts for a request after the first, not counting
+	// queries for what caches hold.
+	maxRetries = 2
+	// overloadErrorRate is the share of rejected or late attempts above which requests are not
+	// retried.
+	overloadErrorRate = 0.1
 )
 
-// mayHaveRun reports whether an attempt with this result may have run.
+// mayHaveRun reports whether the request may have run in an attempt with this result.
 func mayHaveRun(result policy.Result) bool {
 	switch result {
 	case policy.Rejected, policy.ConnectFailed, policy.NotSent, policy.CacheMiss, policy.Withdrawn:
@@ -19,7 +23,8 @@
 	return true
 }
 
-// retryAllowedAt reports whether an attempt may be sent to an endpoint after what may have run already: rule 2 of docs/design.md.
+// retryAllowedAt reports whether an attempt may be sent to an endpoint, given the earlier attempt
+// that may have run: rule 2 of docs/design.md.
 func retryAllowedAt(now policy.Micros, request *policy.Request, state *requestState, e *endpoint) bool {
 	switch contentType, first := request.Type, state.mayHaveRun; {
 	case first == nil || contentType.RetrySafety == policy.Idempotent:
@@ -33,8 +38,9 @@
 	}
 }
 
-// retryOrReject decides after an attempt that ended badly: another attempt, unless there were enough, too many attempts of all
-// requests are rejected or late, or endpoints agree that they can't use the request.
+// retryOrReject decides what follows an attempt that failed. It makes another attempt unless the
+// request has had enough attempts, too many attempts of all requests are rejected or late, or
+// endpoints agree that they cannot process the request.
 func (r *Router) retryOrReject(now policy.Micros, request *policy.Request, state *requestState, a *attempt, result policy.Result) policy.Decision {
 	overloaded := r.errorRate > overloadErrorRate && !a.cancelled && result != policy.Withdrawn
 	unprocessable := len(state.unexplainedErrors) > boolean.Int(!request.ClientSuspect)
@@ -47,8 +53,8 @@
 	return r.chooseEndpoint(now, request, state)
 }
 
-// reject ends a request: with a rejection where a retry of the client is harmless, else with a failure. The overload controller says when
-// the client should retry.
+// reject ends a request with a rejection if the client can safely retry, and with a failure
+// otherwise. The overload controller determines when the client should retry.
 func (r *Router) reject(now policy.Micros, request *policy.Request, state *requestState) policy.Decision {
 	retryAfter := r.overload.RetryAfter(now, &state.admission, min(r.settings.MaxRetryAfter, request.Type.LatencyObjective))
 	if state.mayHaveRun != nil && !clientMayRetry(request, state.mayHaveRun, now+retryAfter) {
@@ -57,8 +63,9 @@
 	return policy.Decision{Action: policy.Reject, RetryAfter: retryAfter}
 }
 
-// clientMayRetry reports whether a client's retry at a time is harmless after an attempt that may have run. The retry may reach any
-// endpoint, so a dedup scope smaller than all doesn't protect it; with a key its dedup window must not be over by then.
+// clientMayRetry reports whether a client's retry at the given time is safe after an attempt that
+// may have run. The retry may reach any endpoint, so only the dedup scope of all endpoints
+// protects it. A request with a key is protected only until its dedup window ends.
 func clientMayRetry(request *policy.Request, first *attempt, at policy.Micros) bool {
 	contentType := request.Type
 	switch contentType.RetrySafety {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -5,10 +5,11 @@
 	"tallyproxy/policy"
 )
 
-// slowStartBudgetShare is the share of a slow-starting endpoint's budget that the directors together use.
+// slowStartBudgetShare is the share of an endpoint's slow-start budget that all directors together
+// may use.
 const slowStartBudgetShare = 0.4
 
-// slowStartShare is the share of its capacity that an endpoint can do at the least.
+// slowStartShare returns the minimum share of its capacity that an endpoint has at present.
 func slowStartShare(now policy.Micros, e *endpoint, s policy.SlowStart) float64 {
 	age := now - e.startedAt
 	if e.startedAt == 0 || age >= s.Duration {
@@ -17,22 +18,24 @@
 	return s.InitialShare + (1-s.InitialShare)*float64(max(0, age))/float64(s.Duration)
 }
 
-// fitsSlowStartBudget reports whether work can be sent to an endpoint in slow start within this director's budget for the current half of
-// the overload window. No attempt goes beyond the budget, not even the first: hundreds of directors may send theirs at once. Where the
-// budget is less than one attempt, chance decides which director sends one, drawn anew for each half.
+// fitsSlowStartBudget reports whether the work fits this director's budget for an endpoint in slow
+// start, in the current half of the overload window. No attempt may exceed the budget, not even
+// the first, because hundreds of directors may send theirs at the same time. If the budget is less
+// than one attempt, a random draw for each half decides which directors send one.
 func (r *Router) fitsSlowStartBudget(now policy.Micros, t *tier, e *endpoint, work float64) bool {
 	capacity, quota := r.slowStartCapacity(now, t, e)
-	half := max(1, t.slowStart.OverloadWindow/2)
-	if number := now / half; e.window != number {
-		e.window, e.windowWork = number, 0
+	halfLength := max(1, t.slowStart.OverloadWindow/2)
+	if halfWindow := now / halfLength; e.halfWindow != halfWindow {
+		e.halfWindow, e.halfWindowWork = halfWindow, 0
 	}
-	budget := capacity * quota * slowStartShare(now, e, t.slowStart) * t.slowStart.OverloadFactor * slowStartBudgetShare * float64(half)
-	return e.windowWork+work <= budget+work*hash.Unit(e.hash^r.settings.Seed^hash.Mix(uint64(e.window)))
+	budget := capacity * quota * slowStartShare(now, e, t.slowStart) * t.slowStart.OverloadFactor * slowStartBudgetShare * float64(halfLength)
+	return e.halfWindowWork+work <= budget+work*hash.Unit(e.hash^r.settings.Seed^hash.Mix(uint64(e.halfWindow)))
 }
 
-// slowStartCapacity is this director's even share of the capacity of a warm endpoint, in transfers at full pace, and its quota over
-// that share. The capacity is the endpoint's share of the fill link, which carries what edge caches miss or what parents answer; where
-// the link is not known, it is the endpoint's size.
+// slowStartCapacity returns this director's even share of the capacity of a warm endpoint, in
+// concurrent transfers at the full rate, and its quota relative to that share. The capacity is the
+// endpoint's share of the fill link, which carries the misses of edge caches and the answers of
+// parents. If the capacity of the link is unknown, the endpoint's size is used.
 func (r *Router) slowStartCapacity(now policy.Micros, t *tier, e *endpoint) (capacity, quota float64) {
 	capacity, quota = r.linkShare*e.Weight/t.totalWeight, r.quotaShare(now, false)
 	switch {
@@ -46,10 +49,12 @@
 	return capacity, quota
 }
 
-// sizesOnly reports whether capacities are known by the endpoints' sizes alone, since the capacity of the fill link is not.
+// sizesOnly reports whether capacities are known only from the endpoints' sizes because the
+// capacity of the fill link is unknown.
 func (r *Router) sizesOnly() bool { return r.linkShare == 0 && r.settings.WeightsAreSizes }
 
-// Capacity is this director's share of what the zone's ready edge caches can do at a time, in transfers at full pace.
+// Capacity returns this director's share of the current capacity of the zone's ready edge caches,
+// in concurrent transfers at the full rate.
 func (r *Router) Capacity(at policy.Micros) float64 {
 	weight := 0.0
 	for _, e := range r.edges.ready {
@@ -60,11 +65,12 @@
 	return weight * r.quotaShare(at, false) * r.WarmCapacity() / max(r.edges.totalWeight, minWeight)
 }
 
-// WarmCapacity is this director's even share of what they can do when all are warm: what the fill link carries, over the miss ratio;
-// where the link is not known, their sizes.
+// WarmCapacity returns this director's even share of the capacity of the zone's ready edge caches
+// if all of them are warm. It is the capacity of the fill link divided by the miss ratio or, if
+// the capacity of the link is unknown, the sum of the caches' sizes.
 func (r *Router) WarmCapacity() float64 {
 	if r.sizesOnly() {
 		return r.edges.totalWeight / float64(max(1, r.settings.ZoneDirectors))
 	}
-	return r.linkShare / max(r.missRatio, 1.0/meanMemory)
+	return r.linkShare / max(r.missRatio, 1.0/meanSamples)
 }
--- a/routing/timeouts.go
+++ b/routing/timeouts.go
@@ -6,17 +6,24 @@
 	"tallyproxy/policy"
 )
 
-// Figures of the platform's protocol.
+// Limits of the platform's protocol.
 const (
-	acceptAfterStop      = 6 * policy.Second / 10 // clients go on connecting for this long after the signal to stop
-	killAfterStop        = 3 * policy.Second      // the process is killed this long after the signal, or the longest timeout if that is less,
-	killSlack            = 7 * policy.Second / 10 // plus at least this
-	staleAttemptLimit    = policy.Second / 10     // no attempt may begin this long after its client has left
-	malformedAnswerLimit = 3 * policy.Second      // a client that sends what is no message is answered within this time
+	// acceptAfterStop is the time after the stop signal during which clients continue to connect.
+	acceptAfterStop = 6 * policy.Second / 10
+	// The process is killed killAfterStop after the stop signal, or after the longest timeout of a
+	// content type if that is shorter, plus at least killSlack.
+	killAfterStop = 3 * policy.Second
+	killSlack     = 7 * policy.Second / 10
+	// staleAttemptLimit is the time after a client has disconnected from which no attempt for it
+	// may begin.
+	staleAttemptLimit = policy.Second / 10
+	// malformedAnswerLimit is the time within which a client that sends a malformed message must
+	// be answered.
+	malformedAnswerLimit = 3 * policy.Second
 )
 
-// Timeouts derives the times and limits of sockets from the settings. Few requests share a connection to an endpoint, so few are lost
-// with it.
+// Timeouts derives the times and limits of connections from the settings. Only few requests share
+// a connection to an endpoint, so that a lost connection affects few requests.
 func Timeouts(s policy.Settings) policy.Timeouts {
 	t := policy.Timeouts{
 		AnswerReserve:     2 * s.AnswerGrace,
@@ -35,8 +42,8 @@
 		SuspectTimeout:    2 * s.ConnectTimeout,
 		MaxDecisionAge:    min(s.ConnectTimeout/8, staleAttemptLimit/2),
 	}
-	unnoticed := s.ConnectTimeout // what a stall that goes unnoticed may cost at the most
-	t.StallThreshold = min(unnoticed, cmp.Or(s.PurgePropagation, unnoticed), cmp.Or(s.DrainPropagation, unnoticed)) / 2
+	maxUnnoticedStall := s.ConnectTimeout // maximum length of a stall that is not detected
+	t.StallThreshold = min(maxUnnoticedStall, cmp.Or(s.PurgePropagation, maxUnnoticedStall), cmp.Or(s.DrainPropagation, maxUnnoticedStall)) / 2
 	t.Heartbeat = t.StallThreshold / 5
 	for _, contentType := range s.ContentTypes {
 		t.WriteFlush = max(t.WriteFlush, contentType.Timeout)
--- a/routing/view.go
+++ b/routing/view.go
@@ -7,20 +7,21 @@
 	"tallyproxy/policy"
 )
 
-// EndpointView is what the router believes of one endpoint, for the operators. The state socket encodes it as JSON under the names in the
-// tags, which other versions of the tools read.
+// EndpointView is the router's view of one endpoint, for operators. The state socket encodes it as
+// JSON with the names in the tags, which other versions of the tools read.
 type EndpointView struct {
-	ID             string  `json:"id"`      // of the endpoint list
-	Kind           string  `json:"kind"`    // "edge", "parent" or "origin"; "other" for caches of other zones
+	ID             string  `json:"id"`      // ID in the endpoint list
+	Kind           string  `json:"kind"`    // "edge", "parent", "origin"; "other" in other zones
 	State          string  `json:"state"`   // "ready" or "draining"
-	SlowStartShare float64 `json:"warm"`    // share of its capacity that it can do at the least
+	SlowStartShare float64 `json:"warm"`    // minimum share of its capacity that is available
 	InFlight       int     `json:"out"`     // attempts in flight
-	Limit          float64 `json:"limit"`   // concurrency limit of an edge cache
+	Limit          float64 `json:"limit"`   // concurrency limit of an edge cache of the zone
 	EjectedFor     float64 `json:"skipped"` // seconds until its ejection ends
-	HalfOpen       bool    `json:"trial"`   // back from an ejection, one attempt at a time
+	HalfOpen       bool    `json:"trial"`   // limited to one attempt at a time, the probe
 	LastAnswer     float64 `json:"heard"`   // seconds since its last answer
 }
 
+// stateNames holds the names of endpoint states in EndpointView.State.
 var stateNames = [...]string{policy.Ready: "ready", policy.Draining: "draining", policy.Removed: "gone"}
 
 // Endpoints describes all endpoints of the list, in the order of their IDs.
@@ -31,6 +32,7 @@
 	return views
 }
 
+// view describes one endpoint.
 func (r *Router) view(now policy.Micros, e *endpoint) EndpointView {
 	v := EndpointView{
 		ID: e.ID, Kind: "other", State: stateNames[e.State], SlowStartShare: 1, InFlight: e.concurrency.inFlight, HalfOpen: e.halfOpen,
@@ -48,5 +50,6 @@
 	return v
 }
 
-// DedupCounts is how many dedup records are held, and how many requests found the table full so far.
+// DedupCounts returns the number of dedup records and the number of requests rejected so far
+// because the table was full.
 func (r *Router) DedupCounts() (records, rejected int) { return r.dedup.Counts() }
