--- a/routing/concurrency_test.go
+++ b/routing/concurrency_test.go
@@ -7,29 +7,30 @@
 	"tallyproxy/policy"
 )
 
-// TestSlowHitsCutConcurrency: slow hits cut an edge cache's limit, quick ones don't.
+// TestSlowHitsCutConcurrency checks that slow hits reduce the concurrency limit of an edge cache
+// and quick hits do not.
 func TestSlowHitsCutConcurrency(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		took policy.Micros
-		less bool
+		name        string
+		duration    policy.Micros
+		wantReduced bool
 	}{{"quick", 200 * ms, false}, {"slow", 790 * ms, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestRouter(settings(), 1, 1)
+			r := newTestRouter(settings(), 1, 1)
 			for range 20 {
 				var requests []*policy.Request
 				for i := range 12 {
-					if request, decision := b.route(fmt.Sprint(i)); decision.Action == policy.Send {
+					if request, decision := r.route(fmt.Sprint(i)); decision.Action == policy.Send {
 						requests = append(requests, request)
 					}
 				}
-				b.now += c.took
+				r.now += c.duration
 				for _, request := range requests {
-					b.finish(request, 0, policy.Succeeded, policy.Hit)
+					r.finish(request, 0, policy.Succeeded, policy.Hit)
 				}
 			}
-			if n := b.endpoints["e0"]; (n.concurrency.limit < initialConcurrency) != c.less || n.concurrency.inFlight != 0 {
-				t.Errorf("limit %.1f, %d out", n.concurrency.limit, n.concurrency.inFlight)
+			if e := r.endpoints["e0"]; (e.concurrency.limit < initialConcurrency) != c.wantReduced || e.concurrency.inFlight != 0 {
+				t.Errorf("limit %.1f, %d in flight", e.concurrency.limit, e.concurrency.inFlight)
 			}
 		})
 	}
--- a/routing/cost_test.go
+++ b/routing/cost_test.go
@@ -7,14 +7,16 @@
 	"tallyproxy/policy"
 )
 
-// TestUncacheableSendingTime: uncacheable requests are never hits, so their sending time is learned from any answer of an endpoint that is
-// not near its limit. Otherwise it would be taken for the whole latency objective, and a site with mostly writes could not use a cold edge.
+// TestUncacheableSendingTime guards against an unknown transfer time of uncacheable requests. They
+// are never hits, so their transfer time is learned from any answer of a lightly loaded endpoint.
+// Otherwise it would be taken to be the whole latency objective, and a site with mostly writes
+// could not use a cold edge.
 func TestUncacheableSendingTime(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		uncacheable bool
 		status      policy.CacheStatus
-		learned     bool
+		wantLearned bool
 	}{
 		{"uncacheable", true, policy.FilledByOrigin, true},
 		{"uncacheable, no cache status", true, policy.Unknown, true},
@@ -25,40 +27,42 @@
 			s := settings()
 			s.ReportsCacheStatus = c.status != policy.Unknown
 			s.ContentTypes[0].Uncacheable = c.uncacheable
-			b := newTestRouter(s, 3, 1)
+			r := newTestRouter(s, 3, 1)
 			route := func(object string) (*policy.Request, policy.Decision) {
-				request := b.request(object)
+				request := r.request(object)
 				request.SizeKB = 0
-				return request, b.Route(b.now, request)
+				return request, r.Route(r.now, request)
 			}
-			sent := func() (n int) { // to a cold endpoint in a window
-				b.missRatio = 0.5
-				b.updateEndpoints(policy.Endpoint{ID: "e9", Zone: 1, Started: b.now})
-				for until := b.now + s.EdgeSlowStart.OverloadWindow; b.now < until; b.now += 50 * ms {
+			// sentToCold returns the number of attempts sent to a cold endpoint in one overload
+			// window.
+			sentToCold := func() (n int) {
+				r.missRatio = 0.5
+				r.updateEndpoints(policy.Endpoint{ID: "e9", Zone: 1, Started: r.now})
+				for until := r.now + s.EdgeSlowStart.OverloadWindow; r.now < until; r.now += 50 * ms {
 					for i := range 20 {
-						request, decision := route(fmt.Sprint("cold", b.now, " ", i))
+						request, decision := route(fmt.Sprint("cold", r.now, " ", i))
 						if decision.Action == policy.Send && decision.Endpoint.ID == "e9" {
 							n++
 						}
 						if decision.Action == policy.Send {
-							request.Done = true // its client has left
-							b.finish(request, 0, policy.NotSent, policy.Unknown)
+							request.Done = true // the client has disconnected
+							r.finish(request, 0, policy.NotSent, policy.Unknown)
 						}
 					}
 				}
-				b.updateEndpoints(policy.Endpoint{ID: "e9", State: policy.Removed})
+				r.updateEndpoints(policy.Endpoint{ID: "e9", State: policy.Removed})
 				return n
 			}
-			before := sent()
+			before := sentToCold()
 			for i := range 200 {
 				request, decision := route(fmt.Sprint(i))
 				if decision.Action != policy.Send {
 					t.Fatalf("%+v", decision)
 				}
-				b.finish(request, s.ContentTypes[0].LatencyObjective/20, policy.Succeeded, c.status)
+				r.finish(request, s.ContentTypes[0].LatencyObjective/20, policy.Succeeded, c.status)
 			}
-			if after := sent(); (after > 3*before) != c.learned {
-				t.Errorf("a cold endpoint had %d in a window, %d before anything was known", after, before)
+			if after := sentToCold(); (after > 3*before) != c.wantLearned {
+				t.Errorf("a cold endpoint was sent %d attempts in a window, %d before the transfer time was known", after, before)
 			}
 		})
 	}
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -6,7 +6,8 @@
 	"tallyproxy/policy"
 )
 
-// TestMissingEndpoints: where requests go while edges, parents or the origin are missing.
+// TestMissingEndpoints checks where requests go while edges, parents or the origin are missing,
+// and that a complete list removes endpoints that it does not contain.
 func TestMissingEndpoints(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -26,27 +27,27 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestRouter(settings(), c.edges, c.parents)
-			b.updateEndpoints(c.change...)
-			request, decision := b.route("a")
+			r := newTestRouter(settings(), c.edges, c.parents)
+			r.updateEndpoints(c.change...)
+			request, decision := r.route("a")
 			if decision.Action != c.action || decision.Source != nil && decision.Source.ID != c.source {
 				t.Fatalf("%+v", decision)
 			}
 			if c.action == policy.Queue {
-				if wait := b.RecheckAfter(b.now, request); wait <= 0 || wait > b.t.LatencyObjective {
-					t.Errorf("held for %d", wait)
+				if wait := r.RecheckAfter(r.now, request); wait <= 0 || wait > r.contentType.LatencyObjective {
+					t.Errorf("RecheckAfter = %d", wait)
 				}
-				b.now += 2 * policy.Second
-				if decision := b.Route(b.now, request); decision.Action != policy.Reject || decision.RetryAfter <= 0 {
-					t.Errorf("after its target time: %+v", decision)
+				r.now += 2 * policy.Second
+				if decision := r.Route(r.now, request); decision.Action != policy.Reject || decision.RetryAfter <= 0 {
+					t.Errorf("after the latency objective: %+v", decision)
 				}
 			}
 		})
 	}
 	t.Run("a complete list leaves out the rest", func(t *testing.T) {
-		b := newTestRouter(settings(), 3, 1)
-		b.UpdateEndpoints(b.now, []policy.Endpoint{{ID: "e1", Zone: 1}}, true)
-		if _, decision := b.route("a"); decision.Endpoint.ID != "e1" || decision.Source.ID != "e1" || len(b.endpoints) != 1 {
+		r := newTestRouter(settings(), 3, 1)
+		r.UpdateEndpoints(r.now, []policy.Endpoint{{ID: "e1", Zone: 1}}, true)
+		if _, decision := r.route("a"); decision.Endpoint.ID != "e1" || decision.Source.ID != "e1" || len(r.endpoints) != 1 {
 			t.Errorf("%+v", decision)
 		}
 	})
--- a/routing/fill_test.go
+++ b/routing/fill_test.go
@@ -8,132 +8,136 @@
 	"tallyproxy/policy"
 )
 
-// TestCongestedFills: while fills are congested an edge is asked first, then a parent, then the origin, each within its limit.
+// TestCongestedFills checks that, while fills are congested, a request asks an edge first, then a
+// parent, then the origin, each within its limit, and that the congestion ends.
 func TestCongestedFills(t *testing.T) {
-	b := newTestRouter(settings(), 1, 1)
-	b.serve(10, 900*ms, policy.Filled)
-	if b.congestedAt == 0 {
+	r := newTestRouter(settings(), 1, 1)
+	r.serve(10, 900*ms, policy.Filled)
+	if r.congestedAt == 0 {
 		t.Fatal("fills are not congested")
 	}
-	request, first := b.route("a")
+	request, first := r.route("a")
 	if first.Source != first.Endpoint {
-		t.Fatalf("not asked first: %+v", first)
+		t.Fatalf("the edge was not asked first: %+v", first)
 	}
-	second := b.finish(request, ms, policy.CacheMiss, policy.Unknown)
+	second := r.finish(request, ms, policy.CacheMiss, policy.Unknown)
 	if second.Action != policy.Send || second.Endpoint != first.Endpoint || second.Source.ID != "p0" || !second.OnlyIfCached {
-		t.Fatalf("a miss: %+v", second)
+		t.Fatalf("after a miss at the edge: %+v", second)
 	}
-	if fill := b.finish(request, ms, policy.CacheMiss, policy.Unknown); fill.Action != policy.Send || fill.Source.ID != "p0" || fill.OnlyIfCached {
-		t.Fatalf("a miss there too: %+v", fill)
+	if fill := r.finish(request, ms, policy.CacheMiss, policy.Unknown); fill.Action != policy.Send || fill.Source.ID != "p0" || fill.OnlyIfCached {
+		t.Fatalf("after a miss at the parent: %+v", fill)
 	}
-	b.fillLimiter.limit = 1
-	other, _ := b.route("b")
-	if decision := b.finish(other, ms, policy.CacheMiss, policy.Unknown); decision.Action != policy.Queue {
-		t.Errorf("a miss before a full limiter: %+v", decision)
+	r.fillLimiter.limit = 1
+	other, _ := r.route("b")
+	if decision := r.finish(other, ms, policy.CacheMiss, policy.Unknown); decision.Action != policy.Queue {
+		t.Errorf("after a miss with a full fill limiter: %+v", decision)
 	}
-	b.finish(request, ms, policy.Succeeded, policy.Filled)
-	if decision := b.Route(b.now, other); decision.Action != policy.Send || !decision.OnlyIfCached {
-		t.Errorf("once there is room: %+v", decision)
+	r.finish(request, ms, policy.Succeeded, policy.Filled)
+	if decision := r.Route(r.now, other); decision.Action != policy.Send || !decision.OnlyIfCached {
+		t.Errorf("after the fill limiter has room: %+v", decision)
 	}
-	if b.fillLimiter.limit, b.originLimiter.limit = 4, 2; b.originLimiter.inFlight != 0 || b.fillLimiter.inFlight != 1 {
-		t.Errorf("%d in the fill limiter, %d of them to the origin", b.fillLimiter.inFlight, b.originLimiter.inFlight)
+	if r.fillLimiter.limit, r.originLimiter.limit = 4, 2; r.originLimiter.inFlight != 0 || r.fillLimiter.inFlight != 1 {
+		t.Errorf("%d fills in flight, %d of them to the origin", r.fillLimiter.inFlight, r.originLimiter.inFlight)
 	}
 	for i := range 3 {
-		request, _ := b.route(fmt.Sprint("c", i))
-		b.finish(request, ms, policy.CacheMiss, policy.Unknown)
-		if decision := b.finish(request, ms, policy.CacheMiss, policy.Unknown); (decision.Action == policy.Send) != (i < 2) {
+		request, _ := r.route(fmt.Sprint("c", i))
+		r.finish(request, ms, policy.CacheMiss, policy.Unknown)
+		if decision := r.finish(request, ms, policy.CacheMiss, policy.Unknown); (decision.Action == policy.Send) != (i < 2) {
 			t.Errorf("fill %d from the origin: %+v", i, decision)
 		}
 	}
-	b.fillLimiter.inFlight, b.originLimiter.inFlight = 1, 0
-	b.finish(other, ms, policy.Succeeded, policy.Filled)
-	b.now += 11 * policy.Second
-	b.serve(1, ms, policy.Hit)
-	if _, decision := b.route("c"); decision.Source == decision.Endpoint || b.fillLimiter.inFlight != 0 {
+	r.fillLimiter.inFlight, r.originLimiter.inFlight = 1, 0
+	r.finish(other, ms, policy.Succeeded, policy.Filled)
+	r.now += 11 * policy.Second
+	r.serve(1, ms, policy.Hit)
+	if _, decision := r.route("c"); decision.Source == decision.Endpoint || r.fillLimiter.inFlight != 0 {
 		t.Errorf("the congestion did not end: %+v", decision)
 	}
 }
 
-// TestCostlyObjectsQueue: while the limit of fills from the origin is below 1, a share of the objects may go there, and a smaller share of
-// those that are costly.
+// TestCostlyObjectsQueue checks that, while the limit of fills from the origin is below 1, only a
+// share of the objects may be filled from the origin, and a smaller share of costly objects.
 func TestCostlyObjectsQueue(t *testing.T) {
 	cases := []struct {
 		name string
-		size float64 // of the request, where most have 200
-		want float64 // share of the objects
+		size float64 // size of the request; most requests have 200
+		want float64 // share of the objects filled from the origin
 	}{{"as most", 200, 0.5}, {"twice as long", 400, 0.5 / 7.8}, {"half as long", 100, 0.5}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestRouter(settings(), 1, 2)
-			went := 0
+			r := newTestRouter(settings(), 1, 2)
+			sent := 0
 			const count = 1000
 			for i := range count {
-				b.congestedAt, b.fillLimiter.inFlight, b.originLimiter.inFlight, b.originLimiter.limit, b.averageCost = b.now, 0, 0, 0.5, runningMean{200_000, meanSamples}
-				request := b.request(fmt.Sprint("x", i))
+				r.congestedAt, r.fillLimiter.inFlight, r.originLimiter.inFlight, r.originLimiter.limit, r.averageCost = r.now, 0, 0, 0.5, runningMean{200_000, meanSamples}
+				request := r.request(fmt.Sprint("x", i))
 				request.SizeKB = c.size
-				b.Route(b.now, request)
-				b.finish(request, 0, policy.CacheMiss, policy.Unknown)
-				decision := b.finish(request, 0, policy.CacheMiss, policy.Unknown)
-				went += boolean.Int(decision.Action == policy.Send)
+				r.Route(r.now, request)
+				r.finish(request, 0, policy.CacheMiss, policy.Unknown)
+				decision := r.finish(request, 0, policy.CacheMiss, policy.Unknown)
+				sent += boolean.Int(decision.Action == policy.Send)
 				request.Done = true
 				if decision.Action == policy.Send {
-					b.finish(request, 0, policy.Succeeded, policy.Filled)
+					r.finish(request, 0, policy.Succeeded, policy.Filled)
 				}
 			}
-			if part := float64(went) / count; part < c.want-0.05 || part > c.want+0.05 {
-				t.Errorf("%.3f of the objects went, want %.3f", part, c.want)
+			if share := float64(sent) / count; share < c.want-0.05 || share > c.want+0.05 {
+				t.Errorf("%.3f of the objects were filled from the origin, want %.3f", share, c.want)
 			}
 		})
 	}
 }
 
-// TestFillIncreaseWithoutCacheStatus: where answers report nothing of a rejection's cause, the limits of fills gain twice as much by what
-// goes well.
+// TestFillIncreaseWithoutCacheStatus checks that successful fills raise the limits of fills by
+// twice as much if answers do not report the cause of a rejection.
 func TestFillIncreaseWithoutCacheStatus(t *testing.T) {
 	for _, c := range []struct {
-		reported bool
-		want     float64
+		reportsStatus bool
+		want          float64
 	}{{true, concurrencyIncrease}, {false, 2 * concurrencyIncrease}} {
-		t.Run(fmt.Sprint("cache status reported: ", c.reported), func(t *testing.T) {
+		t.Run(fmt.Sprint("cache status reported: ", c.reportsStatus), func(t *testing.T) {
 			s := settings()
-			s.ReportsCacheStatus = c.reported
-			b := newTestRouter(s, 1, 1)
-			a := &attempt{endpoint: b.endpoints["e0"], source: b.endpoints["p0"], countedAsFill: true, mayReachOrigin: true}
-			fills, origin := b.fillLimiter.limit, b.originLimiter.limit
-			b.fillLimiter.inFlight, b.originLimiter.inFlight = int(fills), int(origin)
-			b.observeFill(b.now, a, 0, true)
-			if got := b.originLimiter.limit - origin; got != c.want || b.fillLimiter.limit-fills != c.want {
-				t.Errorf("gains of %v and %v, want %v", got, b.fillLimiter.limit-fills, c.want)
+			s.ReportsCacheStatus = c.reportsStatus
+			r := newTestRouter(s, 1, 1)
+			a := &attempt{endpoint: r.endpoints["e0"], source: r.endpoints["p0"], countedAsFill: true, mayReachOrigin: true}
+			fills, origin := r.fillLimiter.limit, r.originLimiter.limit
+			r.fillLimiter.inFlight, r.originLimiter.inFlight = int(fills), int(origin)
+			r.observeFill(r.now, a, 0, true)
+			if got := r.originLimiter.limit - origin; got != c.want || r.fillLimiter.limit-fills != c.want {
+				t.Errorf("limits rose by %v and %v, want %v", got, r.fillLimiter.limit-fills, c.want)
 			}
 		})
 	}
 }
 
-// TestFillWithoutParents: with no parent left to ask, fills go to the origin, for the share of the objects that its limit leaves.
+// TestFillWithoutParents checks that, with no usable parent, fills go to the origin for the share
+// of the objects that its limit allows.
 func TestFillWithoutParents(t *testing.T) {
-	b := newTestRouter(settings(), 1, 1)
-	b.endpoints["p0"].ejectedUntil = b.now + 100*policy.Second
-	went := 0
+	r := newTestRouter(settings(), 1, 1)
+	r.endpoints["p0"].ejectedUntil = r.now + 100*policy.Second
+	sent := 0
 	const count = 2000
 	for i := range count {
-		b.congestedAt, b.fillLimiter.inFlight, b.originLimiter.inFlight, b.originLimiter.limit = b.now, 0, 0, 0.25
-		request, _ := b.route(fmt.Sprint("x", i))
-		decision := b.finish(request, 0, policy.CacheMiss, policy.Unknown)
-		if went += boolean.Int(decision.Action == policy.Send); decision.Action == policy.Send && (decision.Source.ID != "o" || decision.OnlyIfCached || b.originLimiter.inFlight != 1) {
-			t.Fatalf("%+v, %d counted", decision, b.originLimiter.inFlight)
+		r.congestedAt, r.fillLimiter.inFlight, r.originLimiter.inFlight, r.originLimiter.limit = r.now, 0, 0, 0.25
+		request, _ := r.route(fmt.Sprint("x", i))
+		decision := r.finish(request, 0, policy.CacheMiss, policy.Unknown)
+		if sent += boolean.Int(decision.Action == policy.Send); decision.Action == policy.Send && (decision.Source.ID != "o" || decision.OnlyIfCached || r.originLimiter.inFlight != 1) {
+			t.Fatalf("%+v, %d in the origin limiter", decision, r.originLimiter.inFlight)
 		}
 		request.Done = true
 		if decision.Action == policy.Send {
-			b.finish(request, 0, policy.Succeeded, policy.FilledByOrigin)
+			r.finish(request, 0, policy.Succeeded, policy.FilledByOrigin)
 		}
 	}
-	if part := float64(went) / count; part < 0.2 || part > 0.3 {
-		t.Errorf("%.3f of the objects went, want 0.25", part)
+	if share := float64(sent) / count; share < 0.2 || share > 0.3 {
+		t.Errorf("%.3f of the objects were filled from the origin, want 0.25", share)
 	}
 }
 
-// TestSecondEdgeQueried: while fills are congested, an object that its home lacks may be at the next edge in hash order, where it went while
-// the home was full, slow or away. That edge is asked once before a fill, which is still the home's.
+// TestSecondEdgeQueried guards against unnecessary fills while fills are congested. An object that
+// its home lacks may be at the next edge in hash order, where it was stored while the home was
+// full, slow or unavailable. That edge is asked once before a fill, and the home still makes the
+// fill.
 func TestSecondEdgeQueried(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -148,24 +152,24 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestRouter(settings(), c.edges, 1)
-			request, decision := b.route("x")
+			r := newTestRouter(settings(), c.edges, 1)
+			request, decision := r.route("x")
 			home := decision.Endpoint.ID
-			b.finish(request, ms, policy.Succeeded, policy.Hit)
+			r.finish(request, ms, policy.Succeeded, policy.Hit)
 			if !c.congested {
-				b.endpoints[home].halfOpen = true // then the home alone is asked
+				r.endpoints[home].halfOpen = true // only the home is asked, because it is half-open
 			} else {
-				b.congestedAt = b.now
+				r.congestedAt = r.now
 			}
-			request, decision = b.route("x")
+			request, decision = r.route("x")
 			if decision.Endpoint.ID != home || decision.Source != decision.Endpoint {
 				t.Fatalf("the home was not asked: %+v", decision)
 			}
-			decision = b.finish(request, ms, policy.CacheMiss, policy.Unknown)
-			if another := c.edges > 1 && c.congested; another != (decision.Endpoint.ID != home && decision.Source == decision.Endpoint) {
+			decision = r.finish(request, ms, policy.CacheMiss, policy.Unknown)
+			if wantSecondEdge := c.edges > 1 && c.congested; wantSecondEdge != (decision.Endpoint.ID != home && decision.Source == decision.Endpoint) {
 				t.Fatalf("after the home: %+v", decision)
-			} else if another {
-				decision = b.finish(request, ms, c.second, policy.Hit)
+			} else if wantSecondEdge {
+				decision = r.finish(request, ms, c.second, policy.Hit)
 			}
 			if c.second == policy.Succeeded {
 				return
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -6,15 +6,16 @@
 	"tallyproxy/policy"
 )
 
-// TestPurges: rule 5, the greatest age of a copy that may answer.
+// TestPurges checks the maximum age of a copy that may answer after a purge (rule 5), and that
+// purges are removed once they no longer apply.
 func TestPurges(t *testing.T) {
 	cases := []struct {
-		name   string
-		fresh  policy.Micros
-		object string
-		group  int
-		ago    policy.Micros
-		oldest policy.Micros
+		name       string
+		ttl        policy.Micros
+		object     string
+		group      int
+		purgeAge   policy.Micros
+		wantMaxAge policy.Micros
 	}{
 		{"none", 0, "other", 1, policy.Second, 0},
 		{"of the object", 0, "a", 7, policy.Second, policy.Second},
@@ -29,20 +30,20 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.ContentTypes[0].TTL = c.fresh
-			b := newTestRouter(s, 2, 1)
-			request, _ := b.route("a")
-			b.Purge(b.now, c.object, c.group, b.now-c.ago)
-			if decision := b.finish(request, 0, policy.Rejected, policy.Unknown); decision.MaxAge != c.oldest || decision.Revalidate != (c.fresh > 0) {
-				t.Errorf("later attempt of a request in hand: %+v", decision)
+			s.ContentTypes[0].TTL = c.ttl
+			r := newTestRouter(s, 2, 1)
+			request, _ := r.route("a")
+			r.Purge(r.now, c.object, c.group, r.now-c.purgeAge)
+			if decision := r.finish(request, 0, policy.Rejected, policy.Unknown); decision.MaxAge != c.wantMaxAge || decision.Revalidate != (c.ttl > 0) {
+				t.Errorf("later attempt of an open request: %+v", decision)
 			}
-			b.now += 7 * policy.Second
-			b.Purge(b.now, "z", 1, b.now)
-			if len(b.purges) != 1 {
-				t.Errorf("%d purges kept", len(b.purges))
+			r.now += 7 * policy.Second
+			r.Purge(r.now, "z", 1, r.now)
+			if len(r.purges) != 1 {
+				t.Errorf("%d purges kept", len(r.purges))
 			}
-			if b.Purge(b.now, "z", 1, 0); len(b.purges) != 0 {
-				t.Error("a purge that no longer binds was kept")
+			if r.Purge(r.now, "z", 1, 0); len(r.purges) != 0 {
+				t.Error("a revoked purge was kept")
 			}
 		})
 	}
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -14,9 +14,10 @@
 	"tallyproxy/policy"
 )
 
-// The values in this file were recorded once and are never recorded anew: routers of different versions run side by side during a
-// roll-out and must place every object alike.
+// The values in this file must never be recorded again. Routers of different versions run side by
+// side during a rollout and must place every object on the same endpoints.
 
+// TestGoldenHashes guards against a change of the hashes on which placement depends.
 func TestGoldenHashes(t *testing.T) {
 	for _, c := range []struct {
 		text        string
@@ -37,7 +38,7 @@
 	}
 }
 
-// TestGoldenPlacement checks the order in which the rendezvous hash prefers endpoints, one digit an endpoint, for objects and sizes.
+// TestGoldenPlacement checks the rank order of endpoints, one digit for each, by object and sizes.
 func TestGoldenPlacement(t *testing.T) {
 	want := map[string]string{
 		"/object/0 [1 1 1 1 1]":    "31024",
@@ -84,22 +85,22 @@
 	for _, weights := range [][]float64{{1, 1, 1, 1, 1}, {1, 2, 4, 0.5, 1}} {
 		s := settings()
 		s.WeightsAreSizes = true
-		b := newTestRouter(s, 0, 1)
-		var rows []policy.Endpoint
+		r := newTestRouter(s, 0, 1)
+		var entries []policy.Endpoint
 		for i, w := range weights {
-			rows = append(rows, policy.Endpoint{ID: fmt.Sprint("edge-", i), Zone: 1, Weight: w})
+			entries = append(entries, policy.Endpoint{ID: fmt.Sprint("edge-", i), Zone: 1, Weight: w})
 		}
-		b.updateEndpoints(rows...)
+		r.updateEndpoints(entries...)
 		for i := range 20 {
 			object := fmt.Sprint("/object/", i)
 			key := fmt.Sprint(object, " ", weights)
 			state := &requestState{objectHash: hash.Mix(hash.String(object) + uint64(i%3))}
 			var order strings.Builder
-			seen := map[*endpoint]bool{}
+			chosen := map[*endpoint]bool{}
 			for range weights {
-				n := b.pick(b.now, &b.edges, state.objectHash, 0, func(n *endpoint) bool { return !seen[n] })
-				seen[n] = true
-				order.WriteString(strings.TrimPrefix(n.ID, "edge-"))
+				e := r.pick(r.now, &r.edges, state.objectHash, 0, func(e *endpoint) bool { return !chosen[e] })
+				chosen[e] = true
+				order.WriteString(strings.TrimPrefix(e.ID, "edge-"))
 			}
 			if got := order.String(); got != want[key] {
 				t.Errorf("%q: %q,", key, got)
@@ -108,14 +109,15 @@
 	}
 }
 
-// TestGoldenDecisions plays a drawn history against the router and compares a hash of every decision, in its order.
+// TestGoldenDecisions applies randomly generated events to the router and compares a hash of all
+// decisions in order.
 func TestGoldenDecisions(t *testing.T) {
 	for _, c := range []struct {
-		seed     uint64
-		reported bool
-		direct   bool
-		attempts int
-		want     uint64
+		seed          uint64
+		reportsStatus bool
+		direct        bool
+		attempts      int
+		want          uint64
 	}{
 		{1, false, false, 921, 0xb4b7986d983c5426},
 		{2, true, false, 939, 0xbde08a9f4ca6048f},
@@ -124,19 +126,20 @@
 		{5, true, true, 1500, 0x41b4d9549f287acf},
 		{6, true, false, 1067, 0xdb5cb4a7ce79ea4b},
 	} {
-		attempts, hash := playDrawn(c.seed, c.reported, c.direct)
+		attempts, hash := runRandomHistory(c.seed, c.reportsStatus, c.direct)
 		if attempts != c.attempts || hash != c.want {
-			t.Errorf("{%d, %v, %v, %d, %#x},", c.seed, c.reported, c.direct, attempts, hash)
+			t.Errorf("{%d, %v, %v, %d, %#x},", c.seed, c.reportsStatus, c.direct, attempts, hash)
 		}
 	}
 }
 
-// playDrawn plays a history that depends on the seed alone.
-func playDrawn(seed uint64, reported, direct bool) (attempts int, hash uint64) {
-	r := rand.New(rand.NewPCG(seed, 7))
+// runRandomHistory applies a sequence of events that depends only on the seed, and returns the
+// number of attempts and the hash of all decisions.
+func runRandomHistory(seed uint64, reportsStatus, direct bool) (attempts int, hash uint64) {
+	rng := rand.New(rand.NewPCG(seed, 7))
 	var trace strings.Builder
 	s := settings()
-	s.Seed, s.ReportsCacheStatus, s.AllowDirect, s.WeightsAreSizes, s.ZoneDirectors, s.TotalDirectors = seed, reported, direct, seed%2 == 0, 2, 6
+	s.Seed, s.ReportsCacheStatus, s.AllowDirect, s.WeightsAreSizes, s.ZoneDirectors, s.TotalDirectors = seed, reportsStatus, direct, seed%2 == 0, 2, 6
 	s.ContentTypes = append(s.ContentTypes,
 		&policy.ContentType{LatencyObjective: 800 * ms, TransferFactor: 1, Timeout: 6 * policy.Second, RetrySafety: policy.IdempotentWithKey, DedupWindow: policy.Second, PriorityWeight: 3, TTL: 9 * policy.Second},
 		&policy.ContentType{LatencyObjective: 300 * ms, Timeout: 2 * policy.Second, RetrySafety: policy.NotIdempotent, PriorityWeight: 2, Uncacheable: true},
@@ -144,19 +147,19 @@
 	if seed%3 == 0 {
 		s.FillLinkKBPerSecond = 0
 	}
-	b := newTestRouter(s, 4, 2)
-	o := Options{Overload: overload.DefaultSettings(), Dedup: dedup.Settings{MaxRecords: 60, RetainWindows: 3, FailUnknownRetries: seed%2 == 1}}
+	r := newTestRouter(s, 4, 2)
+	options := Options{Overload: overload.DefaultSettings(), Dedup: dedup.Settings{MaxRecords: 60, RetainWindows: 3, FailUnknownRetries: seed%2 == 1}}
 	if seed > 2 {
-		o.Overload.Mode = overload.ModeReserve
+		options.Overload.Mode = overload.ModeReserve
 	}
-	b.SetOptions(o)
-	type flight struct {
+	r.SetOptions(options)
+	type sentAttempt struct {
 		request *policy.Request
 		attempt int
 	}
-	var out []flight
-	var waiting []*policy.Request
-	take := func(request *policy.Request, decision policy.Decision) {
+	var inFlight []sentAttempt
+	var queued []*policy.Request
+	apply := func(request *policy.Request, decision policy.Decision) {
 		target, source := "-", "-"
 		if decision.Endpoint != nil {
 			target = decision.Endpoint.ID
@@ -164,99 +167,99 @@
 		if decision.Source != nil {
 			source = decision.Source.ID
 		}
-		fmt.Fprintf(&trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", b.now, decision.Action, target, source, decision.CacheRank, decision.MaxAge,
-			decision.Coalesce, decision.OnlyIfCached, decision.Revalidate, decision.Timeout, decision.NotAfter, decision.Attempt, decision.RetryAfter, decision.Unprocessable, b.RecheckAfter(b.now, request))
+		fmt.Fprintf(&trace, "%d %d %s %s %d %d %v %v %v %d %d %d %d %v %d\n", r.now, decision.Action, target, source, decision.CacheRank, decision.MaxAge,
+			decision.Coalesce, decision.OnlyIfCached, decision.Revalidate, decision.Timeout, decision.NotAfter, decision.Attempt, decision.RetryAfter, decision.Unprocessable, r.RecheckAfter(r.now, request))
 		switch decision.Action {
 		case policy.Send:
-			out = append(out, flight{request, len(request.PolicyState.(*requestState).attempts) - 1})
+			inFlight = append(inFlight, sentAttempt{request, len(request.PolicyState.(*requestState).attempts) - 1})
 			attempts++
 		case policy.Queue:
-			waiting = append(waiting, request)
+			queued = append(queued, request)
 		case policy.Reject, policy.Fail:
 			request.Done = true
 		}
 	}
 	for step := range 6000 {
-		b.now += policy.Micros(r.IntN(int(12 * ms)))
-		if r.IntN(60) == 0 {
-			b.now += policy.Micros(r.IntN(int(900 * ms)))
+		r.now += policy.Micros(rng.IntN(int(12 * ms)))
+		if rng.IntN(60) == 0 {
+			r.now += policy.Micros(rng.IntN(int(900 * ms)))
 		}
-		switch what := r.IntN(100); {
-		case what < 35:
-			kind := s.ContentTypes[r.IntN(len(s.ContentTypes))]
-			request := &policy.Request{Type: kind, Object: fmt.Sprint("/o/", r.IntN(60)), Part: r.IntN(3), Group: r.IntN(4), IsRetry: r.IntN(8) == 0,
-				ClientHash: uint64(r.IntN(50)), ClientSuspect: r.IntN(20) == 0, ArrivedAt: b.now, Deadline: b.now + kind.Timeout}
-			if r.IntN(2) == 0 {
-				request.SizeKB = float64(50 + r.IntN(400))
+		switch event := rng.IntN(100); {
+		case event < 35:
+			kind := s.ContentTypes[rng.IntN(len(s.ContentTypes))]
+			request := &policy.Request{Type: kind, Object: fmt.Sprint("/o/", rng.IntN(60)), Part: rng.IntN(3), Group: rng.IntN(4), IsRetry: rng.IntN(8) == 0,
+				ClientHash: uint64(rng.IntN(50)), ClientSuspect: rng.IntN(20) == 0, ArrivedAt: r.now, Deadline: r.now + kind.Timeout}
+			if rng.IntN(2) == 0 {
+				request.SizeKB = float64(50 + rng.IntN(400))
 			}
 			if kind.RetrySafety == policy.IdempotentWithKey {
-				request.IdempotencyKey = fmt.Sprint("key", r.IntN(2000))
+				request.IdempotencyKey = fmt.Sprint("key", rng.IntN(2000))
 			}
-			take(request, b.Route(b.now, request))
-		case what < 80 && len(out) > 0:
-			i := r.IntN(len(out))
-			f := out[i]
-			out = append(out[:i], out[i+1:]...)
+			apply(request, r.Route(r.now, request))
+		case event < 80 && len(inFlight) > 0:
+			i := rng.IntN(len(inFlight))
+			sent := inFlight[i]
+			inFlight = append(inFlight[:i], inFlight[i+1:]...)
 			result := policy.Succeeded
-			if r.IntN(4) == 0 {
-				result = policy.Result(r.IntN(int(policy.Withdrawn) + 1))
+			if rng.IntN(4) == 0 {
+				result = policy.Result(rng.IntN(int(policy.Withdrawn) + 1))
 			}
 			status := policy.Unknown
-			if r.IntN(4) > 0 {
-				status = policy.CacheStatus(r.IntN(int(policy.OriginFailed) + 1))
+			if rng.IntN(4) > 0 {
+				status = policy.CacheStatus(rng.IntN(int(policy.OriginFailed) + 1))
 			}
 			if result == policy.Succeeded {
 				if status > policy.Stale {
 					status = policy.Filled
 				}
-				f.request.Done = true
+				sent.request.Done = true
 			}
-			take(f.request, b.AttemptDone(b.now, f.request, policy.Outcome{Attempt: f.attempt, Result: result, CacheStatus: status, Final: f.request.Done}))
-		case what < 90 && len(waiting) > 0:
-			request := waiting[0]
-			waiting = waiting[1:]
-			take(request, b.Route(b.now, request))
-		case what < 96 && len(out) > 0:
-			f := out[r.IntN(len(out))]
-			if decision := b.Route(b.now, f.request); decision.Action == policy.CancelAttempt {
-				take(f.request, decision)
+			apply(sent.request, r.AttemptDone(r.now, sent.request, policy.Outcome{Attempt: sent.attempt, Result: result, CacheStatus: status, Final: sent.request.Done}))
+		case event < 90 && len(queued) > 0:
+			request := queued[0]
+			queued = queued[1:]
+			apply(request, r.Route(r.now, request))
+		case event < 96 && len(inFlight) > 0:
+			sent := inFlight[rng.IntN(len(inFlight))]
+			if decision := r.Route(r.now, sent.request); decision.Action == policy.CancelAttempt {
+				apply(sent.request, decision)
 			}
-		case what < 97:
-			b.Purge(b.now, []string{"", fmt.Sprint("/o/", r.IntN(60))}[r.IntN(2)], r.IntN(5)-1, b.now-policy.Micros(r.IntN(int(policy.Second))))
-		case what < 98:
-			id, kind, zone := fmt.Sprint("e", r.IntN(5)), 0, 1
-			if r.IntN(3) == 0 {
-				id, kind, zone = fmt.Sprint("p", r.IntN(3)), 1, 0
+		case event < 97:
+			r.Purge(r.now, []string{"", fmt.Sprint("/o/", rng.IntN(60))}[rng.IntN(2)], rng.IntN(5)-1, r.now-policy.Micros(rng.IntN(int(policy.Second))))
+		case event < 98:
+			id, kind, zone := fmt.Sprint("e", rng.IntN(5)), 0, 1
+			if rng.IntN(3) == 0 {
+				id, kind, zone = fmt.Sprint("p", rng.IntN(3)), 1, 0
 			}
 			started := policy.Micros(0)
-			if r.IntN(2) == 0 {
-				started = b.now
+			if rng.IntN(2) == 0 {
+				started = r.now
 			}
-			b.updateEndpoints(policy.Endpoint{ID: id, Kind: kind, Zone: zone, Cell: r.IntN(3), Weight: float64(1 + r.IntN(3)), State: policy.EndpointState(r.IntN(8) / 6), Started: started})
-		case what < 99:
-			b.ClientConnected(b.now)
-			b.ProbeDone(b.now, fmt.Sprint("e", r.IntN(5)), r.IntN(2) == 0, r.IntN(2) == 0)
+			r.updateEndpoints(policy.Endpoint{ID: id, Kind: kind, Zone: zone, Cell: rng.IntN(3), Weight: float64(1 + rng.IntN(3)), State: policy.EndpointState(rng.IntN(8) / 6), Started: started})
+		case event < 99:
+			r.ClientConnected(r.now)
+			r.ProbeDone(r.now, fmt.Sprint("e", rng.IntN(5)), rng.IntN(2) == 0, rng.IntN(2) == 0)
 		default:
-			fmt.Fprintln(&trace, step, b.Capacity(b.now), b.WarmCapacity(), b.fillLatency, b.missRatio, b.errorRate, b.fillLimiter.limit, b.originLimiter.limit)
+			fmt.Fprintln(&trace, step, r.Capacity(r.now), r.WarmCapacity(), r.fillLatency, r.missRatio, r.errorRate, r.fillLimiter.limit, r.originLimiter.limit)
 		}
 	}
 	return attempts, sum64(&trace)
 }
 
-// TestGoldenTimeouts checks the times that sockets call for.
+// TestGoldenTimeouts checks the timeouts that are derived from the settings.
 func TestGoldenTimeouts(t *testing.T) {
 	s := settings()
 	s.AnswerGrace, s.ConnectTimeout, s.KeepAliveTimeout, s.MaxConcurrentStreams = 30*ms, 400*ms, 30*policy.Second, 250
 	s.PurgePropagation, s.DrainPropagation = 900*ms, 700*ms
-	m := Timeouts(s)
-	got := fmt.Sprint(m.AnswerReserve, m.Connect, m.ReadStall, m.Idle, m.PreferredStreams, m.MaxStreams, m.CancelConfirm, m.RequestRead, m.DownstreamIdle, m.DefaultRetryAfter, m.WriteFlush, m.DrainAccept,
-		m.DrainDeadline, m.LongPoll, m.PollRetry, m.Heartbeat, m.StallThreshold, m.SuspectTimeout, m.MaxDecisionAge)
+	timeouts := Timeouts(s)
+	got := fmt.Sprint(timeouts.AnswerReserve, timeouts.Connect, timeouts.ReadStall, timeouts.Idle, timeouts.PreferredStreams, timeouts.MaxStreams, timeouts.CancelConfirm, timeouts.RequestRead, timeouts.DownstreamIdle, timeouts.DefaultRetryAfter, timeouts.WriteFlush, timeouts.DrainAccept,
+		timeouts.DrainDeadline, timeouts.LongPoll, timeouts.PollRetry, timeouts.Heartbeat, timeouts.StallThreshold, timeouts.SuspectTimeout, timeouts.MaxDecisionAge)
 	if want := "60000 400000 200000 1875000 2 250 100000 2000000 5000000 400000 5000000 800000 3350000 1200000 100000 40000 200000 800000 50000"; got != want {
 		t.Errorf("%q", got)
 	}
 }
 
-// TestGoldenView checks the JSON of the state socket.
+// TestGoldenView checks the JSON encoding of endpoints on the state socket.
 func TestGoldenView(t *testing.T) {
 	const want = `{"id":"e0","kind":"edge","state":"ready","warm":0.5,"out":3,"limit":2.5,"skipped":1.25,"trial":true,"heard":0.125}`
 	view := EndpointView{
@@ -271,18 +274,18 @@
 	}
 }
 
-// TestGoldenEndpoints checks the words for kinds and states of endpoints.
+// TestGoldenEndpoints checks the names of endpoint kinds and states on the state socket.
 func TestGoldenEndpoints(t *testing.T) {
-	b := newTestRouter(settings(), 1, 1)
-	b.updateEndpoints(policy.Endpoint{ID: "e1", Zone: 1, State: policy.Draining, Started: b.now}, policy.Endpoint{ID: "x", Zone: 2})
-	b.now += policy.Second
-	got, err := json.Marshal(b.Endpoints(b.now))
+	r := newTestRouter(settings(), 1, 1)
+	r.updateEndpoints(policy.Endpoint{ID: "e1", Zone: 1, State: policy.Draining, Started: r.now}, policy.Endpoint{ID: "x", Zone: 2})
+	r.now += policy.Second
+	got, err := json.Marshal(r.Endpoints(r.now))
 	if want := `[{"id":"e0","kind":"edge","state":"ready","warm":1,"out":0,"limit":8,"skipped":0,"trial":false,"heard":1},{"id":"e1","kind":"edge","state":"draining","warm":0.28,"out":0,"limit":8,"skipped":0,"trial":false,"heard":1},{"id":"o","kind":"origin","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1},{"id":"p0","kind":"parent","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1},{"id":"x","kind":"other","state":"ready","warm":1,"out":0,"limit":0,"skipped":0,"trial":false,"heard":1}]`; err != nil || string(got) != want {
 		t.Errorf("%s, %v", got, err)
 	}
 }
 
-// sum64 is the FNV-1a hash of a trace.
+// sum64 returns the FNV-1a hash of a trace.
 func sum64(trace *strings.Builder) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(trace.String()))
--- a/routing/helpers_test.go
+++ b/routing/helpers_test.go
@@ -8,13 +8,15 @@
 
 const ms policy.Micros = 1000
 
-// testRouter is a router with edges e0, e1, ... in its own zone 1, parents p0, p1, ... in zone 0, and the origin o.
+// testRouter is a router in zone 1 with edges e0, e1, ... in its own zone, parents p0, p1, ... in
+// zone 0, and the origin o.
 type testRouter struct {
 	*Router
-	t   *policy.ContentType
-	now policy.Micros
+	contentType *policy.ContentType
+	now         policy.Micros
 }
 
+// settings returns the settings of most tests: one director in zone 1 and one content type.
 func settings() policy.Settings {
 	return policy.Settings{
 		Zone: 1, ZoneDirectors: 1, ParentKind: 1, OriginKind: 2, CanCancel: true, MaxAttempts: 6, TransferKBPerSecond: 1000,
@@ -27,56 +29,62 @@
 	}
 }
 
+// newTestRouter returns a router with the given numbers of edges and parents.
 func newTestRouter(s policy.Settings, edges, parents int) *testRouter {
-	b := &testRouter{Router: New(s, Options{}), t: s.ContentTypes[0], now: 100 * policy.Second}
-	var rows []policy.Endpoint
+	r := &testRouter{Router: New(s, Options{}), contentType: s.ContentTypes[0], now: 100 * policy.Second}
+	var entries []policy.Endpoint
 	for i := range edges {
-		rows = append(rows, policy.Endpoint{ID: fmt.Sprint("e", i), Zone: 1})
+		entries = append(entries, policy.Endpoint{ID: fmt.Sprint("e", i), Zone: 1})
 	}
 	for i := range parents {
-		rows = append(rows, policy.Endpoint{ID: fmt.Sprint("p", i), Kind: 1})
+		entries = append(entries, policy.Endpoint{ID: fmt.Sprint("p", i), Kind: 1})
 	}
-	b.UpdateEndpoints(b.now, append(rows, policy.Endpoint{ID: "o", Kind: 2}), true)
-	return b
+	r.UpdateEndpoints(r.now, append(entries, policy.Endpoint{ID: "o", Kind: 2}), true)
+	return r
 }
 
-func (b *testRouter) updateEndpoints(rows ...policy.Endpoint) { b.UpdateEndpoints(b.now, rows, false) }
+// updateEndpoints applies changed entries of the endpoint list.
+func (r *testRouter) updateEndpoints(entries ...policy.Endpoint) {
+	r.UpdateEndpoints(r.now, entries, false)
+}
 
-func (b *testRouter) request(object string) *policy.Request {
-	return &policy.Request{Type: b.t, Object: object, Group: 7, SizeKB: 200, ArrivedAt: b.now, Deadline: b.now + 3*policy.Second}
+// request returns a new request for the object.
+func (r *testRouter) request(object string) *policy.Request {
+	return &policy.Request{Type: r.contentType, Object: object, Group: 7, SizeKB: 200, ArrivedAt: r.now, Deadline: r.now + 3*policy.Second}
 }
 
 // route routes a new request for the object.
-func (b *testRouter) route(object string) (*policy.Request, policy.Decision) {
-	request := b.request(object)
-	return request, b.Route(b.now, request)
+func (r *testRouter) route(object string) (*policy.Request, policy.Decision) {
+	request := r.request(object)
+	return request, r.Route(r.now, request)
 }
 
-// finish reports the end of the request's last attempt after a while.
-func (b *testRouter) finish(request *policy.Request, after policy.Micros, result policy.Result, status policy.CacheStatus) policy.Decision {
-	b.now += after
+// finish reports the end of the request's last attempt after a delay.
+func (r *testRouter) finish(request *policy.Request, delay policy.Micros, result policy.Result, status policy.CacheStatus) policy.Decision {
+	r.now += delay
 	last := len(request.PolicyState.(*requestState).attempts) - 1
 	request.Done = request.Done || result == policy.Succeeded
-	return b.AttemptDone(b.now, request, policy.Outcome{Attempt: last, Result: result, CacheStatus: status, Final: request.Done})
+	return r.AttemptDone(r.now, request, policy.Outcome{Attempt: last, Result: result, CacheStatus: status, Final: request.Done})
 }
 
-// serve routes requests for n objects one after another, and each succeeds.
-func (b *testRouter) serve(n int, after policy.Micros, status policy.CacheStatus) {
+// serve routes requests for n objects one after another. Each request succeeds after a delay.
+func (r *testRouter) serve(n int, delay policy.Micros, status policy.CacheStatus) {
 	for i := range n {
-		if request, decision := b.route(fmt.Sprint("s", i)); decision.Action == policy.Send {
-			b.finish(request, after, policy.Succeeded, status)
+		if request, decision := r.route(fmt.Sprint("s", i)); decision.Action == policy.Send {
+			r.finish(request, delay, policy.Succeeded, status)
 		}
 	}
 }
 
-// objects returns n objects whose home is the edge, by routing requests that all succeed.
-func (b *testRouter) objects(home string, n int) (found []string) {
+// objects returns n objects whose home is the given edge. It finds them by routing requests, all
+// of which succeed.
+func (r *testRouter) objects(home string, n int) (found []string) {
 	for i := 0; len(found) < n; i++ {
-		request, decision := b.route(fmt.Sprint("/o/", i))
+		request, decision := r.route(fmt.Sprint("/o/", i))
 		if decision.Endpoint.ID == home {
 			found = append(found, request.Object)
 		}
-		b.finish(request, ms, policy.Succeeded, policy.Hit)
+		r.finish(request, ms, policy.Succeeded, policy.Hit)
 	}
 	return found
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -7,16 +7,17 @@
 	"tallyproxy/policy"
 )
 
-// TestEjectionAndProbe: which results eject an endpoint or its source, and that an ejected edge comes back by one probe.
+// TestEjectionAndProbe checks which results eject an endpoint or its source, that a single
+// successful probe returns an ejected edge to use, and that a restart ends an ejection.
 func TestEjectionAndProbe(t *testing.T) {
 	cases := []struct {
-		name     string
-		reported bool
-		result   policy.Result
-		fill     policy.CacheStatus
-		times    int
-		edge     bool // the edge is ejected
-		parent   bool // the parent is
+		name              string
+		reportsStatus     bool
+		result            policy.Result
+		status            policy.CacheStatus
+		count             int
+		wantEdgeEjected   bool // the edge cache is ejected
+		wantParentEjected bool // the parent is ejected
 	}{
 		{"connect failed, probed, connect failed", false, policy.ConnectFailed, policy.Unknown, 2, true, false},
 		{"connect failed once", false, policy.ConnectFailed, policy.Unknown, 1, false, false},
@@ -34,65 +35,67 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.ReportsCacheStatus, s.MaxAttempts = c.reported, 1
-			b := newTestRouter(s, 3, 2)
-			b.fillLatencySamples = 1e9 // fills never count as congested
-			objects := b.objects("e1", 40)
-			home, source := b.endpoints["e1"], (*endpoint)(nil)
+			s.ReportsCacheStatus, s.MaxAttempts = c.reportsStatus, 1
+			r := newTestRouter(s, 3, 2)
+			r.fillLatencySamples = 1e9 // fills never count as congested
+			objects := r.objects("e1", 40)
+			home, source := r.endpoints["e1"], (*endpoint)(nil)
 			for _, object := range objects {
-				request, decision := b.route(object)
+				request, decision := r.route(object)
 				if source == nil {
-					source = b.endpoints[decision.Source.ID]
+					source = r.endpoints[decision.Source.ID]
 				}
-				if decision.Source != &source.Endpoint && decision.Source != decision.Endpoint || c.times == 0 {
-					b.finish(request, 0, policy.NotSent, policy.Unknown)
+				if decision.Source != &source.Endpoint && decision.Source != decision.Endpoint || c.count == 0 {
+					r.finish(request, 0, policy.NotSent, policy.Unknown)
 					continue
 				}
-				b.finish(request, ms, c.result, c.fill)
-				c.times--
+				r.finish(request, ms, c.result, c.status)
+				c.count--
 			}
-			if (home.ejectedUntil > b.now) != c.edge || (source.ejectedUntil > b.now) != c.parent {
-				t.Fatalf("edge until %d, parent until %d, now %d", home.ejectedUntil, source.ejectedUntil, b.now)
+			if (home.ejectedUntil > r.now) != c.wantEdgeEjected || (source.ejectedUntil > r.now) != c.wantParentEjected {
+				t.Fatalf("edge ejected until %d, parent until %d, now %d", home.ejectedUntil, source.ejectedUntil, r.now)
 			}
-			if c.parent && source.ejectedUntil-b.now != 10*policy.Second {
-				t.Errorf("parent ejected for %d", source.ejectedUntil-b.now)
+			if c.wantParentEjected && source.ejectedUntil-r.now != 10*policy.Second {
+				t.Errorf("parent ejected for %d", source.ejectedUntil-r.now)
 			}
-			if !c.edge {
+			if !c.wantEdgeEjected {
 				return
 			}
-			if _, decision := b.route(objects[0]); decision.Endpoint.ID == "e1" {
+			if _, decision := r.route(objects[0]); decision.Endpoint.ID == "e1" {
 				t.Error("sent to an ejected edge")
 			}
-			b.now = home.ejectedUntil
-			request, probe := b.route(objects[0])
-			_, second := b.route(objects[1])
+			r.now = home.ejectedUntil
+			request, probe := r.route(objects[0])
+			_, second := r.route(objects[1])
 			if probe.Endpoint.ID != "e1" || second.Endpoint.ID == "e1" {
 				t.Errorf("probed with %s and %s", probe.Endpoint.ID, second.Endpoint.ID)
 			}
-			b.finish(request, ms, policy.Succeeded, policy.Hit)
-			if _, decision := b.route(objects[2]); decision.Endpoint.ID != "e1" {
-				t.Error("not back after a probe that succeeded")
+			r.finish(request, ms, policy.Succeeded, policy.Hit)
+			if _, decision := r.route(objects[2]); decision.Endpoint.ID != "e1" {
+				t.Error("edge not in use after a successful probe")
 			}
 		})
 	}
-	t.Run("a restart forgets", func(t *testing.T) {
-		b := newTestRouter(settings(), 1, 1)
-		b.eject(b.now, b.endpoints["e0"], &attempt{sentAt: b.now}, policy.Second)
-		b.updateEndpoints(policy.Endpoint{ID: "e0", Zone: 1, Started: 1})
-		if _, decision := b.route("a"); decision.Action != policy.Send {
+	t.Run("a restart ends an ejection", func(t *testing.T) {
+		r := newTestRouter(settings(), 1, 1)
+		r.eject(r.now, r.endpoints["e0"], &attempt{sentAt: r.now}, policy.Second)
+		r.updateEndpoints(policy.Endpoint{ID: "e0", Zone: 1, Started: 1})
+		if _, decision := r.route("a"); decision.Action != policy.Send {
 			t.Errorf("%+v", decision)
 		}
 	})
 }
 
-// TestRestartBeforeListUpdate: a cache that took no connection may have restarted before the endpoint list says so.
+// TestRestartBeforeListUpdate guards against overload of a cache that has restarted before the
+// endpoint list reports it. A cache that accepted no connection is in slow start unless its next
+// answer shows that it still holds its objects.
 func TestRestartBeforeListUpdate(t *testing.T) {
 	cases := []struct {
-		name    string
-		first   policy.Result
-		answer  policy.Result
-		status  policy.CacheStatus
-		warming bool
+		name          string
+		first         policy.Result
+		answer        policy.Result
+		status        policy.CacheStatus
+		wantSlowStart bool
 	}{
 		{"empty", policy.ConnectFailed, policy.CacheMiss, policy.Unknown, true},
 		{"still holds what it had", policy.ConnectFailed, policy.Succeeded, policy.Hit, false},
@@ -100,105 +103,107 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestRouter(settings(), 3, 1)
-			objects := b.objects("e1", 60)
-			request, _ := b.route(objects[0])
-			b.finish(request, ms, c.first, policy.Unknown)
-			request, decision := b.route(objects[1])
+			r := newTestRouter(settings(), 3, 1)
+			objects := r.objects("e1", 60)
+			request, _ := r.route(objects[0])
+			r.finish(request, ms, c.first, policy.Unknown)
+			request, decision := r.route(objects[1])
 			if probed := decision.Source == decision.Endpoint; decision.Endpoint.ID != "e1" || probed != (c.first == policy.ConnectFailed) {
-				t.Fatalf("then %+v", decision)
+				t.Fatalf("after the failure: %+v", decision)
 			}
 			if c.answer == policy.Succeeded {
-				b.finish(request, ms, c.answer, c.status)
-			} else if decision := b.finish(request, ms, c.answer, c.status); decision.Action != policy.Send || decision.Source == decision.Endpoint {
-				t.Errorf("after its answer: %+v", decision)
+				r.finish(request, ms, c.answer, c.status)
+			} else if decision := r.finish(request, ms, c.answer, c.status); decision.Action != policy.Send || decision.Source == decision.Endpoint {
+				t.Errorf("after the answer: %+v", decision)
 			}
-			if w := slowStartShare(b.now, b.endpoints["e1"], b.settings.EdgeSlowStart); (w < 1) != c.warming {
-				t.Errorf("taken for %.2f warm", w)
+			if share := slowStartShare(r.now, r.endpoints["e1"], r.settings.EdgeSlowStart); (share < 1) != c.wantSlowStart {
+				t.Errorf("slow-start share %.2f", share)
 			}
 		})
 	}
 }
 
-// TestLostConnections: attempts that end with one connection are one failure of their endpoint and may go there once more; some in a row
-// eject it.
+// TestLostConnections checks that attempts lost with one connection count as one failure of their
+// endpoint and may be sent there once more, and that repeated losses eject the endpoint.
 func TestLostConnections(t *testing.T) {
 	t.Run("together", func(t *testing.T) {
-		b := newTestRouter(settings(), 3, 2)
-		var together []*policy.Request
-		for _, o := range b.objects("e1", 2*failureThreshold) {
-			request, _ := b.route(o)
-			together = append(together, request)
+		r := newTestRouter(settings(), 3, 2)
+		var requests []*policy.Request
+		for _, object := range r.objects("e1", 2*failureThreshold) {
+			request, _ := r.route(object)
+			requests = append(requests, request)
 		}
-		b.now += ms
-		for i, request := range together {
-			if decision := b.finish(request, 0, policy.ConnectionLost, policy.Unknown); decision.Action != policy.Send || decision.Endpoint.ID != "e1" {
+		r.now += ms
+		for i, request := range requests {
+			if decision := r.finish(request, 0, policy.ConnectionLost, policy.Unknown); decision.Action != policy.Send || decision.Endpoint.ID != "e1" {
 				t.Fatalf("request %d: %+v", i, decision)
 			}
 		}
-		if decision := b.finish(together[0], 0, policy.ConnectionLost, policy.Unknown); decision.Action != policy.Send || decision.Endpoint.ID == "e1" {
-			t.Errorf("a third time there: %+v", decision)
+		if decision := r.finish(requests[0], 0, policy.ConnectionLost, policy.Unknown); decision.Action != policy.Send || decision.Endpoint.ID == "e1" {
+			t.Errorf("after a second loss at the same endpoint: %+v", decision)
 		}
 	})
 	t.Run("one after another", func(t *testing.T) {
-		b := newTestRouter(settings(), 3, 2)
-		for i, o := range b.objects("e1", failureThreshold*failureThreshold) {
-			request, _ := b.route(o)
-			decision := b.finish(request, ms, policy.ConnectionLost, policy.Unknown)
-			ejected := b.endpoints["e1"].ejectedUntil > b.now
+		r := newTestRouter(settings(), 3, 2)
+		for i, object := range r.objects("e1", failureThreshold*failureThreshold) {
+			request, _ := r.route(object)
+			decision := r.finish(request, ms, policy.ConnectionLost, policy.Unknown)
+			ejected := r.endpoints["e1"].ejectedUntil > r.now
 			if ejected != (i+1 == failureThreshold*failureThreshold) || decision.Action != policy.Send || (decision.Endpoint.ID == "e1") == ejected {
 				t.Errorf("%d in a row: ejected %v, %+v", i+1, ejected, decision)
 			}
 			request.Done = true
-			b.finish(request, 0, policy.Cancelled, policy.Unknown)
+			r.finish(request, 0, policy.Cancelled, policy.Unknown)
 		}
 	})
 }
 
-// TestAllParentsFailing: where answers don't report the cause, the fault lies behind the parents and they stay in use.
+// TestAllParentsFailing checks that, if all parents fail and answers do not report the cause, the
+// fault is assumed to be behind the parents and they stay in use.
 func TestAllParentsFailing(t *testing.T) {
-	for _, reported := range []bool{false, true} {
-		t.Run(fmt.Sprint("cache status reported: ", reported), func(t *testing.T) {
+	for _, reportsStatus := range []bool{false, true} {
+		t.Run(fmt.Sprint("cache status reported: ", reportsStatus), func(t *testing.T) {
 			s := settings()
-			s.ReportsCacheStatus, s.MaxAttempts = reported, 1
-			b := newTestRouter(s, 2, 2)
-			b.fillLatencySamples = 1e9
+			s.ReportsCacheStatus, s.MaxAttempts = reportsStatus, 1
+			r := newTestRouter(s, 2, 2)
+			r.fillLatencySamples = 1e9
 			for i := range 60 {
-				if request, decision := b.route(fmt.Sprint(i)); decision.Source.ID != "o" {
-					b.finish(request, ms, policy.Rejected, policy.SourceUnavailable)
+				if request, decision := r.route(fmt.Sprint(i)); decision.Source.ID != "o" {
+					r.finish(request, ms, policy.Rejected, policy.SourceUnavailable)
 				} else {
-					b.finish(request, ms, policy.Succeeded, policy.Filled)
+					r.finish(request, ms, policy.Succeeded, policy.Filled)
 				}
 			}
-			if _, decision := b.route("a"); (decision.Source.ID == "o") != reported {
+			if _, decision := r.route("a"); (decision.Source.ID == "o") != reportsStatus {
 				t.Errorf("filled from %s", decision.Source.ID)
 			}
 		})
 	}
 }
 
-// TestSlowParent: a slow parent is ejected only while another is faster.
+// TestSlowParent checks that a slow parent is ejected only while another parent is usable and
+// faster.
 func TestSlowParent(t *testing.T) {
 	cases := []struct {
-		name     string
-		other    policy.Micros // what fills through the other parent take
-		halfOpen bool          // the other is back from an ejection and not yet probed
-		ejected  bool
+		name          string
+		otherDuration policy.Micros // duration of fills through the other parent
+		halfOpen      bool          // the other parent is half-open and its probe is in flight
+		wantEjected   bool
 	}{{"alone", 100 * ms, false, true}, {"both slow", 900 * ms, false, false}, {"the other gone", 0, true, false}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestRouter(settings(), 2, 2)
-			b.fillLatencySamples = 1e9 // fills never count as congested
+			r := newTestRouter(settings(), 2, 2)
+			r.fillLatencySamples = 1e9 // fills never count as congested
 			for i := range 60 {
-				b.endpoints["p1"].halfOpen, b.endpoints["p1"].probing = c.halfOpen, c.halfOpen
-				if request, decision := b.route(fmt.Sprint(i)); decision.Source.ID == "p0" {
-					b.finish(request, 900*ms, policy.Succeeded, policy.Filled)
+				r.endpoints["p1"].halfOpen, r.endpoints["p1"].probing = c.halfOpen, c.halfOpen
+				if request, decision := r.route(fmt.Sprint(i)); decision.Source.ID == "p0" {
+					r.finish(request, 900*ms, policy.Succeeded, policy.Filled)
 				} else {
-					b.finish(request, c.other, policy.Succeeded, policy.Filled)
+					r.finish(request, c.otherDuration, policy.Succeeded, policy.Filled)
 				}
 			}
-			if n := b.endpoints["p0"]; (n.ejectedUntil > 0) != c.ejected || b.endpoints["p1"].ejectedUntil > 0 {
-				t.Errorf("ejected until %d and %d", n.ejectedUntil, b.endpoints["p1"].ejectedUntil)
+			if p0 := r.endpoints["p0"]; (p0.ejectedUntil > 0) != c.wantEjected || r.endpoints["p1"].ejectedUntil > 0 {
+				t.Errorf("ejected until %d and %d", p0.ejectedUntil, r.endpoints["p1"].ejectedUntil)
 			}
 		})
 	}
--- a/routing/placement_test.go
+++ b/routing/placement_test.go
@@ -6,7 +6,8 @@
 	"tallyproxy/policy"
 )
 
-// TestDirectToParent: without an edge cache requests go straight to a parent, within the fill limiter.
+// TestDirectToParent checks that requests go directly to a parent if there is no edge cache,
+// within the limit of the fill limiter.
 func TestDirectToParent(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -22,37 +23,40 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
 			s.AllowDirect = c.direct
-			b := newTestRouter(s, 1, 1)
-			b.updateEndpoints(c.change)
-			request, decision := b.route("a")
+			r := newTestRouter(s, 1, 1)
+			r.updateEndpoints(c.change)
+			request, decision := r.route("a")
 			if decision.Endpoint == nil != (c.endpoint == "") || decision.Endpoint != nil && decision.Endpoint.ID != c.endpoint {
 				t.Fatalf("%+v", decision)
 			}
 			if c.endpoint != "p0" {
 				return
 			}
-			if decision.Source.ID != "o" || b.fillLimiter.inFlight != 1 {
-				t.Errorf("%+v, %d in the fill limiter", decision, b.fillLimiter.inFlight)
+			if decision.Source.ID != "o" || r.fillLimiter.inFlight != 1 {
+				t.Errorf("%+v, %d in the fill limiter", decision, r.fillLimiter.inFlight)
 			}
-			b.fillLimiter.limit = 1
-			if _, decision := b.route("b"); decision.Action != policy.Queue {
-				t.Errorf("past what the link carries: %+v", decision)
+			r.fillLimiter.limit = 1
+			if _, decision := r.route("b"); decision.Action != policy.Queue {
+				t.Errorf("with a full fill limiter: %+v", decision)
 			}
-			b.finish(request, ms, policy.Succeeded, policy.Filled)
-			if b.fillLimiter.inFlight != 0 {
-				t.Error("still counted")
+			r.finish(request, ms, policy.Succeeded, policy.Filled)
+			if r.fillLimiter.inFlight != 0 {
+				t.Error("the fill limiter still counts the attempt")
 			}
 		})
 	}
 }
 
-// TestNotAfter: a request with a key is not sent again after its dedup window, however long its attempt waits to be written.
+// TestNotAfter guards against a second run of a request with a key after its dedup window, even if
+// its attempt waits a long time to be written.
 func TestNotAfter(t *testing.T) {
 	cases := []struct {
-		name   string
-		repeat policy.RetrySafety
-		window policy.Micros
-		before policy.Micros // of the second attempt, after the first was sent
+		name        string
+		retrySafety policy.RetrySafety
+		window      policy.Micros
+		// wantNotAfter is that of the second attempt, relative to the time when the first was
+		// sent.
+		wantNotAfter policy.Micros
 	}{
 		{"idempotent", policy.Idempotent, policy.Second, 3 * policy.Second},
 		{"with a key, a short window", policy.IdempotentWithKey, policy.Second, policy.Second},
@@ -60,16 +64,16 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestRouter(settings(), 3, 1)
-			b.t.RetrySafety, b.t.DedupWindow = c.repeat, c.window
-			begun := b.now
-			request, first := b.route("a")
+			r := newTestRouter(settings(), 3, 1)
+			r.contentType.RetrySafety, r.contentType.DedupWindow = c.retrySafety, c.window
+			start := r.now
+			request, first := r.route("a")
 			if first.Action != policy.Send || first.NotAfter != request.Deadline {
-				t.Fatalf("first %+v", first)
+				t.Fatalf("first attempt %+v", first)
 			}
-			second := b.finish(request, 10*ms, policy.Failed, policy.CacheFull)
-			if second.Action != policy.Send || second.NotAfter != begun+c.before {
-				t.Errorf("second attempt %+v, want it before %d", second, begun+c.before)
+			second := r.finish(request, 10*ms, policy.Failed, policy.CacheFull)
+			if second.Action != policy.Send || second.NotAfter != start+c.wantNotAfter {
+				t.Errorf("second attempt %+v, want NotAfter %d", second, start+c.wantNotAfter)
 			}
 		})
 	}
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -8,15 +8,16 @@
 	"tallyproxy/policy"
 )
 
-// TestRetrySafety: rule 2, what may follow an attempt that ended badly.
+// TestRetrySafety checks what may follow an attempt that failed (rule 2), so that no request runs
+// a second time where that is unsafe.
 func TestRetrySafety(t *testing.T) {
 	cases := []struct {
-		name   string
-		repeat policy.RetrySafety
-		scope  policy.DedupScope
-		result policy.Result
-		after  policy.Micros
-		action policy.Action
+		name        string
+		retrySafety policy.RetrySafety
+		scope       policy.DedupScope
+		result      policy.Result
+		after       policy.Micros
+		action      policy.Action
 	}{
 		{"idempotent may run again", policy.Idempotent, policy.DedupScopeAll, policy.ConnectionLost, 0, policy.Send},
 		{"not idempotent that may have run", policy.NotIdempotent, policy.DedupScopeAll, policy.ConnectionLost, 0, policy.Fail},
@@ -33,30 +34,33 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.ContentTypes[0].RetrySafety, s.ContentTypes[0].DedupScope, s.ContentTypes[0].Uncacheable = c.repeat, c.scope, true
-			b := newTestRouter(s, 0, 1)
-			b.updateEndpoints(policy.Endpoint{ID: "e0", Zone: 1, Cell: 1}, policy.Endpoint{ID: "e1", Zone: 1, Cell: 2})
-			request := b.request("a")
+			s.ContentTypes[0].RetrySafety, s.ContentTypes[0].DedupScope, s.ContentTypes[0].Uncacheable = c.retrySafety, c.scope, true
+			r := newTestRouter(s, 0, 1)
+			r.updateEndpoints(policy.Endpoint{ID: "e0", Zone: 1, Cell: 1}, policy.Endpoint{ID: "e1", Zone: 1, Cell: 2})
+			request := r.request("a")
 			request.Deadline += 5 * policy.Second
-			first := b.Route(b.now, request)
+			first := r.Route(r.now, request)
 			if first.Source.ID != "o" || first.CacheRank != 0 || first.Coalesce {
-				t.Errorf("an uncacheable attempt: %+v", first)
+				t.Errorf("attempt for an uncacheable request: %+v", first)
 			}
-			if decision := b.finish(request, c.after, c.result, policy.Unknown); decision.Action != c.action ||
-				decision.Action == policy.Send && (decision.Endpoint == first.Endpoint) != (c.result == policy.ConnectionLost) { // the connection's fault, not its endpoint's
+			// A lost connection is at first not attributed to its endpoint, which gets the next
+			// attempt too.
+			if decision := r.finish(request, c.after, c.result, policy.Unknown); decision.Action != c.action ||
+				decision.Action == policy.Send && (decision.Endpoint == first.Endpoint) != (c.result == policy.ConnectionLost) {
 				t.Errorf("%+v", decision)
 			}
 		})
 	}
 }
 
-// TestRetryLimits: the attempts for one request are bounded, and fewer while many attempts fail.
+// TestRetryLimits checks that the number of attempts for one request is limited, and that there
+// are no retries while many attempts fail.
 func TestRetryLimits(t *testing.T) {
 	cases := []struct {
-		name      string
-		errorRate float64
-		most      int
-		attempts  int
+		name        string
+		errorRate   float64
+		maxAttempts int
+		attempts    int
 	}{
 		{"two retries", 0, 6, 3},
 		{"none while overload is seen", 0.5, 6, 1},
@@ -65,58 +69,61 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.MaxAttempts = c.most
-			b := newTestRouter(s, 5, 2)
-			b.errorRate = c.errorRate
-			request, decision := b.route("a")
+			s.MaxAttempts = c.maxAttempts
+			r := newTestRouter(s, 5, 2)
+			r.errorRate = c.errorRate
+			request, decision := r.route("a")
 			attempts := 0
 			for ; decision.Action == policy.Send; attempts++ {
-				decision = b.finish(request, ms, policy.Rejected, policy.Unknown)
+				decision = r.finish(request, ms, policy.Rejected, policy.Unknown)
 			}
 			if attempts != c.attempts || decision.Action != policy.Reject {
 				t.Errorf("%d attempts, then %+v", attempts, decision)
 			}
-			if request.Done = true; b.Route(b.now, request).Action != policy.None || b.RecheckAfter(b.now, request) != 0 {
+			if request.Done = true; r.Route(r.now, request).Action != policy.None || r.RecheckAfter(r.now, request) != 0 {
 				t.Error("a decision after the final answer")
 			}
-			late := b.request("a")
-			if late.Deadline = b.now; b.Route(b.now, late).Action != policy.Reject {
-				t.Error("no rejection for a client that is about to leave")
+			late := r.request("a")
+			if late.Deadline = r.now; r.Route(r.now, late).Action != policy.Reject {
+				t.Error("no rejection for a request whose deadline has passed")
 			}
 		})
 	}
 }
 
-// TestWithdrawnRepeatedly: an attempt that was withdrawn is as if it had not been decided, however often that happens while the list changes.
-// It counts neither as an attempt nor, while many attempts fail, as one that may not be followed.
+// TestWithdrawnRepeatedly guards against requests that fail because their attempts are withdrawn
+// repeatedly while the endpoint list changes. A withdrawn attempt does not count as an attempt,
+// and it may be followed by another even while many attempts fail.
 func TestWithdrawnRepeatedly(t *testing.T) {
 	for _, overloaded := range []bool{false, true} {
-		b := newTestRouter(settings(), 3, 1)
-		request, decision := b.route("a")
+		r := newTestRouter(settings(), 3, 1)
+		request, decision := r.route("a")
 		if overloaded {
-			b.errorRate = 1
+			r.errorRate = 1
 		}
-		for i := range 4 * b.settings.MaxAttempts {
+		for i := range 4 * r.settings.MaxAttempts {
 			if decision.Action != policy.Send {
 				t.Fatalf("overloaded %v: after %d withdrawals %+v", overloaded, i, decision)
 			}
-			decision = b.finish(request, ms, policy.Withdrawn, policy.Unknown)
+			decision = r.finish(request, ms, policy.Withdrawn, policy.Unknown)
 		}
-		if decision = b.finish(request, ms, policy.Succeeded, policy.Hit); decision.Action != policy.None {
-			t.Errorf("overloaded %v: in the end %+v", overloaded, decision)
+		if decision = r.finish(request, ms, policy.Succeeded, policy.Hit); decision.Action != policy.None {
+			t.Errorf("overloaded %v: after the success %+v", overloaded, decision)
 		}
 	}
 }
 
-// TestIdempotencyKeysOverRetries: what a client's next try gets, by how its first try ended and when the next one comes.
+// TestIdempotencyKeysOverRetries guards against a second run of a request across the client's
+// retries. It checks the decision on a retry by how the first try ended and when the retry
+// arrives.
 func TestIdempotencyKeysOverRetries(t *testing.T) {
 	cases := []struct {
-		name   string
-		result policy.Result // of the first try's attempt
-		lost   bool          // the client had left before the first answer
-		after  policy.Micros
-		scope  policy.DedupScope
-		want   policy.Action
+		name       string
+		result     policy.Result // result of the first try's attempt
+		clientLeft bool          // the client disconnected before the first answer
+		after      policy.Micros
+		scope      policy.DedupScope
+		want       policy.Action
 	}{
 		{"failed, inside the window", policy.Failed, false, 2 * policy.Second, policy.DedupScopeAll, policy.Send},
 		{"failed, past it", policy.Failed, false, 3100 * ms, policy.DedupScopeAll, policy.Fail},
@@ -132,28 +139,29 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
 			s.ContentTypes[0].RetrySafety, s.ContentTypes[0].DedupScope = policy.IdempotentWithKey, c.scope
-			b := newTestRouter(s, 2, 1)
-			b.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20}})
-			first := b.request("o")
+			r := newTestRouter(s, 2, 1)
+			r.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20}})
+			first := r.request("o")
 			first.IdempotencyKey = "k"
-			if decision := b.Route(b.now, first); decision.Action != policy.Send {
+			if decision := r.Route(r.now, first); decision.Action != policy.Send {
 				t.Fatalf("first: %+v", decision)
 			}
-			sent := b.now
-			if c.lost {
+			sent := r.now
+			if c.clientLeft {
 				first.Done = true
 			}
-			b.AttemptDone(b.now+100*ms, first, policy.Outcome{Result: c.result, Final: true})
-			b.now = sent + c.after
-			b.updateEndpoints(policy.Endpoint{ID: "e0", Zone: 1}, policy.Endpoint{ID: "e1", Zone: 1}) // what was held against them is past
-			next := b.request("o")
+			r.AttemptDone(r.now+100*ms, first, policy.Outcome{Result: c.result, Final: true})
+			r.now = sent + c.after
+			// The list arrives again. Failures of the first try no longer exclude an endpoint.
+			r.updateEndpoints(policy.Endpoint{ID: "e0", Zone: 1}, policy.Endpoint{ID: "e1", Zone: 1})
+			next := r.request("o")
 			next.IdempotencyKey, next.IsRetry = "k", true
-			if decision := b.Route(b.now, next); decision.Action != c.want {
-				t.Errorf("the next try: %+v, want action %d", decision, c.want)
+			if decision := r.Route(r.now, next); decision.Action != c.want {
+				t.Errorf("retry: %+v, want action %d", decision, c.want)
 			}
-			other := b.request("o")
+			other := r.request("o")
 			other.IdempotencyKey = "another"
-			if decision := b.Route(b.now, other); decision.Action != policy.Send {
+			if decision := r.Route(r.now, other); decision.Action != policy.Send {
 				t.Errorf("another key: %+v", decision)
 			}
 		})
@@ -161,68 +169,70 @@
 	t.Run("no rejection that outlives the window", func(t *testing.T) {
 		s := settings()
 		s.ContentTypes[0].RetrySafety = policy.IdempotentWithKey
-		b := newTestRouter(s, 1, 1)
-		b.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20}})
-		first := b.request("o")
+		r := newTestRouter(s, 1, 1)
+		r.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20}})
+		first := r.request("o")
 		first.IdempotencyKey = "k"
-		b.Route(b.now, first)
-		b.AttemptDone(b.now, first, policy.Outcome{Result: policy.ConnectionLost, Final: true})
-		for _, x := range []struct {
+		r.Route(r.now, first)
+		r.AttemptDone(r.now, first, policy.Outcome{Result: policy.ConnectionLost, Final: true})
+		for _, step := range []struct {
 			after policy.Micros
 			want  policy.Action
 		}{{policy.Second, policy.Reject}, {2900 * ms, policy.Fail}} {
-			next := b.request("o")
+			next := r.request("o")
 			next.IdempotencyKey, next.IsRetry = "k", true
-			b.updateEndpoints(policy.Endpoint{ID: "e0", Zone: 1, State: policy.Draining})
-			next.ArrivedAt = b.now + x.after
+			r.updateEndpoints(policy.Endpoint{ID: "e0", Zone: 1, State: policy.Draining})
+			next.ArrivedAt = r.now + step.after
 			next.Deadline = next.ArrivedAt + policy.Second
-			b.Route(next.ArrivedAt, next)
-			if decision := b.Route(next.Deadline, next); decision.Action != x.want {
-				t.Errorf("after %d ms: %+v", x.after/ms, decision)
+			r.Route(next.ArrivedAt, next)
+			if decision := r.Route(next.Deadline, next); decision.Action != step.want {
+				t.Errorf("after %d ms: %+v", step.after/ms, decision)
 			}
 		}
 	})
 	t.Run("no room for a record: rejected unsent", func(t *testing.T) {
 		s := settings()
 		s.ContentTypes[0].RetrySafety = policy.IdempotentWithKey
-		b := newTestRouter(s, 2, 1)
-		b.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 1, RetainWindows: 20}})
+		r := newTestRouter(s, 2, 1)
+		r.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 1, RetainWindows: 20}})
 		for i, want := range []policy.Action{policy.Send, policy.Reject} {
-			request := b.request("o")
+			request := r.request("o")
 			request.IdempotencyKey, request.IsRetry = fmt.Sprint(i), true
-			if decision := b.Route(b.now, request); decision.Action != want {
+			if decision := r.Route(r.now, request); decision.Action != want {
 				t.Errorf("key %d: %+v", i, decision)
 			}
 		}
 	})
 	t.Run("a retry with an unknown key", func(t *testing.T) {
-		for _, fails := range []bool{false, true} {
+		for _, failUnknown := range []bool{false, true} {
 			s := settings()
-			s.ContentTypes[0].RetrySafety = policy.IdempotentWithKey // the timeout is longer than the dedup window
-			b := newTestRouter(s, 2, 1)
-			b.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20, FailUnknownRetries: fails}})
-			request := b.request("o")
+			// The content type's timeout is longer than its dedup window.
+			s.ContentTypes[0].RetrySafety = policy.IdempotentWithKey
+			r := newTestRouter(s, 2, 1)
+			r.SetOptions(Options{Dedup: dedup.Settings{MaxRecords: 10, RetainWindows: 20, FailUnknownRetries: failUnknown}})
+			request := r.request("o")
 			request.IdempotencyKey, request.IsRetry = "k", true
-			if decision := b.Route(b.now, request); (decision.Action == policy.Fail) != fails {
-				t.Errorf("unknown keys fail: %v: %+v", fails, decision)
+			if decision := r.Route(r.now, request); (decision.Action == policy.Fail) != failUnknown {
+				t.Errorf("unknown keys fail: %v: %+v", failUnknown, decision)
 			}
 		}
 	})
 }
 
-// TestUnprocessable: an error that two endpoints agree on is the client's, and a suspect client's request costs one attempt.
+// TestUnprocessable checks that an error on which two endpoints agree is attributed to the client,
+// and that a suspect client's request gets only one attempt.
 func TestUnprocessable(t *testing.T) {
 	s := settings()
 	s.ReportsCacheStatus = true
 	for _, suspect := range []bool{false, true} {
-		b := newTestRouter(s, 3, 1)
-		request := b.request("o")
+		r := newTestRouter(s, 3, 1)
+		request := r.request("o")
 		request.ClientSuspect = suspect
-		b.Route(b.now, request)
-		attempts, decision := 1, b.finish(request, ms, policy.Failed, policy.Unknown)
+		r.Route(r.now, request)
+		attempts, decision := 1, r.finish(request, ms, policy.Failed, policy.Unknown)
 		for decision.Action == policy.Send {
 			attempts++
-			decision = b.finish(request, ms, policy.Failed, policy.Unknown)
+			decision = r.finish(request, ms, policy.Failed, policy.Unknown)
 		}
 		if want := map[bool]int{false: 2, true: 1}[suspect]; attempts != want || !decision.Unprocessable || decision.Action != policy.Reject {
 			t.Errorf("suspect client %v: %d attempts, %+v", suspect, attempts, decision)
