--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -19,7 +19,6 @@
 	startedAt policy.Micros // latest known start; 0 if long ago
 
 	// Outlier detection.
-
 	connectFailedAt     policy.Micros // last failed connect; 0 if none, or once its cause is known
 	consecutiveFailures int
 	// ejectedAt is when the endpoint was last ejected or lost a connection. Results of attempts
@@ -38,7 +37,6 @@
 	fillLatency float64          // running mean of fill time through it, over the latency objective
 
 	// Slow start.
-
 	halfWindowWork float64       // work sent in the current half of the overload window
 	halfWindow     policy.Micros // number of that half
 }
--- a/routing/fill.go
+++ b/routing/fill.go
@@ -116,7 +116,7 @@
 }
 
 // observeSource records a fill in the mean of its source. A parent is ejected if its fills are
-// late and much slower than another parent's. docs/design.md specifies that a source is ejected if
+// slow and much slower than another parent's. docs/design.md specifies that a source is ejected if
 // answers report it as slow; this implementation decides by the measured time of fills through the
 // source.
 func (r *Router) observeSource(now policy.Micros, a *attempt, ratio float64) {
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -116,7 +116,7 @@
 		Timeout: request.Deadline - p.now, NotAfter: request.Deadline,
 	}
 	if first := p.state.mayHaveRun; first != nil && contentType.RetrySafety == policy.IdempotentWithKey {
-		// endpoints may forget the key before the attempt is written
+		// Endpoints may forget the key before the attempt is written.
 		decision.NotAfter = min(decision.NotAfter, first.sentAt+contentType.DedupWindow)
 	}
 	return decision
--- a/routing/router.go
+++ b/routing/router.go
@@ -78,8 +78,9 @@
 	OnOverloadReport func(now policy.Micros, r overload.Report)
 
 	// QuotaShare returns the share that this director may use now, relative to the even share that
-	// follows from the settings. The shared resource is that of the directors of the zone or, if
-	// fleetWide is true, that of all directors. If QuotaShare is nil, the share is 1.
+	// follows from the settings. If fleetWide is false, it is a share of what the directors of the
+	// zone have in common; otherwise it is a share of what all directors have in common. If
+	// QuotaShare is nil, the share is 1.
 	QuotaShare func(now policy.Micros, fleetWide bool) float64
 }
 
