--- a/relays/relay.go
+++ b/relays/relay.go
@@ -122,7 +122,7 @@
 
 // queryInterval is the time between two queries to one source: longer where many directors query the same.
 func (r *Relay) queryInterval() policy.Micros {
-	return r.settings.QueryInterval * policy.Micros(max(1, len(r.order)/r.settings.CrowdSize))
+	return r.settings.QueryInterval * policy.Micros(max(1, len(r.order)/r.settings.DirectorsPerInterval))
 }
 
 // PollSucceeded records the sum of the list that the channel itself has told, in a poll that began at a time. Changes are always put
--- a/relays/settings.go
+++ b/relays/settings.go
@@ -13,7 +13,7 @@
 	ZoneCount     int           // zones that the platform's settings name
 	KindCount     int           // machine kinds that they name
 	QueryInterval policy.Micros // time between two queries to one source, in a zone of CrowdSize directors or fewer
-	CrowdSize     int           // the interval grows by itself with each further CrowdSize directors
+	DirectorsPerInterval     int           // the interval grows by itself with each further CrowdSize directors
 	StaleAfter    policy.Micros // a source that has not heard from the channel for this long is stale
 	StartupWait   policy.Micros // a director that has started looks for others for this long before it polls the channel itself
 	DemandWindow  policy.Micros // a director that was queried polls the channel for this long
@@ -31,7 +31,7 @@
 		ZoneCount:     zoneCount,
 		KindCount:     kindCount,
 		QueryInterval: propagation / 4,
-		CrowdSize:     crowdSize,
+		DirectorsPerInterval:     crowdSize,
 		StaleAfter:    2 * propagation,
 		StartupWait:   settings.ConnectTimeout,
 		DemandWindow:  propagation,
