--- a/membership/hints.go
+++ b/membership/hints.go
@@ -6,38 +6,40 @@
 	"tallyproxy/policy"
 )
 
-// Hint is what a director sends its peers about a cache node: a reason to probe the node once, and no more than that.
+// Hint is a message to the peers about the condition of a cache node. It is a reason to probe the
+// node once and has no other effect.
 type Hint struct {
 	Node      string        `json:"Node"` // id in the endpoint list
-	Condition Condition     `json:"What"` // observed by the sender
-	Age       policy.Micros `json:"Age"`  // of the observation when the hint was sent, by the sender's clock
+	Condition Condition     `json:"What"` // as observed by the sender
+	Age       policy.Micros `json:"Age"`  // of the observation when sent, by the sender's clock
 }
 
-// Condition is what a director has observed of a node.
+// Condition is a condition of a cache node that a director has observed.
 type Condition string
 
-// The conditions. Their texts are sent.
+// The conditions. Their values are sent to other directors.
 const (
-	Unreachable Condition = "gone"  // it does not answer
-	Recovered   Condition = "back"  // it answers again
-	Restarted   Condition = "warms" // it has started anew, with a cold cache
-	Overloaded  Condition = "full"  // it rejects requests
+	Unreachable Condition = "gone"  // the node does not answer
+	Recovered   Condition = "back"  // the node answers again
+	Restarted   Condition = "warms" // the node has restarted with a cold cache
+	Overloaded  Condition = "full"  // the node rejects requests
 )
 
-// valid is false for the conditions of later versions.
+// valid reports whether the condition is known to this version. Later versions may send others.
 func (c Condition) valid() bool {
 	return c == Unreachable || c == Recovered || c == Restarted || c == Overloaded
 }
 
-// NodeStatus is how this director routes to a node.
+// NodeStatus describes how this director routes requests to a node.
 type NodeStatus struct {
-	Ejected        bool    // it gets no requests
-	HalfOpen       bool    // it gets one request at a time, as a probe
-	SlowStartShare float64 // share of its full load, from 0 to 1
-	Limit          float64 // concurrent requests; 0 for no limit
+	Ejected        bool    // the node gets no requests
+	HalfOpen       bool    // the node gets one request at a time, as a probe
+	SlowStartShare float64 // share of the node's full load, from 0 to 1
+	Limit          float64 // maximum of concurrent requests; 0 for no limit
 }
 
-// ConditionChange is the condition to tell the peers where a node's status has changed; false for none.
+// ConditionChange returns the condition to send to the peers after a change of a node's status;
+// false if there is nothing to send.
 func ConditionChange(before, now NodeStatus) (Condition, bool) {
 	switch {
 	case now.Ejected != before.Ejected:
@@ -53,8 +55,9 @@
 	return "", false
 }
 
-// UnhealthyCondition is the condition of an unhealthy node that a director which starts should know; false for a healthy node. The start
-// of a node is in the endpoint list, so Restarted is not among them.
+// UnhealthyCondition returns the condition of an unhealthy node that a newly started director
+// should learn of; false if the node is healthy. It never returns Restarted, because the endpoint
+// list includes the start time of each node.
 func UnhealthyCondition(status NodeStatus) (Condition, bool) {
 	switch {
 	case status.Ejected || status.HalfOpen:
@@ -65,14 +68,15 @@
 	return "", false
 }
 
-// UnresolvedByProbe is what stays open although the node has answered the probe: whether its cache is cold, and whether it takes more than
-// one request at a time. The next request shows it.
+// UnresolvedByProbe returns what remains unknown after the node has answered the probe: whether its
+// cache is cold, and whether it accepts more than one request at a time. The next request shows it.
 func (h Hint) UnresolvedByProbe() (restarted, overloaded bool) {
 	return h.Condition == Restarted, h.Condition == Overloaded
 }
 
-// ShouldSendHint says whether to send a hint now, and counts it as sent. Each condition of a node is sent once in HintInterval, and
-// HintsPerInterval hints altogether.
+// ShouldSendHint reports whether to send a hint now and, if so, counts it as sent. In each
+// HintInterval, each condition of a node is sent at most once, and at most HintsPerInterval hints
+// are sent in total.
 func (v *View) ShouldSendHint(now policy.Micros, hint Hint) bool {
 	if now-v.hintWindowStart >= v.settings.HintInterval {
 		v.hintWindowStart, v.hintsSent = now, 0
@@ -84,8 +88,10 @@
 	return true
 }
 
-// ShouldProbe says whether to probe a hint's node, and counts it as probed. lastAnswer is when the node last answered this director, which
-// counts for more than a hint. A peer that sends hints about all nodes all the time has HintsPerInterval of them probed, each once.
+// ShouldProbe reports whether to probe the node of a hint and, if so, counts the node as probed.
+// lastAnswer is when the node last answered this director; a recent answer takes precedence over a
+// hint. A peer that constantly sends hints about all nodes causes at most HintsPerInterval probes
+// in each HintInterval, and one probe per node.
 func (v *View) ShouldProbe(now policy.Micros, from string, hint Hint, lastAnswer policy.Micros) bool {
 	p := v.peers[from]
 	if p == nil || !p.present() || hint.Age < 0 || hint.Age > v.settings.MaxHintAge || !hint.Condition.valid() {
@@ -104,8 +110,9 @@
 	return true
 }
 
-// oncePerInterval says whether the last time of a key is a HintInterval or more ago, and if so sets it to now. Where the table is full, the
-// entries that no longer matter go first.
+// oncePerInterval reports whether the last time of a key is at least a HintInterval ago, and if so
+// sets it to now. If the table is full, expired entries are dropped first; if none has expired, the
+// result is false.
 func oncePerInterval(times map[string]policy.Micros, now policy.Micros, key string, s Settings) bool {
 	if at, ok := times[key]; ok && now-at < s.HintInterval {
 		return false
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -8,26 +8,30 @@
 	"tallyproxy/policy"
 )
 
-// clockDrift is how much faster a clock may run than another: who grants a lease counts its holder for so much longer than the holder uses it.
+// clockDrift is the maximum by which one clock is assumed to run faster than another, as a
+// fraction. A grantor counts the holder of a lease longer than the holder uses the lease by this
+// fraction.
 const clockDrift = 1.0 / 64
 
-// LeaseRequest asks a peer for a lease: to count the asker, whatever becomes of it, for LeaseDuration. A LeaseGrant answers it.
+// LeaseRequest asks a peer for a lease: a commitment to count the requester for LeaseDuration, even
+// if the requester fails meanwhile. The reply is a LeaseGrant.
 type LeaseRequest struct {
-	RequestedAt policy.Micros `json:"Number"` // by the asker's clock: the lease counts from then
-	Incarnation uint64        `json:"Born"`   // of the asker
-	Zone        int           `json:"Zone"`   // of the asker
-	Digest      uint64        `json:"Sum"`    // of the asker's view
+	RequestedAt policy.Micros `json:"Number"` // start of the lease, by the requester's clock
+	Incarnation uint64        `json:"Born"`   // of the requester
+	Zone        int           `json:"Zone"`   // of the requester
+	Digest      uint64        `json:"Sum"`    // of the requester's view
 }
 
-// LeaseGrant says how many directors the grantor counts, the asker among them.
+// LeaseGrant grants a lease. It states how many directors the grantor counts, including the
+// requester.
 type LeaseGrant struct {
-	RequestedAt policy.Micros `json:"Number"` // of the request
-	Counts      [2]int        `json:"Count"`  // by Scope, in the asker's zone and in all
+	RequestedAt policy.Micros `json:"Number"` // copied from the request
+	Counts      [2]int        `json:"Count"`  // by Scope, in the requester's zone and in all
 	Digest      uint64        `json:"Sum"`    // of the grantor's view
 }
 
-// Tick forgets peers that have been absent for long, and gives the requests for leases that are due, by the name of the peer. The driver
-// calls it a few times in each RenewInterval.
+// Tick drops the peers that have been absent for longer than FailedRetention, and returns the lease
+// requests that are due, by peer name. The driver calls it several times in each RenewInterval.
 func (v *View) Tick(now policy.Micros) (requests map[string]LeaseRequest) {
 	v.dropExpired(now)
 	if !v.needsLease(now) {
@@ -45,29 +49,31 @@
 	return requests
 }
 
-// needsLease says whether a lease could raise a quota: fewer directors are counted than the settings name.
+// needsLease reports whether a lease could raise a quota: there is no name conflict, and fewer
+// directors are counted than configured.
 func (v *View) needsLease(now policy.Micros) bool {
 	configured := v.settings.ConfiguredDirectors
 	return v.nameConflict == "" &&
 		(v.Count(now, ScopeZone) < configured[ScopeZone] || v.Count(now, ScopeFleet) < configured[ScopeFleet])
 }
 
-// currentGrantors are the RequiredGrants present peers that this director asks for leases, by rendezvous hash: the same ones while the
-// view stands, and others for each director.
+// currentGrantors returns the RequiredGrants present peers that this director asks for leases. They
+// are chosen by rendezvous hashing, so they stay the same while the view is unchanged, and differ
+// between directors.
 func (v *View) currentGrantors() []*peer {
 	if v.grantorsDigest == v.digest {
 		return v.grantors
 	}
 	v.grantors, v.grantorsDigest = v.grantors[:0], v.digest
 	self := hash.String(v.settings.Name)
-	higherScore := func(x, y *peer) int {
+	compareScores := func(x, y *peer) int {
 		return cmp.Or(cmp.Compare(hash.Mix(y.nameHash^self), hash.Mix(x.nameHash^self)), cmp.Compare(x.name, y.name))
 	}
 	for _, p := range v.peers {
 		if !p.present() {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(v.grantors, p, higherScore)
+		at, _ := slices.BinarySearchFunc(v.grantors, p, compareScores)
 		if at < v.settings.RequiredGrants {
 			v.grantors = slices.Insert(v.grantors, at, p)
 			v.grantors = v.grantors[:min(len(v.grantors), v.settings.RequiredGrants)]
@@ -76,8 +82,9 @@
 	return v.grantors
 }
 
-// HandleLeaseRequest grants a present peer a lease, and counts the peer for as long as the lease may run by any clock, whatever becomes of
-// it meanwhile. False where none is granted.
+// HandleLeaseRequest grants a lease to a present peer. From then on the peer is counted for as long
+// as the lease may be valid by any clock, even if the peer fails meanwhile. It returns false if no
+// lease is granted.
 func (v *View) HandleLeaseRequest(now policy.Micros, from string, request LeaseRequest) (LeaseGrant, bool) {
 	p := v.peers[from]
 	if p == nil || p.incarnation != request.Incarnation || !p.present() || v.nameConflict != "" {
@@ -92,8 +99,9 @@
 	}, true
 }
 
-// HandleLeaseGrant takes the answer to a request. The lease counts from before the request was sent, so it ends here before it ends at the
-// grantor. Answers to earlier requests, and to an earlier process of this name, are ignored.
+// HandleLeaseGrant accepts the reply to the pending lease request. The lease starts before the
+// request is sent, so it ends here before it ends at the grantor. Replies to earlier requests, and
+// to an earlier process with this name, are ignored.
 func (v *View) HandleLeaseGrant(now policy.Micros, from string, grant LeaseGrant) {
 	p := v.peers[from]
 	if p == nil || !p.present() {
@@ -106,7 +114,7 @@
 	p.digest, p.digestReceivedAt = grant.Digest, now
 }
 
-// grantedLeaseTime is how long the holder of a lease is counted, by the grantor's clock.
+// grantedLeaseTime returns how long a grantor counts the holder of a lease, by the grantor's clock.
 func (v *View) grantedLeaseTime() policy.Micros {
 	duration := v.settings.LeaseDuration
 	return duration + policy.Micros(float64(duration)*clockDrift) + 1
--- a/membership/quota.go
+++ b/membership/quota.go
@@ -7,27 +7,29 @@
 	"tallyproxy/policy"
 )
 
-// Scope is the set of directors that share a limit.
+// Scope is a set of directors that share a limit.
 type Scope int
 
-// The scopes. They index counts on the wire: their numbers stay.
+// The scopes. Their values index the counts in lease messages and must not change.
 const (
 	ScopeZone  Scope = iota // the directors of one zone, which share its caches and its fill link
 	ScopeFleet              // all directors, which share the parents
 )
 
-// MaxQuotaFactor is the highest quota as a multiple of the fixed one. By routing's slowStartBudgetShare the directors together use 0.4 of what
-// overloads a warming node. Were all of them to hold the highest quota, in whatever groups they see each other, it would be 0.8.
+// MaxQuotaFactor is the highest quota, as a multiple of the fixed quota. By routing's slow-start
+// budget share, the directors together use 0.4 of the load that overloads a warming node. If all of
+// them held the highest quota, in any partition of the fleet into groups, they would use 0.8 of it.
 const MaxQuotaFactor = 2
 
-// startupLeases is the number of lease durations in which a director that has just started holds the fixed quota: peers that it has not
-// met yet may be running.
+// startupLeases is the number of lease durations for which a newly started director keeps the fixed
+// quota, because peers that it does not know yet may be running.
 const startupLeases = 4
 
-// Count is how many directors share in a scope, this one among them.
+// Count returns the number of directors that share the limits of a scope, including this one.
 func (v *View) Count(now policy.Micros, scope Scope) int { return v.count(now, scope, v.settings.Zone) }
 
-// count is how many directors share in the zone, or in the fleet, this one among them where it belongs to it.
+// count returns the number of directors that share the limits of the zone or of the fleet. It
+// includes this director if it belongs to that scope.
 func (v *View) count(now policy.Micros, scope Scope, zone int) int {
 	n := 1 + v.presentPeers
 	if scope == ScopeZone {
@@ -41,8 +43,9 @@
 	return n
 }
 
-// mayUseQuota says whether a peer may be using its quota: it is present, or failed so lately that a lease of its own may still run, or this
-// director has granted it a lease.
+// mayUseQuota reports whether a peer may be using its quota: the peer is present, or it failed so
+// recently that a lease granted to it may still be valid, or this director has granted it a lease
+// that is still counted.
 func (v *View) mayUseQuota(now policy.Micros, p *peer) bool {
 	if p.countedUntil > now {
 		return true
@@ -50,11 +53,13 @@
 	return p.present() || p.state == Failed && now < p.stateSince+v.grantedLeaseTime()
 }
 
-// Quota is the share of a scope's limits that this director may use now, as a multiple of the fixed quota (one of ConfiguredDirectors), and
-// until when it holds without a renewal. It is read at the moment of each send, so that a lease that has ended meanwhile is not used.
+// Quota returns the share of a scope's limits that this director may use now, as a multiple of the
+// fixed quota (one share of ConfiguredDirectors), and the time until which the share is valid
+// without a renewal. Callers read the quota at each send, so that they do not use an expired lease.
 //
-// Above 1 it is one of as many directors as are counted by this director and each grantor, whichever counts most, up to MaxQuotaFactor.
-// With more directors than configured it is below 1. A quota of 1 or less holds without limit.
+// A quota above 1 is ConfiguredDirectors divided by the highest number of directors that this
+// director or one of its grantors counts, up to MaxQuotaFactor. The quota is below 1 if there are
+// more directors than configured. A quota of 1 or less does not expire.
 func (v *View) Quota(now policy.Micros, scope Scope) (quota float64, until policy.Micros) {
 	count, configured := v.Count(now, scope), float64(v.settings.ConfiguredDirectors[scope])
 	quota = min(1, max(1/float64(MaxQuotaFactor), configured/float64(count)))
@@ -78,8 +83,9 @@
 	return min(MaxQuotaFactor, configured/float64(count)), until
 }
 
-// requiredStability is how long the view must have been unchanged before a quota is raised: StabilizationWindow, doubled for each time that
-// the peer which flapped most came back lately. So quotas change less often than an unstable view.
+// requiredStability returns how long the view must have been unchanged before a quota is raised:
+// StabilizationWindow, doubled for each recent return of the peer that flapped most. Quotas
+// therefore change less often than an unstable view.
 func (v *View) requiredStability(now policy.Micros) policy.Micros {
 	flaps := 0.0
 	for _, p := range v.peers {
--- a/membership/quota_test.go
+++ b/membership/quota_test.go
@@ -11,12 +11,14 @@
 	"tallyproxy/policy"
 )
 
-// The quota that a director may use, case by case.
+// TestQuota guards against a wrong quota of one director of five after failures, departures,
+// restarts, pauses and name conflicts.
 func TestQuota(t *testing.T) {
 	cases := []struct {
 		name string
-		play func(c *testCluster) policy.Micros // of five directors; gives how long n0 was paused at the end
-		want float64                            // of n0
+		// scenario acts on five directors and returns how long n0 is paused at the end.
+		scenario func(c *testCluster) policy.Micros
+		want     float64 // quota of n0
 	}{
 		{"all are there", func(c *testCluster) policy.Micros { c.advance(5*policy.Second, 0, 1, 2, 3, 4); return 0 }, 1},
 		{"one has failed: not before its lease is over", func(c *testCluster) policy.Micros {
@@ -29,7 +31,7 @@
 			c.advance(5*policy.Second, 0, 1, 2, 3)
 			return 0
 		}, 1.25},
-		{"one has left: its part is free at once, the view must stand", func(c *testCluster) policy.Micros {
+		{"one has left: the quota rises once the view is stable", func(c *testCluster) policy.Micros {
 			c.setState(4, Left)
 			c.advance(1200*ms, 0, 1, 2, 3)
 			return 0
@@ -48,10 +50,10 @@
 			c.advance(60*policy.Second, 0)
 			return 0
 		}, 1},
-		{"nobody makes room", func(c *testCluster) policy.Micros {
+		{"no peer grants a lease", func(c *testCluster) policy.Micros {
 			c.setState(4, Failed)
 			for j := range 5 {
-				c.cut[[2]int{j, 0}] = true
+				c.cutLinks[[2]int{j, 0}] = true
 			}
 			c.advance(60*policy.Second, 0, 1, 2, 3)
 			return 0
@@ -90,13 +92,13 @@
 			c.views[0].SetNameConflict("127.0.0.9:1")
 			return 0
 		}, 1},
-		{"more than the settings tell", func(c *testCluster) policy.Micros {
+		{"more directors than configured", func(c *testCluster) policy.Micros {
 			for i := range 5 {
 				c.views[0].UpdatePeer(c.now, fmt.Sprint("x", i), 1, 0, Up)
 			}
 			return 0
 		}, 0.5},
-		{"a view that swings is trusted later", func(c *testCluster) policy.Micros {
+		{"a flapping peer delays the raised quota", func(c *testCluster) policy.Micros {
 			for range 6 {
 				c.setState(4, Failed)
 				c.advance(policy.Second, 0, 1, 2, 3)
@@ -111,7 +113,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newTestCluster(5)
-			c.now += tc.play(c)
+			c.now += tc.scenario(c)
 			if got := c.zoneQuota(0); got != tc.want {
 				t.Errorf("quota %v, want %v", got, tc.want)
 			}
@@ -119,15 +121,17 @@
 	}
 }
 
-// A model beside random histories of states, messages that come late or never, pauses and restarts: whatever each director believes, no
-// quota is above MaxQuotaFactor, a quota above the fixed one has as many grants within the lease as it needs, and the sum of all stays
-// within MaxQuotaFactor. Where all that are alive know the truth, and have for a lease and the time it takes to settle, the sum is one, or
-// as much of it as MaxQuotaFactor allows.
+// TestQuotaSum checks the quotas in random histories of peer states, late and lost messages, pauses
+// and restarts. Regardless of what each director believes, no quota exceeds MaxQuotaFactor, each
+// quota above the fixed one has the required grants within the lease duration, and the sum of all
+// quotas stays within MaxQuotaFactor. Once all live directors have had the correct view for a lease
+// and the stabilization time, the sum is one, or as much of it as MaxQuotaFactor allows.
 func TestQuotaSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(t, "directors")
 		c := newTestCluster(n)
-		requestedAt := map[[2]int]policy.Micros{} // of the latest lease, by holder and grantor
+		// The time at which the latest lease was requested, by holder and grantor.
+		requestedAt := map[[2]int]policy.Micros{}
 		type message struct {
 			from, to int
 			request  LeaseRequest
@@ -137,7 +141,7 @@
 		incarnation := uint64(1)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			i, j := rapid.IntRange(0, n-1).Draw(t, "i"), rapid.IntRange(0, n-1).Draw(t, "j")
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
+			switch rapid.IntRange(0, 6).Draw(t, "operation") {
 			case 0:
 				c.views[i].UpdatePeer(c.now, fmt.Sprint("n", j), c.views[j].settings.Incarnation, 0, State(rapid.IntRange(0, 3).Draw(t, "state")))
 			case 1, 2:
@@ -154,7 +158,7 @@
 				}
 				k := rapid.IntRange(0, len(inFlight)-1).Draw(t, "message")
 				m := inFlight[k]
-				if rapid.Bool().Draw(t, "gone") {
+				if rapid.Bool().Draw(t, "last delivery") {
 					inFlight = slices.Delete(inFlight, k, k+1)
 				}
 				if grant, ok := c.views[m.to].HandleLeaseRequest(c.now, c.views[m.from].settings.Name, m.request); ok {
@@ -174,7 +178,8 @@
 	})
 }
 
-// checkQuotas holds the quotas at this moment to their bounds. requestedAt has when each lease was requested, by holder and grantor.
+// checkQuotas checks the bounds of all quotas at the current time. requestedAt holds the time at
+// which each lease was requested, by holder and grantor.
 func checkQuotas(t *rapid.T, c *testCluster, requestedAt map[[2]int]policy.Micros) {
 	t.Helper()
 	n := len(c.views)
@@ -182,7 +187,7 @@
 	for k, view := range c.views {
 		quota, until := view.Quota(c.now, ScopeZone)
 		if sum += quota / float64(n); quota > MaxQuotaFactor || quota < 0.5 {
-			t.Fatalf("n%d holds %v", k, quota)
+			t.Fatalf("quota of n%d is %v", k, quota)
 		}
 		if quota <= 1 {
 			continue
@@ -194,15 +199,16 @@
 			}
 		}
 		if grants < min(2, view.presentPeers) || until <= c.now || until > c.now+view.settings.LeaseDuration {
-			t.Fatalf("n%d holds %v until %d at %d with %d grants", k, quota, until, c.now, grants)
+			t.Fatalf("quota of n%d is %v until %d, at time %d with %d valid grants", k, quota, until, c.now, grants)
 		}
 	}
 	if sum > MaxQuotaFactor+1e-9 {
-		t.Fatalf("the quotas sum up to %v", sum)
+		t.Fatalf("sum of the quotas is %v", sum)
 	}
 }
 
-// checkConvergedQuotas has the first directors die and the others know of it and their views converge, and checks the sum of their quotas.
+// checkConvergedQuotas makes the first directors fail, lets the views of the others converge, and
+// checks the sum of their quotas.
 func checkConvergedQuotas(t *rapid.T, c *testCluster, dead int) {
 	t.Helper()
 	n := len(c.views)
@@ -225,6 +231,6 @@
 		sum += c.zoneQuota(i) / float64(n)
 	}
 	if sum < want-1e-9 || sum > want+1e-9 {
-		t.Fatalf("%d of %d are left: the quotas sum up to %v, want %v", len(alive), n, sum, want)
+		t.Fatalf("%d of %d directors are alive: sum of the quotas is %v, want %v", len(alive), n, sum, want)
 	}
 }
--- a/membership/report.go
+++ b/membership/report.go
@@ -9,30 +9,30 @@
 	"tallyproxy/policy"
 )
 
-// Report is a director's view for the state socket.
+// Report is a director's view in the form that the state socket serves.
 type Report struct {
-	Name           string       `json:"name"`            // of this director
+	Name           string       `json:"name"`            // name of this director
 	Incarnation    uint64       `json:"born"`            // of this process
 	PartitionState string       `json:"standing"`        // most, few or alone
-	Digest         string       `json:"sum"`             // 16 hexadecimal digits, equal for equal views
-	StableFor      int64        `json:"since"`           // µs since the view changed
-	AgreeingPeers  int          `json:"sharing"`         // present peers whose last received digest is the same
-	NameConflict   string       `json:"clash,omitempty"` // address of another process under this name
+	Digest         string       `json:"sum"`             // 16 hex digits, equal for equal views
+	StableFor      int64        `json:"since"`           // µs since the present peers changed
+	AgreeingPeers  int          `json:"sharing"`         // present peers with an equal digest
+	NameConflict   string       `json:"clash,omitempty"` // address of a process of the same name
 	ZoneQuota      float64      `json:"zone_part"`       // as a multiple of the fixed quota
 	FleetQuota     float64      `json:"fleet_part"`      // as a multiple of the fixed quota
 	Peers          []PeerReport `json:"peers"`           // by name
 }
 
-// PeerReport is what a director believes of one peer.
+// PeerReport is the state of one peer as seen by this director.
 type PeerReport struct {
 	Name        string `json:"name"`  // of the peer
 	Incarnation uint64 `json:"born"`  // of the peer's process
 	State       string `json:"state"` // up, suspected, failed or left
 	StateAge    int64  `json:"since"` // µs since the state changed
-	Agrees      bool   `json:"alike"` // it is present, and its last received digest is the same
+	Agrees      bool   `json:"alike"` // the peer is present, and its last received digest is equal
 }
 
-// Report gives the view as it is now.
+// Report returns the report at the given time.
 func (v *View) Report(now policy.Micros) Report {
 	r := Report{
 		Name:           v.settings.Name,
@@ -55,5 +55,5 @@
 	return r
 }
 
-// formatDigest writes a digest as 16 hexadecimal digits.
+// formatDigest formats a digest as 16 hexadecimal digits.
 func formatDigest(digest uint64) string { return fmt.Sprintf("%016x", digest) }
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -5,33 +5,41 @@
 	"tallyproxy/policy"
 )
 
-// Settings are one director's identity, and its intervals and bounds.
+// Settings holds the identity of one director, and its intervals and bounds.
 type Settings struct {
-	Name                string // unique among the directors
-	Zone                int    // index in the platform's settings
-	Incarnation         uint64 // identifies this process: a later process of the same name has a higher one
-	ConfiguredDirectors [2]int // number of directors in the platform's settings, by Scope: the fixed quota is one of so many
+	Name        string // unique among the directors
+	Zone        int    // index in the platform's settings
+	Incarnation uint64 // identifies this process; higher for a later process of this name
+	// ConfiguredDirectors is the number of directors in the platform's settings, by Scope. The
+	// fixed quota is one share of that number.
+	ConfiguredDirectors [2]int
 
-	LeaseDuration       policy.Micros // a quota above the fixed one is held for so long without a renewal
-	RenewInterval       policy.Micros // time between two requests for a lease to the same peer
-	StabilizationWindow policy.Micros // the view must have been unchanged for so long before the quota is raised
-	RequiredGrants      int           // peers that must have granted a lease
-	FailedRetention     policy.Micros // a peer that has failed or left is forgotten after so long
+	LeaseDuration       policy.Micros // validity of a quota above the fixed one without a renewal
+	RenewInterval       policy.Micros // time between two lease requests to the same peer
+	StabilizationWindow policy.Micros // the view must be unchanged this long before a quota rises
+	RequiredGrants      int           // number of peers that must have granted a lease
+	FailedRetention     policy.Micros // a failed or left peer is forgotten after this time
 	ProbeInterval       policy.Micros // failure detector: time between two probes
-	ProbeTimeout        policy.Micros // failure detector: time to wait for the answer to a probe
-	SuspicionMultiplier int           // failure detector: a suspect may refute for ProbeInterval times this times log10 of the number of members
+	ProbeTimeout        policy.Micros // failure detector: time to wait for the response to a probe
+	// SuspicionMultiplier sets how long a suspected peer may refute the failure detector's
+	// suspicion: ProbeInterval times SuspicionMultiplier times log10 of the number of members.
+	SuspicionMultiplier int
 
-	MaxHintAge       policy.Micros // older hints are ignored
-	HintInterval     policy.Micros // a node is probed because of a hint, and a hint about it sent, at most once in this time
-	HintsPerInterval int           // hints sent, and hints accepted from each peer, in HintInterval
-	MaxEntries       int           // bound on peers remembered, and on nodes remembered for hints
+	MaxHintAge policy.Micros // hints older than this are ignored
+	// HintInterval is the least time between two probes of a node that hints cause, and between
+	// two hints that this director sends about the same condition of a node.
+	HintInterval     policy.Micros
+	HintsPerInterval int // hints sent, and hints accepted per peer, in HintInterval
+	MaxEntries       int // bound on remembered peers, and on nodes remembered for hints
 }
 
-// manyDirectors is the fleet size from which the suspicion multiplier is one lower: the logarithm gives a suspect as long as in a small
-// fleet by then, and all 300 members of a large fleet know of a death within three seconds.
-const manyDirectors = 32
+// largeFleetSize is the number of directors from which the suspicion multiplier is lower by one.
+// The logarithm of the fleet size then gives a suspected peer as much time to refute as in a small
+// fleet, and all 300 members of a large fleet learn of a failure within three seconds.
+const largeFleetSize = 32
 
-// Derive gives the settings of a director with a name and an incarnation that follow from the platform's.
+// Derive returns the settings of the director with the given name and incarnation, derived from the
+// platform's settings.
 func Derive(name string, incarnation uint64, s policy.Settings) Settings {
 	window := max(s.EdgeSlowStart.OverloadWindow, 4*s.ConnectTimeout)
 	return Settings{
@@ -46,7 +54,7 @@
 		FailedRetention:     400 * window,
 		ProbeInterval:       s.ConnectTimeout / 2,
 		ProbeTimeout:        s.ConnectTimeout / 4,
-		SuspicionMultiplier: 3 + boolean.Int(s.TotalDirectors < manyDirectors),
+		SuspicionMultiplier: 3 + boolean.Int(s.TotalDirectors < largeFleetSize),
 		MaxHintAge:          window,
 		HintInterval:        window,
 		HintsPerInterval:    16,
--- a/membership/view.go
+++ b/membership/view.go
@@ -1,8 +1,10 @@
-// Package membership decides what a director makes of the other directors, its peers: who is present, on which side of a network partition
-// this director is, how much of each shared limit is its quota, and which of the peers' hints about cache nodes is worth a probe.
+// Package membership decides how a director treats the other directors, its peers: which peers are
+// present, on which side of a network partition this director is, how large its quota of each
+// shared limit is, and which of the peers' hints about cache nodes justify a probe.
 //
-// It is a state machine without I/O: the failure detector and the network are its driver's (internal/gossipnet), and each call is given
-// the time. docs/peer.md has the argument why the quotas of all directors stay within bounds.
+// The package is a state machine without I/O. Its driver (internal/gossipnet) provides the failure
+// detector and the network, and passes the current time to each call. docs/peer.md explains why the
+// quotas of all directors stay within bounds.
 package membership
 
 import (
@@ -14,44 +16,48 @@
 	"tallyproxy/policy"
 )
 
-// PartitionState is on which side of a network partition a director is, by the number of directors that it knew.
+// PartitionState is the side of a network partition that a director is on, determined by the number
+// of present directors among those that it knew.
 type PartitionState int
 
 // The partition states.
 const (
-	Majority PartitionState = iota // with more than half of the directors
-	Minority                       // with half of them or fewer
-	Isolated                       // with no other director
+	Majority PartitionState = iota // more than half of the directors are present
+	Minority                       // half of the directors or fewer are present
+	Isolated                       // no other director is present
 )
 
 var partitionStateNames = [...]string{"most", "few", "alone"}
 
-// String is the partition state's name in reports and logs.
+// String returns the name of the partition state in reports and logs.
 func (s PartitionState) String() string { return partitionStateNames[s] }
 
-// View is one director's view of its peers. Calls must not overlap: the caller holds a lock over them.
+// View is one director's view of its peers. It is not safe for concurrent use: the caller must hold
+// a lock during each call.
 type View struct {
 	settings  Settings
 	createdAt policy.Micros
 	changedAt policy.Micros // when the set of present peers last changed
 
-	peers         map[string]*peer // by name, bounded by MaxEntries; a failed or left peer is dropped after FailedRetention
-	absent        map[string]*peer // those peers that are not present
-	presentByZone map[int]int      // number of present peers; zones with none have no entry
+	// peers holds the known peers by name, MaxEntries at most. A failed or left peer is dropped
+	// after FailedRetention.
+	peers         map[string]*peer
+	absent        map[string]*peer // peers that are not present, by name
+	presentByZone map[int]int      // number of present peers by zone; empty zones have no entry
 	presentPeers  int
 	digest        uint64 // sum over this director and the present peers
-	nameConflict  string // address of another process under this director's name; empty for none
+	nameConflict  string // address of another process with this director's name, or empty
 
-	grantors       []*peer // who is asked for leases in the view with the digest grantorsDigest
+	grantors       []*peer // peers to ask for leases while digest equals grantorsDigest
 	grantorsDigest uint64
 
-	hintsSentAt     map[string]policy.Micros // by condition and node, bounded by MaxEntries
-	probedAt        map[string]policy.Micros // by node, bounded by MaxEntries
-	hintsSent       int                      // in the window that began at hintWindowStart
+	hintsSentAt     map[string]policy.Micros // by condition and node, at most MaxEntries
+	probedAt        map[string]policy.Micros // by node, at most MaxEntries
+	hintsSent       int                      // since hintWindowStart
 	hintWindowStart policy.Micros
 }
 
-// New makes a view of a director that knows no peer.
+// New returns the view of a director that knows no peers.
 func New(now policy.Micros, s Settings) *View {
 	return &View{
 		settings:        s,
@@ -67,7 +73,8 @@
 	}
 }
 
-// UpdatePeer takes the failure detector's state of a peer. An earlier process of the same name says nothing about a later one.
+// UpdatePeer records the state of a peer as reported by the failure detector. While a process is
+// present, reports about an earlier process with the same name are ignored.
 func (v *View) UpdatePeer(now policy.Micros, name string, incarnation uint64, zone int, state State) {
 	if name == v.settings.Name || name == "" {
 		return
@@ -80,21 +87,25 @@
 		p = &peer{name: name, nameHash: hash.String(name), incarnation: incarnation, zone: zone, state: Left, stateSince: now}
 		v.peers[name], v.absent[name] = p, p
 	case incarnation < p.incarnation && p.present():
-		return // of two processes under one name the later one counts, while it is present
+		// While a later process with this name is present, a report about an earlier one is
+		// ignored.
+		return
 	case incarnation != p.incarnation:
-		// The lease granted to the earlier process still counts the peer; the lease granted by it is gone with it.
+		// A lease granted to the earlier process still counts the peer. A lease granted by
+		// that process is void.
 		p.lease, p.pendingRequest = lease{}, 0
 	}
-	same, digest := p.incarnation == incarnation && p.state == state, v.digest
-	v.account(p, -1)
+	unchanged, digest := p.incarnation == incarnation && p.state == state, v.digest
+	v.adjustCounts(p, -1)
 	p.incarnation, p.zone, p.state = incarnation, zone, state
-	v.account(p, 1)
-	if same {
+	v.adjustCounts(p, 1)
+	if unchanged {
 		return
 	}
 	p.stateSince = now
 	if state == Suspected || v.digest == digest {
-		return // a suspicion leaves the set of present peers as it is
+		// A suspected peer is still present, so the set of present peers is unchanged.
+		return
 	}
 	if state == Up && p.lastChange > 0 {
 		p.flaps = min(maxFlaps, p.recentFlaps(now, v.settings)+1)
@@ -103,9 +114,11 @@
 	v.changedAt = now
 }
 
-// account adds a peer to the counts and the digest of those that are present (sign 1), or takes it out (sign -1). The digest is a sum over
-// name and incarnation of each, so equal views have equal digests in whatever order they came about.
-func (v *View) account(p *peer, sign int) {
+// adjustCounts adds a present peer to the counts and the digest of the present peers (sign 1) or
+// removes it from them (sign -1). An absent peer is recorded in v.absent only. The digest is a sum
+// over the name and incarnation of each present peer, so equal views have equal digests regardless
+// of the order of their updates.
+func (v *View) adjustCounts(p *peer, sign int) {
 	if !p.present() {
 		v.absent[p.name] = p
 		return
@@ -119,7 +132,8 @@
 	}
 }
 
-// evict drops the peer that failed or left longest ago, so that a new one fits; false where no peer can be dropped.
+// evict drops the peer that failed or left the longest time ago, to make room for a new one. Peers
+// that may still use a quota are kept. evict returns false if no peer can be dropped.
 func (v *View) evict(now policy.Micros) bool {
 	var oldest *peer
 	for _, name := range slices.Sorted(maps.Keys(v.absent)) {
@@ -134,13 +148,13 @@
 	return oldest != nil
 }
 
-// drop forgets an absent peer.
+// drop removes an absent peer from the view.
 func (v *View) drop(p *peer) {
 	delete(v.peers, p.name)
 	delete(v.absent, p.name)
 }
 
-// dropExpired forgets the peers that have been absent for longer than FailedRetention.
+// dropExpired drops the peers that have been absent for longer than FailedRetention.
 func (v *View) dropExpired(now policy.Micros) {
 	for _, p := range v.absent {
 		if now-p.stateSince > v.settings.FailedRetention {
@@ -149,27 +163,29 @@
 	}
 }
 
-// SetNameConflict records the address of another process under this director's name; empty where there is none any more. While there is
-// one, this director uses no more than its fixed quota and grants no leases.
+// SetNameConflict records the address of another process with this director's name. An empty
+// address ends the conflict. During a conflict this director uses no more than its fixed quota and
+// grants no leases.
 func (v *View) SetNameConflict(address string) { v.nameConflict = address }
 
-// DigestReceived takes the digest of a peer's view where it came outside a lease message.
+// DigestReceived records the digest of a peer's view that arrived outside a lease message.
 func (v *View) DigestReceived(now policy.Micros, name string, digest uint64) {
 	if p := v.peers[name]; p != nil {
 		p.digest, p.digestReceivedAt = digest, now
 	}
 }
 
-// Digest is equal for two directors that see the same processes as present.
+// Digest returns the digest of the view. It is equal for two directors that consider the same
+// processes present.
 func (v *View) Digest() uint64 { return v.digest }
 
-// StableFor is the time since the set of present peers last changed.
+// StableFor returns the time since the set of present peers last changed.
 func (v *View) StableFor(now policy.Micros) policy.Micros { return now - v.changedAt }
 
-// Knows says whether a peer is remembered, in whatever state.
+// Knows reports whether the view holds a peer with this name, in any state.
 func (v *View) Knows(name string) bool { return v.peers[name] != nil }
 
-// State is a peer's; false where the peer is not remembered.
+// State returns the state of a peer; false if the view does not hold the peer.
 func (v *View) State(name string) (State, bool) {
 	if p := v.peers[name]; p != nil {
 		return p.state, true
@@ -177,7 +193,7 @@
 	return Left, false
 }
 
-// ZonePeers are the names of the peers of this director's zone that are up, in order.
+// ZonePeers returns the names of the peers in this director's zone that are up, in ascending order.
 func (v *View) ZonePeers() (names []string) {
 	for _, p := range v.peers {
 		if p.state == Up && p.zone == v.settings.Zone {
@@ -188,10 +204,12 @@
 	return names
 }
 
-// NumMembers is the number of directors that are present, this one among them.
+// NumMembers returns the number of present directors, including this one.
 func (v *View) NumMembers() int { return 1 + v.presentPeers }
 
-// PartitionState compares the number of present directors with the number known or configured, whichever is higher.
+// PartitionState returns the partition state. It compares the number of present directors with the
+// number of configured directors or the number of known directors that have not left, whichever is
+// higher.
 func (v *View) PartitionState() PartitionState {
 	present, known := v.NumMembers(), 1
 	for _, p := range v.peers {
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// TestPartitionState guards against a wrong partition state as one peer after another fails.
 func TestPartitionState(t *testing.T) {
 	cluster := newTestCluster(5)
 	for i, want := range []PartitionState{Majority, Majority, Majority, Minority, Isolated} {
@@ -9,10 +10,10 @@
 			cluster.setState(i, Failed)
 		}
 		if got := cluster.views[0].PartitionState(); got != want {
-			t.Errorf("%d failed: %v, want %v", i, got, want)
+			t.Errorf("%d peers failed: partition state is %v, want %v", i, got, want)
 		}
 	}
 	if r := cluster.views[0].Report(cluster.now); len(r.Peers) != 4 || r.PartitionState != "alone" || r.ZoneQuota != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("report after the failure of all peers is %+v", r)
 	}
 }
