--- a/gossip/channel.go
+++ b/gossip/channel.go
@@ -7,13 +7,15 @@
 	"tallyproxy/policy"
 )
 
-// ChannelAnswered records that the own channel has answered a poll that began at a time: by then it has published all that others received
-// before. What only they said is no longer in force; changed is true where nodes are no longer avoided that were.
-func (s *Store) ChannelAnswered(began policy.Micros) (changed bool) {
-	s.answeredAt = max(s.answeredAt, began)
-	maps.DeleteFunc(s.unconfirmed, func(_ Update, at policy.Micros) bool { return at <= began })
+// ChannelAnswered records that this director's channel has answered a poll that started at
+// pollStartedAt. By then the channel had published every update that other directors received from
+// it earlier. Restrictions that this director received before that time only from other directors
+// are therefore no longer in force. changed reports whether this released any avoided nodes.
+func (s *Store) ChannelAnswered(pollStartedAt policy.Micros) (changed bool) {
+	s.answeredAt = max(s.answeredAt, pollStartedAt)
+	maps.DeleteFunc(s.unconfirmed, func(_ Update, at policy.Micros) bool { return at <= pollStartedAt })
 	for node, at := range s.avoided {
-		if at <= began {
+		if at <= pollStartedAt {
 			delete(s.avoided, node)
 			changed = true
 		}
@@ -21,8 +23,10 @@
 	return changed
 }
 
-// ShouldPoll says whether to poll the own channel now, because it has not published an update that others sent ConfirmTimeout ago, and counts
-// the poll. A channel that fails is polled by its own backoff instead.
+// ShouldPoll reports whether to poll this director's channel now because the channel has not
+// published an update that another director sent at least ConfirmTimeout ago. If so, it records the
+// poll. If the channel is failing, ShouldPoll returns false, because the channel's own backoff
+// schedules the polls.
 func (s *Store) ShouldPoll(now policy.Micros, failing bool) bool {
 	if failing || now-s.lastPoll < s.settings.MinPollInterval {
 		return false
@@ -36,32 +40,37 @@
 	return false
 }
 
-// AvoidedNodes are the ids of the nodes that get no requests because of others' updates alone, in order.
+// AvoidedNodes returns the ids of the nodes that get no requests only because of other directors'
+// updates, in ascending order.
 func (s *Store) AvoidedNodes() []string { return slices.Sorted(maps.Keys(s.avoided)) }
 
-// ChannelAge is the time since the latest poll began that the own channel answered.
+// ChannelAge returns the time since the start of the latest poll that this director's channel
+// answered.
 func (s *Store) ChannelAge(now policy.Micros) policy.Micros { return now - s.answeredAt }
 
-// Confirms says whether the state of a director whose channel's age is given is new enough for one that starts to trust it.
+// Confirms reports whether the state of a director with the given channel age is recent enough for
+// a newly started director to trust it.
 func (s *Store) Confirms(channelAge policy.Micros) bool {
 	return channelAge >= 0 && channelAge <= s.settings.Retention/2
 }
 
-// ConfirmsReply says whether a director's state is new enough, given how long its reply took. A reply that took longer than ConfirmTimeout
-// may have been held up somewhere while the channel published more.
-func (s *Store) ConfirmsReply(took, channelAge policy.Micros) bool {
-	return took >= 0 && took <= s.settings.ConfirmTimeout && s.Confirms(channelAge)
+// ConfirmsReply reports whether the state in another director's reply is recent enough, given the
+// reply's round-trip time. A reply that took longer than ConfirmTimeout may have been delayed while
+// the channel published more updates.
+func (s *Store) ConfirmsReply(roundTrip, channelAge policy.Micros) bool {
+	return roundTrip >= 0 && roundTrip <= s.settings.ConfirmTimeout && s.Confirms(channelAge)
 }
 
-// Report is the state of a director's channel for the state socket.
+// Report is the state of a director's channel in the form that the state socket serves.
 type Report struct {
-	ChannelAge int64    `json:"own_age_us"`    // of the own channel's latest answer, µs
-	NewestAge  int64    `json:"newest_age_us"` // of the newest answer that any reachable director had, µs
-	Avoided    []string `json:"avoided"`       // nodes that get no requests because of others' updates alone
-	Received   int      `json:"heard"`         // new updates from others
+	ChannelAge int64    `json:"own_age_us"`    // µs since the latest answered poll started
+	NewestAge  int64    `json:"newest_age_us"` // least such age of any reachable director
+	Avoided    []string `json:"avoided"`       // nodes avoided only due to others' updates
+	Received   int      `json:"heard"`         // new updates from other directors
 }
 
-// Report gives the state as it is now. newestOfOthers is the least channel age that another director has reported, negative for none.
+// Report returns the report at the given time. newestOfOthers is the lowest channel age that
+// another director has reported, or negative if there is none.
 func (s *Store) Report(now, newestOfOthers policy.Micros) Report {
 	own := s.ChannelAge(now)
 	newest := own
--- a/gossip/settings.go
+++ b/gossip/settings.go
@@ -6,16 +6,16 @@
 	"tallyproxy/policy"
 )
 
-// Settings are the intervals and bounds of a Store.
+// Settings holds the intervals and bounds of a Store.
 type Settings struct {
-	Retention       policy.Micros // older updates are ignored and forgotten
-	ConfirmTimeout  policy.Micros // the own channel is polled for an update that it has not confirmed for so long
-	MinPollInterval policy.Micros // time between two such polls
-	MaxUpdates      int           // accepted from each director in MinPollInterval, and sent in one snapshot
+	Retention       policy.Micros // updates older than this are ignored and dropped
+	ConfirmTimeout  policy.Micros // the channel is polled for updates unconfirmed for this long
+	MinPollInterval policy.Micros // least time between two such polls
+	MaxUpdates      int           // accepted per sender in MinPollInterval, and sent per snapshot
 	MaxEntries      int           // bound on each table: updates, nodes, senders
 }
 
-// Derive gives the settings that follow from the platform's.
+// Derive returns the settings derived from the platform's settings.
 func Derive(s policy.Settings) Settings {
 	retention := cmp.Or(s.PurgeRetention, 16*s.ConnectTimeout)
 	return Settings{
--- a/gossip/snapshot.go
+++ b/gossip/snapshot.go
@@ -11,8 +11,9 @@
 	"tallyproxy/policy"
 )
 
-// Snapshot is what a director that has just come should know: the updates of the last Retention, and the nodes of the own list that drain,
-// however long they have. The newest come first, MaxUpdates at the most.
+// Snapshot returns the updates that a newly started director needs: those of the last Retention,
+// and the draining nodes of this director's list, regardless of how long they have been draining.
+// The newest updates come first. At most MaxUpdates are returned.
 func (s *Store) Snapshot(now policy.Micros) (updates []Update) {
 	for u, publishedAt := range s.updates {
 		if age := now - publishedAt; age >= 0 && age <= s.settings.Retention {
@@ -33,26 +34,29 @@
 	return updates[:min(len(updates), s.settings.MaxUpdates)]
 }
 
-// recentPurges is the result of RecentPurges, good while no update is added and until the first of its purges is no longer recent.
+// recentPurges caches the result of RecentPurges. It is valid until an update is added or the first
+// of its purges is no longer recent.
 type recentPurges struct {
 	purges     []Update
 	digest     uint64
-	remembered int // the store's, when this was made
+	addedCount int // Store.addedCount when the result was computed
 	validUntil policy.Micros
 }
 
-// RecentPurges are the purges of the last third of Retention, without ages, and a digest of them. The digest is about the same at all
-// directors that know the same purges, and so shows which one lacks some. Earlier purges are left out, since a director that has started
-// meanwhile need not know them. The caller must not change the purges.
+// RecentPurges returns the purges of the last third of Retention, without ages, and a digest of
+// them. Directors that know the same purges have the same digest most of the time, so a different
+// digest shows that a director lacks some of them. Earlier purges are excluded, because a director
+// that has started since then does not need them. The caller must not modify the returned purges.
 func (s *Store) RecentPurges(now policy.Micros) (purges []Update, digest uint64) {
-	if s.recent.remembered != s.remembered || now > s.recent.validUntil {
+	if s.recent.addedCount != s.addedCount || now > s.recent.validUntil {
 		s.recent = s.collectRecentPurges(now)
 	}
 	return s.recent.purges, s.recent.digest
 }
 
+// collectRecentPurges computes the result of RecentPurges.
 func (s *Store) collectRecentPurges(now policy.Micros) recentPurges {
-	recent := recentPurges{remembered: s.remembered, validUntil: math.MaxInt64}
+	recent := recentPurges{addedCount: s.addedCount, validUntil: math.MaxInt64}
 	for u, publishedAt := range s.updates {
 		if u.PurgedAt > 0 && now-publishedAt <= s.settings.Retention/3 {
 			recent.purges = append(recent.purges, u)
@@ -65,14 +69,15 @@
 	recent.purges = recent.purges[:min(len(recent.purges), s.settings.MaxUpdates)]
 	digest := fnv.New64a()
 	for _, u := range recent.purges {
-		_, _ = fmt.Fprintln(digest, u.Object, u.Group, u.PurgedAt) // writing to a hash returns no error
+		_, _ = fmt.Fprintln(digest, u.Object, u.Group, u.PurgedAt) // writing to a hash never fails
 	}
 	recent.digest = digest.Sum64()
 	return recent
 }
 
-// RepairPurges are the purges, with their ages, to send to a director whose digest of RecentPurges differs. The newest are left out, which may
-// still be on their way to all, and so are those which either director's digest may leave out a moment later.
+// RepairPurges returns the purges, with their ages, to send to a director with a different digest
+// of RecentPurges. It excludes the newest purges, which may still be in transit to all directors,
+// and the purges that either director's digest may exclude shortly.
 func (s *Store) RepairPurges(now policy.Micros) (purges []Update) {
 	recent, _ := s.RecentPurges(now)
 	for _, u := range recent {
--- a/gossip/snapshot_test.go
+++ b/gossip/snapshot_test.go
@@ -7,7 +7,8 @@
 	"tallyproxy/policy"
 )
 
-// A director that has just come is told what is in force, and nothing else.
+// TestSnapshot guards against a newly started director with wrong state: a snapshot must contain
+// all updates that are in force, and no others.
 func TestSnapshot(t *testing.T) {
 	now := 100 * policy.Second
 	store := New(now, testSettings())
@@ -20,32 +21,33 @@
 	want := []Update{drain(1), {Group: 3, PurgedAt: 2, Age: policy.Second}}
 	got := store.Snapshot(now)
 	if !slices.Equal(got, want) {
-		t.Errorf("in force: %+v", got)
+		t.Errorf("snapshot is %+v", got)
 	}
-	late := New(now, testSettings())
-	if late.Confirms(late.ChannelAge(now)) {
-		t.Error("one that has just come confirms what its files say")
+	newDirector := New(now, testSettings())
+	if newDirector.Confirms(newDirector.ChannelAge(now)) {
+		t.Error("a newly started director confirms the state from its files")
 	}
-	late.RecordNodes(now-policy.Second, readyNodes(4), true)
+	newDirector.RecordNodes(now-policy.Second, readyNodes(4), true)
 	for _, u := range got {
-		if apply, _ := late.Received(now, "n1", u); !apply {
-			t.Errorf("%+v is not applied at one that has just come", u)
+		if apply, _ := newDirector.Received(now, "n1", u); !apply {
+			t.Errorf("%+v is not applied by a newly started director", u)
 		}
 	}
 	if !store.Confirms(3*policy.Second) || store.Confirms(3*policy.Second+1) || store.Confirms(-1) {
-		t.Error("another age confirms")
+		t.Error("Confirms accepts or rejects the wrong channel ages")
 	}
 	for _, x := range []struct {
-		took, age policy.Micros
-		want      bool
+		roundTrip, age policy.Micros
+		want           bool
 	}{{0, 0, true}, {testSettings().ConfirmTimeout, 3 * policy.Second, true}, {testSettings().ConfirmTimeout + 1, 0, false}, {-1, 0, false}, {0, 3*policy.Second + 1, false}, {0, -1, false}} {
-		if store.ConfirmsReply(x.took, x.age) != x.want {
-			t.Errorf("an answer after %d of age %d: want %v", x.took, x.age, x.want)
+		if store.ConfirmsReply(x.roundTrip, x.age) != x.want {
+			t.Errorf("reply after %d µs with a channel age of %d µs: want %v", x.roundTrip, x.age, x.want)
 		}
 	}
 }
 
-// Guards against a snapshot that is cut in map order: updates of one age are told in one order, and the same ones.
+// TestSnapshotOrder guards against a snapshot that is truncated in map order: updates of the same
+// age must always come in the same order, and the same ones must be kept.
 func TestSnapshotOrder(t *testing.T) {
 	settings := testSettings()
 	settings.MaxUpdates = 3
@@ -60,13 +62,14 @@
 			first = got
 		}
 		if len(got) != settings.MaxUpdates || !slices.Equal(got, first) {
-			t.Fatalf("%+v, then %+v", first, got)
+			t.Fatalf("first snapshot is %+v, a later one %+v", first, got)
 		}
 	}
 }
 
-// The digest of recent purges is the same for those who have received all, in whatever order, and shows who has not. What was told long ago
-// is no part of it: one that starts later must not be sent it for ever.
+// TestRecentPurges guards against a digest of recent purges that depends on the order in which they
+// arrived, or that hides missing purges. Old purges must be excluded: a director that starts later
+// would otherwise be sent them forever.
 func TestRecentPurges(t *testing.T) {
 	s := Settings{Retention: 600, MaxUpdates: 10, MaxEntries: 100}
 	informed, other := New(0, s), New(0, s)
@@ -74,7 +77,7 @@
 	informed.RecordPurge(100, first)
 	informed.RecordPurge(110, second)
 	if _, digest := informed.RecentPurges(120); digest == 0 {
-		t.Error("no digest")
+		t.Error("digest is 0")
 	}
 	sameDigest := func(now policy.Micros) bool {
 		_, x := informed.RecentPurges(now)
@@ -82,27 +85,27 @@
 		return x == y
 	}
 	if sameDigest(120) {
-		t.Error("one that has heard nothing has the same digest")
+		t.Error("a director without purges has the same digest")
 	}
 	purges, _ := informed.RecentPurges(130)
 	if len(informed.RepairPurges(112)) != 1 || len(informed.RepairPurges(240)) != 0 {
-		t.Errorf("%v just now, %v a while ago", informed.RepairPurges(112), informed.RepairPurges(240))
+		t.Errorf("purges to repair are %v for recent purges, %v for old ones", informed.RepairPurges(112), informed.RepairPurges(240))
 	}
 	for _, u := range informed.RepairPurges(130) {
 		other.Received(130, "a", u)
 		if u.Age != 30 && u.Age != 20 {
-			t.Errorf("%+v", u)
+			t.Errorf("wrong age in %+v", u)
 		}
 	}
 	if !sameDigest(130) || len(purges) != 2 {
-		t.Errorf("%v", purges)
+		t.Errorf("digests differ or purges are missing: %v", purges)
 	}
 	if purges, _ := informed.RecentPurges(305); len(purges) != 1 {
-		t.Errorf("%v of late", purges)
+		t.Errorf("recent purges are %v", purges)
 	}
 	late := New(400, s)
 	_, x := informed.RecentPurges(400)
 	if _, y := late.RecentPurges(400); x != y {
-		t.Error("one that started long after lacks something")
+		t.Error("a director that started later has a different digest")
 	}
 }
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -1,9 +1,11 @@
-// Package gossip decides which of the command channel's updates directors tell each other, and what a director makes of those that it
-// receives, so that directors which can't reach the channel learn of them through those that can.
+// Package gossip decides which updates of the command channel directors send to each other, and how
+// a director handles the updates that it receives, so that directors that cannot reach the channel
+// learn of its updates through those that can.
 //
-// Updates that restrict (a purge, a drain, the removal of a node) are applied when another director sends them; what lifts a restriction is
-// taken from the own channel alone. The package does no I/O, and each call is given the time. docs/dissemination.md has the argument why an
-// update that comes twice, late, or from a director that is itself behind undoes nothing.
+// Updates that restrict (a purge, a drain, the removal of a node) are applied when another director
+// sends them. Updates that lift a restriction are accepted only from the director's own channel.
+// The package does no I/O; its callers pass the current time. docs/dissemination.md explains why an
+// update that arrives twice, late, or from a director that is itself behind reverts nothing.
 package gossip
 
 import (
@@ -14,40 +16,49 @@
 	"tallyproxy/policy"
 )
 
-// Store holds what one director knows of the channel's updates, from its own channel and from others. Calls must not overlap: the caller
-// holds a lock over them. Each table is bounded by MaxEntries.
+// Store holds the updates that one director knows, from its own channel and from other directors.
+// It is not safe for concurrent use: the caller must hold a lock during each call. Each table is
+// bounded by MaxEntries.
 type Store struct {
 	settings Settings
 
-	nodes      map[string]listedNode // the own channel's list
-	readyNodes int                   // of them
-
-	updates     map[Update]policy.Micros // all that are known, by key: when the channel published them, by this director's clock
-	remembered  int                      // updates that were ever added
-	unconfirmed map[Update]policy.Micros // those of updates that others sent and the own channel has not published yet: when they were received
-	avoided     map[string]policy.Micros // nodes that drain or are removed because of others' updates alone: when that was received
-	received    int                      // new updates from others
-	senders     map[string]senderWindow  // by director
-
-	lastPoll   policy.Micros // when the own channel was last polled for an unconfirmed update
-	answeredAt policy.Micros // when the latest poll began that the own channel answered
+	nodes      map[string]listedNode // nodes in the list of this director's channel
+	readyNodes int                   // number of them that are ready
+
+	// updates holds all known updates by key, with the time at which the channel published them
+	// by this director's clock.
+	updates    map[Update]policy.Micros
+	addedCount int // number of updates ever added
+	// unconfirmed holds the updates that other directors sent and this director's channel has
+	// not published yet, with the time at which they were received.
+	unconfirmed map[Update]policy.Micros
+	// avoided holds the nodes that are draining or removed only according to other directors'
+	// updates, with the time at which these were received.
+	avoided  map[string]policy.Micros
+	received int                     // new updates from other directors
+	senders  map[string]senderWindow // by director
+
+	lastPoll   policy.Micros // when the channel was last polled for an unconfirmed update
+	answeredAt policy.Micros // start of the latest poll that this director's channel answered
 
 	recent recentPurges // cache of RecentPurges
 }
 
-// listedNode is a node of the own channel's list, and when the list last gave its state.
+// listedNode is a node in the list of this director's channel, with the time at which the list last
+// gave its state.
 type listedNode struct {
 	NodeState
 	listedAt policy.Micros
 }
 
-// senderWindow counts the updates that a director has sent since a time.
+// senderWindow counts the updates that a director has sent since start.
 type senderWindow struct {
 	start policy.Micros
 	count int
 }
 
-// New makes a store that knows nothing but what files say, which is too old to confirm others' state by.
+// New returns an empty store. A newly started director knows only the state in its files, so its
+// channel age is set too high to confirm the state of others.
 func New(now policy.Micros, s Settings) *Store {
 	return &Store{
 		settings:    s,
@@ -61,10 +72,11 @@
 	}
 }
 
-// RecordNodes takes what the own channel says of nodes; a complete list names all there are. It gives the updates to send to others.
+// RecordNodes records the node states that this director's channel has published. A complete list
+// names all nodes. RecordNodes returns the updates to send to other directors.
 func (s *Store) RecordNodes(now policy.Micros, nodes []NodeState, complete bool) (updates []Update) {
 	if complete {
-		nodes = append(nodes, s.missing(nodes)...)
+		nodes = append(nodes, s.missingNodes(nodes)...)
 		clear(s.nodes)
 	}
 	for _, n := range nodes {
@@ -74,11 +86,11 @@
 			s.nodes[n.Node] = listedNode{n, now}
 		}
 		if n.State == policy.Ready {
-			s.forgetNode(n)
+			s.deleteNodeUpdates(n)
 			continue
 		}
 		u := Update{Node: n.Node, Started: n.Started, Removed: n.State == policy.Removed}
-		if s.recordOwn(now, u) {
+		if s.recordChannelUpdate(now, u) {
 			updates = append(updates, u)
 		}
 	}
@@ -89,8 +101,9 @@
 	return updates
 }
 
-// missing are the listed nodes that a complete list does not name any more, as removed, by id.
-func (s *Store) missing(complete []NodeState) (removed []NodeState) {
+// missingNodes returns the listed nodes that a complete list no longer names, marked as removed, in
+// ascending order of id.
+func (s *Store) missingNodes(complete []NodeState) (removed []NodeState) {
 	named := map[string]bool{}
 	for _, n := range complete {
 		named[n.Node] = true
@@ -103,8 +116,9 @@
 	return removed
 }
 
-// forgetNode drops the updates of a node that is ready again: when they come another time, they are new.
-func (s *Store) forgetNode(n NodeState) {
+// deleteNodeUpdates drops the updates of a node that is ready again, so that they count as new when
+// they arrive again.
+func (s *Store) deleteNodeUpdates(n NodeState) {
 	for _, removed := range []bool{false, true} {
 		key := Update{Node: n.Node, Started: n.Started, Removed: removed}
 		delete(s.updates, key)
@@ -112,28 +126,31 @@
 	}
 }
 
-// RecordPurge takes a purge from the own channel, and says whether to send it to others.
+// RecordPurge records a purge from this director's channel, and reports whether to send it to other
+// directors.
 func (s *Store) RecordPurge(now policy.Micros, purge Update) bool {
-	return s.recordOwn(now, purge.key())
+	return s.recordChannelUpdate(now, purge.key())
 }
 
-// recordOwn remembers an update of the own channel; false where it was known.
-func (s *Store) recordOwn(now policy.Micros, key Update) bool {
+// recordChannelUpdate records an update from this director's channel, and reports whether it is
+// new.
+func (s *Store) recordChannelUpdate(now policy.Micros, key Update) bool {
 	delete(s.unconfirmed, key)
-	return s.remember(now, key)
+	return s.addUpdate(now, key)
 }
 
-// Received takes an update from another director. apply says that it is in force from now on; forward that it is new, to be sent on with
-// the age that it has by then.
+// Received handles an update from another director. apply reports whether the update takes effect
+// now. forward reports whether the update is new and must be sent on, with its age at that time.
 //
-// The drain or removal of a node is applied only where the own list has the node as ready, of the same start and from before the update,
-// and to no more than half of the ready nodes: a faulty director can't drain them all.
+// The drain or removal of a node is applied only if the list of this director's channel has the
+// node as ready, with the same start, in an entry from before the update. It is applied to at most
+// half of the ready nodes, so that a faulty director cannot drain all of them.
 func (s *Store) Received(now policy.Micros, from string, u Update) (apply, forward bool) {
 	if !u.valid(s.settings) {
 		return false, false
 	}
 	key := u.key()
-	if _, known := s.updates[key]; known || !s.allow(now, from) || !s.remember(now-u.Age, key) {
+	if _, known := s.updates[key]; known || !s.allow(now, from) || !s.addUpdate(now-u.Age, key) {
 		return false, false
 	}
 	s.received++
@@ -152,7 +169,8 @@
 	return true, true
 }
 
-// allow counts an update against what its sender may send in a window, and says whether it is within that.
+// allow counts an update against its sender's limit per window, and reports whether the sender is
+// within the limit.
 func (s *Store) allow(now policy.Micros, from string) bool {
 	window, known := s.senders[from]
 	if !known && len(s.senders) >= s.settings.MaxEntries {
@@ -169,9 +187,11 @@
 	return window.count <= s.settings.MaxUpdates
 }
 
-// remember keeps an update with the time at which the channel published it; false where it was known, or the table is full of updates that still
-// matter. After Retention no copy older than a purge is left anywhere, and a node's update is no longer on its way.
-func (s *Store) remember(publishedAt policy.Micros, key Update) bool {
+// addUpdate stores an update with the time at which the channel published it. It returns false if
+// the update is known, or if the table is full of updates that are still relevant. Updates older
+// than Retention may be dropped: by then no copy older than a purge is left anywhere, and a node's
+// update is no longer in transit.
+func (s *Store) addUpdate(publishedAt policy.Micros, key Update) bool {
 	if _, known := s.updates[key]; known {
 		return false
 	}
@@ -183,6 +203,6 @@
 		}
 	}
 	s.updates[key] = publishedAt
-	s.remembered++
+	s.addedCount++
 	return true
 }
