--- a/relays/endpoints.go
+++ b/relays/endpoints.go
@@ -10,28 +10,32 @@
 	"tallyproxy/policy"
 )
 
-// maxListLength bounds the endpoints of a list that is taken from another director.
+// maxListLength is the maximum number of endpoints in a list accepted from another director.
 const maxListLength = 8192
 
-// maxEndpointBytes bounds the name and the address of such an endpoint together.
+// maxEndpointBytes is the maximum length of the ID and the address of such an endpoint together, in
+// bytes.
 const maxEndpointBytes = 512
 
-// sumBytes is how much of the SHA-256 hash a sum keeps.
+// sumBytes is the number of bytes of the SHA-256 hash that a sum keeps.
 const sumBytes = 12
 
-// Endpoint is an endpoint as the channel lists it. Its JSON is exchanged by directors, and Sum hashes it.
+// Endpoint is an endpoint as listed by the channel. Directors exchange its JSON form, and Sum
+// hashes it.
 type Endpoint struct {
-	ID      string               `json:"i"`           // the same at every director
-	Address string               `json:"a"`           // host and port
-	Zone    int                  `json:"z"`           // index of the settings' zones
-	Kind    int                  `json:"k"`           // index of the settings' machine kinds
-	Cell    int                  `json:"c,omitempty"` // cell of its zone
-	Weight  float64              `json:"w"`           // size; not negative
-	Started policy.Micros        `json:"s,omitempty"` // latest start, in microseconds since 1970; 0 for long ago
-	State   policy.EndpointState `json:"x,omitempty"` // ready or draining; removed in changes only
+	ID      string  `json:"i"`           // equal at every director
+	Address string  `json:"a"`           // host and port
+	Zone    int     `json:"z"`           // index in the settings' zones
+	Kind    int     `json:"k"`           // index in the settings' machine kinds
+	Cell    int     `json:"c,omitempty"` // cell of the zone
+	Weight  float64 `json:"w"`           // size; not negative
+	// Started is the latest start in microseconds since 1970, or 0 if that was long ago.
+	Started policy.Micros        `json:"s,omitempty"`
+	State   policy.EndpointState `json:"x,omitempty"` // ready or draining; removed only in changes
 }
 
-// Merge applies changes to a list, which is keyed by ID. A snapshot replaces the whole list. Removed endpoints are deleted.
+// Merge applies changes to a list that is keyed by ID. A snapshot replaces the whole list. Removed
+// endpoints are deleted.
 func Merge(list map[string]Endpoint, changes []Endpoint, snapshot bool) {
 	if snapshot {
 		clear(list)
@@ -45,7 +49,8 @@
 	}
 }
 
-// SortedEndpoints returns a list's endpoints by ascending ID; nil where there are none.
+// SortedEndpoints returns the endpoints of a list in ascending order of ID, or nil if the list is
+// empty.
 func SortedEndpoints(list map[string]Endpoint) (endpoints []Endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(list)) {
 		endpoints = append(endpoints, list[id])
@@ -53,8 +58,9 @@
 	return endpoints
 }
 
-// Diff returns the changes that turn a list into another: endpoints that are new or differ, in the other's order, then those that are
-// gone, as removed ones by ascending ID.
+// Diff returns the changes that turn list into to: first the endpoints that are new or different,
+// in the order of to, then the endpoints that to lacks, marked as removed, in ascending order of
+// ID.
 func Diff(list map[string]Endpoint, to []Endpoint) (changes []Endpoint) {
 	present := make(map[string]bool, len(to))
 	for _, endpoint := range to {
@@ -72,14 +78,17 @@
 	return changes
 }
 
-// Sum identifies a list: two lists have the same sum if their endpoints are the same in the same order, whichever director computes it.
+// Sum identifies a list. Lists with equal endpoints in equal order have the same sum at every
+// director.
 func Sum(endpoints []Endpoint) string {
-	raw, _ := json.Marshal(endpoints) // fails for infinite weights only, which the channel's JSON can't hold
+	// Marshal fails only for infinite weights, which the channel's JSON cannot contain.
+	raw, _ := json.Marshal(endpoints)
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:sumBytes])
 }
 
-// valid reports whether a list can be used with the settings. A list of another fleet has zones and kinds that they don't name.
+// valid reports whether a list can be used with the settings. The list of another fleet may contain
+// zones and kinds that the settings do not name.
 func (s Settings) valid(endpoints []Endpoint) bool {
 	if len(endpoints) > maxListLength {
 		return false
@@ -92,6 +101,7 @@
 	return true
 }
 
+// validEndpoint reports whether an endpoint can be used with the settings.
 func (s Settings) validEndpoint(e Endpoint) bool {
 	return e.ID != "" && len(e.ID)+len(e.Address) <= maxEndpointBytes &&
 		e.Zone >= 0 && e.Zone < s.ZoneCount &&
--- a/relays/endpoints_test.go
+++ b/relays/endpoints_test.go
@@ -6,28 +6,30 @@
 	"tallyproxy/policy"
 )
 
-// Snapshots and changes are merged, and the difference of two lists turns one into the other.
+// TestMergeAndDiff guards against a list that differs from the channel's after snapshots, changes
+// and differences have been applied.
 func TestMergeAndDiff(t *testing.T) {
 	list := map[string]Endpoint{}
 	Merge(list, []Endpoint{{ID: "a", Started: 1}, {ID: "b"}}, true)
 	Merge(list, []Endpoint{{ID: "a", Started: 2, State: policy.Draining}, {ID: "b", State: policy.Removed}, {ID: "c"}}, false)
 	if endpoints := SortedEndpoints(list); len(endpoints) != 2 || endpoints[0].Started != 2 || endpoints[0].State != policy.Draining || endpoints[1].ID != "c" {
-		t.Errorf("%+v", endpoints)
+		t.Errorf("merged list is %+v", endpoints)
 	}
 	if Sum(SortedEndpoints(list)) == Sum([]Endpoint{{ID: "a", Started: 2}, {ID: "c"}}) {
-		t.Error("two lists have one sum")
+		t.Error("two different lists have the same sum")
 	}
 	other := map[string]Endpoint{"a": {ID: "a", Started: 1}, "b": {ID: "b"}}
 	diff := Diff(other, SortedEndpoints(list))
 	if len(diff) != 3 || diff[2].ID != "b" || diff[2].State != policy.Removed {
-		t.Errorf("%+v", diff)
+		t.Errorf("difference is %+v", diff)
 	}
 	if Merge(other, diff, false); Sum(SortedEndpoints(other)) != Sum(SortedEndpoints(list)) || Diff(other, SortedEndpoints(list)) != nil {
-		t.Errorf("%+v", other)
+		t.Errorf("list after the difference was applied is %+v", other)
 	}
 }
 
-// A list is valid where the settings name its zones and kinds, all endpoints may be used and it is not too long.
+// TestValidLists guards against the use of a list with unknown zones or kinds, invalid endpoints,
+// or too many endpoints.
 func TestValidLists(t *testing.T) {
 	settings := testSettings("x")
 	for _, c := range []struct {
@@ -44,10 +46,10 @@
 		{Endpoint{ID: "a", State: 7}, false},
 	} {
 		if settings.valid([]Endpoint{c.endpoint}) != c.want {
-			t.Errorf("%+v", c.endpoint)
+			t.Errorf("valid is wrong for %+v", c.endpoint)
 		}
 	}
 	if settings.valid(make([]Endpoint, maxListLength+1)) {
-		t.Error("a list that is too long")
+		t.Error("a list that is too long is valid")
 	}
 }
--- a/relays/golden_test.go
+++ b/relays/golden_test.go
@@ -9,14 +9,15 @@
 	"tallyproxy/policy"
 )
 
-// goldenEndpoints are two endpoints of a list: one with every field set, one with none but the name.
+// goldenEndpoints is a list of two endpoints: one with every field set, and one with only its ID.
 var goldenEndpoints = []Endpoint{
 	{ID: "box-1", Address: "10.1.0.9:1", Zone: 1, Kind: 2, Cell: 3, Weight: 4.5, Started: 1764576000123000, State: policy.Draining},
 	{ID: "box-2"},
 }
 
-// The encoded forms are what instances of different versions exchange during a roll-out. The literals were recorded before any rename
-// and are not to be recorded again.
+// TestGoldenJSON guards against changes of the encoded messages, which instances of different
+// versions exchange during a rolling upgrade. The literals were recorded before any rename and must
+// not be recorded again.
 func TestGoldenJSON(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -46,38 +47,39 @@
 			if string(raw) != c.text {
 				t.Errorf("encoded as %s, want %s", raw, c.text)
 			}
-			read := reflect.New(reflect.TypeOf(c.value))
-			if err := json.Unmarshal([]byte(c.text), read.Interface()); err != nil {
+			decoded := reflect.New(reflect.TypeOf(c.value))
+			if err := json.Unmarshal([]byte(c.text), decoded.Interface()); err != nil {
 				t.Fatal(err)
 			}
-			if got := read.Elem().Interface(); !reflect.DeepEqual(got, c.value) {
-				t.Errorf("read as %+v, want %+v", got, c.value)
+			if got := decoded.Elem().Interface(); !reflect.DeepEqual(got, c.value) {
+				t.Errorf("decoded as %+v, want %+v", got, c.value)
 			}
 		})
 	}
 }
 
-// The sum is compared between instances, and who asks whom follows from the names alone.
+// TestGoldenSum guards against changes of the sum, which instances of different versions compare.
 func TestGoldenSum(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		rows []Endpoint
-		want string
+		name      string
+		endpoints []Endpoint
+		want      string
 	}{
 		{"none", nil, "74234e98afe7498fb5daf1f3"},
 		{"empty", []Endpoint{}, "4f53cda18c2baa0c0354bb5f"},
 		{"two", goldenEndpoints, "e9157e6a0a7982f7acf3ce3c"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := Sum(c.rows); got != c.want {
+			if got := Sum(c.endpoints); got != c.want {
 				t.Errorf("sum %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// The order in which instances come to poll the channel, and the order in which one of them queries the others, are the same in every
-// version.
+// TestGoldenOrder guards against changes of the order in which instances become delegates, and of
+// the order in which an instance queries the others. Both follow from the names alone and must be
+// the same in every version.
 func TestGoldenOrder(t *testing.T) {
 	relay := New(0, testSettings("n3"))
 	relay.SetMembers([]string{"n0", "n1", "n2", "n4", "n5", "n6", "n7"})
--- a/relays/query.go
+++ b/relays/query.go
@@ -2,42 +2,42 @@
 
 import "tallyproxy/policy"
 
-// sourceCount is how many sources that answer and are not stale a director queries.
+// sourceCount is the number of responding sources with current state that a director queries.
 const sourceCount = 2
 
-// Tick returns the directors to send a Query to now. Its SentAt must be now.
+// Tick returns the directors to send a Query to now. The queries' SentAt must be now.
 //
-// Tick is to be called every half of QueryInterval. Where a call comes late, this director itself was late and what it was sent may
-// lie unread: that time counts against no source. Otherwise a fleet that had no processor for a moment would poll the channel all at
-// once.
+// Tick must be called every half of QueryInterval. If a call is late, this director itself was
+// delayed, and responses may be waiting unread, so the delay is not counted against any source.
+// Otherwise all directors of a fleet that briefly had no CPU time would poll the channel at once.
 func (r *Relay) Tick(now policy.Micros) (query []string) {
-	r.forgiveOwnDelay(now)
+	r.excludeOwnDelay(now)
 	if r.isDelegate() {
 		r.silentSince, r.staleSince = now, now
 		return nil
 	}
-	wanted := sourceCount
+	needed := sourceCount
 	for _, name := range r.candidates {
-		if wanted <= 0 {
+		if needed <= 0 {
 			break
 		}
 		s := r.source(name, now)
-		s.expire(now, r.queryInterval(), skipIntervals*r.settings.QueryInterval)
+		s.expireQuery(now, r.queryInterval(), skipIntervals*r.settings.QueryInterval)
 		if now < s.skipUntil {
 			continue
 		}
-		if r.suffices(s, now) {
-			wanted--
+		if r.checkSource(s, now) {
+			needed--
 		}
-		if r.querySource(s, now) {
+		if r.startQuery(s, now) {
 			query = append(query, name)
 		}
 	}
 	return query
 }
 
-// forgiveOwnDelay moves the times that are held against sources by as much as this call of Tick is late.
-func (r *Relay) forgiveOwnDelay(now policy.Micros) {
+// excludeOwnDelay shifts the times by which sources are judged by the delay of this call of Tick.
+func (r *Relay) excludeOwnDelay(now policy.Micros) {
 	gap, first := now-r.lastTick, r.lastTick == 0
 	r.lastTick = now
 	if first || gap <= r.settings.QueryInterval {
@@ -50,7 +50,7 @@
 	}
 }
 
-// source returns the state of a source; one that is new may be queried at once.
+// source returns the state of a source. A new source may be queried immediately.
 func (r *Relay) source(name string, now policy.Micros) *source {
 	s := r.sources[name]
 	if s == nil {
@@ -60,9 +60,10 @@
 	return s
 }
 
-// suffices reports whether a source answers and is not stale as far as is known, and notes it. Where it does not, it is queried all
-// the same, but further sources are too.
-func (r *Relay) suffices(s *source, now policy.Micros) bool {
+// checkSource reports whether a source responds and is not stale, as far as known, and updates
+// silentSince and staleSince. A source that fails the check is still queried, but further sources
+// are queried as well.
+func (r *Relay) checkSource(s *source, now policy.Micros) bool {
 	if s.missed > 0 {
 		return false
 	}
@@ -77,8 +78,8 @@
 	return true
 }
 
-// querySource reports whether a source is due to be queried, and notes that it is.
-func (r *Relay) querySource(s *source, now policy.Micros) bool {
+// startQuery reports whether a query to a source is due and, if so, records it as sent.
+func (r *Relay) startQuery(s *source, now policy.Micros) bool {
 	if s.outstanding != 0 || now-s.queriedAt < r.queryInterval() {
 		return false
 	}
@@ -86,10 +87,10 @@
 	return true
 }
 
-// HandleQuery returns the answer to another director's query. Being queried makes this one poll for DemandWindow, where it is among
-// the first that stand in for the delegates.
+// HandleQuery returns the response to another director's query. If this director is among the first
+// standbyFactor times Delegates in the order, the query makes it poll the channel for DemandWindow.
 func (r *Relay) HandleQuery(now policy.Micros, query Query) Response {
-	if r.position < deputyFactor*r.settings.Delegates {
+	if r.position < standbyFactor*r.settings.Delegates {
 		r.lastQueried = now
 	}
 	if r.inForce.sum == "" {
@@ -98,20 +99,23 @@
 	return Response{query.SentAt, max(0, now-r.inForce.at), r.inForce.sum}
 }
 
-// HandleResponse takes a source's answer. It returns the sum of a list that two sources have told and that is newer than the one in
-// force here, or "": that list is to be requested from this source, and its answer passed to AcceptList.
+// HandleResponse handles a source's response. It returns the sum of a list on which two sources
+// agree and that is newer than the list in force here, or "" if there is none. The caller must
+// request that list from this source and pass it to AcceptList.
 func (r *Relay) HandleResponse(now policy.Micros, from string, response Response) (wantList string) {
 	s := r.sources[from]
 	if s == nil || s.outstanding == 0 || response.SentAt != s.outstanding || response.SentAt > now || response.Age < -1 {
-		return "" // late or never asked for: its age may count from another moment
+		// The response is late or unsolicited: its age may refer to another time.
+		return ""
 	}
-	s.answered(now)
+	s.recordResponse(now)
 	if response.Age < 0 || response.ListSum == "" {
 		return ""
 	}
-	// The source answered after the query was sent, so its poll began no earlier than this.
+	// The source responded after the query was sent, so its poll started no earlier than this
+	// time.
 	s.addList(response.ListSum, response.SentAt-response.Age)
-	agreed := r.agreed()
+	agreed := r.newestAgreedList()
 	if agreed.at <= r.inForce.at {
 		return ""
 	}
@@ -122,10 +126,11 @@
 	return agreed.sum
 }
 
-// AcceptList takes a list that HandleResponse wanted, and reports whether it is still what two sources have told and can be used. From
-// then on it is in force, and is known to have been the channel's until the time returned.
+// AcceptList puts a list that HandleResponse requested in force if two sources still agree on it
+// and it can be used, and reports whether it did. The list is known to have matched the channel's
+// until the returned time.
 func (r *Relay) AcceptList(endpoints []Endpoint) (until policy.Micros, ok bool) {
-	agreed := r.agreed()
+	agreed := r.newestAgreedList()
 	if agreed.sum == "" || agreed.at <= r.inForce.at || agreed.sum != Sum(endpoints) || !r.settings.valid(endpoints) {
 		return 0, false
 	}
@@ -133,12 +138,12 @@
 	return agreed.at, true
 }
 
-// agreed returns the newest list that two sources have told.
-func (r *Relay) agreed() (newest knownList) {
-	for _, one := range r.sources {
+// newestAgreedList returns the newest list on which two sources agree.
+func (r *Relay) newestAgreedList() (newest knownList) {
+	for _, first := range r.sources {
 		for _, other := range r.sources {
-			if one != other {
-				newest = one.agreement(other, newest)
+			if first != other {
+				newest = first.newestCommonList(other, newest)
 			}
 		}
 	}
--- a/relays/relay.go
+++ b/relays/relay.go
@@ -1,11 +1,13 @@
-// Package relays decides which of the directors that know each other poll the command channel, and what the others make of what they
-// are told in its place.
+// Package relays decides which of the directors that know each other poll the command channel, and
+// how the others use the responses of those that poll.
 //
-// A few directors of each zone, its delegates, poll the channel; they are chosen by hash from those that are there. The others query
-// two sources among them, and put an endpoint list in force only where both tell the same one. docs/relays.md argues why a message
-// that comes twice, late, or from a source that is itself out of date undoes nothing.
+// A few directors of each zone, its delegates, poll the channel. They are chosen by hash from the
+// present directors. The other directors query two of them as sources, and put an endpoint list in
+// force only if both sources report the same one. docs/relays.md explains why a message that
+// arrives twice, late, or from a source that is itself out of date reverts nothing.
 //
-// The package does no I/O; its callers pass the clock. All times are microseconds of the director's own monotonic clock.
+// The package does no I/O; its callers pass the current time. All times are in microseconds of the
+// director's own monotonic clock.
 package relays
 
 import (
@@ -17,29 +19,30 @@
 	"tallyproxy/policy"
 )
 
-// deputyFactor times as many directors as there are delegates, those first in the order, poll the channel when they are queried.
-const deputyFactor = 2
+// standbyFactor times the number of delegates is the number of directors, from the head of the
+// order, that poll the channel when they are queried.
+const standbyFactor = 2
 
 // Relay is the state of one director. It is not safe for concurrent use.
 type Relay struct {
 	settings Settings
 	started  policy.Micros
 
-	members    []string // as SetMembers was given them
-	order      []string // the zone's directors, this one among them, in the order in which they become delegates
+	members    []string // as passed to SetMembers
+	order      []string // this zone's directors, including this one, in order of delegation
 	position   int      // of this director in the order
-	candidates []string // sources that this director would query, the preferred ones first
+	candidates []string // sources that may be queried, in order of preference
 
-	sources     map[string]*source // that were queried, by name; no more than the members
-	lastTick    policy.Micros      // 0 before the first
+	sources     map[string]*source // queried sources by name; no more than the members
+	lastTick    policy.Micros      // 0 before the first call of Tick
 	lastQueried policy.Micros      // when another director last queried this one
-	silentSince policy.Micros      // since when no source has answered
-	staleSince  policy.Micros      // since when no source that is not stale has answered
+	silentSince policy.Micros      // start of the time without a response from any source
+	staleSince  policy.Micros      // start of the time without a response from a current source
 	lastPoll    policy.Micros      // when the channel last answered this director itself
-	inForce     knownList          // the list in force here; the sum is empty where there is none
+	inForce     knownList          // the list in force here; its sum is empty if there is none
 }
 
-// New returns the state of a director that knows of no other yet.
+// New returns the state of a director that does not know any others yet.
 func New(now policy.Micros, settings Settings) *Relay {
 	return &Relay{
 		settings:    settings,
@@ -53,7 +56,8 @@
 	}
 }
 
-// SetMembers sets which other directors of the zone are there. It keeps the slice.
+// SetMembers sets the other directors of the zone that are present. It keeps a reference to the
+// slice.
 func (r *Relay) SetMembers(names []string) {
 	if slices.Equal(names, r.members) {
 		return
@@ -69,10 +73,10 @@
 	maps.DeleteFunc(r.sources, func(name string, _ *source) bool { return !slices.Contains(r.order, name) })
 }
 
-// chooseCandidates returns the directors that may be queried: the delegates, which each director prefers in an order of its own, then
-// those that stand in for them.
+// chooseCandidates returns the directors that may be queried: first the delegates, in an order that
+// differs between directors, then the standby directors.
 func (r *Relay) chooseCandidates() []string {
-	first := r.order[:min(len(r.order), deputyFactor*r.settings.Delegates+1)]
+	first := r.order[:min(len(r.order), standbyFactor*r.settings.Delegates+1)]
 	candidates := slices.DeleteFunc(slices.Clone(first), func(name string) bool { return name == r.settings.Name })
 	delegates := candidates[:min(len(candidates), r.settings.Delegates)]
 	seed := hash.Seeded(0, r.settings.Name)
@@ -80,34 +84,38 @@
 	return candidates
 }
 
-// isDelegate reports whether this director polls the channel by its position.
+// isDelegate reports whether this director polls the channel because of its position in the order,
+// or because all directors do.
 func (r *Relay) isDelegate() bool {
 	return r.settings.Delegates == 0 || r.position < r.settings.Delegates
 }
 
-// ShouldPoll reports whether this director polls the channel itself now: it is a delegate, another has queried it of late, no source
-// answers, or all sources are stale and it is this director's turn.
+// ShouldPoll reports whether this director itself polls the channel now: it is a delegate, another
+// director has queried it recently, no source responds, or all sources are stale and it is this
+// director's turn.
 func (r *Relay) ShouldPoll(now policy.Micros) bool {
 	if r.settings.Delegates == 0 {
 		return true
 	}
 	if len(r.order) == 1 && now-r.started < r.settings.StartupWait {
-		return false // it looks for others first
+		return false // wait for other directors to appear
 	}
 	if r.isDelegate() || now-r.lastQueried < r.settings.DemandWindow {
 		return true
 	}
-	checked := now // a director that is late itself has not taken its sources' answers up to now
+	// A director that is itself delayed has not handled its sources' responses up to now.
+	checkedAt := now
 	if r.lastTick > 0 {
-		checked = min(now, r.lastTick+r.settings.QueryInterval/2)
+		checkedAt = min(now, r.lastTick+r.settings.QueryInterval/2)
 	}
 	silentSince := max(r.silentSince, r.started+r.settings.StartupWait)
-	return checked-silentSince >= r.queryInterval() || r.isTurn(checked)
+	return checkedAt-silentSince >= r.queryInterval() || r.isPollingTurn(checkedAt)
 }
 
-// isTurn reports whether it is this director's turn to poll while all its sources are stale. As many take turns at a time as there are
-// delegates, in the order of the directors; one that the channel has answered goes on.
-func (r *Relay) isTurn(now policy.Micros) bool {
+// isPollingTurn reports whether it is this director's turn to poll while all its sources are stale.
+// As many directors as there are delegates take a turn at a time, in the order of the directors. A
+// director whose poll the channel has answered continues to poll.
+func (r *Relay) isPollingTurn(now policy.Micros) bool {
 	staleFor := now - r.staleSince - r.settings.StaleAfter
 	if staleFor < 0 {
 		return false
@@ -120,19 +128,23 @@
 	return turn == policy.Micros(r.position/r.settings.Delegates)-1
 }
 
-// queryInterval is the time between two queries to one source: longer where many directors query the same.
+// queryInterval returns the time between two queries to one source. It is longer in a large zone,
+// where many directors query the same sources.
 func (r *Relay) queryInterval() policy.Micros {
 	return r.settings.QueryInterval * policy.Micros(max(1, len(r.order)/r.settings.DirectorsPerInterval))
 }
 
-// PollSucceeded records the sum of the list that the channel itself has told, in a poll that began at a time. Changes are always put
-// in force; an unchanged list only where the poll began after the time until which the list in force is known to hold.
-func (r *Relay) PollSucceeded(now policy.Micros, sum string, began policy.Micros, changed bool) {
+// PollSucceeded records the sum of the list that the channel itself returned in a poll that started
+// at startedAt. A changed list is always put in force. An unchanged list is put in force only if
+// the poll did not start before the time until which the list in force is known to match the
+// channel's.
+func (r *Relay) PollSucceeded(now policy.Micros, sum string, startedAt policy.Micros, changed bool) {
 	r.lastPoll = now
-	if changed || began >= r.inForce.at {
-		r.inForce = knownList{sum, began}
+	if changed || startedAt >= r.inForce.at {
+		r.inForce = knownList{sum, startedAt}
 	}
 }
 
-// InForce returns the sum of the list in force, and until when it is known to have been the channel's.
+// InForce returns the sum of the list in force, and the time until which that list is known to have
+// matched the channel's.
 func (r *Relay) InForce() (until policy.Micros, sum string) { return r.inForce.at, r.inForce.sum }
--- a/relays/relay_test.go
+++ b/relays/relay_test.go
@@ -12,6 +12,7 @@
 
 const ms = policy.Second / 1000
 
+// testSettings returns the settings of a director in a zone with three delegates.
 func testSettings(name string) Settings {
 	return DeriveSettings(name, 3, 2, 3, policy.Settings{PurgePropagation: 500 * ms, ConnectTimeout: 400 * ms})
 }
@@ -24,23 +25,24 @@
 	return names
 }
 
-// fakeFleet lets relays query each other in simulated time. The channel always has the same list.
+// fakeFleet lets relays query each other in simulated time. The channel's list never changes.
 type fakeFleet struct {
-	now      policy.Micros
-	relays   map[string]*Relay
-	down     map[string]bool // neither answer nor poll
-	cut      map[string]bool // can't reach the channel
-	lastPoll map[string]policy.Micros
-	polls    int // of all directors, those that can't reach the channel among them
+	now         policy.Micros
+	relays      map[string]*Relay
+	down        map[string]bool // directors that neither respond nor poll
+	unreachable map[string]bool // directors that cannot reach the channel
+	lastPoll    map[string]policy.Micros
+	polls       int // by all directors, including those that cannot reach the channel
 }
 
+// newFakeFleet returns n directors that know each other.
 func newFakeFleet(n int) *fakeFleet {
 	f := &fakeFleet{
-		now:      policy.Second,
-		relays:   map[string]*Relay{},
-		down:     map[string]bool{},
-		cut:      map[string]bool{},
-		lastPoll: map[string]policy.Micros{},
+		now:         policy.Second,
+		relays:      map[string]*Relay{},
+		down:        map[string]bool{},
+		unreachable: map[string]bool{},
+		lastPoll:    map[string]policy.Micros{},
 	}
 	for _, name := range directorNames(n) {
 		f.relays[name] = New(f.now, testSettings(name))
@@ -49,14 +51,14 @@
 	return f
 }
 
-// setMembers makes all directors know each other.
+// setMembers makes all directors known to each other.
 func (f *fakeFleet) setMembers() {
 	for name, relay := range f.relays {
 		relay.SetMembers(slices.DeleteFunc(directorNames(len(f.relays)), func(other string) bool { return other == name }))
 	}
 }
 
-// run advances the time in steps of 10 ms.
+// run advances the simulated time in steps of 10 ms.
 func (f *fakeFleet) run(duration policy.Micros) {
 	for until := f.now + duration; f.now < until; f.now += 10 * ms {
 		for _, name := range directorNames(len(f.relays)) {
@@ -67,7 +69,7 @@
 	}
 }
 
-// step lets one director query its sources and poll the channel where it is to.
+// step lets one director query its sources, and poll the channel if it should.
 func (f *fakeFleet) step(name string) {
 	relay := f.relays[name]
 	for _, to := range relay.Tick(f.now) {
@@ -77,13 +79,13 @@
 	}
 	if relay.ShouldPoll(f.now) && f.now-f.lastPoll[name] >= 300*ms {
 		f.lastPoll[name] = f.now
-		if f.polls++; !f.cut[name] {
+		if f.polls++; !f.unreachable[name] {
 			relay.PollSucceeded(f.now, "list", f.now, false)
 		}
 	}
 }
 
-// pollers returns how many directors poll the channel now.
+// pollers returns the number of running directors that poll the channel now.
 func (f *fakeFleet) pollers() (n int) {
 	for name, relay := range f.relays {
 		if !f.down[name] && relay.ShouldPoll(f.now) {
@@ -93,56 +95,59 @@
 	return n
 }
 
-// As many directors poll as there are to be delegates, however many there are. When the delegates die others poll before long. While
-// nobody can reach the channel a few poll. Where only the delegates can't reach it, another director finds that it can.
+// TestWhoPolls guards against too many or too few directors that poll the channel. In a fleet of
+// any size, as many poll as there are delegates. When the delegates fail, others poll soon. While
+// no director can reach the channel, only a few poll. If only the delegates and standby directors
+// cannot reach it, another director discovers that it can.
 func TestWhoPolls(t *testing.T) {
 	for _, n := range []int{4, 40, 150} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFakeFleet(n)
 			if f.run(3 * policy.Second); f.pollers() != 3 {
-				t.Errorf("%d poll the channel", f.pollers())
+				t.Errorf("%d directors poll the channel", f.pollers())
 			}
 			delegates := f.relays["n0"].order[:3]
 			for _, name := range delegates {
 				f.down[name] = true
 			}
 			if f.run(f.relays["n0"].queryInterval() * 5); f.pollers() == 0 || n > 6 && f.pollers() > 6 {
-				t.Errorf("%d poll the channel soon after all who did have died", f.pollers())
+				t.Errorf("%d directors poll the channel soon after the delegates failed", f.pollers())
 			}
 			clear(f.down)
 			f.run(3 * policy.Second)
-			pollsAtRest := f.polls
+			normalPolls := f.polls
 			if f.run(3 * policy.Second); f.pollers() != 3 {
-				t.Errorf("%d poll the channel when they are back", f.pollers())
+				t.Errorf("%d directors poll the channel after the delegates recovered", f.pollers())
 			}
-			pollsAtRest = f.polls - pollsAtRest
+			normalPolls = f.polls - normalPolls
 			for name := range f.relays {
-				f.cut[name] = true
+				f.unreachable[name] = true
 			}
 			f.run(4 * policy.Second)
 			pollsBefore := f.polls
-			if f.run(3 * policy.Second); f.polls-pollsBefore > 5*pollsAtRest {
-				t.Errorf("%d polls while the channel is down for all, %d before", f.polls-pollsBefore, pollsAtRest)
+			if f.run(3 * policy.Second); f.polls-pollsBefore > 5*normalPolls {
+				t.Errorf("%d polls while no director can reach the channel, %d before", f.polls-pollsBefore, normalPolls)
 			}
 			for name, relay := range f.relays {
-				f.cut[name] = relay.position < deputyFactor*3
+				f.unreachable[name] = relay.position < standbyFactor*3
 			}
 			reached := false
 			for range 20 {
 				f.run(policy.Second)
 				for name, relay := range f.relays {
-					reached = reached || !f.cut[name] && f.now-relay.lastPoll < policy.Second
+					reached = reached || !f.unreachable[name] && f.now-relay.lastPoll < policy.Second
 				}
 			}
 			if n > 6 && !reached {
-				t.Error("nobody who could reach the channel polled it")
+				t.Error("no director that can reach the channel polled it")
 			}
 		})
 	}
 }
 
-// A director whose sources are silent polls the channel before the propagation time of a purge is over. One that has just started
-// waits for others first.
+// TestSilentSources guards against stale state when all sources are silent: the director must poll
+// the channel before the propagation time of a purge is over. A newly started director first waits
+// for others to appear.
 func TestSilentSources(t *testing.T) {
 	f := newFakeFleet(10)
 	f.run(2 * policy.Second)
@@ -151,39 +156,40 @@
 		f.down[name] = name != last
 	}
 	if f.run(2 * f.relays[last].queryInterval()); f.relays[last].ShouldPoll(f.now) {
-		t.Error("it polls at once")
+		t.Error("the director polls immediately")
 	}
 	if f.run(400*ms - 2*f.relays[last].queryInterval() + f.relays[last].queryInterval()); !f.relays[last].ShouldPoll(f.now) {
-		t.Error("it does not poll before the propagation time is over")
+		t.Error("the director does not poll before the propagation time is over")
 	}
 	relay := New(policy.Second, testSettings("x"))
 	if relay.ShouldPoll(policy.Second+399*ms) || !relay.ShouldPoll(policy.Second+400*ms) {
-		t.Error("one that has started and knows nobody polls too early or too late")
+		t.Error("a newly started director that knows no others polls too early or too late")
 	}
 	s := testSettings("x")
 	s.Delegates = 0
 	if relay := New(0, s); !relay.ShouldPoll(0) || relay.Tick(0) != nil {
-		t.Error("without delegates a director does not poll, or queries others")
+		t.Error("a director in a zone without delegates does not poll, or queries others")
 	}
 }
 
-// Whatever comes twice, late, out of order, from a stale source or from one that lies: the list in force was the channel's at the time
-// that the relay says, or later, and that time never goes back.
+// TestMessagesInAnyOrder checks messages that are repeated, late, out of order, or from a stale or
+// faulty source (named liar). The list in force must have matched the channel's at the time that
+// the relay reports or later, and that time must never move back.
 func TestMessagesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := func(version int) []Endpoint { return []Endpoint{{ID: fmt.Sprint("box-", version)}} }
 		relay := New(1, testSettings("me"))
 		others := []string{"a", "b", "c", "liar"}
 		relay.SetMembers(others)
-		if relay.isDelegate() { // its name decides
+		if relay.isDelegate() { // depends on its name
 			t.Fatal("the director under test is a delegate")
 		}
-		now, validFrom := policy.Second, []policy.Micros{0} // when each version became the channel's
+		now, validFrom := policy.Second, []policy.Micros{0} // when each version was published
 		type poll struct {
 			began   policy.Micros
 			version int
 		}
-		polls := map[string]poll{} // the last one of each source
+		polls := map[string]poll{} // latest poll of each source
 		type delivery struct {
 			from string
 			Response
@@ -193,7 +199,7 @@
 		until := policy.Micros(0)
 		for range rapid.IntRange(5, 120).Draw(t, "steps") {
 			now += policy.Micros(rapid.IntRange(1, 200_000).Draw(t, "later"))
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "operation") {
 			case 0:
 				validFrom = append(validFrom, now)
 			case 1:
@@ -203,13 +209,13 @@
 				for _, name := range relay.Tick(now) {
 					queriedAt[name] = now
 				}
-			case 3: // a response to a query that may be an old one
+			case 3: // a response to a query, which may be an old one
 				name := rapid.SampledFrom(others).Draw(t, "answers")
 				last, ok := polls[name]
 				if sentAt := queriedAt[name]; sentAt > 0 && ok {
 					response := Response{SentAt: sentAt, Age: now - last.began, ListSum: Sum(list(last.version))}
 					if name == "liar" {
-						response.Age, response.ListSum = 0, Sum(list(rapid.IntRange(0, len(validFrom)).Draw(t, "lie")))
+						response.Age, response.ListSum = 0, Sum(list(rapid.IntRange(0, len(validFrom)).Draw(t, "false version")))
 					}
 					inFlight = append(inFlight, delivery{name, response})
 				}
@@ -232,7 +238,7 @@
 			}
 			at, sum := relay.InForce()
 			if at < until {
-				t.Fatalf("in force until %d, before until %d", at, until)
+				t.Fatalf("list in force until %d, previously until %d", at, until)
 			}
 			if until = at; sum == "" {
 				continue
@@ -242,14 +248,15 @@
 				version++
 			}
 			if version == len(validFrom) || version+1 < len(validFrom) && validFrom[version+1] <= at {
-				t.Fatalf("version %d of %v is said to hold at %d", version, validFrom, at)
+				t.Fatalf("version %d of %v is reported as the channel's at %d", version, validFrom, at)
 			}
 		}
 	})
 }
 
-// A director that had no processor for a while holds that time against no source, and goes on querying. One whose sources are silent
-// while it runs polls the channel as early as ever.
+// TestOwnDelay guards against a director that counts its own lack of CPU time against its sources
+// and therefore polls the channel. A director whose sources are silent while it runs must poll as
+// early as ever.
 func TestOwnDelay(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -267,17 +274,17 @@
 			last := f.now + 130*ms
 			for now := last + c.tickInterval; now <= last+600*ms; now += c.tickInterval {
 				if relay.ShouldPoll(now) && !c.polls {
-					t.Error("it polls before it has taken the answers")
+					t.Error("the director polls before it has handled the responses")
 				}
 				relay.Tick(now)
 			}
 			if relay.ShouldPoll(last+600*ms) != c.polls {
-				t.Errorf("polls: %v", !c.polls)
+				t.Errorf("ShouldPoll is %v", !c.polls)
 			}
-			for _, to := range queried { // their answers lay unread
+			for _, to := range queried { // their responses waited unread
 				relay.HandleResponse(last+600*ms, to, Response{SentAt: last, Age: 0, ListSum: "list"})
 				if !c.polls && relay.sources[to].answeredAt != last+600*ms {
-					t.Errorf("the answer of %s was not taken", to)
+					t.Errorf("the response of %s was not accepted", to)
 				}
 			}
 		})
--- a/relays/report.go
+++ b/relays/report.go
@@ -10,13 +10,13 @@
 // Report is the state of a Relay for operators.
 type Report struct {
 	Polls     bool     `json:"calls"`   // this director polls the channel itself
-	Delegate  bool     `json:"chosen"`  // because it is a delegate
-	Sources   []string `json:"sources"` // that have answered of late and are not stale, by name
-	AgeMicros int64    `json:"age_us"`  // how long ago the list in force is known to have been the channel's
-	ListSum   string   `json:"sum"`     // of that list
+	Delegate  bool     `json:"chosen"`  // this director is a delegate
+	Sources   []string `json:"sources"` // responding sources that are not stale, by name
+	AgeMicros int64    `json:"age_us"`  // µs since the list was last known to match the channel's
+	ListSum   string   `json:"sum"`     // sum of the list in force
 }
 
-// Report returns the state now.
+// Report returns the report at the given time.
 func (r *Relay) Report(now policy.Micros) Report {
 	report := Report{
 		Polls:     r.ShouldPoll(now),
--- a/relays/source.go
+++ b/relays/source.go
@@ -3,42 +3,45 @@
 import "tallyproxy/policy"
 
 const (
-	maxMissed      = 2  // queries without an answer, in a row, after which a source is skipped
+	maxMissed      = 2  // consecutive unanswered queries after which a source is skipped
 	skipIntervals  = 16 // query intervals for which a source is skipped
-	listsPerSource = 4  // latest lists that are remembered of each source
+	listsPerSource = 4  // latest lists that are kept per source
 )
 
-// source is another director as a source of the channel's state. All times are on the own clock.
+// source tracks another director that this one queries for the channel's state. All times are by
+// this director's clock.
 type source struct {
-	outstanding policy.Micros // when the query that waits for an answer was sent; 0 for none
-	ownDelay    policy.Micros // how long this director itself has been late since then
-	queriedAt   policy.Micros // when it was last queried
-	missed      int           // queries without an answer, in a row
-	skipUntil   policy.Micros // it is not queried before this time
-	currentAt   policy.Micros // the latest time at which what it told is known to have been the channel's state; 0 for none
-	answeredAt  policy.Micros // when it last answered; 0 for never
-	lists       []knownList   // the latest last, listsPerSource at most
+	outstanding policy.Micros // when the unanswered query was sent; 0 if there is none
+	ownDelay    policy.Micros // delay of this director itself since then
+	queriedAt   policy.Micros // when the source was last queried
+	missed      int           // consecutive unanswered queries
+	skipUntil   policy.Micros // the source is not queried before this time
+	currentAt   policy.Micros // latest time at which its list matched the channel's; 0 if none
+	answeredAt  policy.Micros // when the source last responded; 0 if never
+	lists       []knownList   // in order of arrival, listsPerSource at most
 }
 
-// knownList is a list that was the channel's at a time.
+// knownList is the sum of a list, and a time at which the list matched the channel's.
 type knownList struct {
 	sum string
 	at  policy.Micros
 }
 
-// newer orders lists by time, and those of one time by sum, so that the choice does not depend on the order of a map.
-func (l knownList) newer(than knownList) bool {
-	return l.at > than.at || l.at == than.at && l.sum < than.sum
+// newer reports whether l is newer than other. Lists of the same time are ordered by sum, so that
+// the choice does not depend on the order of a map.
+func (l knownList) newer(other knownList) bool {
+	return l.at > other.at || l.at == other.at && l.sum < other.sum
 }
 
-// stale reports whether what the source told is not the channel's state of late.
+// stale reports whether the source's state of the channel is older than staleAfter, or unknown.
 func (s *source) stale(now, staleAfter policy.Micros) bool {
 	return s.currentAt == 0 || now-s.currentAt > staleAfter
 }
 
-// expire counts a query that was not answered within the interval. After maxMissed of them what the source told is forgotten, and it
-// is skipped for a while.
-func (s *source) expire(now, interval, skip policy.Micros) {
+// expireQuery counts a query that was not answered within the interval. After maxMissed such
+// queries in a row, the state that the source reported is dropped, and the source is skipped for a
+// while.
+func (s *source) expireQuery(now, interval, skip policy.Micros) {
 	if s.outstanding <= 0 || now-s.outstanding-s.ownDelay < interval {
 		return
 	}
@@ -49,12 +52,12 @@
 	}
 }
 
-// answered records that the outstanding query was answered.
-func (s *source) answered(now policy.Micros) {
+// recordResponse records that the outstanding query was answered.
+func (s *source) recordResponse(now policy.Micros) {
 	s.outstanding, s.missed, s.skipUntil, s.answeredAt = 0, 0, 0, now
 }
 
-// addList records that the source's list was the channel's at a time.
+// addList records that the list reported by the source matched the channel's at a time.
 func (s *source) addList(sum string, at policy.Micros) {
 	s.currentAt = max(s.currentAt, at)
 	if last := len(s.lists) - 1; last >= 0 && s.lists[last].sum == sum {
@@ -67,9 +70,10 @@
 	}
 }
 
-// agreement returns the newest list that both sources have told, where it is newer than the given one; else the given one. A list is
-// agreed on up to the earlier of the two times.
-func (s *source) agreement(other *source, newest knownList) knownList {
+// newestCommonList returns the newest list that both sources have reported if it is newer than the
+// given list; otherwise it returns the given list. The sources agree on a list up to the earlier of
+// their two times.
+func (s *source) newestCommonList(other *source, newest knownList) knownList {
 	for _, mine := range s.lists {
 		for _, theirs := range other.lists {
 			both := knownList{mine.sum, min(mine.at, theirs.at)}
