--- a/overload/controller.go
+++ b/overload/controller.go
@@ -1,13 +1,18 @@
-// Package overload notices retry and reconnect storms from what one director sees by itself. During a storm it gives rejected clients
-// a retry-after time that is a reserved slot in one of the next windows of time: as many slots as the caches have capacity for then,
-// beside first attempts. It rejects retries only, when they come before their slot or when the capacity of the current window is reserved
-// for others; every other limit is the caller's. It does no I/O, takes the clock as a value, and draws random numbers from its seed alone.
+// Package overload detects retry and reconnect storms from the load that one director observes.
+// During a storm, the retry-after time of a rejected client is a reserved slot in one of the coming
+// time windows. The slots of a window add up to the capacity that the caches have left in it beside
+// first attempts. The package rejects only retries: those that come before their slot, and those
+// without a slot if the capacity of the current window is reserved for others. All other limits are
+// up to the caller. The package does no I/O, takes the time as an argument, and draws random
+// numbers only from its seed.
 //
-// A Controller is told of every request before it is routed (Admit), of every request that succeeded (Completed) and of every new client
-// connection (ClientConnected), and is asked for a time when a request is rejected (RetryAfter).
+// A Controller counts every request before it is routed (Admit), every successful request
+// (Completed) and every new client connection (ClientConnected). For a rejected request it returns
+// the retry-after time (RetryAfter).
 //
-// A storm is rising when demand exceeds capacity and there is a sign of a storm (many retries, many new connections, or
-// cold caches). It is held after a few windows, draining once demand has stayed below capacity, and over once no reservation is left.
+// A storm is rising when demand exceeds capacity and there is a sign of a storm (many retries, many
+// new connections, or cold caches). It is held after a few windows, draining once demand has stayed
+// below capacity, and over once no reservations are left.
 package overload
 
 import (
@@ -15,34 +20,38 @@
 	"tallyproxy/policy"
 )
 
-// CapacityEstimate is the work that the zone's ready caches can do for this director, in transfers at full pace.
+// CapacityEstimate estimates the work that the ready caches of the zone can do for this director,
+// as a number of concurrent transfers at full rate.
 type CapacityEstimate interface {
-	// Capacity is the estimate for a time, now or ahead; 0 where it is not known.
+	// Capacity returns the estimate for a present or future time, or 0 if it is unknown.
 	Capacity(at policy.Micros) float64
-	// WarmCapacity is the estimate if all ready caches were warm; 0 where it is not known.
+	// WarmCapacity returns what the estimate would be if all ready caches were warm, or 0 if it is
+	// unknown.
 	WarmCapacity() float64
 }
 
-// Admission is one request as the controller sees it. It lives as long as the request and belongs to the same goroutine.
+// Admission describes one request to the Controller. It lives as long as the request and belongs to
+// the same goroutine.
 type Admission struct {
-	ClientHash   uint64  // hash of the client's address; 0 where it is not known
+	ClientHash   uint64  // hash of the client's address; 0 if unknown
 	ObjectHash   uint64  // hash of content type, object and part
-	Work         float64 // sending time at full pace, in microseconds
-	RelativeCost float64 // work for a unit of priority weight, over that of the average request
-	IsRetry      bool    // the client marked the request as a retry
+	Work         float64 // sending time at full rate, in microseconds
+	RelativeCost float64 // work per unit of priority weight, relative to the average request
+	IsRetry      bool    // client marked the request as a retry
 
-	early         bool          // it came before the time that it was given
-	onTime        bool          // it came at that time
-	reserved      bool          // it came at that time, and capacity was reserved for it
-	admittedRetry bool          // it is a retry that was admitted against the capacity of a window during a storm
-	retryAt       policy.Micros // the time that its client was given
+	early         bool          // arrived before the time that the client was given
+	onTime        bool          // arrived at that time
+	reserved      bool          // arrived at that time, and capacity was reserved for it
+	admittedRetry bool          // retry admitted against the capacity of a window during a storm
+	retryAt       policy.Micros // time that the client was given for its retry
 }
 
-// OnTime reports whether the request came at the time of its reserved slot. It then counts as a first attempt.
+// OnTime reports whether the request arrived at the time of its reserved slot. Such a request
+// counts as a first attempt.
 func (a *Admission) OnTime() bool { return a.reserved }
 
-// Controller holds what one director knows of the load. It is not safe for concurrent use: the goroutine of the routing.Router that owns
-// it makes all calls. Its memory is bounded by the settings.
+// Controller tracks the load of one director. It is not safe for concurrent use: the goroutine of
+// the routing.Router that owns it makes all calls. Its memory is bounded by the settings.
 type Controller struct {
 	settings     Settings
 	estimate     CapacityEstimate
@@ -52,23 +61,24 @@
 	onChange     func(now policy.Micros, report Report) // may be nil
 
 	state            State
-	enteredAt        int64 // the window in which the state was entered
-	windowsBelow     int   // windows in a row in which demand stayed below capacity
-	current          int64 // the number of the current window
+	enteredAt        int64 // number of the window in which the state began
+	windowsBelow     int   // consecutive windows with demand below capacity
+	current          int64 // number of the current window
 	recent           [recentWindows]window
-	reservedWork     []float64 // reserved work by window: a ring of the windows ahead, cleared as they pass
-	usualConnections float64   // running mean of new connections in a window
-	firstAttemptWork float64   // forecast of the work of first attempts in a window
-	capacityFactor   float64   // correction of the capacity estimate, learned from what became of admitted retries
-	keptShare        float64   // running share of reserved work that clients came back for
-	bestWork         float64   // most work completed in a window lately; stands in for a capacity that is not known
+	reservedWork     []float64 // ring of the reserved work of the windows ahead
+	meanConnections  float64   // running mean of new connections per window
+	firstAttemptWork float64   // forecast of the work of first attempts per window
+	capacityFactor   float64   // correction of the capacity estimate, learned from admitted retries
+	keptShare        float64   // running share of reserved work whose clients returned for it
+	peakWork         float64   // recent peak of completed work per window; fallback for the capacity
 	heavyObject      heavyHitter
 	reservations     *reservationTable
 	earlyRetries     *sketch
 }
 
-// New makes a controller for clients that heed retry-after times up to maxRetryAfter; where that is too short for the settings' windows,
-// and in another mode than ModeReserve, it never sees a storm. onChange, unless nil, is called with every change of state, within the
+// New returns a Controller for clients that honor retry-after times up to maxRetryAfter. It never
+// detects a storm in a mode other than ModeReserve, or if maxRetryAfter is too short for the number
+// of windows in the settings. onChange, unless nil, is called on every change of state, within the
 // call that causes it.
 func New(settings Settings, maxRetryAfter policy.Micros, seed uint64, estimate CapacityEstimate, onChange func(policy.Micros, Report)) *Controller {
 	c := &Controller{
@@ -95,8 +105,9 @@
 	c.currentWindow().newConnections++
 }
 
-// Admit counts a request and reports whether it may be routed. It may not where it is a retry that came before its slot, or one without
-// a slot while the rest of the current window's capacity is needed for others.
+// Admit counts a request and reports whether it may be routed. It rejects a retry that comes before
+// its slot, and a retry without a slot if the rest of the current window's capacity is needed for
+// others.
 func (c *Controller) Admit(now policy.Micros, a *Admission) bool {
 	if c.settings.Mode != ModeReserve {
 		return true
@@ -115,7 +126,7 @@
 	}
 	c.heavyObject.add(a.ObjectHash, a.Work)
 	if c.state == Calm && c.overloaded(now) {
-		c.enter(now, Rising)
+		c.setState(now, Rising)
 	}
 	if a.IsRetry && !a.reserved && c.state >= Held && !c.hasCapacity(now, a.Work) {
 		return false
@@ -127,7 +138,8 @@
 	return true
 }
 
-// redeem looks up the retry's reservation and uses it up, unless the retry comes before it during a storm: then it reports false.
+// redeem looks up the retry's reservation and removes it. During a storm, if the retry comes before
+// its reserved time, redeem keeps the reservation and returns false.
 func (c *Controller) redeem(now policy.Micros, a *Admission) bool {
 	r := c.reservations.find(reservationID(a))
 	if r == nil {
@@ -152,14 +164,15 @@
 	return true
 }
 
-// hasCapacity reports whether the current window can take more work beside what is admitted, reserved and forecast for its rest.
+// hasCapacity reports whether the current window has capacity for more work, beside the work that
+// is admitted, reserved, or forecast for the rest of the window.
 func (c *Controller) hasCapacity(now policy.Micros, work float64) bool {
 	reserved := *c.reservedIn(c.current) * max(minKeptShare, c.keptShare)
 	rest := 1 - float64(now%c.windowLength)/float64(c.windowLength)
 	return c.currentWindow().admittedWork+reserved+c.firstAttemptWork*rest+work <= c.windowCapacity(now)
 }
 
-// Completed counts a request that succeeded, late or in time.
+// Completed counts a successful request; late is true if it missed its latency objective.
 func (c *Controller) Completed(now policy.Micros, a *Admission, late bool) {
 	if c.settings.Mode != ModeReserve {
 		return
@@ -171,13 +184,14 @@
 	}
 }
 
-// RetryAfter is how long the client of a rejected request should wait before it retries; 0 for no advice. ordinary is the advice in calm.
-func (c *Controller) RetryAfter(now policy.Micros, a *Admission, ordinary policy.Micros) policy.Micros {
+// RetryAfter returns how long the client of a rejected request should wait before it retries, or 0
+// for no advice. Outside a storm, ModeReserve returns defaultRetryAfter; ModeFixed always does.
+func (c *Controller) RetryAfter(now policy.Micros, a *Admission, defaultRetryAfter policy.Micros) policy.Micros {
 	if c.settings.Mode == ModeSilent {
 		return 0
 	}
 	if c.settings.Mode == ModeFixed {
-		return ordinary
+		return defaultRetryAfter
 	}
 	c.advance(now)
 	if a.admittedRetry {
@@ -185,7 +199,7 @@
 		a.admittedRetry = false
 	}
 	if c.state == Calm {
-		return ordinary
+		return defaultRetryAfter
 	}
 	if !a.early {
 		a.retryAt = c.reserve(now, a)
--- a/overload/golden_test.go
+++ b/overload/golden_test.go
@@ -13,10 +13,10 @@
 	"tallyproxy/policy"
 )
 
-// The values in this file were recorded once and are never recorded anew: tools of other versions read the report, and simulated
-// runs compare decisions.
+// The values in this file were recorded once and must not be recorded again: tools of other
+// versions read the report, and simulated runs compare decisions.
 
-// TestGoldenReport checks the report's JSON, which the state socket tells.
+// TestGoldenReport guards against changes of the report's JSON, which the state socket serves.
 func TestGoldenReport(t *testing.T) {
 	const want = `{"State":2,"Asks":1,"Repeats":2,"Early":3,"Connects":4,"Demand":5.5,"Warm":0.25,"Promised":6.5,"Kept":0.5,"Part":7.5,"Remembers":8}`
 	report := Report{
@@ -31,7 +31,8 @@
 	}
 }
 
-// TestGoldenStates checks the states' numbers, which the report's JSON holds, and their names, which logs and tools print.
+// TestGoldenStates guards against changes of the states' numbers, which the report's JSON contains,
+// and of their names, which logs and tools print.
 func TestGoldenStates(t *testing.T) {
 	for i, want := range []string{"calm", "rising", "held", "draining"} {
 		if got := State(i).String(); got != want {
@@ -39,11 +40,12 @@
 		}
 	}
 	if Calm != 0 || Rising != 1 || Held != 2 || Draining != 3 {
-		t.Error("the states have other numbers")
+		t.Error("the numbers of the states have changed")
 	}
 }
 
-// TestGoldenHashes checks the hashes and the random numbers that decisions depend on.
+// TestGoldenHashes guards against changes of the hashes and random numbers that decisions depend
+// on.
 func TestGoldenHashes(t *testing.T) {
 	r := random.NewMixed(7)
 	got := fmt.Sprintf("%#x %#x %v %v %v", hash.Finalize(0x9e3779b97f4a7c15), reservationID(&Admission{ClientHash: 5, ObjectHash: 9}), r.Float64(), r.Float64(), r.Float64())
@@ -52,7 +54,7 @@
 	}
 }
 
-// TestGoldenDecisions plays drawn storms and compares a hash of every decision, in its order.
+// TestGoldenDecisions runs randomly drawn storms and compares a hash of all decisions in order.
 func TestGoldenDecisions(t *testing.T) {
 	for _, c := range []struct{ seed, want uint64 }{
 		{1, 0xa0372a5b91a323a5},
@@ -61,28 +63,28 @@
 	} {
 		r := rand.New(rand.NewPCG(c.seed, 11))
 		var trace strings.Builder
-		f := &fakeCaches{full: 12, from: 0.2, began: 10 * policy.Second, warm: 8 * policy.Second}
-		g := newTestController(f, func(now policy.Micros, r Report) {
+		caches := &fakeCaches{warmCapacity: 12, coldShare: 0.2, warmUpStart: 10 * policy.Second, warmUpDuration: 8 * policy.Second}
+		controller := newTestController(caches, func(now policy.Micros, r Report) {
 			fmt.Fprintln(&trace, now, r.State, r.Requests, r.Demand, r.ReservedShare, r.KeptShare, r.CapacityFactor)
 		})
 		now := 10 * policy.Second
 		for range 8000 {
 			now += policy.Micros(r.IntN(int(8 * ms)))
 			if r.IntN(4) == 0 {
-				g.ClientConnected(now)
+				controller.ClientConnected(now)
 			}
 			a := request(r.IntN(300), r.IntN(3) == 0)
 			a.Work *= 2 * r.Float64()
 			a.RelativeCost = 3 * r.Float64()
-			in := g.Admit(now, a)
-			fmt.Fprintln(&trace, now, in, a.OnTime())
-			if in && r.IntN(3) > 0 {
-				g.Completed(now, a, r.IntN(5) == 0)
+			admitted := controller.Admit(now, a)
+			fmt.Fprintln(&trace, now, admitted, a.OnTime())
+			if admitted && r.IntN(3) > 0 {
+				controller.Completed(now, a, r.IntN(5) == 0)
 				continue
 			}
-			fmt.Fprintln(&trace, g.RetryAfter(now, a, 250*ms))
+			fmt.Fprintln(&trace, controller.RetryAfter(now, a, 250*ms))
 		}
-		report := g.Report(now)
+		report := controller.Report(now)
 		fmt.Fprintln(&trace, report.WarmShare, report.Reservations, report.EarlyRetries)
 		if got := sum64(&trace); got != c.want {
 			t.Errorf("{%d, %#x},", c.seed, got)
@@ -90,7 +92,7 @@
 	}
 }
 
-// sum64 is the FNV-1a hash of a trace.
+// sum64 returns the FNV-1a hash of a trace.
 func sum64(trace *strings.Builder) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(trace.String()))
--- a/overload/heavyhitter.go
+++ b/overload/heavyhitter.go
@@ -2,8 +2,8 @@
 
 const heavyHitterCounters = 4
 
-// heavyHitter finds an object that is most of the demand, by the work requested for it: the counters of Misra and Gries' algorithm,
-// halved with every window.
+// heavyHitter finds an object that causes most of the demand, by the work requested for it. It
+// keeps the counters of the Misra-Gries algorithm and halves them with every window.
 type heavyHitter struct {
 	objects [heavyHitterCounters]uint64 // hashes
 	work    [heavyHitterCounters]float64
@@ -36,7 +36,7 @@
 	}
 }
 
-// share is the part of all work that is the heaviest object's, or a little less.
+// share returns the heaviest object's share of all work, or slightly less.
 func (h *heavyHitter) share() float64 {
 	if h.total <= 0 {
 		return 0
@@ -44,8 +44,8 @@
 	return max(h.work[0], h.work[1], h.work[2], h.work[3]) / h.total
 }
 
-// fade halves all counts.
-func (h *heavyHitter) fade() {
+// halve halves all counts.
+func (h *heavyHitter) halve() {
 	for i := range h.work {
 		h.work[i] /= 2
 	}
--- a/overload/heavyhitter_test.go
+++ b/overload/heavyhitter_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
+// TestHeavyHitterShare guards against a wrong estimate of the heaviest object's share.
 func TestHeavyHitterShare(t *testing.T) {
 	cases := []struct {
-		name        string
-		share       float64 // of one object
-		least, most float64
+		name      string
+		share     float64 // of the heaviest object
+		low, high float64
 	}{{"none", 0, 0, 0.2}, {"a third", 0.33, 0, 0.4}, {"half", 0.5, 0.35, 0.55}, {"nearly all", 0.95, 0.9, 1}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -22,11 +23,11 @@
 				}
 				h.add(object, 1)
 				if i%500 == 499 {
-					h.fade()
+					h.halve()
 				}
 			}
-			if got := h.share(); got < c.least || got > c.most {
-				t.Errorf("share %.2f, want %.2f to %.2f", got, c.least, c.most)
+			if got := h.share(); got < c.low || got > c.high {
+				t.Errorf("share %.2f, want %.2f to %.2f", got, c.low, c.high)
 			}
 		})
 	}
--- a/overload/helpers_test.go
+++ b/overload/helpers_test.go
@@ -6,19 +6,19 @@
 
 const ms policy.Micros = 1000
 
-// fakeCaches is a capacity that rises on a straight line from a time on.
+// fakeCaches has a capacity that rises linearly from a cold share during the warm-up.
 type fakeCaches struct {
-	full, from float64
-	began      policy.Micros
-	warm       policy.Micros
+	warmCapacity, coldShare float64
+	warmUpStart             policy.Micros
+	warmUpDuration          policy.Micros
 }
 
-func (c *fakeCaches) WarmCapacity() float64 { return c.full }
+func (c *fakeCaches) WarmCapacity() float64 { return c.warmCapacity }
 func (c *fakeCaches) Capacity(at policy.Micros) float64 {
-	if at >= c.began+c.warm {
-		return c.full
+	if at >= c.warmUpStart+c.warmUpDuration {
+		return c.warmCapacity
 	}
-	return c.full * (c.from + (1-c.from)*float64(max(0, at-c.began))/float64(c.warm))
+	return c.warmCapacity * (c.coldShare + (1-c.coldShare)*float64(max(0, at-c.warmUpStart))/float64(c.warmUpDuration))
 }
 
 func newTestController(estimate CapacityEstimate, onChange func(policy.Micros, Report)) *Controller {
@@ -27,36 +27,37 @@
 	return New(s, policy.Second, 7, estimate, onChange)
 }
 
-// crowd plays clients against a controller and a plain limit, in simulated time: an admitted request is served where the caches have
-// capacity in the current slice of time, else rejected.
-type crowd struct {
+// simulation runs clients against a controller and a plain capacity limit, in simulated time. An
+// admitted request succeeds if the caches have capacity in the current time slice, and is rejected
+// otherwise.
+type simulation struct {
 	controller *Controller
 	caches     *fakeCaches
 	now        policy.Micros
-	spent      float64 // work done in the slice
+	sliceWork  float64 // work done in the current slice
 	slice      policy.Micros
-	served     map[int]policy.Micros // by client, when it was served
-	retryAt    map[int]policy.Micros // by client, the time that it was given
+	served     map[int]policy.Micros // by client: when its request succeeded
+	retryAt    map[int]policy.Micros // by client: when it was told to retry
 }
 
-func (c *crowd) try(client int, a *Admission) (served bool, retryAfter policy.Micros) {
-	if at := c.now / (10 * ms); at != c.slice {
-		c.slice, c.spent = at, 0
+func (s *simulation) send(client int, a *Admission) (served bool, retryAfter policy.Micros) {
+	if at := s.now / (10 * ms); at != s.slice {
+		s.slice, s.sliceWork = at, 0
 	}
-	if c.controller.Admit(c.now, a) && c.spent+a.Work <= c.caches.Capacity(c.now)*float64(10*ms) {
-		c.spent += a.Work
-		c.controller.Completed(c.now, a, false)
-		c.served[client] = c.now
+	if s.controller.Admit(s.now, a) && s.sliceWork+a.Work <= s.caches.Capacity(s.now)*float64(10*ms) {
+		s.sliceWork += a.Work
+		s.controller.Completed(s.now, a, false)
+		s.served[client] = s.now
 		return true, 0
 	}
-	retryAfter = c.controller.RetryAfter(c.now, a, 250*ms)
-	c.retryAt[client] = c.now + retryAfter
+	retryAfter = s.controller.RetryAfter(s.now, a, 250*ms)
+	s.retryAt[client] = s.now + retryAfter
 	return false, retryAfter
 }
 
-func newCrowd(full float64, onChange func(policy.Micros, Report)) *crowd {
-	f := &fakeCaches{full: full, from: 0.2, began: 100 * policy.Second, warm: 10 * policy.Second}
-	return &crowd{controller: newTestController(f, onChange), caches: f, now: 100 * policy.Second, served: map[int]policy.Micros{}, retryAt: map[int]policy.Micros{}}
+func newSimulation(warmCapacity float64, onChange func(policy.Micros, Report)) *simulation {
+	caches := &fakeCaches{warmCapacity: warmCapacity, coldShare: 0.2, warmUpStart: 100 * policy.Second, warmUpDuration: 10 * policy.Second}
+	return &simulation{controller: newTestController(caches, onChange), caches: caches, now: 100 * policy.Second, served: map[int]policy.Micros{}, retryAt: map[int]policy.Micros{}}
 }
 
 func request(client int, isRetry bool) *Admission {
--- a/overload/reservations.go
+++ b/overload/reservations.go
@@ -2,17 +2,18 @@
 
 import "tallyproxy/policy"
 
-const reservationWays = 4 // entries of a row of the table
+const reservationWays = 4 // entries per row of the table
 
-// reservation is the time that one client was given for one object.
+// reservation is the time that a client was given to retry a request for an object.
 type reservation struct {
-	id   uint64 // 0 for a free entry
+	id   uint64 // 0 marks a free entry
 	at   policy.Micros
-	work float32 // work reserved for it, in microseconds of sending time; 0 where no window had room
+	work float32 // reserved work in microseconds of sending time; 0 if no window had room
 }
 
-// reservationTable remembers reservations in a fixed number of rows of four. A new one takes the row's free entry, else the entry whose
-// time is over first, so old entries leave by time or by what comes when their row is full.
+// reservationTable stores reservations in a fixed number of rows of four entries. A new reservation
+// takes a free entry of its row, or else replaces the entry with the earliest time. Expired entries
+// are therefore replaced first, and a full row drops its earliest reservation.
 type reservationTable struct {
 	rows [][reservationWays]reservation
 }
@@ -25,7 +26,7 @@
 	return &t.rows[id>>8%uint64(len(t.rows))]
 }
 
-// find returns the entry of an id, or nil. The entry is valid until the next put.
+// find returns the entry with an id, or nil. The entry is valid until the next put.
 func (t *reservationTable) find(id uint64) *reservation {
 	row := t.row(id)
 	for i := range row {
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// put stores a reservation under an id, in place of an earlier one of the same id.
+// put stores a reservation under an id and replaces an earlier one with the same id.
 func (t *reservationTable) put(id uint64, r reservation) {
 	row := t.row(id)
 	entry := &row[0]
@@ -53,7 +54,7 @@
 	*entry = r
 }
 
-// countAfter is the number of reservations for times after now.
+// countAfter returns the number of reservations for times after now.
 func (t *reservationTable) countAfter(now policy.Micros) (count int) {
 	for i := range t.rows {
 		for _, r := range t.rows[i] {
--- a/overload/reservations_test.go
+++ b/overload/reservations_test.go
@@ -7,7 +7,8 @@
 	"tallyproxy/policy"
 )
 
-// BenchmarkReservationTable compares the table of reservations with a plain map that is swept, both for 4096 clients in 100,000.
+// BenchmarkReservationTable compares the reservation table with a plain map that is swept. Both
+// hold 4096 of 100,000 clients.
 func BenchmarkReservationTable(b *testing.B) {
 	ids := make([]uint64, 100_000)
 	for i := range ids {
@@ -15,25 +16,25 @@
 	}
 	b.Run("places", func(b *testing.B) {
 		b.ReportAllocs()
-		p := newReservationTable(4096)
+		reservations := newReservationTable(4096)
 		for n := range b.N {
 			id := ids[n*7919%len(ids)]
-			if p.find(id) == nil {
-				p.put(id, reservation{at: policy.Micros(n), work: 1})
+			if reservations.find(id) == nil {
+				reservations.put(id, reservation{at: policy.Micros(n), work: 1})
 			}
 		}
 	})
 	b.Run("map", func(b *testing.B) {
 		b.ReportAllocs()
-		p := map[uint64]reservation{}
+		reservations := map[uint64]reservation{}
 		for n := range b.N {
 			id := ids[n*7919%len(ids)]
-			if _, ok := p[id]; !ok {
-				p[id] = reservation{at: policy.Micros(n), work: 1}
-				if len(p) > 4096 {
-					for id, e := range p {
+			if _, ok := reservations[id]; !ok {
+				reservations[id] = reservation{at: policy.Micros(n), work: 1}
+				if len(reservations) > 4096 {
+					for id, e := range reservations {
 						if e.at < policy.Micros(n-2048) {
-							delete(p, id)
+							delete(reservations, id)
 						}
 					}
 				}
--- a/overload/reserve.go
+++ b/overload/reserve.go
@@ -5,26 +5,27 @@
 	"tallyproxy/policy"
 )
 
-// Shares of a window's reservable capacity up to which a slot in it is given, by how the client behaved. Less full windows come first
-// for the better behaved.
+// Limits on how full a window may become by a reservation, as shares of its reservable capacity.
+// Clients that behave better have higher limits and therefore get earlier windows.
 const (
-	fillLimitOnTime  = 0.9  // a retry that came at its time and was rejected nevertheless
-	fillLimitRetry   = 0.75 // another retry
-	fillLimitEarly   = 0.5  // a retry of a client that keeps coming early
-	earlyRetryLimit  = 3    // early retries from which a client keeps coming early
-	minCostShare     = 0.5  // of these limits, for the costliest requests
-	minKeptShare     = 0.5  // share of reserved work that is expected to come, at the least
-	minReservedShare = 0.05 // share of a window's capacity that may be reserved however many first attempts there are
+	fillLimitOnTime  = 0.9  // retry that came on time but was rejected
+	fillLimitRetry   = 0.75 // other retry
+	fillLimitEarly   = 0.5  // retry of a client that repeatedly comes early
+	earlyRetryLimit  = 3    // number of early retries from which a client is repeatedly early
+	minCostShare     = 0.5  // lowest share of these limits, for the costliest requests
+	minKeptShare     = 0.5  // lowest share of reserved work that is expected to be used
+	minReservedShare = 0.05 // share of capacity that may be reserved regardless of first attempts
 )
 
-// reserve finds the first window with room for the request, records the reservation and returns the time that the client is given. Where
-// no window has room, the time is drawn from the later half of the horizon and reserves nothing.
+// reserve finds the first window with room for the request, records the reservation and returns its
+// time. If no window has room, it draws a time from the second half of the horizon and reserves no
+// work.
 func (c *Controller) reserve(now policy.Micros, a *Admission) policy.Micros {
 	share := c.fillLimit(a)
 	last := int64((now + c.horizon) / c.windowLength)
 	for number := c.current + 1; number < last; number++ {
 		begin := policy.Micros(number) * c.windowLength
-		if begin < now+c.windowLength/2 { // the client could hardly be back by then
+		if begin < now+c.windowLength/2 { // too soon for the client to return
 			continue
 		}
 		reserved, reservable := c.reservedIn(number), c.reservable(begin)
@@ -41,7 +42,8 @@
 	return at
 }
 
-// fillLimit is how full a window may be to take the request, as a share of its reservable capacity.
+// fillLimit returns how full a window may become by the request, as a share of its reservable
+// capacity.
 func (c *Controller) fillLimit(a *Admission) float64 {
 	share := min(1, max(minCostShare, 1/max(a.RelativeCost, 1e-9)))
 	switch {
@@ -55,32 +57,37 @@
 	return share
 }
 
-// reservedIn is the work that is reserved in a window, the current one or one ahead within the horizon.
+// reservedIn returns a pointer to the reserved work of a window, which must be the current one or
+// one ahead within the horizon.
 func (c *Controller) reservedIn(number int64) *float64 {
 	return &c.reservedWork[number%int64(len(c.reservedWork))]
 }
 
-// reservable is how much work may be reserved in the window that begins at a time: what first attempts are expected to leave of its
-// capacity, and more the more clients don't come back for their slots.
+// reservable returns how much work may be reserved in the window that begins at the given time: the
+// capacity that first attempts are expected to leave, and more if fewer clients return for their
+// slots.
 func (c *Controller) reservable(begin policy.Micros) float64 {
 	capacity := c.windowCapacity(begin)
 	return max(capacity*minReservedShare, capacity-c.firstAttemptWork) * c.settings.ReservableShare / max(minKeptShare, c.keptShare)
 }
 
-// windowCapacity is the work that a window can do at a time, in microseconds of sending time, corrected by what was learned.
+// windowCapacity returns the work that can be done in a window at the given time, in microseconds
+// of sending time. It applies the learned correction.
 func (c *Controller) windowCapacity(at policy.Micros) float64 {
 	return c.capacity(at) * float64(c.windowLength) * c.capacityFactor
 }
 
-// capacity is the estimate of the capacity at a time, in transfers at full pace; where there is none, what was done lately at the best.
+// capacity returns the estimated capacity at the given time, as a number of concurrent transfers at
+// full rate. If there is no estimate, it returns the recent peak of completed work instead.
 func (c *Controller) capacity(at policy.Micros) float64 {
 	if capacity := c.estimate.Capacity(at); capacity > 0 {
 		return capacity
 	}
-	return c.bestWork / float64(c.windowLength)
+	return c.peakWork / float64(c.windowLength)
 }
 
-// reservationID is a hash of client and object. It is never 0, which marks a free entry of the table.
+// reservationID returns a hash of client and object. It is never 0, which marks a free entry of the
+// table.
 func reservationID(a *Admission) uint64 {
 	return hash.Finalize(hash.Finalize(a.ClientHash)^a.ObjectHash) | 1
 }
--- a/overload/settings.go
+++ b/overload/settings.go
@@ -1,31 +1,31 @@
 package overload
 
-// Mode says which retry-after time rejected clients are given.
+// Mode selects the retry-after time that rejected clients are given.
 type Mode int
 
 const (
-	// ModeFixed gives the ordinary time whatever the load is, and never sees a storm.
+	// ModeFixed always gives the default time and never detects a storm.
 	ModeFixed Mode = iota
-	// ModeSilent gives no time, and never sees a storm.
+	// ModeSilent gives no time and never detects a storm.
 	ModeSilent
-	// ModeReserve gives the ordinary time in calm and reserved slots during a storm.
+	// ModeReserve gives reserved slots during a storm and the default time otherwise.
 	ModeReserve
 )
 
-// Settings are the operator's.
+// Settings holds the operator's settings of overload control.
 type Settings struct {
-	Mode            Mode    // which retry-after time rejected clients are given
-	Horizon         float64 // how far ahead slots are reserved, as a share of the longest retry-after time that clients heed
-	Windows         int     // number of windows that the horizon is divided into
-	DemandThreshold float64 // demand over capacity above which a storm may begin
-	ConnectionSurge float64 // new connections over the usual number that are a sign of a storm
-	RetryShare      float64 // share of retries among the requests that is a sign of a storm
-	ColdThreshold   float64 // share of their warm capacity below which caches are cold, which is a sign of a storm
+	Mode            Mode    // retry-after time that rejected clients are given
+	Horizon         float64 // how far ahead to reserve, as a share of the longest retry-after time
+	Windows         int     // number of windows in the horizon
+	DemandThreshold float64 // ratio of demand to capacity above which a storm may begin
+	ConnectionSurge float64 // ratio of new to usual connections that is a sign of a storm
+	RetryShare      float64 // share of retries among requests that is a sign of a storm
+	ColdThreshold   float64 // share of warm capacity below which cold caches signal a storm
 	ReservableShare float64 // share of the capacity left by first attempts that may be reserved
-	MaxReservations int     // reservations that are remembered at the most
+	MaxReservations int     // maximum number of stored reservations
 }
 
-// DefaultSettings are the settings where the operator's file names none.
+// DefaultSettings returns the settings that apply if the operator's file has none.
 func DefaultSettings() Settings {
 	return Settings{
 		Horizon:         1,
--- a/overload/sketch.go
+++ b/overload/sketch.go
@@ -8,8 +8,8 @@
 
 const minSketchWidth = 64
 
-// sketch counts events by client: a count-min sketch of two rows of saturating counters. It never counts too few; two clients whose
-// counters are the same in both rows count together.
+// sketch counts events per client in a count-min sketch of two rows of saturating counters. It
+// never undercounts. Two clients that share their counters in both rows are counted together.
 type sketch struct{ rows [2][]uint8 }
 
 func newSketch(width int) *sketch {
@@ -34,14 +34,14 @@
 	*a, *b = max(*a, count+1), max(*b, count+1)
 }
 
-// count is the number of the client's events, or more.
+// count returns the number of the client's events, or more.
 func (s *sketch) count(client uint64) int {
 	a, b := s.counters(client)
 	return int(min(*a, *b))
 }
 
-// fade halves all counts.
-func (s *sketch) fade() {
+// halve halves all counts.
+func (s *sketch) halve() {
 	for _, row := range s.rows {
 		for i := range row {
 			row[i] /= 2
--- a/overload/state.go
+++ b/overload/state.go
@@ -2,51 +2,51 @@
 
 import "tallyproxy/policy"
 
-// State is the phase of a storm. The numbers are stored in reports.
+// State is the phase of a storm. Reports contain its numeric value.
 type State int
 
 const (
-	// Calm is the state without a storm.
+	// Calm means that there is no storm.
 	Calm State = iota
-	// Rising is the state from the first sign of a storm.
+	// Rising begins at the first sign of a storm.
 	Rising
-	// Held is the state in which retries are admitted against the capacity of windows.
+	// Held means that retries are admitted only within the capacity of the window.
 	Held
-	// Draining is the state in which demand is below capacity again and reservations are still kept.
+	// Draining means that demand is below capacity again while reservations remain.
 	Draining
 )
 
 var stateNames = [...]string{"calm", "rising", "held", "draining"}
 
-// String is the state's name in logs and tables.
+// String returns the state's name in logs and tables.
 func (s State) String() string { return stateNames[s] }
 
 const (
 	risingWindows    = 3   // windows after which a rising storm is held
-	minRequests      = 8   // requests below which a share of retries says nothing
-	heavyObjectShare = 0.4 // share of the demand above which one object is left out of it
+	minRequests      = 8   // requests below which the share of retries is not meaningful
+	heavyObjectShare = 0.4 // share above which one object is left out of the demand
 )
 
-// Report describes the load, for the operators. The state socket encodes it as JSON under the names in the tags, which other versions of
-// the tools read. Counts cover the recent windows.
+// Report describes the load for operators. The state socket encodes it as JSON under the names in
+// the tags, which tools of other versions read. Counts cover the recent windows.
 type Report struct {
 	State          State   `json:"State"`     // phase of the storm
 	Requests       int     `json:"Asks"`      // requests
-	Retries        int     `json:"Repeats"`   // requests that were marked as retries
+	Retries        int     `json:"Repeats"`   // requests marked as retries
 	EarlyRetries   int     `json:"Early"`     // retries that came before their slot
 	NewConnections int     `json:"Connects"`  // new client connections
-	Demand         float64 `json:"Demand"`    // work requested, over what the caches could do
-	WarmShare      float64 `json:"Warm"`      // capacity, over that of warm caches
-	ReservedShare  float64 `json:"Promised"`  // work reserved ahead, over the capacity of the horizon
-	KeptShare      float64 `json:"Kept"`      // share of reserved work that clients came back for
+	Demand         float64 `json:"Demand"`    // requested work relative to capacity
+	WarmShare      float64 `json:"Warm"`      // capacity relative to that of warm caches
+	ReservedShare  float64 `json:"Promised"`  // reserved work relative to the horizon's capacity
+	KeptShare      float64 `json:"Kept"`      // share of reserved work whose clients returned
 	CapacityFactor float64 `json:"Part"`      // learned correction of the capacity estimate
-	Reservations   int     `json:"Remembers"` // reservations whose time is not over
+	Reservations   int     `json:"Remembers"` // reservations whose time has not passed
 }
 
-// State is the phase of the storm.
+// State returns the phase of the storm.
 func (c *Controller) State() State { return c.state }
 
-// Report describes the load at a time.
+// Report returns a description of the load at the given time.
 func (c *Controller) Report(now policy.Micros) Report {
 	r := c.summarize(now)
 	if c.settings.Mode == ModeReserve {
@@ -55,7 +55,8 @@
 	return r
 }
 
-// summarize is the report without the count of reservations, which takes a pass over the table.
+// summarize returns the report without the number of reservations, which takes a pass over the
+// table.
 func (c *Controller) summarize(now policy.Micros) Report {
 	r := Report{State: c.state, KeptShare: c.keptShare, CapacityFactor: c.capacityFactor, WarmShare: 1}
 	if c.settings.Mode != ModeReserve {
@@ -86,8 +87,9 @@
 	return r
 }
 
-// overloaded reports whether demand exceeds capacity and there is a sign of a storm. An object that is most of the demand is left out of
-// it: it loads its home cache alone, which has a concurrency limit of its own.
+// overloaded reports whether demand exceeds its threshold and there is a sign of a storm. An object
+// that causes most of the demand is left out of it: it loads only its home cache, which has its own
+// concurrency limit.
 func (c *Controller) overloaded(now policy.Micros) bool {
 	r := c.summarize(now)
 	switch {
@@ -95,27 +97,27 @@
 		return false
 	case r.Requests >= minRequests && float64(r.Retries) > c.settings.RetryShare*float64(r.Requests):
 		return true
-	case float64(r.NewConnections) > c.settings.ConnectionSurge*(recentWindows*c.usualConnections+2):
+	case float64(r.NewConnections) > c.settings.ConnectionSurge*(recentWindows*c.meanConnections+2):
 		return true
 	}
 	return r.WarmShare < c.settings.ColdThreshold
 }
 
-// changeState moves a storm on after a window.
-func (c *Controller) changeState(now policy.Micros) {
+// updateState makes the state transition, if any, that is due after a window has ended.
+func (c *Controller) updateState(now policy.Micros) {
 	r := c.summarize(now)
 	if c.windowsBelow++; r.Demand > 1 {
 		c.windowsBelow = 0
 	}
 	switch overloaded := c.overloaded(now); {
 	case c.state == Draining && overloaded:
-		c.enter(now, Rising)
+		c.setState(now, Rising)
 	case c.state == Draining && c.windowsBelow >= c.settings.Windows && !c.hasReservationsAhead():
-		c.enter(now, Calm)
+		c.setState(now, Calm)
 	case c.state == Rising && c.current-c.enteredAt >= risingWindows:
-		c.enter(now, Held)
+		c.setState(now, Held)
 	case c.state == Held && c.windowsBelow >= c.settings.Windows:
-		c.enter(now, Draining)
+		c.setState(now, Draining)
 	}
 }
 
@@ -129,8 +131,8 @@
 	return false
 }
 
-// enter changes the state and tells the listener.
-func (c *Controller) enter(now policy.Micros, state State) {
+// setState changes the state and calls onChange.
+func (c *Controller) setState(now policy.Micros, state State) {
 	if c.state == state {
 		return
 	}
--- a/overload/state_test.go
+++ b/overload/state_test.go
@@ -7,88 +7,92 @@
 	"tallyproxy/policy"
 )
 
+// TestNoStorm guards against high load that is mistaken for a storm.
 func TestNoStorm(t *testing.T) {
 	cases := []struct {
 		name string
-		play func(c *crowd, r *rand.Rand)
+		run  func(sim *simulation, r *rand.Rand)
 	}{
-		{"a busy morning", func(c *crowd, r *rand.Rand) {
-			for i := 0; c.now < 160*policy.Second; i++ {
-				rate := 20 + 300*float64(c.now-100*policy.Second)/float64(60*policy.Second) // up to 0.8 of what can be done
-				c.now += policy.Micros(r.ExpFloat64() * float64(policy.Second) / rate)
-				c.controller.ClientConnected(c.now)
-				c.try(i, request(i, r.IntN(10) == 0))
+		{"load rises to 0.8 of the capacity", func(sim *simulation, r *rand.Rand) {
+			for i := 0; sim.now < 160*policy.Second; i++ {
+				// The load rises to 0.8 of the capacity.
+				rate := 20 + 300*float64(sim.now-100*policy.Second)/float64(60*policy.Second)
+				sim.now += policy.Micros(r.ExpFloat64() * float64(policy.Second) / rate)
+				sim.controller.ClientConnected(sim.now)
+				sim.send(i, request(i, r.IntN(10) == 0))
 			}
 		}},
-		{"one popular object", func(c *crowd, r *rand.Rand) {
-			for i := 0; c.now < 130*policy.Second; i++ {
-				c.now += policy.Micros(r.ExpFloat64() * float64(policy.Second) / 800)
+		{"one popular object", func(sim *simulation, r *rand.Rand) {
+			for i := 0; sim.now < 130*policy.Second; i++ {
+				sim.now += policy.Micros(r.ExpFloat64() * float64(policy.Second) / 800)
 				a := request(i, i%3 > 0)
 				if r.IntN(10) > 0 {
 					a.ObjectHash = 42
 				}
-				c.try(i, a)
+				sim.send(i, a)
 			}
 		}},
-		{"more than can be done, no sign of a storm", func(c *crowd, r *rand.Rand) {
+		{"load above capacity, no sign of a storm", func(sim *simulation, r *rand.Rand) {
 			for i := range 20000 {
-				c.now += policy.Second / 700
+				sim.now += policy.Second / 700
 				if i%20 == 0 {
-					c.controller.ClientConnected(c.now)
+					sim.controller.ClientConnected(sim.now)
 				}
-				c.try(i, request(i, false))
+				sim.send(i, request(i, false))
 			}
 		}},
-		{"few clients, all repeat", func(c *crowd, r *rand.Rand) {
+		{"few requests, all of them retries", func(sim *simulation, r *rand.Rand) {
 			for i := range 1000 {
-				c.now += policy.Second / 50
-				c.try(i, request(i, true))
+				sim.now += policy.Second / 50
+				sim.send(i, request(i, true))
 			}
 		}},
 	}
 	for _, x := range cases {
 		t.Run(x.name, func(t *testing.T) {
-			rose := 0
-			c := newCrowd(20, func(_ policy.Micros, r Report) {
+			storms := 0
+			sim := newSimulation(20, func(_ policy.Micros, r Report) {
 				if r.State == Rising {
-					rose++
+					storms++
 				}
 			})
-			c.caches.began = 0
-			for range 300 { // what is usual
-				c.now += 10 * ms
-				c.controller.ClientConnected(c.now)
+			sim.caches.warmUpStart = 0
+			for range 300 { // sets the usual number of connections
+				sim.now += 10 * ms
+				sim.controller.ClientConnected(sim.now)
 			}
-			x.play(c, rand.New(rand.NewPCG(1, 2)))
-			if rose > 0 {
-				t.Errorf("taken for a storm %d times; at the end %+v", rose, c.controller.Report(c.now))
+			x.run(sim, rand.New(rand.NewPCG(1, 2)))
+			if storms > 0 {
+				t.Errorf("storm detected %d times; last report %+v", storms, sim.controller.Report(sim.now))
 			}
 		})
 	}
 }
 
+// TestSecondStorm guards against a storm that is missed while an earlier one drains, and against a
+// storm that does not end in a long time without events.
 func TestSecondStorm(t *testing.T) {
 	var states []State
-	c := newCrowd(20, func(_ policy.Micros, r Report) { states = append(states, r.State) })
-	burst := func(from int) {
+	sim := newSimulation(20, func(_ policy.Micros, r Report) { states = append(states, r.State) })
+	burst := func(firstClient int) {
 		for i := range 500 {
-			c.now += ms / 4
-			c.controller.ClientConnected(c.now)
-			c.try(from+i, request(from+i, false))
+			sim.now += ms / 4
+			sim.controller.ClientConnected(sim.now)
+			sim.send(firstClient+i, request(firstClient+i, false))
 		}
 	}
 	burst(0)
-	for c.controller.State() != Draining && c.now < 200*policy.Second {
-		c.now += 10 * ms
-		c.controller.ClientConnected(c.now)
+	for sim.controller.State() != Draining && sim.now < 200*policy.Second {
+		sim.now += 10 * ms
+		sim.controller.ClientConnected(sim.now)
 	}
-	c.caches.began = c.now // the power goes again
+	sim.caches.warmUpStart = sim.now // the caches are cold again
 	burst(1000)
-	if c.controller.State() != Rising && c.controller.State() != Held {
-		t.Errorf("after the second: %v, through %v", c.controller.State(), states)
+	if sim.controller.State() != Rising && sim.controller.State() != Held {
+		t.Errorf("state after the second burst: %v, state changes %v", sim.controller.State(), states)
 	}
-	c.now += 60 * policy.Second
-	if c.controller.ClientConnected(c.now); c.controller.State() != Calm {
-		t.Errorf("after a long silence: %v", c.controller.State())
+	sim.now += 60 * policy.Second
+	if sim.controller.ClientConnected(sim.now); sim.controller.State() != Calm {
+		t.Errorf("state after a long time without events: %v", sim.controller.State())
 	}
 }
--- a/overload/window.go
+++ b/overload/window.go
@@ -3,37 +3,38 @@
 import "tallyproxy/policy"
 
 const (
-	recentWindows    = 5   // windows over which demand is summed, the current one too
-	usualWindows     = 100 // windows over which slow running means look back
-	riseWindows      = 20  // windows over which the forecast of first attempts follows a rise
-	fallWindows      = 4   // windows over which it follows a fall: a burst is not taken for what comes after it
-	sketchFadeCycles = 8   // horizons after which the counts of early retries are halved
+	recentWindows       = 5   // windows over which demand is summed, including the current one
+	meanWindows         = 100 // windows over which slow running means are taken
+	riseWindows         = 20  // windows over which the forecast of first attempts follows a rise
+	fallWindows         = 4   // the same for a fall; few, so that a burst is not projected
+	sketchHalvingCycles = 8   // horizons after which the counts of early retries are halved
 
-	wastedShareLimit  = 0.2 // share of admitted retries that were rejected or late, above which the capacity factor is cut
+	wastedShareLimit  = 0.2 // rejected or late share of admitted retries that cuts the factor
 	capacityDecrease  = 0.8
 	capacityIncrease  = 1.1
 	minCapacityFactor = 0.125
-	maxCapacityFactor = 2.0 // for caches that warm up sooner than their estimate
+	maxCapacityFactor = 2.0 // for caches that warm up faster than estimated
 )
 
-// window counts the events of one window of time. Work is in microseconds of sending time.
+// window counts the events of one time window. Work is in microseconds of sending time.
 type window struct {
 	requestedWork     float64 // of all requests
-	firstAttemptWork  float64 // of requests that are no retries
-	admittedWork      float64 // of requests that were admitted
-	completedWork     float64 // of requests that succeeded
-	redeemedWork      float64 // reserved work whose clients came at their time
-	admittedRetryWork float64 // of retries that were admitted during a storm
-	wastedRetryWork   float64 // of those that were rejected later or answered late
-	reservedAtStart   float64 // work that was reserved in the window when it began
+	firstAttemptWork  float64 // of requests that are not retries
+	admittedWork      float64 // of admitted requests
+	completedWork     float64 // of successful requests
+	redeemedWork      float64 // reserved work of clients that came on time
+	admittedRetryWork float64 // of retries admitted during a storm
+	wastedRetryWork   float64 // of those that were later rejected or answered late
+	reservedAtStart   float64 // work reserved in the window when it began
 
 	requests, retries, earlyRetries, newConnections int
 }
 
 func (c *Controller) currentWindow() *window { return &c.recent[c.current%recentWindows] }
 
-// advance closes the windows that have passed by a time and makes the time's own window the current one. After a gap longer than the
-// horizon, and at the first call, it forgets all windows and the storm.
+// advance closes the windows that have ended by the given time and makes the window of that time
+// the current one. On the first call, and after a gap longer than the horizon, it discards all
+// windows and ends the storm.
 func (c *Controller) advance(now policy.Micros) {
 	target := int64(now / c.windowLength)
 	if c.current == 0 || target-c.current > int64(len(c.reservedWork))+recentWindows {
@@ -45,43 +46,46 @@
 		*c.reservedIn(c.current) = 0
 		c.current++
 		c.recent[c.current%recentWindows] = window{reservedAtStart: *c.reservedIn(c.current)}
-		c.heavyObject.fade()
-		if c.current%int64(sketchFadeCycles*c.settings.Windows) == 0 {
-			c.earlyRetries.fade()
+		c.heavyObject.halve()
+		if c.current%int64(sketchHalvingCycles*c.settings.Windows) == 0 {
+			c.earlyRetries.halve()
 		}
 	}
 }
 
-// restart begins anew with the window of the given number.
+// restart discards the windows, the reserved work and the learned corrections, ends a storm, and
+// continues with the window of the given number.
 func (c *Controller) restart(now policy.Micros, number int64) {
 	c.recent, c.current = [recentWindows]window{}, max(c.current, number)
 	clear(c.reservedWork)
 	c.heavyObject = heavyHitter{}
 	c.keptShare, c.capacityFactor, c.windowsBelow = 1, 1, len(c.reservedWork)
 	if c.state != Calm {
-		c.enter(now, Calm)
+		c.setState(now, Calm)
 	}
 }
 
-// closeWindow learns from the current window, whose time has passed, and changes the state where that is due.
+// closeWindow updates the learned values from the current window, which has ended. During a storm
+// it also updates the state.
 func (c *Controller) closeWindow(now policy.Micros) {
 	w := c.currentWindow()
-	c.bestWork = max(c.bestWork*(1-1.0/usualWindows), w.completedWork)
+	c.peakWork = max(c.peakWork*(1-1.0/meanWindows), w.completedWork)
 	if w.firstAttemptWork > c.firstAttemptWork {
 		c.firstAttemptWork += (w.firstAttemptWork - c.firstAttemptWork) / riseWindows
 	} else {
 		c.firstAttemptWork += (w.firstAttemptWork - c.firstAttemptWork) / fallWindows
 	}
 	if c.state == Calm {
-		c.usualConnections += (float64(w.newConnections) - c.usualConnections) / usualWindows
-		c.capacityFactor += (1 - c.capacityFactor) / usualWindows
+		c.meanConnections += (float64(w.newConnections) - c.meanConnections) / meanWindows
+		c.capacityFactor += (1 - c.capacityFactor) / meanWindows
 		return
 	}
 	c.learnFromStorm(w)
-	c.changeState(now)
+	c.updateState(now)
 }
 
-// learnFromStorm corrects the share of reservations that are kept, and the capacity by what became of the admitted retries.
+// learnFromStorm updates the share of reserved work that is used, and corrects the capacity by the
+// results of admitted retries.
 func (c *Controller) learnFromStorm(w *window) {
 	if w.reservedAtStart > 0 {
 		c.keptShare += (min(1, w.redeemedWork/w.reservedAtStart) - c.keptShare) / recentWindows
