--- a/dedup/dedup.go
+++ b/dedup/dedup.go
@@ -1,5 +1,6 @@
-// Package dedup remembers which requests with an idempotency key may have had their effect already, over their clients' own retries: by
-// the key, when the first attempt that may have run was sent. It does no I/O and takes the clock as a value.
+// Package dedup records which requests with an idempotency key may already have taken effect,
+// across retries by their clients. For each key it holds the time at which the first attempt that
+// may have run was sent. It does no I/O and takes the time as an argument.
 package dedup
 
 import (
@@ -7,27 +8,29 @@
 	"tallyproxy/timerwheel"
 )
 
-const ticksPerWindow = 64 // of the timer wheel, for the first dedup window that the table meets
+const ticksPerWindow = 64 // timer wheel ticks in the first dedup window that the table sees
 
-// Settings are the operator's.
+// Settings holds the operator's settings of deduplication.
 type Settings struct {
-	MaxRecords         int     // records held at the most; 0: none are kept
-	RetainWindows      float64 // how long after the key's last attempt a record is kept, in dedup windows of its content type
-	FailUnknownRetries bool    // retries whose key is not known fail, where the first attempt may be older than its dedup window
+	MaxRecords    int     // maximum number of records; 0 disables the table
+	RetainWindows float64 // retention after a key's last attempt, in its type's dedup windows
+	// FailUnknownRetries makes a retry with an unknown key fail if the first attempt may be older
+	// than its dedup window.
+	FailUnknownRetries bool
 }
 
-// Record is what is known of a key: that an attempt may have run.
+// Record states that an attempt with a key may have run.
 type Record struct {
-	FirstAttemptAt policy.Micros // when the first attempt was sent that may have run
-	Zone           int           // zone of the endpoint that it was sent to
+	FirstAttemptAt policy.Micros // when the first attempt that may have run was sent
+	Zone           int           // zone of the endpoint of that attempt
 	Cell           int           // cell of that endpoint
-	attempts       int           // attempts that may have run
+	attempts       int           // number of attempts that may have run
 	expiry         timerwheel.Item[string]
 }
 
-// Table holds the records by key. A record leaves by the timer wheel, RetainWindows after its key's last attempt, or at once when every
-// attempt is known not to have run. A table is not safe for concurrent use: the goroutine of the routing.Router that owns it makes all
-// calls.
+// Table holds the records by key. A record expires RetainWindows after its key's last attempt, and
+// is removed at once when all attempts are known not to have run. A Table is not safe for
+// concurrent use: the goroutine of the routing.Router that owns it makes all calls.
 type Table struct {
 	settings Settings
 	records  map[string]*Record
@@ -35,15 +38,17 @@
 	rejected int                       // requests that found the table full
 }
 
-// New makes an empty table. With MaxRecords 0 it keeps nothing and has room for every request.
+// New returns an empty table. With MaxRecords 0 the table stores nothing and CanRecord always
+// returns true.
 func New(settings Settings) *Table {
 	return &Table{settings: settings, records: map[string]*Record{}}
 }
 
-// SetSettings takes other settings. Records that are held stay for the time that they were given.
+// SetSettings replaces the settings. Existing records keep the expiry that they were given.
 func (t *Table) SetSettings(settings Settings) { t.settings = settings }
 
-// Lookup returns a key's record, or nil where no attempt is known that may have run. window is the dedup window of the content type.
+// Lookup returns a key's record, or nil if no attempt is known that may have run. window is the
+// dedup window of the content type.
 func (t *Table) Lookup(now policy.Micros, key string, window policy.Micros) *Record {
 	if key == "" || t.settings.MaxRecords == 0 {
 		return nil
@@ -52,7 +57,8 @@
 	return t.records[key]
 }
 
-// CanRecord reports whether an attempt with the key can be recorded. Where it can't, the attempt must not be sent, and nothing has run.
+// CanRecord reports whether an attempt with the key can be recorded. If it returns false, the
+// attempt must not be sent, and nothing has run.
 func (t *Table) CanRecord(key string) bool {
 	if key == "" || t.settings.MaxRecords == 0 || t.records[key] != nil || len(t.records) < t.settings.MaxRecords {
 		return true
@@ -61,7 +67,7 @@
 	return false
 }
 
-// RecordAttempt records an attempt that is sent now to an endpoint of a zone and a cell.
+// RecordAttempt records an attempt that is sent now to an endpoint in the given zone and cell.
 func (t *Table) RecordAttempt(now policy.Micros, key string, window policy.Micros, zone, cell int) {
 	if key == "" || t.settings.MaxRecords == 0 {
 		return
@@ -77,8 +83,8 @@
 	t.wheel.Schedule(&record.expiry, int64(now)+int64(float64(window)*max(1, t.settings.RetainWindows)))
 }
 
-// AttemptNotRun takes back an attempt that was sent at a time and is known not to have run. While others may have run, the record keeps
-// the time of the first one.
+// AttemptNotRun removes an attempt that was sent at the given time and is known not to have run.
+// While other attempts may have run, the record keeps the time of the first attempt.
 func (t *Table) AttemptNotRun(key string, sent policy.Micros) {
 	record := t.records[key]
 	if record == nil || sent < record.FirstAttemptAt { // the attempt's own record has expired
@@ -90,16 +96,18 @@
 	}
 }
 
-// RejectsUnknownKey reports whether a retry whose key is not known has to fail: another director may have sent it before, longer ago than
-// the dedup window, if the client's timeout is longer than that.
+// RejectsUnknownKey reports whether a retry with an unknown key must fail. If the client's timeout
+// is longer than the dedup window, another director may have sent the request longer ago than the
+// window.
 func (t *Table) RejectsUnknownKey(timeout, window policy.Micros) bool {
 	return t.settings.FailUnknownRetries && timeout > window
 }
 
-// Counts is how many records are held, and how many requests found the table full so far.
+// Counts returns the number of records, and the number of requests so far that found the table
+// full.
 func (t *Table) Counts() (records, rejected int) { return len(t.records), t.rejected }
 
-// expire removes the records whose time is over.
+// expire removes the records whose retention time has passed.
 func (t *Table) expire(now policy.Micros, window policy.Micros) {
 	if t.wheel == nil {
 		t.wheel = timerwheel.New[string](max(1, int64(window)/ticksPerWindow), int64(now))
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -70,7 +70,7 @@
 	firstAttemptWork float64   // forecast of the work of first attempts per window
 	capacityFactor   float64   // correction of the capacity estimate, learned from admitted retries
 	keptShare        float64   // running share of reserved work whose clients returned for it
-	peakWork         float64   // recent peak of completed work per window; fallback for the capacity
+	peakWork         float64   // recent peak of completed work per window; used without an estimate
 	heavyObject      heavyHitter
 	reservations     *reservationTable
 	earlyRetries     *sketch
--- a/stall/detector.go
+++ b/stall/detector.go
@@ -1,11 +1,14 @@
-// Package stall detects that a director itself stood still, and decides whether what it knows may be trusted.
+// Package stall detects that the director itself has stalled, and decides whether the director's
+// state may be trusted.
 //
-// A process that was stopped, or whose machine slept, goes on with knowledge as old as the stall, and nothing in it shows that:
-// what the command channel sent meanwhile lies unread while requests are decided. The Detector sees a stall as a jump of the
-// director's clocks between one heartbeat and the next, at the moment at which the knowledge is used. From then on the knowledge
-// is suspect until the channel has been polled again. A command channel that fails is no stall, and changes nothing here.
+// After the process was stopped, or its machine slept, the state is as old as the stall, and
+// nothing in it shows that: what the command channel sent meanwhile is still unread while requests
+// are being decided. The Detector recognizes a stall as a jump of the director's clocks between two
+// heartbeats, at the moment at which the state is used. From then on the state is suspect until the
+// command channel has been polled again. A command channel that fails is not a stall, and changes
+// nothing here.
 //
-// The package does no I/O; its callers pass the clocks' readings.
+// The package does no I/O; its callers pass the readings of the clocks.
 package stall
 
 import (
@@ -18,62 +21,68 @@
 
 // Reading is a reading of both clocks at one moment.
 type Reading struct {
-	Monotonic policy.Micros // stands still while the machine sleeps
-	Wall      policy.Micros // goes on while the machine sleeps
+	Monotonic policy.Micros // does not advance while the machine sleeps
+	Wall      policy.Micros // advances while the machine sleeps
 }
 
-// Thresholds are durations on the director's own clocks.
+// Thresholds holds durations that are measured on the director's own clocks.
 type Thresholds struct {
-	Stall          policy.Micros // a longer time between two heartbeats is a stall
-	PollCycle      policy.Micros // a longer time without a sign of the poller is a stall too, though heartbeats go on
-	SuspectTimeout policy.Micros // the suspect state ends after this time if nothing else has ended it
+	Stall policy.Micros // a longer time between two heartbeats is a stall
+	// PollCycle is the longest time without poller activity. A longer time is a stall, too, even if
+	// heartbeats continue.
+	PollCycle      policy.Micros
+	SuspectTimeout policy.Micros // longest duration of the suspect state
 }
 
-// heartbeatsPerStall is the least number of heartbeats within Thresholds.Stall. What was read less than one such part before a
-// stall was noticed was read after the stall.
+// heartbeatsPerStall is the minimum number of heartbeats within Thresholds.Stall. Data that was
+// read less than Stall/heartbeatsPerStall before a stall was noticed was read after the stall.
 const heartbeatsPerStall = 5
 
-// Resolution says how the suspect state ended.
+// Resolution is the way in which the suspect state ended.
 type Resolution int
 
-// The resolutions of the suspect state.
+// The resolutions of the suspect state. After ByChannelDown the director continues as before the
+// stall.
 const (
 	ByPoll        Resolution = iota // the channel answered a poll that began after the stall
-	ByChannelDown                   // that poll failed, as the last one before the stall did: the director goes on as before
-	ByTimeout                       // nothing was heard within SuspectTimeout
-	ByPeer                          // another director confirmed what is in force
+	ByChannelDown                   // that poll failed, like the last one before the stall
+	ByTimeout                       // no answer or confirmation within SuspectTimeout
+	ByPeer                          // another director confirmed the state that is in force
 )
 
-// resolutionNames are values of log lines.
+// resolutionNames holds the names that appear in log lines.
 var resolutionNames = [...]string{"asked", "away", "bound", "told"}
 
 // String returns the resolution's name in log lines.
 func (r Resolution) String() string { return resolutionNames[r] }
 
-// Detector holds whether a director's knowledge is suspect. All methods may be called from any goroutine. The two callbacks are
-// called without the lock, by the goroutine whose call noticed the stall or resolved it.
+// Detector tracks whether a director's state is suspect. All methods may be called from any
+// goroutine. The two callbacks are called without the lock, by the goroutine whose call noticed the
+// stall or resolved it.
 type Detector struct {
 	thresholds Thresholds
 	onSuspect  func(stalled policy.Micros)
 	onResolved func(how Resolution, took policy.Micros)
 
-	// Written together under mu where a stall is noticed, and read without it by Trusted, which stands on the way of each request.
-	lastMonotonic atomic.Int64 // the last heartbeat, on the monotonic clock
-	lastWall      atomic.Int64 // the same, on the wall clock
-	lastPoll      atomic.Int64 // the last sign of the poller, on the monotonic clock
-	suspectSince  atomic.Int64 // when the present suspect state began, on the monotonic clock; 0 while what is known is trusted
+	// These are written together under mu when a stall is noticed, and read without mu by Trusted,
+	// which is called for every request.
+	lastMonotonic atomic.Int64 // last heartbeat, on the monotonic clock
+	lastWall      atomic.Int64 // last heartbeat, on the wall clock
+	lastPoll      atomic.Int64 // last poller activity, on the monotonic clock
+	suspectSince  atomic.Int64 // start of the suspect state, on the monotonic clock; 0 if trusted
 
 	mu          sync.Mutex
 	channelDown bool          // the last poll before the suspect state failed
-	resolved    chan struct{} // closed while nothing is suspect
-	stalls      int64         // noticed so far
-	stalled     policy.Micros // length of the last stall, or of several that followed each other while suspect
-	staleFrom   policy.Micros // what was read from this time,
-	staleUntil  policy.Micros // until this one, on the monotonic clock, may be older than its reading by stalled
+	resolved    chan struct{} // closed while the state is trusted
+	stalls      int64         // number of stalls noticed so far
+	stalled     policy.Micros // length of the last stall, or sum of several while suspect
+	staleFrom   policy.Micros // start of the reads that may be stale by stalled, monotonic clock
+	staleUntil  policy.Micros // end of these reads, monotonic clock
 }
 
-// New returns a Detector that trusts what is known. It calls onSuspect with the length of each stall that is noticed: the channel
-// should be polled at once. It calls onResolved when a suspect state ends, with the time since it began.
+// New returns a Detector that trusts the state. It calls onSuspect with the length of each stall
+// that is noticed; the caller should then poll the channel at once. It calls onResolved when a
+// suspect state ends, with the time since it began.
 func New(thresholds Thresholds, now Reading, onSuspect func(stalled policy.Micros), onResolved func(Resolution, policy.Micros)) *Detector {
 	d := &Detector{thresholds: thresholds, onSuspect: onSuspect, onResolved: onResolved, resolved: make(chan struct{})}
 	close(d.resolved)
@@ -82,8 +91,9 @@
 	return d
 }
 
-// StartSuspect makes what is known at the start suspect, as after a stall, until the channel has answered, another director has
-// confirmed what is in force, or SuspectTimeout is over.
+// StartSuspect makes the state suspect when the director starts, as after a stall, until the
+// channel has answered, another director has confirmed the state in force, or SuspectTimeout has
+// passed.
 func (d *Detector) StartSuspect(now Reading) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,9 +103,10 @@
 	}
 }
 
-// Confirmed records that another director has told what is in force, and that it is in force here. It resolves the suspect state
-// of a start only: after a stall the director must poll its own channel, because what others told may have lain unread during the
-// stall.
+// Confirmed records that another director has reported the state in force, and that this director
+// has applied it. It resolves only a suspect state that began with StartSuspect: after a stall the
+// director must poll its own channel, because reports of other directors may have been waiting
+// unread during the stall.
 func (d *Detector) Confirmed(now Reading) {
 	d.mu.Lock()
 	since, hasStalled := policy.Micros(d.suspectSince.Load()), d.stalls > 0
@@ -105,17 +116,20 @@
 	}
 }
 
-// Trusted reports whether what is known may be acted on now. The first caller after a stall notices it.
+// Trusted reports whether the state may be used now. The first call after a stall notices the
+// stall.
 func (d *Detector) Trusted(now Reading) bool {
 	if d.suspectSince.Load() != 0 || d.noticeStall(now) {
 		return false
 	}
-	// Another goroutine may have noticed a stall since the first look, and recorded the heartbeat that noticeStall went by.
+	// Another goroutine may have noticed a stall since the first check, and recorded the heartbeat
+	// that noticeStall compared with.
 	return d.suspectSince.Load() == 0
 }
 
-// Heartbeat records a sign of life; it is to be called at least heartbeatsPerStall times within Thresholds.Stall. It ends a
-// suspect state that has reached SuspectTimeout.
+// Heartbeat records that the director is running. It must be called at least heartbeatsPerStall
+// times within Thresholds.Stall. It ends a suspect state that has lasted longer than
+// SuspectTimeout.
 func (d *Detector) Heartbeat(now Reading) {
 	if !d.noticeStall(now) {
 		d.recordHeartbeat(now)
@@ -126,15 +140,16 @@
 	}
 }
 
-// Polled records a sign of the poller: a poll begins, or has ended.
+// Polled records poller activity: a poll begins or has ended.
 func (d *Detector) Polled(now Reading) {
 	if !d.noticeStall(now) {
 		d.lastPoll.Store(int64(now.Monotonic))
 	}
 }
 
-// PollDone records that a poll which began at a time has ended, with an answer or not, and that what it brought is in force. A poll
-// that began before the stall resolves nothing, whatever it brought.
+// PollDone records that a poll that began at the given time has ended, with an answer if ok is
+// true. The caller must have applied the answer. A poll that began before the stall does not
+// resolve the suspect state, regardless of its result.
 func (d *Detector) PollDone(began, now Reading, ok bool) {
 	d.Polled(now)
 	if d.suspectSince.Load() == 0 {
@@ -153,8 +168,8 @@
 	}
 }
 
-// StaleBy returns by how much what was read at a time may be older than its reading: what lay in a socket during a stall may be as
-// old as the stall was long.
+// StaleBy returns by how much data that was read at the given time may be older than its reading.
+// Data that waited in a socket during a stall may be as old as the stall was long.
 func (d *Detector) StaleBy(read Reading) policy.Micros {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -164,10 +179,11 @@
 	return d.stalled
 }
 
-// Suspect reports whether what is known is suspect. Unlike Trusted it does not look for a stall.
+// Suspect reports whether the state is suspect. Unlike Trusted, it does not check for a new stall.
 func (d *Detector) Suspect() bool { return d.suspectSince.Load() != 0 }
 
-// Resolved returns a channel that is closed once the present suspect state is over; it is closed already where there is none.
+// Resolved returns a channel that is closed when the current suspect state ends. It is already
+// closed if the state is not suspect.
 func (d *Detector) Resolved() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -186,24 +202,25 @@
 	d.lastWall.Store(int64(now.Wall))
 }
 
-// silence returns the time since the last heartbeat, by the clock that moved further. Where the poller is overdue, and its silence
-// is longer, it returns that.
-func (d *Detector) silence(now Reading) policy.Micros {
-	silence := max(now.Monotonic-policy.Micros(d.lastMonotonic.Load()), now.Wall-policy.Micros(d.lastWall.Load()))
+// gap returns the time since the last heartbeat, by the clock that advanced further. If the poller
+// is overdue and the time since its last activity is longer, gap returns that time.
+func (d *Detector) gap(now Reading) policy.Micros {
+	gap := max(now.Monotonic-policy.Micros(d.lastMonotonic.Load()), now.Wall-policy.Micros(d.lastWall.Load()))
 	if sincePoll := now.Monotonic - policy.Micros(d.lastPoll.Load()); sincePoll > d.thresholds.PollCycle {
-		silence = max(silence, sincePoll)
+		gap = max(gap, sincePoll)
 	}
-	return silence
+	return gap
 }
 
-// noticeStall reports whether the director has stalled, and starts the suspect state if so. A stall while suspect starts that state
-// anew, because what was polled before it may be as old as the stall is long.
+// noticeStall reports whether the director has stalled, and if so begins the suspect state. A stall
+// during the suspect state restarts it, because the answer to an earlier poll may be as old as the
+// stall is long.
 func (d *Detector) noticeStall(now Reading) bool {
-	if d.silence(now) <= d.thresholds.Stall {
+	if d.gap(now) <= d.thresholds.Stall {
 		return false
 	}
 	d.mu.Lock()
-	stalled := d.silence(now)
+	stalled := d.gap(now)
 	if stalled <= d.thresholds.Stall { // another goroutine has noticed it meanwhile
 		d.mu.Unlock()
 		return d.suspectSince.Load() != 0
@@ -212,7 +229,9 @@
 		d.resolved = make(chan struct{})
 		d.stalled, d.staleFrom = 0, now.Monotonic-d.thresholds.Stall/heartbeatsPerStall
 	}
-	d.suspectSince.Store(max(1, int64(now.Monotonic))) // before the heartbeat, by which others find no stall
+	// suspectSince must be set before the heartbeat, after which other goroutines no longer see the
+	// stall.
+	d.suspectSince.Store(max(1, int64(now.Monotonic)))
 	d.recordHeartbeat(now)
 	d.lastPoll.Store(int64(now.Monotonic))
 	d.stalled += stalled
@@ -229,7 +248,8 @@
 	return d.channelDown
 }
 
-// resolve ends the suspect state that began at a time. Where a further stall has started it anew since, nothing ends.
+// resolve ends the suspect state that began at the given time. It does nothing if a further stall
+// has restarted the suspect state since then.
 func (d *Detector) resolve(now Reading, how Resolution, since policy.Micros) {
 	d.mu.Lock()
 	if policy.Micros(d.suspectSince.Load()) != since {
--- a/stall/detector_test.go
+++ b/stall/detector_test.go
@@ -14,72 +14,74 @@
 
 var testThresholds = Thresholds{Stall: 250 * ms, PollCycle: 2 * policy.Second, SuspectTimeout: 800 * ms}
 
-// readingAt returns a reading of two clocks that have gone on alike.
+// readingAt returns a reading of two clocks that have advanced equally.
 func readingAt(t policy.Micros) Reading {
 	return Reading{Monotonic: t, Wall: 1_000_000*policy.Second + t}
 }
 
-// Guards against a call that trusts what is known while another goroutine notices the stall.
+// TestTrustedWhileAnotherNotices guards against a call that trusts the state while another
+// goroutine notices the stall.
 func TestTrustedWhileAnotherNotices(t *testing.T) {
 	const rounds, callers = 3000, 8
 	for round := range rounds {
 		d := New(testThresholds, readingAt(0), func(policy.Micros) {}, func(Resolution, policy.Micros) {})
 		var trusted atomic.Int64
-		var all sync.WaitGroup
-		begin := make(chan struct{})
+		var wg sync.WaitGroup
+		start := make(chan struct{})
 		for range callers {
-			all.Go(func() {
-				<-begin
+			wg.Go(func() {
+				<-start
 				if d.Trusted(readingAt(4000 * ms)) {
 					trusted.Add(1)
 				}
 			})
 		}
-		close(begin)
-		all.Wait()
+		close(start)
+		wg.Wait()
 		if n := trusted.Load(); n > 0 {
-			t.Fatalf("round %d: %d of %d calls after a stall trusted what is known", round, n, callers)
+			t.Fatalf("round %d: %d of %d calls after a stall trusted the state", round, n, callers)
 		}
 	}
 }
 
-// A stall is noticed at the first use after it, and is resolved as each case says.
+// TestStalls guards against a stall that is not noticed at the first use after it, and against a
+// wrong resolution.
 func TestStalls(t *testing.T) {
 	type step struct {
 		at       policy.Micros
-		what     string        // heartbeat, use, or the end of a poll: answered, failed
-		began    policy.Micros // of the poll
-		trusted  bool          // wanted of a use
-		resolved string        // wanted of any step: the resolution, empty for none
+		action   string        // heartbeat, use, or the end of a poll: answered, failed
+		began    policy.Micros // start of the poll
+		trusted  bool          // wanted result of a use
+		resolved string        // wanted resolution after any step, empty for none
 	}
 	cases := []struct {
 		name  string
 		steps []step
 	}{
 		{"idle with heartbeats is no stall", []step{
-			{at: 100 * ms, what: "heartbeat"}, {at: 300 * ms, what: "heartbeat"}, {at: 500 * ms, what: "use", trusted: true}}},
+			{at: 100 * ms, action: "heartbeat"}, {at: 300 * ms, action: "heartbeat"}, {at: 500 * ms, action: "use", trusted: true}}},
 		{"the use comes before the heartbeat", []step{
-			{at: 100 * ms, what: "heartbeat"}, {at: 4000 * ms, what: "use"}, {at: 4001 * ms, what: "heartbeat"}, {at: 4002 * ms, what: "use"},
-			{at: 4010 * ms, what: "answered", began: 4001 * ms, resolved: "asked"}, {at: 4011 * ms, what: "use", trusted: true}}},
+			{at: 100 * ms, action: "heartbeat"}, {at: 4000 * ms, action: "use"}, {at: 4001 * ms, action: "heartbeat"}, {at: 4002 * ms, action: "use"},
+			{at: 4010 * ms, action: "answered", began: 4001 * ms, resolved: "asked"}, {at: 4011 * ms, action: "use", trusted: true}}},
 		{"the heartbeat comes before the use", []step{
-			{at: 4000 * ms, what: "heartbeat"}, {at: 4001 * ms, what: "use"}, {at: 4002 * ms, what: "answered", began: 4000 * ms, resolved: "asked"}}},
+			{at: 4000 * ms, action: "heartbeat"}, {at: 4001 * ms, action: "use"}, {at: 4002 * ms, action: "answered", began: 4000 * ms, resolved: "asked"}}},
 		{"a poll from before the stall resolves nothing", []step{
-			{at: 4000 * ms, what: "answered", began: 90 * ms}, {at: 4001 * ms, what: "use"},
-			{at: 4010 * ms, what: "answered", began: 4002 * ms, resolved: "asked"}}},
+			{at: 4000 * ms, action: "answered", began: 90 * ms}, {at: 4001 * ms, action: "use"},
+			{at: 4010 * ms, action: "answered", began: 4002 * ms, resolved: "asked"}}},
 		{"a failed poll is retried", []step{
-			{at: 4000 * ms, what: "use"}, {at: 4010 * ms, what: "failed", began: 4001 * ms}, {at: 4011 * ms, what: "use"},
-			{at: 4100 * ms, what: "answered", began: 4090 * ms, resolved: "asked"}}},
+			{at: 4000 * ms, action: "use"}, {at: 4010 * ms, action: "failed", began: 4001 * ms}, {at: 4011 * ms, action: "use"},
+			{at: 4100 * ms, action: "answered", began: 4090 * ms, resolved: "asked"}}},
 		{"the channel was down before the stall", []step{
-			{at: 100 * ms, what: "failed"}, {at: 4000 * ms, what: "use"}, {at: 4010 * ms, what: "failed", began: 4001 * ms, resolved: "away"},
-			{at: 4011 * ms, what: "use", trusted: true}}},
+			{at: 100 * ms, action: "failed"}, {at: 4000 * ms, action: "use"}, {at: 4010 * ms, action: "failed", began: 4001 * ms, resolved: "away"},
+			{at: 4011 * ms, action: "use", trusted: true}}},
 		{"a channel that is down is no stall", []step{
-			{at: 100 * ms, what: "failed"}, {at: 200 * ms, what: "use", trusted: true}}},
+			{at: 100 * ms, action: "failed"}, {at: 200 * ms, action: "use", trusted: true}}},
 		{"nothing is heard before the timeout", []step{
-			{at: 4000 * ms, what: "use"}, {at: 4200 * ms, what: "heartbeat"}, {at: 4400 * ms, what: "heartbeat"}, {at: 4600 * ms, what: "heartbeat"},
-			{at: 4790 * ms, what: "heartbeat"}, {at: 4810 * ms, what: "heartbeat", resolved: "bound"}, {at: 4811 * ms, what: "use", trusted: true}}},
+			{at: 4000 * ms, action: "use"}, {at: 4200 * ms, action: "heartbeat"}, {at: 4400 * ms, action: "heartbeat"}, {at: 4600 * ms, action: "heartbeat"},
+			{at: 4790 * ms, action: "heartbeat"}, {at: 4810 * ms, action: "heartbeat", resolved: "bound"}, {at: 4811 * ms, action: "use", trusted: true}}},
 		{"a second stall during the poll", []step{
-			{at: 4000 * ms, what: "use"}, {at: 8000 * ms, what: "answered", began: 4001 * ms}, {at: 8001 * ms, what: "use"},
-			{at: 8010 * ms, what: "answered", began: 8001 * ms, resolved: "asked"}}},
+			{at: 4000 * ms, action: "use"}, {at: 8000 * ms, action: "answered", began: 4001 * ms}, {at: 8001 * ms, action: "use"},
+			{at: 8010 * ms, action: "answered", began: 8001 * ms, resolved: "asked"}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,7 +89,7 @@
 			detector := New(testThresholds, readingAt(0), func(policy.Micros) {}, func(how Resolution, _ policy.Micros) { resolved = how.String() })
 			for i, s := range c.steps {
 				resolved = ""
-				switch s.what {
+				switch s.action {
 				case "heartbeat":
 					detector.Heartbeat(readingAt(s.at))
 				case "use":
@@ -95,7 +97,7 @@
 						t.Fatalf("step %d: trusted %v, want %v", i, got, s.trusted)
 					}
 				default:
-					detector.PollDone(readingAt(s.began), readingAt(s.at), s.what == "answered")
+					detector.PollDone(readingAt(s.began), readingAt(s.at), s.action == "answered")
 				}
 				if resolved != s.resolved {
 					t.Fatalf("step %d: resolved %q, want %q", i, resolved, s.resolved)
@@ -105,8 +107,8 @@
 	}
 }
 
-// A machine that slept, whose monotonic clock stood still, has stalled, and so has a director whose poller shows no sign while
-// heartbeats go on.
+// TestSleepAndOverduePoller guards against a missed stall in two cases: the machine slept, so that
+// the monotonic clock stood still, or the poller shows no activity although heartbeats continue.
 func TestSleepAndOverduePoller(t *testing.T) {
 	detector := New(testThresholds, readingAt(0), func(policy.Micros) {}, func(Resolution, policy.Micros) {})
 	if detector.Trusted(Reading{Monotonic: ms, Wall: readingAt(4000 * ms).Wall}) || detector.Stalls() != 1 {
@@ -123,7 +125,8 @@
 	}
 }
 
-// What is read around a stall may be older by the length of the stall; what was read before it, or a while later, is not.
+// TestStaleBy guards against data read around a stall that counts as fresh, and against data read
+// before the stall, or a while after it, that counts as stale.
 func TestStaleBy(t *testing.T) {
 	detector := New(testThresholds, readingAt(0), func(policy.Micros) {}, func(Resolution, policy.Micros) {})
 	detector.Heartbeat(readingAt(100 * ms))
@@ -139,15 +142,17 @@
 	}
 }
 
-// Over random histories, nothing is trusted after a stall until a poll that began after it has been answered or SuspectTimeout is
-// over, and a director that did not stall is never suspect.
+// TestRandomHistories guards, over random histories, against a state that is trusted after a stall
+// before a later poll was answered or SuspectTimeout has passed, and against a suspect state
+// without a stall.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, pollBegan, stalls := policy.Micros(0), policy.Micros(-1), 0
-		stallEnd, answered := policy.Micros(-1), true // of the last stall, and whether a poll that began after it was answered
+		// The end of the last stall, and whether a poll that began after it was answered.
+		stallEnd, answered := policy.Micros(-1), true
 		detector := New(testThresholds, readingAt(0), func(policy.Micros) {}, func(Resolution, policy.Micros) {})
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				now += policy.Micros(rapid.Int64Range(260, 9000).Draw(t, "stall")) * ms
 				stallEnd, answered = now, false
