--- a/backoff/intervals.go
+++ b/backoff/intervals.go
@@ -6,9 +6,9 @@
 	"tallyproxy/policy"
 )
 
-// Intervals bound a Poller's pauses and long polls; DeriveIntervals fills them.
+// Intervals holds the bounds of a Poller's pauses and long polls. DeriveIntervals computes them.
 type Intervals struct {
-	LongPoll      policy.Micros // longest that the service may hold a poll open while it has no changes
+	LongPoll      policy.Micros // longest time that the service may hold a poll without changes
 	InitialSpread policy.Micros // the first poll begins within this time of the start
 	ChangeSpread  policy.Micros // the poll after one that brought changes begins within this time
 	MaxPause      policy.Micros // longest pause after an error
@@ -16,12 +16,13 @@
 	MinRetry      policy.Micros // shortest pause after the second and further errors in a row
 }
 
-// DeriveIntervals derives the intervals from the platform's settings and the director's timeouts.
+// DeriveIntervals computes the intervals from the platform's settings and the director's timeouts.
 //
-// A purge or a drain must be obeyed within its propagation time after the service reported it. The pause after changes is
-// therefore at most two thirds of the shorter of the two times, and the first poll begins within nine tenths of it. After an
-// outage, what the service reported meanwhile counts as reported up to a third of PurgeRetention later (2 s of 6 s), so no pause
-// after an error is longer than that.
+// A purge or a drain must take effect within its propagation time after the service reported it.
+// The pause after changes is therefore at most two thirds of the shorter of the two propagation
+// times, and the first poll begins within nine tenths of it. After an outage, changes that the
+// service reported meanwhile count as reported up to a third of PurgeRetention later (2 s of 6 s),
+// so no pause after an error is longer than that.
 func DeriveIntervals(settings policy.Settings, timeouts policy.Timeouts) Intervals {
 	propagation := cmp.Or(settings.PurgePropagation, settings.ConnectTimeout)
 	if settings.DrainPropagation > 0 {
@@ -38,8 +39,10 @@
 	}
 }
 
-// ForDelegates returns the intervals of a fleet in which a few directors poll for all. Their long polls are shorter, because the
-// age of what they report shows the others that they work, and they poll sooner after changes, because the others wait for them.
+// ForDelegates returns the intervals of a fleet in which a few directors, the delegates, poll for
+// all. Delegates use shorter long polls, because the age of their reports shows the other directors
+// that the delegates work. They poll sooner after changes, because the other directors wait for the
+// changes.
 func (i Intervals) ForDelegates() Intervals {
 	i.LongPoll /= 4
 	i.ChangeSpread /= 8
--- a/backoff/intervals_test.go
+++ b/backoff/intervals_test.go
@@ -6,7 +6,8 @@
 	"tallyproxy/policy"
 )
 
-// The pauses after a start and after changes are shorter than the shorter of the two propagation times.
+// TestDeriveIntervals guards against pauses after a start or after changes that are not shorter
+// than the shorter of the two propagation times.
 func TestDeriveIntervals(t *testing.T) {
 	for _, c := range []struct{ purge, drain, initialSpread, changeSpread policy.Micros }{
 		{500 * ms, 1000 * ms, 450 * ms, 333_333},
@@ -18,7 +19,7 @@
 		settings := policy.Settings{PurgePropagation: c.purge, DrainPropagation: c.drain, PurgeRetention: 6 * policy.Second, ConnectTimeout: 400 * ms}
 		got := DeriveIntervals(settings, policy.Timeouts{LongPoll: 1200 * ms})
 		if got.InitialSpread != c.initialSpread || got.ChangeSpread != c.changeSpread {
-			t.Errorf("purges within %d, drains within %d: initial spread %d, change spread %d", c.purge, c.drain, got.InitialSpread, got.ChangeSpread)
+			t.Errorf("purge propagation %d, drain propagation %d: initial spread %d, change spread %d", c.purge, c.drain, got.InitialSpread, got.ChangeSpread)
 		}
 	}
 }
--- a/backoff/poller_test.go
+++ b/backoff/poller_test.go
@@ -14,7 +14,8 @@
 
 var testIntervals = DeriveIntervals(policy.Settings{PurgePropagation: 500 * ms, PurgeRetention: 6 * policy.Second, ConnectTimeout: 400 * ms}, policy.Timeouts{LongPoll: 1200 * ms})
 
-// fleetPauses returns, in ascending order, the pause that each of n directors takes after the same sequence of results.
+// fleetPauses returns, in ascending order, the pauses that n directors take after the same sequence
+// of results.
 func fleetPauses(n int, overrun, retryAfter policy.Micros, results ...PollResult) (pauses []policy.Micros) {
 	for i := range n {
 		poller := New(testIntervals, Seed(1, fmt.Sprint("n", i)))
@@ -28,7 +29,8 @@
 	return pauses
 }
 
-// peakShare returns the largest share of the ascending pauses that ends within one window of 100 ms.
+// peakShare returns the largest share of pauses that ends within one window of 100 ms. The pauses
+// must be in ascending order.
 func peakShare(pauses []policy.Micros) (peak float64) {
 	for i := range pauses {
 		j, _ := slices.BinarySearch(pauses, pauses[i]+100*ms)
@@ -37,7 +39,8 @@
 	return peak
 }
 
-// The polls of 300 directors are spread out after the same result came to all of them at once.
+// TestFleetIsSpread guards against polls of 300 directors that come at the same time after all
+// directors got the same result.
 func TestFleetIsSpread(t *testing.T) {
 	second := 1000 * ms
 	cases := []struct {
@@ -70,13 +73,14 @@
 				sum += pause
 			}
 			if peak := peakShare(pauses); peak > c.maxPeak || pauses[0] < c.minPause || pauses[299] > c.maxPause || sum/300 < c.minMean {
-				t.Errorf("%.2f in 100 ms, pauses from %d to %d, %d on average", peak, pauses[0], pauses[299], sum/300)
+				t.Errorf("%.2f of the fleet within 100 ms, pauses from %d to %d, %d on average", peak, pauses[0], pauses[299], sum/300)
 			}
 		})
 	}
 }
 
-// Over random results, no pause is longer than MaxPause less the overrun, and no long poll is longer than LongPoll.
+// TestPauseBounds guards, over random results, against a pause longer than MaxPause less the
+// overrun, and against a long poll longer than LongPoll.
 func TestPauseBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		poller := New(testIntervals, rapid.Uint64().Draw(t, "seed"))
@@ -87,13 +91,13 @@
 			pause, longPoll := poller.Next(result, overrun, retryAfter)
 			bound := max(testIntervals.MinRetry, testIntervals.MaxPause-max(0, overrun))
 			if pause < 0 || pause > bound || longPoll < testIntervals.LongPoll/2 || longPoll > testIntervals.LongPoll {
-				t.Fatalf("%v: a pause of %d, with %d at the most; a long poll of %d", result, pause, bound, longPoll)
+				t.Fatalf("%v: pause %d, maximum %d; long poll %d", result, pause, bound, longPoll)
 			}
 		}
 	})
 }
 
-// The names are values of log lines.
+// TestPollResultNames guards against changed names, which appear in log lines.
 func TestPollResultNames(t *testing.T) {
 	var got []string
 	for result := Changed; result <= Canceled; result++ {
--- a/shard/epochs.go
+++ b/shard/epochs.go
@@ -5,9 +5,10 @@
 	"sync/atomic"
 )
 
-// Epochs numbers the events that all shards must heed, such as endpoint updates and purges. An event is published once the policy
-// has taken it. It is applied once each shard has acknowledged that nothing decided before it is still unsent in its hands:
-// whatever is written later was decided with the event. Its methods may be called from any goroutine.
+// Epochs numbers the events that all shards must apply, such as endpoint updates and purges. An
+// event is published once the policy has processed it. It is applied once every shard has
+// acknowledged that it holds no unsent output that was decided before the event: everything that is
+// written later was decided with the event. The methods may be called from any goroutine.
 type Epochs struct {
 	published    atomic.Int64
 	acknowledged []acknowledgement // by shard
@@ -15,20 +16,20 @@
 
 type acknowledgement struct {
 	epoch atomic.Int64
-	_     [56]byte // each on a cache line of its own
+	_     [56]byte // pads to a cache line
 }
 
-// NewEpochs returns the epochs of a number of shards, with no event published.
+// NewEpochs returns the Epochs of the given number of shards, with no event published.
 func NewEpochs(shards int) *Epochs { return &Epochs{acknowledged: make([]acknowledgement, shards)} }
 
 // Publish counts one more event and returns its number; the first is 1.
 func (e *Epochs) Publish() int64 { return e.published.Add(1) }
 
-// Latest returns the number of the last published event, 0 before the first.
+// Latest returns the number of the last published event, or 0 before the first.
 func (e *Epochs) Latest() int64 { return e.published.Load() }
 
-// Acknowledge records that a shard holds nothing that was decided before an event. The record never goes back, nor beyond what
-// has been published.
+// Acknowledge records that a shard holds no output that was decided before an event. The recorded
+// number never decreases, and never exceeds that of the last published event.
 func (e *Epochs) Acknowledge(shard int, event int64) {
 	epoch := &e.acknowledged[shard].epoch
 	event = min(event, e.published.Load())
--- a/shard/epochs_test.go
+++ b/shard/epochs_test.go
@@ -6,16 +6,17 @@
 	"pgregory.net/rapid"
 )
 
-// TestEpochs checks, over short histories of three shards, that an event is not applied while a shard holds something that was
-// decided before it, and that it is once all shards have acknowledged it.
+// TestEpochs runs random histories of three shards. It guards against an event that counts as
+// applied while a shard holds an earlier decision, and against an event that is not applied
+// although all shards have acknowledged it.
 func TestEpochs(t *testing.T) {
-	type turn struct {
-		latest int64   // the last event when the turn began
-		held   []int64 // the last event at each decision that is not sent yet
+	type iteration struct {
+		latest int64   // last event when the iteration began
+		held   []int64 // last event at each decision that is not sent yet
 		active bool
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		e, shards := NewEpochs(3), make([]turn, 3)
+		e, shards := NewEpochs(3), make([]iteration, 3)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "shard")
 			s := &shards[i]
@@ -24,7 +25,7 @@
 				e.Publish()
 			case step == 1 && !s.active:
 				s.active, s.latest = true, e.Latest()
-			case step == 2 && s.active: // decided now, held until the turn ends
+			case step == 2 && s.active: // a decision, held until the iteration ends
 				s.held = append(s.held, e.Latest())
 			case step == 3 && s.active:
 				s.held, s.active = nil, false
@@ -33,12 +34,12 @@
 			for j, s := range shards {
 				for _, decided := range s.held {
 					if e.Applied() > decided {
-						t.Fatalf("event %d is applied while shard %d holds what was decided at %d", e.Applied(), j, decided)
+						t.Fatalf("event %d is applied while shard %d holds a decision made at event %d", e.Applied(), j, decided)
 					}
 				}
 			}
 			if e.Applied() > e.Latest() {
-				t.Fatal("applied before it was published")
+				t.Fatal("an event was applied before it was published")
 			}
 		}
 		latest := e.Latest()
@@ -49,7 +50,7 @@
 			e.Acknowledge(i, latest)
 		}
 		if e.Applied() != latest || len(e.Behind(latest)) > 0 {
-			t.Fatalf("%d applied of %d after all acknowledged it", e.Applied(), latest)
+			t.Fatalf("event %d is applied, want %d after all shards acknowledged it", e.Applied(), latest)
 		}
 	})
 }
--- a/shard/owners.go
+++ b/shard/owners.go
@@ -1,18 +1,20 @@
-// Package shard holds what the shards of one router must agree on: which of them owns an open request's id, how far each has come
-// in the stream of events, and the queues that lead to each. It does no I/O and knows no clock.
+// Package shard holds the state that the shards of one router share: which shard owns the id of an
+// open request, which events each shard has acknowledged, and the queues that lead to each shard.
+// It does no I/O and uses no clock.
 package shard
 
 import "sync"
 
 const stripes = 64
 
-// Owners records which shard owns an open id: at most one, however many claim it at once. An id leaves by Release, so the table
-// is as large as the number of open requests. Its methods may be called from any goroutine; a lock for each stripe guards it.
+// Owners records which shard owns an open id. An id has at most one owner, even if several shards
+// claim it at the same time. Release removes an id, so the table is as large as the number of open
+// requests. The methods may be called from any goroutine; each stripe has its own lock.
 type Owners struct {
 	stripe [stripes]struct {
 		sync.Mutex
 		owner map[string]int
-		_     [40]byte // each stripe on cache lines of its own
+		_     [40]byte // keeps the stripes on separate cache lines
 	}
 }
 
@@ -25,7 +27,7 @@
 	return o
 }
 
-// stripeOf spreads the ids by their FNV-1a hash.
+// stripeOf returns the stripe of an id, by the id's FNV-1a hash.
 func stripeOf(id string) int {
 	const offset, prime = 2166136261, 16777619
 	hash := uint32(offset)
@@ -35,7 +37,8 @@
 	return int(hash>>16^hash) % stripes
 }
 
-// Claim makes a shard the owner of an id. It returns false where the id has an owner already, also where that is the same shard.
+// Claim makes a shard the owner of an id. It returns false if the id already has an owner, even if
+// that is the same shard.
 func (o *Owners) Claim(id string, shard int) bool {
 	s := &o.stripe[stripeOf(id)]
 	s.Lock()
@@ -47,7 +50,7 @@
 	return true
 }
 
-// Release frees an id. It does nothing unless the shard is the id's owner.
+// Release removes an id. It does nothing unless the given shard is the id's owner.
 func (o *Owners) Release(id string, shard int) {
 	s := &o.stripe[stripeOf(id)]
 	s.Lock()
--- a/shard/owners_test.go
+++ b/shard/owners_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestOwners compares the table with a plain map: an id has one owner at a time, and only that one frees it.
+// TestOwners compares the table with a plain map. It guards against an id with two owners, and
+// against a release by a shard that is not the owner.
 func TestOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owners, model := NewOwners(), map[string]int{}
@@ -35,7 +36,8 @@
 	})
 }
 
-// TestOwnersConcurrently has all shards claim the same ids at once: each gets one owner.
+// TestOwnersConcurrently guards against ids with two owners or none when all shards claim the same
+// ids at once.
 func TestOwnersConcurrently(t *testing.T) {
 	owners := NewOwners()
 	var claimers sync.WaitGroup
@@ -55,6 +57,6 @@
 		claims += n
 	}
 	if claims != 1000 || owners.Len() != 1000 {
-		t.Errorf("%d claims of 1000 ids, %d are open", claims, owners.Len())
+		t.Errorf("%d successful claims of 1000 ids, %d are open", claims, owners.Len())
 	}
 }
--- a/shard/queue.go
+++ b/shard/queue.go
@@ -2,56 +2,60 @@
 
 import "sync"
 
-// shrinkFactor says how far beyond its limit a queue's buffer may have grown before it is let go.
+// shrinkFactor is the multiple of a queue's limit beyond which a grown buffer is released.
 const shrinkFactor = 4
 
-// Queue hands values from many goroutines to one, which takes all that are there at a time: one lock for each value put in, one for
-// each batch taken out. Put and TryPut keep it within its limit; what PutUnbounded adds, its callers must bound. A mutex guards it.
+// Queue passes values from many goroutines to one consumer, which takes all queued values at a
+// time: one lock for each value put in, and one for each batch taken out. Put and TryPut respect
+// the limit. Callers of PutUnbounded must bound their number of values themselves. A mutex guards
+// the queue.
 type Queue[T any] struct {
 	mu      sync.Mutex
 	notFull sync.Cond
 	items   []T
-	spare   []T // the buffer of the batch before the last, to be used again
+	spare   []T // buffer of the last batch, reused after the next call of TakeAll
 	limit   int
-	ready   chan struct{} // of capacity 1
+	ready   chan struct{} // has capacity 1
 	closed  bool
 }
 
-// NewQueue returns an empty queue that holds at most limit values before those who put more in must wait.
+// NewQueue returns an empty queue in which Put waits while it holds limit values or more.
 func NewQueue[T any](limit int) *Queue[T] {
 	q := &Queue[T]{limit: limit, ready: make(chan struct{}, 1)}
 	q.notFull.L = &q.mu
 	return q
 }
 
-// Put adds a value, after waiting for room. It returns false once the queue is closed.
+// Put adds a value. It waits while the queue is full, and returns false once the queue is closed.
 func (q *Queue[T]) Put(value T) bool {
 	q.mu.Lock()
 	for len(q.items) >= q.limit && !q.closed {
 		q.notFull.Wait()
 	}
-	return q.unlockAfterPut(value)
+	return q.putAndUnlock(value)
 }
 
-// TryPut adds a value without waiting. It returns false where there is no room, or the queue is closed.
+// TryPut adds a value without waiting. It returns false if the queue is full or closed.
 func (q *Queue[T]) TryPut(value T) bool {
 	q.mu.Lock()
 	if len(q.items) >= q.limit {
 		q.mu.Unlock()
 		return false
 	}
-	return q.unlockAfterPut(value)
+	return q.putAndUnlock(value)
 }
 
-// PutUnbounded adds a value whatever the queue holds, for callers that must not wait and are bounded otherwise: the end of work
-// that was handed out, of which there is never more than that. It returns false once the queue is closed.
+// PutUnbounded adds a value regardless of the limit. It is for callers that must not wait and whose
+// values are bounded otherwise, such as completions: there is at most one for each piece of work
+// that was handed out. It returns false once the queue is closed.
 func (q *Queue[T]) PutUnbounded(value T) bool {
 	q.mu.Lock()
-	return q.unlockAfterPut(value)
+	return q.putAndUnlock(value)
 }
 
-// unlockAfterPut adds a value unless the queue is closed, with the lock held on entry and free on return.
-func (q *Queue[T]) unlockAfterPut(value T) bool {
+// putAndUnlock adds a value unless the queue is closed. The caller must hold the lock; putAndUnlock
+// releases it.
+func (q *Queue[T]) putAndUnlock(value T) bool {
 	if q.closed {
 		q.mu.Unlock()
 		return false
@@ -68,15 +72,15 @@
 func (q *Queue[T]) signal() {
 	select {
 	case q.ready <- struct{}{}:
-	default: // it has been signalled already
+	default: // already signaled
 	}
 }
 
-// Ready returns a channel that receives when values have come, or the queue was closed.
+// Ready returns a channel that receives a value after values were added or the queue was closed.
 func (q *Queue[T]) Ready() <-chan struct{} { return q.ready }
 
-// TakeAll takes out all that is there, in the order in which it came. The batch is the caller's until its next call. Only one
-// goroutine may call it.
+// TakeAll removes and returns all values, in the order in which they were added. The caller may use
+// the returned slice until its next call. Only one goroutine may call TakeAll.
 func (q *Queue[T]) TakeAll() []T {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -90,7 +94,8 @@
 	return batch
 }
 
-// Close ends all waiting, and has later puts return false. What is there can still be taken out.
+// Close wakes all waiting callers and makes later puts return false. Values that are still in the
+// queue can be taken.
 func (q *Queue[T]) Close() {
 	q.mu.Lock()
 	q.closed = true
--- a/shard/queue_test.go
+++ b/shard/queue_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestQueue checks order, waiting and closing.
+// TestQueue guards against lost, duplicate or reordered values, against puts that ignore the limit,
+// and against callers that still wait after Close.
 func TestQueue(t *testing.T) {
 	t.Run("in order, none lost, none twice", func(t *testing.T) {
 		q := NewQueue[[2]int](16)
@@ -36,7 +37,7 @@
 		}
 		producers.Wait()
 		if len(q.TakeAll()) > 0 {
-			t.Error("something is left")
+			t.Error("values are left in the queue")
 		}
 	})
 	t.Run("a bounded put waits, an unbounded one does not, and closing ends all waiting", func(t *testing.T) {
@@ -46,30 +47,30 @@
 		put := make(chan bool)
 		go func() { put <- q.Put(3) }()
 		if !q.PutUnbounded(4) {
-			t.Error("an unbounded put was refused")
+			t.Error("an unbounded put returned false")
 		}
 		select {
 		case <-put:
-			t.Error("it did not wait for room")
+			t.Error("Put did not wait for room")
 		case <-time.After(20 * time.Millisecond):
 		}
 		if got := q.TakeAll(); !slices.Equal(got, []int{1, 2, 4}) {
 			t.Errorf("took %v", got)
 		}
 		if !<-put {
-			t.Error("refused though there was room")
+			t.Error("Put returned false although there was room")
 		}
 		q.PutUnbounded(5)
 		q.PutUnbounded(6)
 		go func() { put <- q.Put(7) }()
 		q.Close()
 		if <-put || q.PutUnbounded(8) {
-			t.Error("accepted after Close")
+			t.Error("a put succeeded after Close")
 		}
 	})
 }
 
-// BenchmarkHandOver compares the queue with a channel, from four goroutines to one.
+// BenchmarkHandOver compares the queue with a channel, with four producers and one consumer.
 func BenchmarkHandOver(b *testing.B) {
 	for _, kind := range []string{"queue", "channel"} {
 		b.Run(kind, func(b *testing.B) {
--- a/timerwheel/wheel.go
+++ b/timerwheel/wheel.go
@@ -1,6 +1,7 @@
-// Package timerwheel is a hierarchical timer wheel: items are scheduled for a time and handed over once it has come. It does no
-// I/O and takes the clock as a value. Scheduling, moving and cancelling cost the same whatever the wheel holds, where a heap's
-// cost grows with its size.
+// Package timerwheel implements a hierarchical timer wheel: items are scheduled for a time and
+// passed to a callback once that time has come. It does no I/O and takes the time as an argument.
+// The cost of scheduling, moving and cancelling does not depend on the number of items in the
+// wheel, whereas the cost of a heap grows with its size.
 package timerwheel
 
 import (
@@ -10,48 +11,49 @@
 
 const (
 	slotBits = 6
-	slots    = 1 << slotBits // in a level
+	slots    = 1 << slotBits // per level
 	slotMask = slots - 1
 	levels   = 6
 
-	// reachBits is the wheel's reach, as a power of two of ticks.
-	reachBits = slotBits * levels
+	// rangeBits is the binary logarithm of the wheel's range in ticks.
+	rangeBits = slotBits * levels
 )
 
-// Item is an entry of a wheel. Embed it or point to it; the zero value is not scheduled. It must not be copied while it is.
+// Item is an entry of a wheel. It can be embedded or pointed to. The zero value is not scheduled.
+// An item must not be copied while it is scheduled.
 type Item[T any] struct {
-	// Value is the caller's, and not read by the wheel.
+	// Value belongs to the caller and is not read by the wheel.
 	Value T
 
 	due            int64 // ticks
 	previous, next *Item[T]
-	list           *list[T] // nil while it is not scheduled
+	list           *list[T] // nil while the item is not scheduled
 }
 
 // Scheduled reports whether the item is in a wheel.
 func (i *Item[T]) Scheduled() bool { return i.list != nil }
 
-// list holds the items of one slot in the order of their scheduling.
+// list holds the items of one slot in the order in which they were scheduled.
 type list[T any] struct {
 	head, tail  *Item[T]
-	level, slot int // the list's own place in the wheel
+	level, slot int // position of the list in the wheel
 }
 
-// Wheel holds items by their due times, to a tick. Items due in the same tick are handed over in the order of their scheduling.
-// It is not safe for concurrent use.
+// Wheel holds items by due time, with a resolution of one tick. Items that are due in the same tick
+// expire in the order in which they were scheduled. A Wheel is not safe for concurrent use.
 type Wheel[T any] struct {
-	tick     int64 // µs
-	now      int64 // the tick up to which all items have been handed over
+	tick     int64 // length of a tick in µs
+	now      int64 // tick up to which all items have expired
 	count    int
-	occupied [levels]uint64 // a bit for each slot that is not empty
+	occupied [levels]uint64 // per level: one bit for each slot that is not empty
 	lists    [levels][slots]list[T]
 }
 
-// New returns an empty wheel whose ticks last the given microseconds, at the time now in microseconds. It panics unless tick is
-// above 0.
+// New returns an empty wheel at the time now, with ticks of the given length, both in microseconds.
+// It panics unless tick is above 0.
 func New[T any](tick, now int64) *Wheel[T] {
 	if tick <= 0 {
-		panic("timerwheel: the tick must be above 0")
+		panic("timerwheel: tick must be positive")
 	}
 	w := &Wheel[T]{tick: tick, now: now / tick}
 	for level := range w.lists {
@@ -65,8 +67,9 @@
 // Len returns the number of scheduled items.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Schedule adds an item, or moves it, so that it is due at a time in microseconds. It is handed over no sooner than that, and no
-// more than a tick later. An item due beyond the wheel's reach of 64^6 ticks is looked at again when that has passed.
+// Schedule adds an item, or moves it, so that it is due at the given time in microseconds. The item
+// expires no earlier than that, and no more than one tick later. An item that is due beyond the
+// wheel's range of 64^6 ticks is placed again when that range has passed.
 func (w *Wheel[T]) Schedule(i *Item[T], due int64) {
 	w.Cancel(i)
 	i.due = max((due+w.tick-1)/w.tick, w.now+1)
@@ -74,9 +77,9 @@
 	w.count++
 }
 
-// link appends an item to the list of the slot where its due time lies, as seen from now.
+// link appends an item to the list of the slot for its due time, relative to now.
 func (w *Wheel[T]) link(i *Item[T]) {
-	at := min(i.due, w.now+1<<reachBits-1)
+	at := min(i.due, w.now+1<<rangeBits-1)
 	level := 0
 	if difference := uint64(at ^ w.now); difference > 0 {
 		highestBit := bits.Len64(difference) - 1
@@ -93,7 +96,7 @@
 	w.occupied[level] |= 1 << l.slot
 }
 
-// Cancel takes an item out before it is due. It does nothing to one that is not scheduled.
+// Cancel removes an item before it is due. It does nothing if the item is not scheduled.
 func (w *Wheel[T]) Cancel(i *Item[T]) {
 	if i.list == nil {
 		return
@@ -120,8 +123,9 @@
 	i.previous, i.next, i.list = nil, nil, nil
 }
 
-// Advance moves the wheel on to a time in microseconds, and calls expired for each item that is due by then, in the order of the
-// due times. The item is out of the wheel during the call, which may schedule and cancel any.
+// Advance moves the wheel to the given time in microseconds, and calls expired for each item that
+// is due by then, in the order of the due times. The item is no longer scheduled during the call,
+// which may schedule and cancel any item.
 func (w *Wheel[T]) Advance(now int64, expired func(*Item[T])) {
 	for until := now / w.tick; w.now < until; {
 		w.now = w.nextEvent(until)
@@ -141,16 +145,17 @@
 	}
 }
 
-// UntilNext returns how long the caller may wait, from a time in microseconds on, before it must call Advance: never longer than
-// until the first item is due, sometimes shorter, when items only move down a level. An empty wheel gives a very long time.
+// UntilNext returns how long the caller may wait, from the given time in microseconds, before it
+// must call Advance. The result is never longer than the time until the first item is due. It is
+// shorter if items move to a lower level before that. For an empty wheel it is a very long time.
 func (w *Wheel[T]) UntilNext(now int64) time.Duration {
-	const farTicks = 1 << 40
-	next := w.nextEvent(w.now + farTicks)
+	const maxTicks = 1 << 40
+	next := w.nextEvent(w.now + maxTicks)
 	return time.Duration(max(0, next*w.tick-now)) * time.Microsecond
 }
 
-// nextEvent returns the next tick at which an item is due or moves down a level, at most until. Whatever lies in a lower level
-// comes before all that lies in a higher one.
+// nextEvent returns the next tick at which an item is due or moves to a lower level, but at most
+// until. All items of a lower level come before those of a higher level.
 func (w *Wheel[T]) nextEvent(until int64) int64 {
 	for level := range levels {
 		shift := slotBits * level
@@ -160,13 +165,13 @@
 			return min(until, base+int64(bits.TrailingZeros64(later))<<shift)
 		}
 	}
-	if w.occupied[levels-1] != 0 { // in the next turn of the highest level
-		return min(until, (w.now>>reachBits+1)<<reachBits)
+	if w.occupied[levels-1] != 0 { // in the next rotation of the highest level
+		return min(until, (w.now>>rangeBits+1)<<rangeBits)
 	}
 	return until
 }
 
-// cascade spreads a slot's items over the levels below, once the wheel has come to it.
+// cascade distributes a slot's items over the lower levels when the wheel has reached the slot.
 func (w *Wheel[T]) cascade(level, slot int) {
 	for i := w.lists[level][slot].head; i != nil; {
 		next := i.next
--- a/timerwheel/wheel_test.go
+++ b/timerwheel/wheel_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMatchesMap compares the wheel with a plain map: which items are handed over, when and in which order, over schedules, moves,
-// cancellations and steps of all sizes.
+// TestMatchesMap compares the wheel with a plain map, over random schedules, moves, cancellations
+// and time steps. It guards against items that expire at the wrong time or in the wrong order.
 func TestMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tick := rapid.SampledFrom([]int64{1, 7, 1000}).Draw(t, "tick")
@@ -23,7 +23,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(items)-1).Draw(t, "item")
 			span := int64(1) << rapid.IntRange(0, 45).Draw(t, "bits")
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0, 1:
 				at := now + rapid.Int64Range(-span, span).Draw(t, "due")
 				w.Schedule(items[i], at)
@@ -42,7 +42,7 @@
 				last := int64(0)
 				w.Advance(now, func(i *Item[int]) {
 					if due[i.Value] < last || i.Scheduled() {
-						t.Fatalf("item %d, due at %d, was handed over after one due at %d", i.Value, due[i.Value], last)
+						t.Fatalf("item %d, due at %d, expired after an item due at %d, or is still scheduled", i.Value, due[i.Value], last)
 					}
 					last = due[i.Value]
 					got = append(got, i.Value)
@@ -50,7 +50,7 @@
 				slices.Sort(want)
 				slices.Sort(got)
 				if !slices.Equal(want, got) {
-					t.Fatalf("at tick %d %v were handed over, want %v", now/tick, got, want)
+					t.Fatalf("at tick %d: %v expired, want %v", now/tick, got, want)
 				}
 				for _, i := range got {
 					delete(due, i)
@@ -63,22 +63,22 @@
 	})
 }
 
-// TestScheduleDuringAdvance schedules an item again from within the call that hands it over.
+// TestScheduleDuringAdvance guards against a callback that cannot schedule its own item again.
 func TestScheduleDuringAdvance(t *testing.T) {
 	w := New[int](10, 0)
-	item, times := &Item[int]{}, 0
+	item, expirations := &Item[int]{}, 0
 	w.Schedule(item, 5)
 	w.Advance(1000, func(i *Item[int]) {
-		if times++; times < 5 {
+		if expirations++; expirations < 5 {
 			w.Schedule(i, 0)
 		}
 	})
-	if times != 5 || w.Len() != 0 {
-		t.Errorf("handed over %d times, %d left", times, w.Len())
+	if expirations != 5 || w.Len() != 0 {
+		t.Errorf("expired %d times, %d still scheduled", expirations, w.Len())
 	}
 }
 
-// timerHeap is the same by container/heap, for the benchmark.
+// timerHeap holds timers in a heap of container/heap, for the benchmark.
 type timerHeap []*heapItem
 
 type heapItem struct {
@@ -92,26 +92,27 @@
 func (h *timerHeap) Push(x any)        { x.(*heapItem).index = len(*h); *h = append(*h, x.(*heapItem)) }
 func (h *timerHeap) Pop() any          { x := (*h)[len(*h)-1]; *h = (*h)[:len(*h)-1]; return x }
 
-// BenchmarkTimers compares the wheel with the standard heap on timers that are moved often and seldom expire, as those of requests.
+// BenchmarkTimers compares the wheel with container/heap for timers that are often moved and seldom
+// expire, like those of requests.
 func BenchmarkTimers(b *testing.B) {
-	for _, held := range []int{1000, 100_000} {
-		name := map[int]string{1000: "held=1k", 100_000: "held=100k"}[held]
+	for _, timers := range []int{1000, 100_000} {
+		name := map[int]string{1000: "held=1k", 100_000: "held=100k"}[timers]
 		b.Run(name+"/wheel", func(b *testing.B) {
 			w, r := New[int](1000, 0), rand.New(rand.NewPCG(1, 2))
-			items := make([]Item[int], held)
+			items := make([]Item[int], timers)
 			for n := range b.N {
-				w.Schedule(&items[n%held], int64(n)+r.Int64N(6_000_000))
+				w.Schedule(&items[n%timers], int64(n)+r.Int64N(6_000_000))
 				w.Advance(int64(n), func(*Item[int]) {})
 			}
 		})
 		b.Run(name+"/heap", func(b *testing.B) {
 			var h timerHeap
 			r := rand.New(rand.NewPCG(1, 2))
-			items := make([]heapItem, held)
+			items := make([]heapItem, timers)
 			for n := range b.N {
-				i := &items[n%held]
+				i := &items[n%timers]
 				i.due = int64(n) + r.Int64N(6_000_000)
-				if n < held || i.index < 0 {
+				if n < timers || i.index < 0 {
 					heap.Push(&h, i)
 				} else {
 					heap.Fix(&h, i.index)
