--- a/backoff/intervals.go
+++ b/backoff/intervals.go
@@ -12,8 +12,8 @@
 	InitialSpread policy.Micros // the first poll begins within this time of the start
 	ChangeSpread  policy.Micros // the poll after one that brought changes begins within this time
 	MaxPause      policy.Micros // longest pause after an error
-	FirstErrorMax policy.Micros // longest pause after the first error in a row
-	MinRetry      policy.Micros // shortest pause after the second and further errors in a row
+	FirstErrorMax policy.Micros // longest pause after the first of consecutive errors
+	MinRetry      policy.Micros // shortest pause after the second and further consecutive errors
 }
 
 // DeriveIntervals computes the intervals from the platform's settings and the director's timeouts.
--- a/backoff/poller_test.go
+++ b/backoff/poller_test.go
@@ -48,9 +48,9 @@
 		results             []PollResult
 		overrun, retryAfter policy.Micros
 		maxPeak             float64       // share of the fleet that polls within 100 ms
-		minPause            policy.Micros // of every director
-		maxPause            policy.Micros // of every director
-		minMean             policy.Micros // of the pauses
+		minPause            policy.Micros // lower bound for every director
+		maxPause            policy.Micros // upper bound for every director
+		minMean             policy.Micros // lower bound for the mean of the pauses
 	}{
 		{"start", nil, 0, 0, 0.29, 0, 450 * ms, 200 * ms},
 		{"changes", []PollResult{Changed}, 0, 0, 0.4, 0, 334 * ms, 140 * ms},
--- a/dedup/dedup.go
+++ b/dedup/dedup.go
@@ -34,7 +34,7 @@
 type Table struct {
 	settings Settings
 	records  map[string]*Record
-	wheel    *timerwheel.Wheel[string] // nil until the first key is looked up
+	wheel    *timerwheel.Wheel[string] // nil until the first lookup or attempt
 	rejected int                       // requests that found the table full
 }
 
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -1,13 +1,15 @@
-// Package maintenance plans in which order machines are taken out of service for maintenance, and which may be out together: at every
-// time what is left must bear the demand of each location and hub, while machines are out and while those that came back warm up. It
-// does no I/O, and times are on the plan's clock, which starts at 0. docs/work.md has the model, and what is not built yet.
+// Package maintenance plans the order in which machines are taken out of service for maintenance,
+// and which machines may be out at the same time. At any time the remaining capacity must suffice
+// for the demand of each location and hub, while machines are out and while returned machines warm
+// up. The package does no I/O. Times are on the plan's clock, which starts at 0. docs/work.md
+// describes the model and what is not implemented yet.
 package maintenance
 
 import (
 	"tallyproxy/policy"
 )
 
-// Kind is what a machine serves as.
+// Kind is the role of a machine.
 type Kind int
 
 // The kinds of machines.
@@ -28,58 +30,63 @@
 
 func (k Kind) plural() string { return kindPlurals[k] }
 
-// Machine is one that serves.
+// Machine describes a machine of the site.
 type Machine struct {
 	Name        string        // unique in a site
-	Kind        Kind          // what it serves as
-	Location    string        // of a parent: its hub
-	Capacity    float64       // what it bears when warm, in the demand's unit
-	Unavailable bool          // it is out of service unplanned, a fact that the plan starts from
-	WarmingFor  policy.Micros // it still warms up for so long, during which its capacity counts as lost
+	Kind        Kind          // role of the machine
+	Location    string        // the hub in the case of a parent
+	Capacity    float64       // capacity when warm, in the unit of the demand
+	Unavailable bool          // already out of service, unplanned
+	WarmingFor  policy.Micros // remaining warm-up time, during which its capacity counts as lost
 }
 
-// Job is maintenance that is asked for.
+// Job is a requested maintenance of one or more machines.
 type Job struct {
 	ID        string        // unique in a site
-	Machines  []string      // by name; out together
-	Duration  policy.Micros // how long they are out
-	NotBefore policy.Micros // the earliest start
-	Deadline  policy.Micros // when it should have ended; 0 for none
-	Started   bool          // its machines are out already, for Duration more: a fact that the plan starts from
+	Machines  []string      // names; all are out at the same time
+	Duration  policy.Micros // how long the machines are out
+	NotBefore policy.Micros // earliest start
+	Deadline  policy.Micros // latest desired end; 0 for none
+	Started   bool          // machines are already out, for Duration more; fixed in the plan
 }
 
-// Slot is the demand from a time on, until the next slot's.
+// Slot is the demand from Start until the next slot.
 type Slot struct {
-	Start  policy.Micros      // of this demand
+	Start  policy.Micros      // beginning of the slot
 	Demand map[string]float64 // by location or hub
 }
 
-// Site is what a plan is for.
+// Site holds the machines that a plan is for, their demand, and the limits and search settings of
+// the plan.
 type Site struct {
-	Machines         []Machine            // all that serve, in and out of service
-	Demand           []Slot               // by their starts, the first at 0
-	WarmUp           [kinds]policy.Micros // by kind: how long a machine that comes back counts as lost
-	Reserve          float64              // share of the capacity in service that must be left over beside the demand
-	MaxUnavailable   float64              // share of a group's machines that may be out or warming together; one always may
-	LocalSearchMoves int                  // orders that the local search tries
-	ExactLimit       int                  // jobs up to which all orders are searched
+	Machines []Machine            // all machines, in and out of service
+	Demand   []Slot               // by ascending start, the first at 0
+	WarmUp   [kinds]policy.Micros // by kind: how long a returned machine counts as lost
+	// Reserve is the share of the capacity in service that must remain free in addition to the
+	// demand.
+	Reserve float64
+	// MaxUnavailable is the share of a group's machines that may be out of service or warming up at
+	// the same time. One machine always may.
+	MaxUnavailable   float64
+	LocalSearchMoves int // orders that the local search tries
+	ExactLimit       int // number of jobs up to which all orders are searched
 }
 
 // Placement is a job's time in a plan.
 type Placement struct {
-	Job       string        // its ID
-	Start     policy.Micros // when its machines go out
-	End       policy.Micros // when they come back, and begin to warm up
-	Reason    string        // one sentence: why it starts then
-	Tardiness policy.Micros // how long after its deadline it ends
+	Job       string        // job ID
+	Start     policy.Micros // when the machines go out of service
+	End       policy.Micros // when the machines return and begin to warm up
+	Reason    string        // why the job starts at that time
+	Tardiness policy.Micros // how long after the deadline the job ends
 }
 
-// Plan is the placements of a site's jobs.
+// Plan is the result for a site and its jobs.
 type Plan struct {
-	Placements  []Placement       // by their starts, then jobs
-	Makespan    policy.Micros     // when the last job ends
-	Tardiness   policy.Micros     // the sum over all placements
-	Infeasible  map[string]string // by job ID, those that can't be placed: why, and what would be needed
-	Optimal     bool              // all orders were searched: no order gives a better plan
-	OrdersTried int               // by the search
+	Placements  []Placement       // by start, then by job ID
+	Makespan    policy.Micros     // end of the last job
+	Tardiness   policy.Micros     // sum over all placements
+	Infeasible  map[string]string // by job ID: why the job cannot be placed, and what it would need
+	Optimal     bool              // all orders were searched, so no order gives a better plan
+	OrdersTried int               // number of orders that the search tried
 }
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -13,7 +13,8 @@
 
 const minute = 60 * policy.Second
 
-// newSite returns a site of one location, with a demand and cache nodes of one size, and of a hub with two parents.
+// newSite returns a site with one location of equal cache nodes and the given demand, and one hub
+// with two parents.
 func newSite(cacheNodes int, demand float64) Site {
 	s := Site{WarmUp: [3]policy.Micros{10 * policy.Second, 20 * policy.Second, 0}, MaxUnavailable: 0.5, LocalSearchMoves: 200, ExactLimit: 7,
 		Demand: []Slot{{0, map[string]float64{"south": demand, "hub": 1}}}}
@@ -26,7 +27,7 @@
 	return s
 }
 
-// jobsFor returns a job of a duration for each of some machines.
+// jobsFor returns one job of the given duration for each machine.
 func jobsFor(duration policy.Micros, machines ...string) (jobs []Job) {
 	for _, m := range machines {
 		jobs = append(jobs, Job{ID: "work on " + m, Machines: []string{m}, Duration: duration})
@@ -34,7 +35,8 @@
 	return jobs
 }
 
-// Guards against a plan that has two jobs at one machine at a time, where that is not the first that either names.
+// TestViolationsOfSharedMachines guards against an undetected overlap of two jobs on a machine that
+// is not the first machine of either job.
 func TestViolationsOfSharedMachines(t *testing.T) {
 	site := newSite(9, 1)
 	for _, c := range []struct {
@@ -50,7 +52,7 @@
 		plan := Plan{Placements: []Placement{{Job: "a", End: minute}, {Job: "b", Start: minute / 2, End: 3 * minute / 2}}}
 		shared := 0
 		for _, violation := range Violations(site, jobs, plan) {
-			if strings.Contains(violation, "one machine at a time") {
+			if strings.Contains(violation, "use the same machine at the same time") {
 				shared++
 			}
 		}
@@ -60,7 +62,8 @@
 	}
 }
 
-// Guards against sums in map order: what decides between two plans is to be the same each time, to the last bit.
+// TestCapacityIsSummedInOrder guards against sums in map order, whose last bits vary: the choice
+// between two plans must be the same each time.
 func TestCapacityIsSummedInOrder(t *testing.T) {
 	site := newSite(1, 1)
 	site.Machines[0].Capacity, site.Machines[1].Capacity = 0.1, 0.2
@@ -75,53 +78,54 @@
 	}
 }
 
-// TestPlans checks placements and their reasons on small sites, with both planners.
+// TestPlans guards against wrong placements and reasons on small sites, with the exact and the
+// heuristic planner.
 func TestPlans(t *testing.T) {
 	cases := []struct {
 		name       string
 		site       Site
 		jobs       []Job
-		want       []string // each placement's job, start in seconds and beginning of its reason
-		infeasible string   // part of the reason of a job that can't be placed
+		want       []string // per placement: job, start in seconds and beginning of its reason
+		infeasible string   // part of the reason of a job that cannot be placed
 	}{
-		{"one", newSite(5, 20), jobsFor(minute, "node-1"), []string{"node-1 0 it can begin at once"}, ""},
-		{"room for two", newSite(5, 20), jobsFor(minute, "node-1", "node-2"), []string{"node-1 0 it can", "node-2 0 it can"}, ""},
+		{"one", newSite(5, 20), jobsFor(minute, "node-1"), []string{"node-1 0 can start immediately"}, ""},
+		{"room for two", newSite(5, 20), jobsFor(minute, "node-1", "node-2"), []string{"node-1 0 can start", "node-2 0 can start"}, ""},
 		{"the third waits until a node is back and warm", newSite(5, 20), jobsFor(minute, "node-1", "node-2", "node-3"),
-			[]string{"node-1 0 ", "node-2 0 ", "node-3 70 waits for work on node-1 and work on node-2: 3 of 5 cache nodes in south would be out or warming"}, ""},
+			[]string{"node-1 0 ", "node-2 0 ", "node-3 70 waits for work on node-1 and work on node-2: 3 of 5 cache nodes in south would be out of service or warming up"}, ""},
 		{"the demand leaves room for one", newSite(5, 32), jobsFor(minute, "node-1", "node-2"),
-			[]string{"node-1 0 ", "node-2 70 waits for work on node-1: 24 of 40 would be left in south for a demand of 32"}, ""},
+			[]string{"node-1 0 ", "node-2 70 waits for work on node-1: 24 of 40 capacity would remain in south for a demand of 32"}, ""},
 		{"one location with two nodes, both asked for", newSite(2, 8), jobsFor(minute, "node-0", "node-1"), []string{"node-0 0 ", "node-1 70 waits for work on node-0"}, ""},
 		{"a parent waits for the other", newSite(2, 1), jobsFor(minute, "parent-0", "parent-1"), []string{"parent-0 0 ", "parent-1 80 waits for work on parent-0"}, ""},
 		{"not before its time", newSite(2, 8), []Job{{ID: "a", Machines: []string{"node-0"}, Duration: minute, NotBefore: minute}}, []string{"a 60 not before"}, ""},
-		{"too much at any time", newSite(3, 23), jobsFor(minute, "node-0"), nil, "16 of 24 would be left in south for a demand of 23 at the quietest; 7 more room"},
-		{"everything at once", newSite(3, 1), []Job{{ID: "all", Machines: []string{"node-0", "node-1", "node-2"}, Duration: minute}}, nil,
-			"all 3 cache nodes in south would be out; another one there is needed"},
-		{"a name that nobody knows", newSite(3, 1), jobsFor(minute, "nonode"), nil, "there is no nonode"},
-		{"no time at all", newSite(3, 1), jobsFor(0, "node-0"), nil, "takes no time"},
-		{"at night", func() Site {
+		{"too much at any time", newSite(3, 23), jobsFor(minute, "node-0"), nil, "16 of 24 capacity would remain in south for the lowest demand of 23; 7 more capacity"},
+		{"all machines of a group", newSite(3, 1), []Job{{ID: "all", Machines: []string{"node-0", "node-1", "node-2"}, Duration: minute}}, nil,
+			"all 3 cache nodes in south would be out of service; at least one more is needed there"},
+		{"unknown machine", newSite(3, 1), jobsFor(minute, "nonode"), nil, "unknown machine: nonode"},
+		{"no duration", newSite(3, 1), jobsFor(0, "node-0"), nil, "has no duration"},
+		{"waits for lower demand", func() Site {
 			s := newSite(3, 20)
 			s.Demand = append(s.Demand, Slot{600 * policy.Second, map[string]float64{"south": 10, "hub": 1}})
 			return s
-		}(), jobsFor(minute, "node-0"), []string{"node-0 600 waits for a quieter time"}, ""},
-		{"what is out already is a fact", newSite(3, 8), append(jobsFor(minute, "node-1"), Job{ID: "b", Machines: []string{"node-0"}, Duration: minute, Started: true}),
-			[]string{"b 0 it is out already", "node-1 70 waits for b"}, ""},
-		{"another has failed unasked", func() Site {
+		}(), jobsFor(minute, "node-0"), []string{"node-0 600 waits for lower demand"}, ""},
+		{"a started job keeps its time", newSite(3, 8), append(jobsFor(minute, "node-1"), Job{ID: "b", Machines: []string{"node-0"}, Duration: minute, Started: true}),
+			[]string{"b 0 already out of service", "node-1 70 waits for b"}, ""},
+		{"another machine is unavailable", func() Site {
 			s := newSite(3, 8)
 			s.Machines[2].Unavailable = true
 			return s
-		}(), jobsFor(minute, "node-0"), nil, "as things are: waits for node-2: 2 of 3 cache nodes"},
+		}(), jobsFor(minute, "node-0"), nil, "with the current outages: waits for node-2: 2 of 3 cache nodes"},
 		{"another still warms up", func() Site {
 			s := newSite(2, 8)
 			s.Machines[1].WarmingFor = 5 * policy.Second
 			return s
 		}(), jobsFor(minute, "node-0"), []string{"node-0 5 waits for node-1"}, ""},
 		{"one machine for two", newSite(4, 8), []Job{{ID: "a", Machines: []string{"node-0"}, Duration: minute}, {ID: "b", Machines: []string{"node-0"}, Duration: minute}},
-			[]string{"a 0 ", "b 70 waits for a: it is the same machine"}, ""},
-		{"what is due first goes first", newSite(2, 8), []Job{{ID: "a", Machines: []string{"node-0"}, Duration: minute},
+			[]string{"a 0 ", "b 70 waits for a: uses the same machine"}, ""},
+		{"earliest deadline first", newSite(2, 8), []Job{{ID: "a", Machines: []string{"node-0"}, Duration: minute},
 			{ID: "b", Machines: []string{"node-1"}, Duration: minute, Deadline: 70 * policy.Second}}, []string{"b 0 ", "a 70 "}, ""},
 	}
 	for _, c := range cases {
-		for _, exactLimit := range []int{7, 0} { // both planners
+		for _, exactLimit := range []int{7, 0} { // exact and heuristic planner
 			t.Run(fmt.Sprint(c.name, " ", exactLimit), func(t *testing.T) {
 				c.site.ExactLimit = exactLimit
 				plan := MakePlan(c.site, c.jobs, 1)
@@ -149,7 +153,7 @@
 	}
 }
 
-// drawSite draws a site and its jobs.
+// drawSite draws a random site and its jobs.
 func drawSite(t *rapid.T, maxMachines, maxJobs int) (Site, []Job) {
 	s := Site{WarmUp: [3]policy.Micros{10 * policy.Second, 20 * policy.Second, 0}, MaxUnavailable: 0.5, LocalSearchMoves: 60, ExactLimit: 6, Reserve: 0.1}
 	capacity := map[string]float64{}
@@ -178,8 +182,8 @@
 	return s, jobs
 }
 
-// TestPlanProperties checks that no plan has violations, that every job has a placement or a reason, that equal arguments give equal
-// plans, and that the exact planner is never worse than the heuristic one.
+// TestPlanProperties guards against plans with violations, jobs without a placement or a reason,
+// different plans for equal arguments, and an exact plan that is worse than the heuristic one.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, jobs := drawSite(t, 9, 5)
@@ -204,7 +208,7 @@
 			t.Fatalf("exact: makespan %d, tardiness %d; heuristic: %d, %d", exact.Makespan, exact.Tardiness, heuristic.Makespan, heuristic.Tardiness)
 		}
 		if second := MakePlan(s, jobs, 3); !reflect.DeepEqual(second, heuristic) {
-			t.Fatal("equal arguments gave another plan")
+			t.Fatal("equal arguments gave different plans")
 		}
 	})
 }
--- a/maintenance/search.go
+++ b/maintenance/search.go
@@ -9,8 +9,9 @@
 	"tallyproxy/policy"
 )
 
-// MakePlan places a site's jobs. Up to the site's ExactLimit of them it searches all orders; beyond, it tries some: by deadline, by
-// duration, by the capacity that a job takes, and moves of one job from the best so far, drawn from a seed. Equal arguments give
+// MakePlan places a site's jobs. Up to the site's ExactLimit of jobs it searches all orders. Beyond
+// that it tries the orders by deadline, by duration and by the capacity that a job takes, and then
+// random moves of one job from the best order so far, drawn from the seed. Equal arguments give
 // equal plans.
 func MakePlan(site Site, jobs []Job, seed uint64) (plan Plan) {
 	p := newPlanner(&site)
@@ -31,20 +32,20 @@
 	}
 	s.scheduleStarted()
 	if plan.Optimal = len(open) <= site.ExactLimit; plan.Optimal {
-		s.exhaustive(s.base, s.fixed, open, score{})
+		s.exhaustive(s.base, s.startedPlacements, open, score{})
 	} else {
 		s.heuristic(open, seed)
 	}
-	if s.found == nil && len(open)+len(s.fixed) > 0 {
-		s.found = s.scheduleFeasible(open, plan.Infeasible)
+	if s.bestPlacements == nil && len(open)+len(s.startedPlacements) > 0 {
+		s.bestPlacements = s.scheduleFeasible(open, plan.Infeasible)
 	}
-	plan.OrdersTried = s.tried
-	plan.setPlacements(s.found)
+	plan.OrdersTried = s.ordersTried
+	plan.setPlacements(s.bestPlacements)
 	return plan
 }
 
-// PlanInOrder gives each job the earliest time that those before it leave, in the order given. Jobs that can't be placed are left out,
-// and no sums of tardiness are made.
+// PlanInOrder places the jobs in the given order, each at the earliest time that the jobs before it
+// allow. It omits jobs that cannot be placed, and does not sum up the tardiness.
 func PlanInOrder(site Site, jobs []Job) (plan Plan) {
 	p := newPlanner(&site)
 	planned := p.initial()
@@ -60,7 +61,7 @@
 	return plan
 }
 
-// setPlacements sorts the placements and sums them up.
+// setPlacements sorts the placements, stores them in the plan and sums them up.
 func (plan *Plan) setPlacements(placements []Placement) {
 	slices.SortStableFunc(placements, func(a, b Placement) int {
 		return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.Job, b.Job))
@@ -71,7 +72,8 @@
 	}
 }
 
-// score is how good an order is: first by the least tardiness, then by the earliest end of all, then by that of each.
+// score rates an order: lower tardiness is better, then an earlier end of the last job, then a
+// lower sum of the ends of all jobs.
 type score struct{ tardiness, makespan, sumOfEnds policy.Micros }
 
 func (s *score) add(p Placement) {
@@ -82,60 +84,62 @@
 	return cmp.Or(cmp.Compare(s.tardiness, o.tardiness), cmp.Compare(s.makespan, o.makespan), cmp.Compare(s.sumOfEnds, o.sumOfEnds)) < 0
 }
 
-// search looks for the best order of a planner's open jobs.
+// search finds the best order of a planner's open jobs.
 type search struct {
 	*planner
-	started []*Job
-	base    outages     // with the started jobs'
-	fixed   []Placement // the started jobs'
-	tried   int         // orders
-	best    score
-	found   []Placement // those of the best order; nil until one was found
+	started           []*Job
+	base              outages     // includes those of the started jobs
+	startedPlacements []Placement // of the started jobs
+	ordersTried       int
+	best              score
+	bestPlacements    []Placement // of the best order; nil until one was found
 }
 
 func (s *search) scheduleStarted() {
 	for _, j := range s.started {
-		placement, _ := s.schedule(s.base, j) // a started job always has its place
-		s.fixed = append(s.fixed, placement)
+		placement, _ := s.schedule(s.base, j) // a started job can always be placed
+		s.startedPlacements = append(s.startedPlacements, placement)
 	}
 }
 
-// exhaustive tries all orders of the jobs that are left, except where what is placed can't become better than the best.
-func (s *search) exhaustive(planned outages, placements []Placement, left []*Job, reached score) {
-	if len(left) == 0 {
-		if s.tried++; reached.betterThan(s.best) {
-			s.best, s.found = reached, slices.Clone(placements)
+// exhaustive tries all orders of the remaining jobs, except those whose placements so far cannot
+// lead to a better score than the best.
+func (s *search) exhaustive(planned outages, placements []Placement, remaining []*Job, total score) {
+	if len(remaining) == 0 {
+		if s.ordersTried++; total.betterThan(s.best) {
+			s.best, s.bestPlacements = total, slices.Clone(placements)
 		}
 		return
 	}
-	if !bound(reached, left).betterThan(s.best) {
+	if !lowerBound(total, remaining).betterThan(s.best) {
 		return
 	}
-	for i, j := range left {
+	for i, j := range remaining {
 		next := planned.clone()
 		placement, ok := s.schedule(next, j)
 		if !ok {
 			continue
 		}
-		with := reached
-		with.add(placement)
-		s.exhaustive(next, append(slices.Clip(placements), placement), slices.Delete(slices.Clone(left), i, i+1), with)
+		extended := total
+		extended.add(placement)
+		s.exhaustive(next, append(slices.Clip(placements), placement), slices.Delete(slices.Clone(remaining), i, i+1), extended)
 	}
 }
 
-// bound returns a score that no order of the jobs that are left can better: none ends before it could alone.
-func bound(reached score, left []*Job) score {
-	for _, j := range left {
+// lowerBound returns a score that no order of the remaining jobs can beat: it lets each job end as
+// early as it could alone.
+func lowerBound(total score, remaining []*Job) score {
+	for _, j := range remaining {
 		end := j.NotBefore + j.Duration
-		reached.makespan, reached.sumOfEnds = max(reached.makespan, end), reached.sumOfEnds+end
+		total.makespan, total.sumOfEnds = max(total.makespan, end), total.sumOfEnds+end
 		if j.Deadline > 0 {
-			reached.tardiness += max(0, end-j.Deadline)
+			total.tardiness += max(0, end-j.Deadline)
 		}
 	}
-	return reached
+	return total
 }
 
-// heuristic tries three orders by rule, then moves from the best so far.
+// heuristic tries three orders by fixed rules, and then moves from the best order so far.
 func (s *search) heuristic(open []*Job, seed uint64) {
 	byID := func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) }
 	longestFirst := func(a, b *Job) int { return cmp.Compare(b.Duration, a.Duration) }
@@ -149,12 +153,12 @@
 	} {
 		order := slices.Clone(open)
 		slices.SortFunc(order, rule)
-		s.try(order)
+		s.tryOrder(order)
 	}
 	s.improve(open, seed)
 }
 
-// deadline returns a job's, or the end of time where it has none.
+// deadline returns a job's deadline, or never if it has none.
 func deadline(j *Job) policy.Micros {
 	if j.Deadline == 0 {
 		return never
@@ -162,25 +166,26 @@
 	return j.Deadline
 }
 
-// try schedules jobs in an order, and keeps that if it is the best. An order in which a job finds no place, with what is lost now, isn't
-// kept.
-func (s *search) try(order []*Job) {
-	s.tried++
-	planned, placements, reached := s.base.clone(), slices.Clone(s.fixed), score{}
+// tryOrder schedules the jobs in the given order, and keeps the result if it is the best so far. It
+// discards an order in which a job cannot be placed with the current outages.
+func (s *search) tryOrder(order []*Job) {
+	s.ordersTried++
+	planned, placements, total := s.base.clone(), slices.Clone(s.startedPlacements), score{}
 	for _, j := range order {
 		placement, ok := s.schedule(planned, j)
 		if !ok {
 			return
 		}
 		placements = append(placements, placement)
-		reached.add(placement)
+		total.add(placement)
 	}
-	if reached.betterThan(s.best) {
-		s.best, s.found = reached, placements
+	if total.betterThan(s.best) {
+		s.best, s.bestPlacements = total, placements
 	}
 }
 
-// improve is a local search: it tries orders that differ from the best so far in one job's place.
+// improve is a local search: it tries orders that differ from the best so far in the position of
+// one job.
 func (s *search) improve(open []*Job, seed uint64) {
 	generator := random.New(seed)
 	byID := map[string]*Job{}
@@ -189,7 +194,7 @@
 	}
 	for range s.site.LocalSearchMoves {
 		var order []*Job
-		for _, placement := range s.found {
+		for _, placement := range s.bestPlacements {
 			if j := byID[placement.Job]; j != nil {
 				order = append(order, j)
 			}
@@ -201,20 +206,21 @@
 		to := int(generator.Below(uint64(len(order))))
 		j := order[from]
 		order = slices.Insert(slices.Delete(order, from, from+1), to, j)
-		s.try(order)
+		s.tryOrder(order)
 	}
 }
 
-// scheduleFeasible schedules, where no order has a place for all jobs as things are, those that find one. It adds the others to infeasible.
+// scheduleFeasible handles the case that no order can place all jobs with the current outages. It
+// schedules the jobs that can be placed and adds the others to infeasible.
 func (s *search) scheduleFeasible(open []*Job, infeasible map[string]string) []Placement {
 	planned := s.base.clone()
-	placements := slices.Clone(s.fixed)
+	placements := slices.Clone(s.startedPlacements)
 	for _, j := range open {
 		placement, ok := s.schedule(planned, j)
 		if ok {
 			placements = append(placements, placement)
 		} else {
-			infeasible[j.ID] = "as things are: " + placement.Reason
+			infeasible[j.ID] = "with the current outages: " + placement.Reason
 		}
 	}
 	return placements
--- a/maintenance/violations.go
+++ b/maintenance/violations.go
@@ -7,39 +7,40 @@
 	"tallyproxy/policy"
 )
 
-// checkTolerance is how far rounding may take a group below its demand before that is a violation; it is wider than the planner's.
+// checkTolerance is by how much a group's capacity may be below its demand, to allow for rounding,
+// before that counts as a violation. It is wider than the planner's tolerance.
 const checkTolerance = 1e-6
 
-// Violations returns where a plan breaks the limits that it must keep. It looks for itself at every group and every time at which
-// something changes, and shares no check with the planner.
+// Violations returns where a plan breaks its constraints. It checks every group at every time at
+// which something changes, and shares no check with the planner.
 func Violations(site Site, jobs []Job, plan Plan) (violations []string) {
 	p := newPlanner(&site)
 	for i := range jobs {
 		p.jobs[jobs[i].ID] = &jobs[i]
 	}
 	planned := p.initial()
-	hasStarted := map[int]bool{} // groups with a job that nobody planned
+	hasStarted := map[int]bool{} // groups with a job that started before the plan
 	for _, placement := range plan.Placements {
 		j := p.jobs[placement.Job]
-		for i, o := range p.needs(j) {
-			planned[i] = append(planned[i], p.during(o, p.groups[i], placement.Start, placement.End))
+		for i, o := range p.jobOutages(j) {
+			planned[i] = append(planned[i], p.withTimes(o, p.groups[i], placement.Start, placement.End))
 			hasStarted[i] = hasStarted[i] || j.Started
 		}
 		if !j.Started && placement.Start < j.NotBefore {
-			violations = append(violations, fmt.Sprintf("%s begins %v before its time", j.ID, j.NotBefore-placement.Start))
+			violations = append(violations, fmt.Sprintf("%s starts %v before its earliest start", j.ID, j.NotBefore-placement.Start))
 		}
 	}
 	for i, g := range p.groups {
 		violations = append(violations, p.sharedMachines(i, planned[i])...)
 		if hasStarted[i] || len(g.warming) > 0 || g.lostCount > 0 {
-			continue // more was lost before than was planned
+			continue // capacity was already lost before the plan
 		}
 		violations = append(violations, p.shortages(g, planned[i])...)
 	}
 	return violations
 }
 
-// sharedMachines returns the jobs that have a machine of a group out at the same time.
+// sharedMachines returns the pairs of jobs that have a machine of a group out at the same time.
 func (p *planner) sharedMachines(group int, planned []outage) (violations []string) {
 	for k, o := range planned {
 		for _, other := range planned[:k] {
@@ -51,32 +52,33 @@
 				return p.groupOf[name] == group && slices.Contains(y.Machines, name)
 			})
 			if shared && o.start < other.returns && other.start < o.returns {
-				violations = append(violations, fmt.Sprintf("%s and %s have one machine at a time", o.job, other.job))
+				violations = append(violations, fmt.Sprintf("%s and %s use the same machine at the same time", o.job, other.job))
 			}
 		}
 	}
 	return violations
 }
 
-// shortages returns the times at which a group has too many machines out, or too little capacity for its demand.
+// shortages returns the times at which a group has too many machines out of service, or too little
+// capacity for its demand.
 func (p *planner) shortages(g *group, planned []outage) (violations []string) {
 	var times []policy.Micros
 	for _, o := range planned {
 		times = append(times, o.start)
 	}
 	for _, at := range append(times, p.demandChanges...) {
-		lost, count, most := 0.0, 0, p.maxUnavailable(g)
+		lost, count, maxCount := 0.0, 0, p.maxUnavailable(g)
 		for _, o := range planned {
 			if o.start <= at && at < o.end {
-				lost, count, most = lost+o.capacity, count+o.count, max(most, o.count)
+				lost, count, maxCount = lost+o.capacity, count+o.count, max(maxCount, o.count)
 			}
 		}
 		if lost == 0 {
-			continue // nothing that was planned
+			continue // no planned outage at this time
 		}
-		if left := p.available(g.capacity - lost); count > most || left < p.demand(g, at, at+1)-checkTolerance {
-			violations = append(violations, fmt.Sprintf("at %d: %d of %d out in %s, %.3g left for %.3g",
-				at, count, g.size, g.location, left, p.demand(g, at, at+1)))
+		if remaining := p.available(g.capacity - lost); count > maxCount || remaining < p.demand(g, at, at+1)-checkTolerance {
+			violations = append(violations, fmt.Sprintf("at %d: %d of %d machines out of service in %s, capacity %.3g for a demand of %.3g",
+				at, count, g.size, g.location, remaining, p.demand(g, at, at+1)))
 		}
 	}
 	return violations
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -1,7 +1,7 @@
 // Package overload detects retry and reconnect storms from the load that one director observes.
 // During a storm, the retry-after time of a rejected client is a reserved slot in one of the coming
-// time windows. The slots of a window add up to the capacity that the caches have left in it beside
-// first attempts. The package rejects only retries: those that come before their slot, and those
+// time windows. The slots of a window add up to the capacity of the caches that first attempts are
+// expected to leave. The package rejects only retries: those that come before their slot, and those
 // without a slot if the capacity of the current window is reserved for others. All other limits are
 // up to the caller. The package does no I/O, takes the time as an argument, and draws random
 // numbers only from its seed.
@@ -164,8 +164,8 @@
 	return true
 }
 
-// hasCapacity reports whether the current window has capacity for more work, beside the work that
-// is admitted, reserved, or forecast for the rest of the window.
+// hasCapacity reports whether the current window has capacity for more work in addition to the work
+// that is admitted, reserved, or forecast for the rest of the window.
 func (c *Controller) hasCapacity(now policy.Micros, work float64) bool {
 	reserved := *c.reservedIn(c.current) * max(minKeptShare, c.keptShare)
 	rest := 1 - float64(now%c.windowLength)/float64(c.windowLength)
--- a/shard/epochs_test.go
+++ b/shard/epochs_test.go
@@ -45,7 +45,7 @@
 		latest := e.Latest()
 		for i := range shards {
 			if behind := e.Behind(latest); e.Applied() < latest && len(behind) == 0 {
-				t.Fatal("not applied, and no shard is behind")
+				t.Fatal("an event is not applied, but no shard is behind")
 			}
 			e.Acknowledge(i, latest)
 		}
