--- a/internal/bufpool/body.go
+++ b/internal/bufpool/body.go
@@ -1,19 +1,21 @@
 package bufpool
 
-// Body holds the bytes of a message's body in buffers of a pool. It has one owner at a time, who alone may call its methods and who
-// calls Free once. A nil Body is empty.
+// Body holds the bytes of a message body in buffers from a pool. It has one owner at a time. Only
+// the owner may call its methods, and it must call Free once. A nil Body is empty.
 type Body struct {
 	pool     *Pool
 	parts    [][]byte
-	inline   [1][]byte // backs parts for the bodies of one buffer, which are the most
+	inline   [1][]byte // backing array of parts for bodies in one buffer, the most common case
 	length   int       // in bytes
-	expected int       // the bytes that it will hold in all; 0 where not known
+	expected int       // expected total length in bytes; 0 if not known
 }
 
-// NewBody makes an empty body that is expected to hold so many bytes; 0 where that is not known.
+// NewBody returns an empty body. The argument is the number of bytes that it is expected to hold,
+// or 0 if that is not known.
 func (p *Pool) NewBody(expected int) *Body { return &Body{pool: p, expected: expected} }
 
-// Append copies data to the body's end. It returns false when the pool has no buffer for all of it; the body may then hold a part.
+// Append copies data to the end of the body. It returns false if the pool has no buffer for all of
+// it; the body may then hold part of the data.
 func (b *Body) Append(data []byte) bool {
 	for len(data) > 0 {
 		if !b.hasSpace() && !b.grow(len(data)) {
@@ -29,20 +31,20 @@
 	return true
 }
 
-// hasSpace reports whether the last buffer can take another byte.
+// hasSpace reports whether the last buffer has room for another byte.
 func (b *Body) hasSpace() bool {
 	n := len(b.parts)
 	return n > 0 && len(b.parts[n-1]) < cap(b.parts[n-1])
 }
 
-// grow adds an empty buffer for what is still expected, or a large one where that is less than the bytes at hand. It returns false
-// when the pool has none.
-func (b *Body) grow(atHand int) bool {
-	missing := b.expected - b.length
-	if missing < atHand {
-		missing = BufferSize
+// grow adds an empty buffer: one that holds all bytes still expected, or one of BufferSize if fewer
+// than pendingBytes are expected. It returns false if the pool has no buffer.
+func (b *Body) grow(pendingBytes int) bool {
+	needed := b.expected - b.length
+	if needed < pendingBytes {
+		needed = BufferSize
 	}
-	part := b.pool.getForBody(missing)
+	part := b.pool.getForBody(needed)
 	if part == nil {
 		return false
 	}
@@ -53,7 +55,7 @@
 	return true
 }
 
-// Len returns how many bytes the body holds.
+// Len returns the number of bytes in the body.
 func (b *Body) Len() int {
 	if b == nil {
 		return 0
@@ -61,7 +63,8 @@
 	return b.length
 }
 
-// Parts returns the bytes in order, buffer by buffer. The slices are the body's and valid until Free.
+// Parts returns the bytes in order, one slice per buffer. The slices belong to the body and are
+// valid until Free.
 func (b *Body) Parts() [][]byte {
 	if b == nil {
 		return nil
--- a/internal/bufpool/body_test.go
+++ b/internal/bufpool/body_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestBody guards against bodies whose bytes differ from those appended, against exceeding the
+// pool's limit, and against buffers that stay in use after Free.
 func TestBody(t *testing.T) {
 	cases := []struct {
 		name                 string
@@ -12,9 +14,9 @@
 		limit, fitted, parts int
 	}{
 		{"empty", 0, 1, 2, 1, 0},
-		{"one buffer to the brim", BufferSize, 1, 2, 1, 1},
+		{"one full buffer", BufferSize, 1, 2, 1, 1},
 		{"pieces across buffers", 50_000, 3, 3, 3, 3},
-		{"no room left", 50_000, 3, 2, 2, 2},
+		{"limit reached", 50_000, 3, 2, 2, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -36,7 +38,7 @@
 			}
 			buffer := pool.Get()
 			if len(buffer) != BufferSize {
-				t.Error("a connection got no buffer")
+				t.Error("Get returned no buffer of BufferSize")
 			}
 			pool.Put(buffer)
 			body.Free()
@@ -47,6 +49,6 @@
 	}
 	var none *Body
 	if none.Free(); none.Len() != 0 || none.Parts() != nil {
-		t.Error("no body is an empty one")
+		t.Error("a nil body is not empty")
 	}
 }
--- a/internal/bufpool/bufpool.go
+++ b/internal/bufpool/bufpool.go
@@ -1,4 +1,5 @@
-// Package bufpool lends buffers of a few sizes, within a limit for the bodies of messages, and keeps such bodies in them.
+// Package bufpool provides reusable buffers of a few sizes, with a limit on those for message
+// bodies, and a Body type that stores message bodies in them.
 package bufpool
 
 import (
@@ -6,59 +7,63 @@
 	"sync/atomic"
 )
 
-// BufferSize is the size in bytes of the largest buffers, and of those that Get lends. A client's largest message fits into one.
+// BufferSize is the size in bytes of the largest buffers and of those that Get returns. The largest
+// client message fits into one.
 const BufferSize = 64 << 10
 
 const (
-	unitSize     = 4 << 10 // the smallest buffer in bytes; the buffers in use are counted in units of it
-	maxFreeBytes = 4 << 20 // the bytes of free buffers that are kept of each size
+	// size of the smallest buffer in bytes, and the unit in which buffers in use are counted
+	unitSize     = 4 << 10
+	maxFreeBytes = 4 << 20 // bytes of free buffers kept per size class
 
 	unitsPerBuffer = BufferSize / unitSize
 )
 
-// sizeClasses are the sizes in bytes that are lent, in rising order. Most bodies are small: a large buffer for each of them would
-// stay mostly empty.
+// sizeClasses are the buffer sizes in bytes, in ascending order. Most bodies are small, and a large
+// buffer for each of them would be mostly empty.
 var sizeClasses = [...]int{unitSize, 16 << 10, BufferSize}
 
 const largestClass = len(sizeClasses) - 1
 
-// Pool lends buffers. It is safe for concurrent use.
+// Pool provides buffers for reuse. It is safe for concurrent use.
 type Pool struct {
 	mu   sync.Mutex
-	free [len(sizeClasses)][][]byte // the buffers to lend again, by size class; guarded by mu
+	free [len(sizeClasses)][][]byte // free buffers by size class; guarded by mu
 
 	inUse, limit atomic.Int64 // in units of unitSize
 }
 
-// New makes a pool that lends buffers for bodies while those in use hold fewer bytes than limit buffers of BufferSize.
+// New returns a pool that provides buffers for bodies while the buffers in use have fewer bytes
+// than limit buffers of BufferSize.
 func New(limit int) *Pool {
 	p := &Pool{}
 	p.SetLimit(limit)
 	return p
 }
 
-// SetLimit changes the limit, in buffers of BufferSize. Buffers that are in use above it stay so.
+// SetLimit changes the limit, in buffers of BufferSize. Buffers that are in use beyond the new
+// limit stay in use.
 func (p *Pool) SetLimit(limit int) { p.limit.Store(int64(limit) * unitsPerBuffer) }
 
-// Get lends a buffer of BufferSize to a connection to read into. It never fails, since connections are limited elsewhere, but the
-// buffer counts as in use.
+// Get returns a buffer of BufferSize for a connection to read into. It never fails, since the
+// number of connections is limited elsewhere, but the buffer counts as in use.
 func (p *Pool) Get() []byte { return p.take(largestClass) }
 
-// getForBody lends a buffer for a body that lacks so many bytes, of the smallest size that holds them or else the largest. It returns
-// nil at the limit.
-func (p *Pool) getForBody(missing int) []byte {
+// getForBody returns a buffer for a body that needs the given number of bytes, of the smallest size
+// that holds them or else of the largest size. It returns nil if the limit is reached.
+func (p *Pool) getForBody(needed int) []byte {
 	if p.inUse.Load() >= p.limit.Load() {
 		return nil
 	}
 	for class, size := range sizeClasses {
-		if missing <= size {
+		if needed <= size {
 			return p.take(class)
 		}
 	}
 	return p.take(largestClass)
 }
 
-// take lends a buffer of a size class, a free one where there is any.
+// take returns a buffer of a size class, and reuses a free one if there is any.
 func (p *Pool) take(class int) []byte {
 	p.inUse.Add(int64(sizeClasses[class] / unitSize))
 	p.mu.Lock()
@@ -72,7 +77,7 @@
 	return make([]byte, sizeClasses[class])
 }
 
-// Put takes back a buffer that the pool lent. The caller must not use it afterwards.
+// Put returns a buffer to the pool. The caller must not use it afterwards.
 func (p *Pool) Put(buffer []byte) {
 	p.inUse.Add(-int64(cap(buffer) / unitSize))
 	for class, size := range sizeClasses {
@@ -87,7 +92,8 @@
 	}
 }
 
-// InUse returns how much is lent, rounded up, and the limit, both in buffers of BufferSize.
+// InUse returns the amount of buffers in use, rounded up, and the limit, both in buffers of
+// BufferSize.
 func (p *Pool) InUse() (inUse, limit int) {
 	return int(p.inUse.Load()+unitsPerBuffer-1) / unitsPerBuffer, int(p.limit.Load()) / unitsPerBuffer
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket inspects the kernel's buffers of a connection, without reading from it and without blocking, and closes it by what it
-// finds.
+// Package socket inspects the kernel's buffers of a connection without reading from it or blocking,
+// and closes its sending side if they allow it.
 package socket
 
 import (
@@ -12,8 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// PendingInput reports whether the kernel holds received bytes that were not read yet (data), and whether the connection was closed
-// or reset by the other side with none of them left (closed). Both are false for a connection without a file descriptor.
+// PendingInput reports whether the kernel holds received bytes that have not been read yet (data),
+// and whether the other side has closed or reset the connection with no unread bytes left (closed).
+// Both are false for a connection without a file descriptor.
 func PendingInput(conn net.Conn) (data, closed bool) {
 	withDescriptor(conn, func(descriptor int) {
 		var buffer [1]byte
@@ -24,29 +25,32 @@
 	return data, closed
 }
 
-// CloseWriteIfEmpty closes the sending side of a connection, unless the kernel holds received bytes that were not read yet, and reports
-// whether it did, when it looked, and how long after that it had closed. The look and the close are two raw system calls in a row: after
-// any other the goroutine may have to wait for a processor, and what arrives meanwhile would be lost. A connection without a file
-// descriptor counts as closed.
-func CloseWriteIfEmpty(conn net.Conn) (closed bool, lookedAt time.Time, gap time.Duration) {
+// CloseWriteIfEmpty closes the sending side of a connection, unless the kernel holds received bytes
+// that have not been read yet. It reports whether it closed it, when it checked for input, and how
+// much time passed between the check and the end of the close. Check and close are two consecutive
+// raw system calls: after an ordinary system call the goroutine may have to wait for a processor,
+// and input that arrives meanwhile would be lost. A connection without a file descriptor counts as
+// closed.
+func CloseWriteIfEmpty(conn net.Conn) (closed bool, checkedAt time.Time, gap time.Duration) {
 	closed = true
 	withDescriptor(conn, func(descriptor int) {
 		var buffer [1]byte
-		lookedAt = time.Now()
+		checkedAt = time.Now()
 		n, _, errno := unix.RawSyscall6(unix.SYS_RECVFROM, uintptr(descriptor), uintptr(unsafe.Pointer(&buffer[0])), uintptr(len(buffer)),
 			unix.MSG_PEEK|unix.MSG_DONTWAIT, 0, 0)
 		if errno == 0 && n > 0 {
 			closed = false
 			return
 		}
-		_, _, _ = unix.RawSyscall(unix.SYS_SHUTDOWN, uintptr(descriptor), unix.SHUT_WR, 0) // fails only where the other side has reset it
-		gap = time.Since(lookedAt)
+		// an error means that the other side has reset the connection
+		_, _, _ = unix.RawSyscall(unix.SYS_SHUTDOWN, uintptr(descriptor), unix.SHUT_WR, 0)
+		gap = time.Since(checkedAt)
 	})
-	return closed, lookedAt, gap
+	return closed, checkedAt, gap
 }
 
-// HasUnsentOutput reports whether the kernel still holds written bytes that the other side has not acknowledged. It is false for a
-// connection without a file descriptor.
+// HasUnsentOutput reports whether the kernel still holds written bytes that the other side has not
+// acknowledged. It returns false for a connection without a file descriptor.
 func HasUnsentOutput(conn net.Conn) (unsent bool) {
 	withDescriptor(conn, func(descriptor int) {
 		n, err := unix.IoctlGetInt(descriptor, unix.SIOCOUTQ)
@@ -55,7 +59,8 @@
 	return unsent
 }
 
-// withDescriptor calls inspect with the file descriptor of a connection, unless it has none or is closed.
+// withDescriptor calls inspect with the file descriptor of a connection, unless the connection has
+// none or is closed.
 func withDescriptor(conn net.Conn, inspect func(descriptor int)) {
 	system, ok := conn.(syscall.Conn)
 	if !ok {
@@ -65,5 +70,6 @@
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(descriptor uintptr) { inspect(int(descriptor)) }) // it fails on a closed connection only: nothing to inspect
+	// an error means that the connection is closed, so there is nothing to inspect
+	_ = raw.Control(func(descriptor uintptr) { inspect(int(descriptor)) })
 }
