--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -10,37 +10,42 @@
 	"tallyproxy/internal/logevent"
 )
 
-// Conn is a client's connection. Its exported methods may be called from any goroutine, and do not wait for the client.
+// Conn is a client connection. Its exported methods may be called from any goroutine and do not
+// wait for the client.
 type Conn struct {
 	server     *Server
 	handler    Handler
 	netConn    net.Conn
-	clientHash uint64        // hash of the client's address
-	writerWake chan struct{} // one element: there is something to write, or the phase has changed
+	clientHash uint64        // hash of the client's address without its port
+	writerWake chan struct{} // one element: there is output to write, or the phase has changed
 
-	mu              sync.Mutex      // guards what follows, up to the reader's own
-	pending         map[uint64]bool // tags without a response so far: at most maxPendingRequests, and one that is being refused
-	queue           []response      // not taken up by the writer yet
-	queuedBytes     int             // bytes in the queue or being written
+	mu sync.Mutex // guards the fields below, except those owned by the reader
+	// tags without a response yet: at most maxPendingRequests, plus one being refused
+	pending         map[uint64]bool
+	queue           []response // responses that the writer has not taken yet
+	queuedBytes     int        // bytes that are queued or being written
 	phase           connPhase
 	input           inputMode
 	evicting        bool      // the reader is to close the connection if it is idle
-	messageReceived bool      // a complete message came
-	suspect         bool      // set by MarkSuspect, until a request succeeds
-	badRequests     int       // requests that could not be used
-	restlessSince   time.Time // when input first kept the connection from being half-closed after the deadline of the drain
-	restlessLooks   int       // how often it has done so
-	messageStart    time.Time // when an incomplete message, or the connection without any, began; zero for none
-	lastUsed        time.Time // when the last request came or was answered
-	retryNotBefore  time.Time // when the client may come back after a rejection
-	closeDeadline   time.Time // of the phase: from when on to reject requests, or when to close at the latest
+	messageReceived bool      // a complete message has been received
+	suspect         bool      // set by MarkSuspect, cleared when a request succeeds
+	badRequests     int       // number of invalid requests
+	lateInputSince  time.Time // time of the first check that found input after the drain deadline
+	lateInputChecks int       // number of such checks
+	// start of an incomplete message, or of a connection without any; zero for none
+	messageStart   time.Time
+	lastUsed       time.Time // time of the last request or response
+	retryNotBefore time.Time // when the client may retry after a rejection
+	// draining: when rejection of requests begins; half-closed: latest time to close
+	closeDeadline time.Time
 
-	// Owned by the reader.
-	received      []receivedRequest // not given to the handler yet
-	receivedSince time.Time         // when deliverWhenRead first saw one of these; zero before
+	// The reader's goroutine owns the fields below.
+	received []receivedRequest // requests that have not been passed to the handler yet
+	// when deliverWhenInputRead first saw a request in received; zero for none
+	receivedSince time.Time
 }
 
-// receivedRequest is a request that was read and is not given to the handler yet.
+// receivedRequest is a request that was read but not yet passed to the handler.
 type receivedRequest struct {
 	tag     uint64
 	request Request
@@ -54,20 +59,23 @@
 	}
 }
 
-// IsPending reports whether a client still waits for the response to a request: it has neither cancelled it nor left. Callers ask again
-// just before an attempt is written, whatever waits in their queues.
+// IsPending reports whether the client still waits for the response to a request: the request has
+// been neither answered nor cancelled, and the client has not disconnected. Callers check this
+// again just before they write an attempt, because it may change while the attempt waits in a
+// queue.
 func (c *Conn) IsPending(tag uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending[tag]
 }
 
-// idleLocked reports whether no response is owed to the client or on its way. The caller holds c.mu.
+// idleLocked reports whether the connection has no pending requests and no responses left to write.
+// The caller holds c.mu.
 func (c *Conn) idleLocked() bool {
 	return len(c.pending) == 0 && len(c.queue) == 0 && c.queuedBytes == 0
 }
 
-// wakeWriter has the writer look at the queue and the phase.
+// wakeWriter makes the writer check the queue and the phase.
 func (c *Conn) wakeWriter() {
 	select {
 	case c.writerWake <- struct{}{}:
@@ -91,7 +99,7 @@
 	c.server.remove(c)
 }
 
-// recoverPanic closes this connection alone where its goroutine panicked. It is to be deferred.
+// recoverPanic closes only this connection if one of its goroutines panics. It must be deferred.
 func (c *Conn) recoverPanic() {
 	if cause := recover(); cause != nil {
 		slog.Error(logevent.PanicRecovered, "component", "downstream", "err", cause, "stack", string(debug.Stack()))
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -6,97 +6,100 @@
 	"time"
 )
 
-// TestPanicEndsOneConnection: a handler that panics ends the connection that called it, and no other.
+// TestPanicEndsOneConnection guards against a handler panic that ends any connection other than the
+// one whose request caused it.
 func TestPanicEndsOneConnection(t *testing.T) {
-	b := startServer(t, 4, 64, 10*time.Second)
-	close(b.requests) // so that HandleRequest panics
-	c, other := b.dial(t), b.dial(t)
+	srv := startServer(t, 4, 64, 10*time.Second)
+	close(srv.requests) // makes HandleRequest panic
+	c, other := srv.dial(t), srv.dial(t)
 	c.send(t, requestFrame("1"))
-	receive(t, b.closedConns)
+	receive(t, srv.closedConns)
 	other.send(t, frame("STATUS", "1"))
 	if got := other.answer(t); got != "1 serving  " {
 		t.Errorf("another connection got %q", got)
 	}
 }
 
-// TestClientClosesWithPendingRequests: the handler is told, and a response that comes later is freed.
+// TestClientClosesWithPendingRequests guards against a disconnect that is not reported to the
+// handler, and against leaking the body of a response that comes afterwards.
 func TestClientClosesWithPendingRequests(t *testing.T) {
-	b := startServer(t, 8, 64, 10*time.Second)
-	c := b.dial(t)
+	srv := startServer(t, 8, 64, 10*time.Second)
+	c := srv.dial(t)
 	c.send(t, requestFrame("1"), requestFrame("2"))
-	conn := b.nextConn(t, 1)
+	conn := srv.nextConn(t, 1)
 	c.close(t)
-	if receive(t, b.closedConns) != conn {
-		t.Error("another connection was reported")
+	if receive(t, srv.closedConns) != conn {
+		t.Error("ConnClosed reported another connection")
 	}
-	conn.Succeed(1, b.body(100_000), false) // its buffers go back, as the clean-up checks
+	conn.Succeed(1, srv.body(100_000), false) // the cleanup checks that its buffers are freed
 }
 
-// TestClientDisconnectsWhileInputIsIgnored: the end of a client whose requests are ignored is seen while earlier ones are pending. So are its
-// cancellations, unless its input can't be read.
+// TestClientDisconnectsWhileInputIsIgnored guards against missing the disconnect of a client whose
+// new requests are ignored while earlier ones are pending. Its cancellations must still be
+// processed unless its input is malformed.
 func TestClientDisconnectsWhileInputIsIgnored(t *testing.T) {
 	cases := []struct {
 		name    string
-		provoke func(t *testing.T, b *testServer, c testClient)
+		provoke func(t *testing.T, srv *testServer, c testClient)
 		cancels bool
 	}{
-		{"after what can't be read", func(t *testing.T, b *testServer, c testClient) { c.send(t, []byte("rubbish\r\n")) }, false},
-		{"after too many faults", func(t *testing.T, b *testServer, c testClient) {
+		{"after what can't be read", func(t *testing.T, srv *testServer, c testClient) { c.send(t, []byte("rubbish\r\n")) }, false},
+		{"after too many faults", func(t *testing.T, srv *testServer, c testClient) {
 			for tag := range maxPendingRequests {
 				c.send(t, frame("ASK", fmt.Sprint(100+tag), "song", fields))
 				c.answer(t)
 			}
 		}, true},
 	}
-	for _, x := range cases {
-		t.Run(x.name, func(t *testing.T) {
-			b := startServer(t, 2, 64, 10*time.Second)
-			c := b.dial(t)
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			srv := startServer(t, 2, 64, 10*time.Second)
+			c := srv.dial(t)
 			c.send(t, requestFrame("1"), requestFrame("2"))
-			conn := b.nextConn(t, 1)
-			b.nextConn(t, 2)
-			x.provoke(t, b, c)
-			eventually(t, "it is listened to", func() bool {
+			conn := srv.nextConn(t, 1)
+			srv.nextConn(t, 2)
+			tc.provoke(t, srv, c)
+			eventually(t, "connection is not draining", func() bool {
 				conn.mu.Lock()
 				defer conn.mu.Unlock()
 				return conn.phase == phaseDraining
 			})
-			if x.cancels {
+			if tc.cancels {
 				c.send(t, requestFrame("3"), frame("NEVERMIND", "1"))
-				if tag := receive(t, b.cancels); tag != 1 {
-					t.Errorf("took back %d", tag)
+				if tag := receive(t, srv.cancels); tag != 1 {
+					t.Errorf("cancelled request %d, want 1", tag)
 				}
 			}
 			if !conn.IsPending(2) {
-				t.Error("it does not wait")
+				t.Error("request 2 is no longer pending")
 			}
 			c.close(t)
-			if receive(t, b.closedConns) != conn || conn.IsPending(2) {
-				t.Error("its leaving was not seen")
+			if receive(t, srv.closedConns) != conn || conn.IsPending(2) {
+				t.Error("client disconnect was not detected")
 			}
-			if len(b.requests) > 0 {
-				t.Error("it was listened to")
+			if len(srv.requests) > 0 {
+				t.Error("a request was handled although it must be ignored")
 			}
 		})
 	}
 }
 
-// TestClientDisconnectsWhileWriterIsBlocked: the end of a client is seen while the writer waits for it to read, and its other requests are no
-// longer pending.
+// TestClientDisconnectsWhileWriterIsBlocked guards against missing a client's disconnect while the
+// writer waits for the client to read. Its other requests must no longer be pending.
 func TestClientDisconnectsWhileWriterIsBlocked(t *testing.T) {
-	b := startServer(t, 2, 4096, time.Hour)
-	c := b.dial(t)
+	srv := startServer(t, 2, 4096, time.Hour)
+	c := srv.dial(t)
 	c.send(t, requestFrame("1"), requestFrame("2"))
-	conn := b.nextConn(t, 1)
-	b.nextConn(t, 2)
-	conn.Succeed(1, b.body(16<<20), false) // more than the sockets between them hold
-	eventually(t, "the answer was not taken up", func() bool {
+	conn := srv.nextConn(t, 1)
+	srv.nextConn(t, 2)
+	conn.Succeed(1, srv.body(16<<20), false) // more than the socket buffers of both sides hold
+	eventually(t, "the writer did not take the response", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
 		return len(conn.queue) == 0 && conn.queuedBytes > 0
 	})
 	c.close(t)
-	if receive(t, b.closedConns) != conn || conn.IsPending(2) {
-		t.Error("its leaving was not seen")
+	if receive(t, srv.closedConns) != conn || conn.IsPending(2) {
+		t.Error("client disconnect was not detected")
 	}
 }
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// evictionFraction is the part of maxConns, one in so many, that waitForSlot evicts at a time.
+// evictionFraction determines how many connections waitForSlot evicts at a time: one in
+// evictionFraction of maxConns, plus one.
 const evictionFraction = 32
 
-// evictionRank orders idle connections for eviction: the lower, the sooner.
+// evictionRank orders idle connections for eviction. The lowest rank is evicted first.
 type evictionRank int
 
 const (
-	rankNoMessage  evictionRank = iota // no complete message came on it
-	rankRetryLater                     // its client was told to retry after some time
+	rankNoMessage  evictionRank = iota // no complete message was received
+	rankRetryLater                     // the client was told to retry after a delay
 	rankIdle
 )
 
@@ -25,19 +26,20 @@
 	lastUsed time.Time
 }
 
-// compareCandidates orders candidates by rank, then by how long they are idle.
+// compareCandidates orders candidates by rank, then by the time of their last use.
 func compareCandidates(a, b evictionCandidate) int {
 	return cmp.Or(int(a.rank-b.rank), a.lastUsed.Compare(b.lastUsed))
 }
 
-// evictIdle ends up to limit connections that have no pending request, and returns how many. Those that were used within PollRetry
-// are spared, since a request may be on its way; so are, within MaxDecisionAge, those whose client was told to retry later.
-// Connections that are about to leave the table already count towards the limit.
+// evictIdle starts the eviction of up to limit connections without pending requests and returns how
+// many it chose. Connections used within PollRetry are kept, since a request may be in transit;
+// those whose client was told to retry later are kept only for MaxDecisionAge. Connections that are
+// already closed or being evicted count towards the limit.
 func (s *Server) evictIdle(limit int) (evicted int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	var candidates []evictionCandidate // the best so far, in order, at most limit
+	var candidates []evictionCandidate // the best candidates so far, in order; at most limit
 	for c := range s.conns {
 		c.mu.Lock()
 		leaving := c.phase == phaseClosed || c.evicting
@@ -61,7 +63,8 @@
 	return evicted
 }
 
-// evictionCandidateLocked returns the connection as a candidate, and whether it may be evicted now. The caller holds c.mu.
+// evictionCandidateLocked returns the connection as an eviction candidate and whether it may be
+// evicted now. The caller holds c.mu.
 func (c *Conn) evictionCandidateLocked(now time.Time) (evictionCandidate, bool) {
 	timeouts := &c.server.timeouts
 	candidate := evictionCandidate{c, rankIdle, c.lastUsed}
@@ -77,13 +80,15 @@
 	if c.lastUsed.Before(now.Add(-timeouts.PollRetry.Duration())) {
 		return candidate, true
 	}
-	// By now its client has received the rejection, which a reset of the connection would have taken away.
+	// The client must have received the rejection by now. A reset of the connection before that
+	// could discard it.
 	received := c.lastUsed.Before(now.Add(-timeouts.MaxDecisionAge.Duration()))
 	return candidate, candidate.rank == rankRetryLater && received
 }
 
-// evict has the reader close the connection, unless a request came meanwhile, and reports whether it may. The reader alone knows that no
-// request lies between the socket and the pending ones.
+// evict asks the reader to close the connection, unless a request has arrived meanwhile or the
+// connection is closed, and reports whether it did so. Only the reader knows whether a request has
+// been read from the socket but is not yet registered as pending.
 func (c *Conn) evict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,8 +100,8 @@
 	return true
 }
 
-// tryEvictLocked closes a connection that is to be evicted, if it is still idle and no input lies in the socket, and reports whether it
-// did. The caller is the reader, and holds c.mu.
+// tryEvictLocked closes a connection marked for eviction if it is still idle and its socket holds
+// no unread input, and reports whether it did so. The caller is the reader and holds c.mu.
 func (c *Conn) tryEvictLocked() bool {
 	if !c.evicting {
 		return false
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -14,8 +14,8 @@
 	"tallyproxy/policy"
 )
 
-// TestGoldenRequests holds the bytes that clients send, and what is read from them. The bytes are the platform's protocol: they
-// are never recorded anew.
+// TestGoldenRequests fixes the bytes that clients send and the messages parsed from them. The bytes
+// are defined by the platform's protocol and must never be regenerated.
 func TestGoldenRequests(t *testing.T) {
 	const plain = "txn=9b1f03aa5c7e2d41,limit=1500,item=7f3a9c21e0b4d655,n=3,shard=17"
 	cases := []struct {
@@ -56,9 +56,9 @@
 		},
 		{name: "a cancel", frame: "*2\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n", command: "NEVERMIND", tag: 7},
 		{name: "a status", frame: "*2\r\n$6\r\nSTATUS\r\n$1\r\n8\r\n", command: "STATUS", tag: 8},
-		{name: "a status with a word", frame: "*3\r\n$6\r\nSTATUS\r\n$1\r\n8\r\n$0\r\n\r\n", command: "STATUS", tag: 8},
-		{name: "none of the protocol's", frame: "*2\r\n$4\r\nPING\r\n$1\r\n9\r\n", tag: 9},
-		{name: "a cancel with a word too many", frame: "*3\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n$0\r\n\r\n", tag: 7},
+		{name: "a status with an extra element", frame: "*3\r\n$6\r\nSTATUS\r\n$1\r\n8\r\n$0\r\n\r\n", command: "STATUS", tag: 8},
+		{name: "an unknown command", frame: "*2\r\n$4\r\nPING\r\n$1\r\n9\r\n", tag: 9},
+		{name: "a cancel with an extra element", frame: "*3\r\n$9\r\nNEVERMIND\r\n$1\r\n7\r\n$0\r\n\r\n", tag: 7},
 	}
 	types := map[string]*policy.ContentType{"segment": site.ContentTypes[0], "cover": site.ContentTypes[1]}
 	for _, c := range cases {
@@ -78,22 +78,22 @@
 				t.Errorf("got %+v, want %+v", msg, want)
 			}
 			if p.hasPartial() {
-				t.Error("bytes are left over")
+				t.Error("unparsed bytes are left")
 			}
 		})
 	}
 }
 
-// TestGoldenResponses holds the bytes of every response.
+// TestGoldenResponses fixes the bytes of every response.
 func TestGoldenResponses(t *testing.T) {
-	b := startServer(t, 8, 64, 10*time.Second)
-	c := b.dial(t)
+	srv := startServer(t, 8, 64, 10*time.Second)
+	c := srv.dial(t)
 	var conn *Conn
 	request := func(tag string) func() {
 		return func() {
 			c.send(t, fmt.Appendf(nil, "*4\r\n$3\r\nASK\r\n$%d\r\n%s\r\n$7\r\nsegment\r\n$66\r\n"+
 				"txn=9b1f03aa5c7e2d41,limit=1500,item=7f3a9c21e0b4d655,n=3,shard=17\r\n", len(tag), tag))
-			conn = receive(t, b.requests).conn
+			conn = receive(t, srv.requests).conn
 		}
 	}
 	send := func(frame string) func() {
@@ -101,58 +101,59 @@
 	}
 	cases := []struct {
 		name    string
-		send    func() // by the client
-		respond func() // nil where the connection does
+		send    func() // sends the client's message
+		respond func() // nil if the connection responds by itself
 		want    string
 	}{
 		{"serving", send("*2\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
-		{"serving, with a word", send("*3\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n$0\r\n\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
-		{"a body", request("2"), func() { conn.Succeed(2, b.body(3), false) }, "*4\r\n$1\r\n2\r\n$3\r\n200\r\n$0\r\n\r\n$3\r\nxxx\r\n"},
+		{"serving, with an extra element", send("*3\r\n$6\r\nSTATUS\r\n$1\r\n1\r\n$0\r\n\r\n"), nil, "*4\r\n$1\r\n1\r\n$7\r\nserving\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"a body", request("2"), func() { conn.Succeed(2, srv.body(3), false) }, "*4\r\n$1\r\n2\r\n$3\r\n200\r\n$0\r\n\r\n$3\r\nxxx\r\n"},
 		{"an empty body", request("3"), func() { conn.Succeed(3, nil, false) }, "*4\r\n$1\r\n3\r\n$3\r\n200\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{
-			"a body of several buffers", request("4"), func() { conn.Succeed(4, b.body(100_000), false) },
+			"a body of several buffers", request("4"), func() { conn.Succeed(4, srv.body(100_000), false) },
 			"*4\r\n$1\r\n4\r\n$3\r\n200\r\n$0\r\n\r\n$100000\r\n" + strings.Repeat("x", 100_000) + "\r\n",
 		},
-		{"the client's copy holds", request("55"), func() { conn.Succeed(55, nil, true) }, "*4\r\n$2\r\n55\r\n$3\r\n200\r\n$7\r\nstill=1\r\n$0\r\n\r\n"},
-		{"come back later", request("6"), func() { conn.Reject(6, 1250*time.Millisecond) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$10\r\nlater=1250\r\n$0\r\n\r\n"},
-		{"come back at once", request("6"), func() { conn.Reject(6, 0) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"the client's copy is valid", request("55"), func() { conn.Succeed(55, nil, true) }, "*4\r\n$2\r\n55\r\n$3\r\n200\r\n$7\r\nstill=1\r\n$0\r\n\r\n"},
+		{"rejected, with a retry delay", request("6"), func() { conn.Reject(6, 1250*time.Millisecond) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$10\r\nlater=1250\r\n$0\r\n\r\n"},
+		{"rejected, without a retry delay", request("6"), func() { conn.Reject(6, 0) }, "*4\r\n$1\r\n6\r\n$3\r\n503\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{
-			"no room", request("6"), func() { conn.RejectUnsent(6, Request{}) },
+			"no capacity", request("6"), func() { conn.RejectUnsent(6, Request{}) },
 			"*4\r\n$1\r\n6\r\n$3\r\n503\r\n$8\r\nlater=70\r\n$0\r\n\r\n",
 		},
 		{
-			"no room for a further try of a key", request("6"), func() { conn.RejectUnsent(6, Request{IsRetry: true, IdempotencyKey: "5c"}) },
+			"no capacity for a retry with a key", request("6"), func() { conn.RejectUnsent(6, Request{IsRetry: true, IdempotencyKey: "5c"}) },
 			"*4\r\n$1\r\n6\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n",
 		},
 		{"failed", request("7"), func() { conn.Fail(7) }, "*4\r\n$1\r\n7\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
-		{"a message that is none", send("*2\r\n$4\r\nPING\r\n$1\r\n9\r\n"), nil, "*4\r\n$1\r\n9\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
+		{"an unknown command", send("*2\r\n$4\r\nPING\r\n$1\r\n9\r\n"), nil, "*4\r\n$1\r\n9\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n"},
 		{
 			"an unknown content type", send("*4\r\n$3\r\nASK\r\n$1\r\n9\r\n$4\r\nsong\r\n$1\r\nx\r\n"), nil,
 			"*4\r\n$1\r\n9\r\n$3\r\n500\r\n$0\r\n\r\n$0\r\n\r\n",
 		},
 		{
-			"not serving", func() { b.SetNotServing() }, send("*2\r\n$6\r\nSTATUS\r\n$2\r\n10\r\n"),
+			"not serving", func() { srv.SetNotServing() }, send("*2\r\n$6\r\nSTATUS\r\n$2\r\n10\r\n"),
 			"*4\r\n$2\r\n10\r\n$11\r\nnot_serving\r\n$0\r\n\r\n$0\r\n\r\n",
 		},
 	}
-	for _, x := range cases {
-		t.Run(x.name, func(t *testing.T) {
-			x.send()
-			if x.respond != nil {
-				x.respond()
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			tc.send()
+			if tc.respond != nil {
+				tc.respond()
 			}
-			got := make([]byte, len(x.want))
+			got := make([]byte, len(tc.want))
 			if _, err := io.ReadFull(c.in, got); err != nil {
 				t.Fatal(err)
 			}
-			if !bytes.Equal(got, []byte(x.want)) {
-				t.Errorf("got %.120q, want %.120q", got, x.want)
+			if !bytes.Equal(got, []byte(tc.want)) {
+				t.Errorf("got %.120q, want %.120q", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestGoldenClientHash holds the hash of a client's address, by which decisions tell clients apart.
+// TestGoldenClientHash fixes the hash of a client's address, by which decisions distinguish
+// clients.
 func TestGoldenClientHash(t *testing.T) {
 	cases := []struct {
 		address net.Addr
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -18,7 +18,8 @@
 	"tallyproxy/policy"
 )
 
-// site has a type of content that is split into parts, and one whose requests carry an idempotency key and have none.
+// site has a content type whose objects are split into parts, and an unsplit one whose requests
+// carry an idempotency key.
 var site = config.Site{
 	TypeNames: []string{"segment", "cover"},
 	Settings: policy.Settings{ContentTypes: []*policy.ContentType{
@@ -26,7 +27,7 @@
 	}},
 }
 
-// fields are a request's that every type without a key admits.
+// fields are request fields that are valid for every content type without an idempotency key.
 const fields = "txn=9b1f03aa5c7e2d41,limit=1500,item=7f3a9c21e0b4d655,n=3,shard=17"
 
 // frame encodes a message.
@@ -41,14 +42,14 @@
 // requestFrame encodes a request.
 func requestFrame(tag string) []byte { return frame("ASK", tag, "segment", fields) }
 
-// testHandler passes on what a server's connections tell it.
+// testHandler forwards the calls of a server's connections to channels.
 type testHandler struct {
 	requests    chan receivedCall
 	closedConns chan *Conn
 	cancels     chan uint64
 }
 
-// receivedCall is a call of HandleRequest.
+// receivedCall holds the arguments of a HandleRequest call.
 type receivedCall struct {
 	conn    *Conn
 	tag     uint64
@@ -62,44 +63,44 @@
 func (h testHandler) ConnClosed(c *Conn)               { h.closedConns <- c }
 func (h testHandler) ConnOpened(*Conn)                 {}
 
-// nextRequest waits for the next request, which must have the tag.
+// nextRequest waits for the next request, which must have the given tag.
 func (h testHandler) nextRequest(t *testing.T, tag uint64) receivedCall {
 	t.Helper()
 	call := receive(t, h.requests)
 	if call.tag != tag {
-		t.Fatalf("asked for tag %d, want %d", call.tag, tag)
+		t.Fatalf("got a request with tag %d, want %d", call.tag, tag)
 	}
 	return call
 }
 
-// nextConn waits for the next request, which must have the tag, and returns its connection.
+// nextConn waits for the next request, which must have the given tag, and returns its connection.
 func (h testHandler) nextConn(t *testing.T, tag uint64) *Conn {
 	t.Helper()
 	return h.nextRequest(t, tag).conn
 }
 
-// receive waits for what a channel brings.
+// receive waits for a value from a channel.
 func receive[T any](t *testing.T, from <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for a value from the channel")
 	}
 	return v
 }
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, failure string, holds func() bool) {
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal(failure)
 		}
 	}
 }
 
-// requireNoError ends the test on an error.
+// requireNoError fails the test at once if err is not nil.
 func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -107,7 +108,7 @@
 	}
 }
 
-// testServer is a server with a listener of its own, whose requests the test answers.
+// testServer is a server with its own listener. The test answers its requests.
 type testServer struct {
 	*Server
 	testHandler
@@ -115,13 +116,13 @@
 	address string
 }
 
-// startServer runs a server until the test ends, and checks then that no connection and no buffer is left. Further timeouts are set by
-// change.
+// startServer runs a server until the test ends and then checks that no connection and no buffer is
+// left. The change functions modify its timeouts.
 func startServer(t *testing.T, maxConns, buffers int, flush time.Duration, change ...func(*policy.Timeouts)) *testServer {
 	t.Helper()
 	listener := listen(t)
-	b := &testServer{pool: bufpool.New(buffers), address: listener.Addr().String()}
-	b.testHandler = testHandler{make(chan receivedCall, 64), make(chan *Conn, 64), make(chan uint64, 64)}
+	srv := &testServer{pool: bufpool.New(buffers), address: listener.Addr().String()}
+	srv.testHandler = testHandler{make(chan receivedCall, 64), make(chan *Conn, 64), make(chan uint64, 64)}
 	timeouts := policy.Timeouts{
 		WriteFlush: policy.Micros(flush.Microseconds()), Connect: policy.Second, PollRetry: policy.Second / 20,
 		RequestRead: 20 * policy.Second, DownstreamIdle: 20 * policy.Second, DefaultRetryAfter: 70_000,
@@ -129,37 +130,39 @@
 	for _, set := range change {
 		set(&timeouts)
 	}
-	b.Server = New([]Handler{b.testHandler}, site, b.pool, maxConns, timeouts)
-	b.serveOn(t, listener)
+	srv.Server = New([]Handler{srv.testHandler}, site, srv.pool, maxConns, timeouts)
+	srv.serveOn(t, listener)
 	t.Cleanup(func() {
 		closeListener(t, listener)
-		b.mu.Lock()
-		for c := range b.conns {
-			_ = c.netConn.Close() // it may be closed already
+		srv.mu.Lock()
+		for c := range srv.conns {
+			_ = c.netConn.Close() // it may already be closed
 		}
-		b.mu.Unlock()
-		eventually(t, "connections are left", func() bool { return b.ConnCount() == 0 })
-		if out, _ := b.pool.InUse(); out != 0 {
-			t.Errorf("%d buffers are still out", out)
+		srv.mu.Unlock()
+		eventually(t, "connections are still open", func() bool { return srv.ConnCount() == 0 })
+		if inUse, _ := srv.pool.InUse(); inUse != 0 {
+			t.Errorf("%d buffers are still in use", inUse)
 		}
 	})
-	return b
+	return srv
 }
 
-// unbufferedHandler is a handler that takes one call at a time: a connection's reader stands still until the test takes it.
+// unbufferedHandler accepts one call at a time: the connection's reader blocks until the test
+// receives the call.
 type unbufferedHandler struct{ testHandler }
 
-// startUnbuffered is startServer with an unbufferedHandler. It returns the listener that clients dial.
+// startUnbuffered is like startServer but uses an unbufferedHandler. It also returns the listener
+// that clients dial.
 func startUnbuffered(t *testing.T, maxConns int, change ...func(*policy.Timeouts)) (*testServer, net.Listener) {
 	t.Helper()
-	b := startServer(t, maxConns, 64, 10*time.Second, change...)
-	b.requests = make(chan receivedCall)
-	b.handlers[0] = unbufferedHandler{b.testHandler}
+	srv := startServer(t, maxConns, 64, 10*time.Second, change...)
+	srv.requests = make(chan receivedCall)
+	srv.handlers[0] = unbufferedHandler{srv.testHandler}
 	listener := listen(t)
-	b.address = listener.Addr().String()
-	b.serveOn(t, listener)
+	srv.address = listener.Addr().String()
+	srv.serveOn(t, listener)
 	t.Cleanup(func() { closeListener(t, listener) })
-	return b, listener
+	return srv, listener
 }
 
 // listen opens a listener on a free port of the loopback interface.
@@ -170,20 +173,20 @@
 	return listener
 }
 
-// connectedPair returns both ends of a connection over loopback, which nobody reads.
+// connectedPair returns both ends of a loopback connection that no goroutine reads.
 func connectedPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	listener := listen(t)
 	client, err := net.Dial("tcp", listener.Addr().String())
 	requireNoError(t, err)
-	t.Cleanup(func() { _ = client.Close() }) // nothing is lost with it
+	t.Cleanup(func() { _ = client.Close() }) // a close error does not affect the test
 	server, err = listener.Accept()
 	requireNoError(t, err)
 	t.Cleanup(func() { _ = server.Close() })
 	return client, server
 }
 
-// closeListener closes a listener, unless the test or the server did before.
+// closeListener closes a listener unless the test or the server has already closed it.
 func closeListener(t *testing.T, listener net.Listener) {
 	t.Helper()
 	if err := listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -191,24 +194,25 @@
 	}
 }
 
-// serveOn runs Serve, which must end with the listener.
-func (b *testServer) serveOn(t *testing.T, listener net.Listener) {
+// serveOn runs Serve, which must return once the listener is closed.
+func (srv *testServer) serveOn(t *testing.T, listener net.Listener) {
 	go func() {
-		if err := b.Serve(listener); !errors.Is(err, net.ErrClosed) {
+		if err := srv.Serve(listener); !errors.Is(err, net.ErrClosed) {
 			t.Errorf("Serve ended with %v", err)
 		}
 	}()
 }
 
-// shutdownAsync begins the server's shutdown, and waits until a connection is draining.
-func (b *testServer) shutdownAsync(t *testing.T, conn *Conn) (done chan struct{}) {
+// shutdownAsync starts the server's shutdown and waits until conn is draining. It returns a channel
+// that is closed once Shutdown has returned.
+func (srv *testServer) shutdownAsync(t *testing.T, conn *Conn) (done chan struct{}) {
 	t.Helper()
 	done = make(chan struct{})
 	go func() {
-		b.Shutdown()
+		srv.Shutdown()
 		close(done)
 	}()
-	eventually(t, "the end was not begun", func() bool {
+	eventually(t, "connection is not draining", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
 		return conn.phase == phaseDraining
@@ -216,60 +220,61 @@
 	return done
 }
 
-// requireNoMoreRequests checks that nothing more was asked for, behind a request of another connection that is.
-func (b *testServer) requireNoMoreRequests(t *testing.T) {
+// requireNoMoreRequests checks that the handler has received no further requests or cancellations
+// by the time it has answered a request on another connection.
+func (srv *testServer) requireNoMoreRequests(t *testing.T) {
 	t.Helper()
-	other := b.dial(t)
+	other := srv.dial(t)
 	other.send(t, requestFrame("9000"))
-	b.nextConn(t, 9000).Fail(9000)
+	srv.nextConn(t, 9000).Fail(9000)
 	if got := other.answer(t); got != "9000 500  " {
 		t.Errorf("another connection got %q", got)
 	}
-	if len(b.requests) != 0 || len(b.cancels) != 0 {
-		t.Errorf("%d more were asked for, %d taken back", len(b.requests), len(b.cancels))
+	if len(srv.requests) != 0 || len(srv.cancels) != 0 {
+		t.Errorf("got %d more requests and %d cancellations", len(srv.requests), len(srv.cancels))
 	}
 }
 
-// body returns a body of that many bytes.
-func (b *testServer) body(bytesTotal int) *bufpool.Body {
-	body := b.pool.NewBody(0)
+// body returns a body of bytesTotal bytes.
+func (srv *testServer) body(bytesTotal int) *bufpool.Body {
+	body := srv.pool.NewBody(0)
 	body.Append(bytes.Repeat([]byte("x"), bytesTotal))
 	return body
 }
 
-// testClient is a client's side of a connection.
+// testClient is the client side of a connection.
 type testClient struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// dial connects a client until the test ends. Reads and writes that take 10 seconds fail.
-func (b *testServer) dial(t *testing.T) testClient {
+// dial connects a client until the test ends. Its reads and writes fail after 10 seconds.
+func (srv *testServer) dial(t *testing.T) testClient {
 	t.Helper()
-	conn, err := net.Dial("tcp", b.address)
+	conn, err := net.Dial("tcp", srv.address)
 	requireNoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
 	requireNoError(t, conn.SetDeadline(time.Now().Add(10*time.Second)))
 	return testClient{conn, bufio.NewReader(conn)}
 }
 
-// send writes frames in one piece.
+// send writes frames with a single Write call.
 func (c testClient) send(t *testing.T, frames ...[]byte) {
 	t.Helper()
 	_, err := c.Write(bytes.Join(frames, nil))
 	requireNoError(t, err)
 }
 
-// trySend is send for a connection that the server may have closed.
+// trySend is like send for a connection that the server may have closed.
 func (c testClient) trySend(frames ...[]byte) { _, _ = c.Write(bytes.Join(frames, nil)) }
 
-// close closes the connection.
+// close closes the connection and fails the test on an error.
 func (c testClient) close(t *testing.T) {
 	t.Helper()
 	requireNoError(t, c.Close())
 }
 
-// answer reads one response, and returns its elements with blanks between them.
+// answer reads one response and returns its elements separated by spaces.
 func (c testClient) answer(t *testing.T) string {
 	t.Helper()
 	var count, length int
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -12,11 +12,12 @@
 	"tallyproxy/internal/logevent"
 )
 
-// sweepsPerTimeout is how often sweepLoop runs within the RequestRead timeout.
+// sweepsPerTimeout is the number of times that sweepLoop runs within the RequestRead timeout.
 const sweepsPerTimeout = 8
 
-// Serve accepts connections until the listener is closed, and returns the listener's error, which is net.ErrClosed or wraps it. While
-// maxConns connections are held, the next one is accepted and waits unread, and those behind it wait in the system's queue.
+// Serve accepts connections until the listener is closed and returns the listener's error, which is
+// net.ErrClosed or wraps it. While maxConns connections are open, the next one is accepted but not
+// read until a slot is free, and later ones wait in the kernel's accept queue.
 func (s *Server) Serve(listener net.Listener) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -32,7 +33,8 @@
 			return err
 		}
 		s.lastAccept.Store(time.Now().UnixNano())
-		if err != nil { // the process has no descriptor left, or the client left before it was accepted
+		// out of file descriptors, or the client disconnected before it was accepted
+		if err != nil {
 			slog.Warn(logevent.AcceptFailed, "err", err)
 			s.evictIdle(1)
 			time.Sleep(s.timeouts.PollRetry.Duration())
@@ -43,11 +45,12 @@
 	}
 }
 
-// start takes a connection into the table and runs it.
+// start adds a connection to the table and runs it.
 func (s *Server) start(c *Conn) {
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
-	if s.shuttingDown { // it was accepted before the shutdown: requests that lie in its socket are still taken
+	// it was accepted before the shutdown, so requests already in its socket are served
+	if s.shuttingDown {
 		c.drainLocked()
 	}
 	s.mu.Unlock()
@@ -55,7 +58,8 @@
 	go c.run()
 }
 
-// hashHost returns a hash of a client's address without its port, the same at every director.
+// hashHost returns a hash of a client's address without its port. All directors compute the same
+// hash.
 func hashHost(address net.Addr) uint64 {
 	host, _, err := net.SplitHostPort(address.String())
 	if err != nil {
@@ -64,8 +68,8 @@
 	return xxhash.Sum64String(host)
 }
 
-// waitForSlot returns once fewer than maxConns connections are held. Meanwhile it evicts idle connections, several at a time, since
-// where one slot is wanted more will be.
+// waitForSlot returns once fewer than maxConns connections are open. Until then it evicts idle
+// connections, several at a time, because a server that needs one slot is likely to need more.
 func (s *Server) waitForSlot() {
 	s.awaitingSlot.Store(true)
 	defer s.awaitingSlot.Store(false)
@@ -75,14 +79,15 @@
 			return
 		}
 		s.evictIdle(1 + maxConns/evictionFraction)
-		select { // an evicted connection holds its descriptor until it has left the table
+		select { // an evicted connection holds its descriptor until it is removed from the table
 		case <-s.connEnded:
 		case <-time.After(s.timeouts.PollRetry.Duration() / 8):
 		}
 	}
 }
 
-// sweepLoop closes connections that time out, and idle ones beyond maxConns, until the context is done.
+// sweepLoop closes connections that have timed out and idle connections in excess of maxConns until
+// the context is done.
 func (s *Server) sweepLoop(ctx context.Context) {
 	ticker := time.NewTicker(s.timeouts.RequestRead.Duration() / sweepsPerTimeout)
 	defer ticker.Stop()
@@ -91,7 +96,8 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			if excess := s.ConnCount() - int(s.maxConns.Load()); excess > 0 { // the limit was lowered
+			// the limit was lowered
+			if excess := s.ConnCount() - int(s.maxConns.Load()); excess > 0 {
 				s.evictIdle(excess)
 			}
 			s.closeTimedOut(now)
@@ -99,7 +105,8 @@
 	}
 }
 
-// closeTimedOut drains connections that were idle for DownstreamIdle, and those whose message is not complete after RequestRead.
+// closeTimedOut drains connections that have been idle for DownstreamIdle and those whose message
+// is still incomplete after RequestRead.
 func (s *Server) closeTimedOut(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -13,80 +13,84 @@
 	"tallyproxy/policy"
 )
 
-// TestMaxConns: a server that holds all connections that it may takes another once one of them is idle.
+// TestMaxConns guards against a server at its connection limit that does not evict an idle
+// connection to accept a new one.
 func TestMaxConns(t *testing.T) {
-	b := startServer(t, 2, 64, 10*time.Second)
-	c1, c2 := b.dial(t), b.dial(t)
+	srv := startServer(t, 2, 64, 10*time.Second)
+	c1, c2 := srv.dial(t), srv.dial(t)
 	c1.send(t, requestFrame("1"))
-	conn := b.nextConn(t, 1)
+	conn := srv.nextConn(t, 1)
 	c2.send(t, requestFrame("2"))
-	b.nextConn(t, 2).Fail(2)
+	srv.nextConn(t, 2).Fail(2)
 	c2.answer(t)
-	c3 := b.dial(t)
+	c3 := srv.dial(t)
 	c3.send(t, requestFrame("3"))
 	if _, err := c2.in.ReadByte(); err != io.EOF {
-		t.Errorf("the idle one was not closed: %v", err)
+		t.Errorf("idle connection was not closed: %v", err)
 	}
 	c2.close(t)
-	b.nextConn(t, 3).Fail(3)
+	srv.nextConn(t, 3).Fail(3)
 	conn.Fail(1)
-	if a, b := c1.answer(t), c3.answer(t); a != "1 500  " || b != "3 500  " {
-		t.Errorf("got %q and %q", a, b)
+	if first, third := c1.answer(t), c3.answer(t); first != "1 500  " || third != "3 500  " {
+		t.Errorf("got %q and %q", first, third)
 	}
 }
 
-// TestLoweredMaxConns: a lowered limit evicts idle connections that are held already.
+// TestLoweredMaxConns guards against a lowered limit that does not evict idle connections opened
+// before.
 func TestLoweredMaxConns(t *testing.T) {
-	b := startServer(t, 8, 64, 10*time.Second, func(m *policy.Timeouts) { m.RequestRead, m.PollRetry = 20*policy.Second/10, 1000 })
-	busy := b.dial(t)
+	srv := startServer(t, 8, 64, 10*time.Second, func(m *policy.Timeouts) { m.RequestRead, m.PollRetry = 20*policy.Second/10, 1000 })
+	busy := srv.dial(t)
 	busy.send(t, requestFrame("1"))
-	conn := b.nextConn(t, 1)
+	conn := srv.nextConn(t, 1)
 	for range 7 {
-		b.dial(t)
+		srv.dial(t)
 	}
-	eventually(t, "not all are held", func() bool { return b.ConnCount() == 8 })
-	b.SetMaxConns(3)
-	eventually(t, "more are held", func() bool { return b.ConnCount() == 3 })
+	eventually(t, "not all connections were accepted", func() bool { return srv.ConnCount() == 8 })
+	srv.SetMaxConns(3)
+	eventually(t, "excess connections were not evicted", func() bool { return srv.ConnCount() == 3 })
 	conn.Fail(1)
 	if got := busy.answer(t); got != "1 500  " {
-		t.Errorf("the busy one got %q", got)
+		t.Errorf("client with a pending request got %q", got)
 	}
 }
 
-// TestIdleAndIncompleteConnections: connections without a complete message, and idle ones, are closed; one with a pending request is not.
+// TestIdleAndIncompleteConnections guards against keeping idle connections or connections without a
+// complete message, and against closing one with a pending request.
 func TestIdleAndIncompleteConnections(t *testing.T) {
-	short := func(m *policy.Timeouts) { m.RequestRead, m.DownstreamIdle = policy.Second/20, policy.Second/10 }
-	cases := []struct{ name, first string }{
+	shortTimeouts := func(m *policy.Timeouts) { m.RequestRead, m.DownstreamIdle = policy.Second/20, policy.Second/10 }
+	cases := []struct{ name, sent string }{
 		{"nothing sent", ""},
 		{"half a message", "*2\r\n$6\r\nSTA"},
 		{"a whole one, then half", string(frame("STATUS", "1")) + "*2\r\n$6"},
 		{"asked once", string(frame("STATUS", "1"))},
 	}
-	for _, x := range cases {
-		t.Run(x.name, func(t *testing.T) {
-			b := startServer(t, 8, 64, 10*time.Second, short)
-			busy, c := b.dial(t), b.dial(t)
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			srv := startServer(t, 8, 64, 10*time.Second, shortTimeouts)
+			busy, c := srv.dial(t), srv.dial(t)
 			busy.send(t, requestFrame("1"))
-			conn := b.nextConn(t, 1)
-			c.trySend([]byte(x.first)) // its time may be over before
-			if all, err := io.ReadAll(c.in); err != nil || strings.Contains(x.first, "1") != (len(all) > 0) {
-				t.Errorf("got %q, %v", all, err)
+			conn := srv.nextConn(t, 1)
+			c.trySend([]byte(tc.sent)) // it may have timed out already
+			if received, err := io.ReadAll(c.in); err != nil || strings.Contains(tc.sent, "1") != (len(received) > 0) {
+				t.Errorf("got %q, %v", received, err)
 			}
 			conn.Fail(1)
 			if got := busy.answer(t); got != "1 500  " {
-				t.Errorf("the busy one got %q", got)
+				t.Errorf("client with a pending request got %q", got)
 			}
 		})
 	}
 }
 
-// descriptorlessListener is a listener whose first Accept fails since the process has no descriptor left.
-type descriptorlessListener struct {
+// emfileListener is a listener whose first Accept fails because the process has no file descriptor
+// left.
+type emfileListener struct {
 	net.Listener
 	failed bool
 }
 
-func (l *descriptorlessListener) Accept() (net.Conn, error) {
+func (l *emfileListener) Accept() (net.Conn, error) {
 	if !l.failed {
 		l.failed = true
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
@@ -94,13 +98,14 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptError: Serve goes on after an Accept that failed, and ends with the listener.
+// TestAcceptError guards against Serve returning when Accept fails. It must return only once the
+// listener is closed.
 func TestAcceptError(t *testing.T) {
 	listener := listen(t)
 	s := New([]Handler{testHandler{closedConns: make(chan *Conn, 1)}}, site, bufpool.New(1), 1,
 		policy.Timeouts{WriteFlush: policy.Second, PollRetry: policy.Second / 5, RequestRead: policy.Second, DownstreamIdle: policy.Second})
 	done := make(chan error, 1)
-	go func() { done <- s.Serve(&descriptorlessListener{Listener: listener}) }()
+	go func() { done <- s.Serve(&emfileListener{Listener: listener}) }()
 	c := (&testServer{address: listener.Addr().String()}).dial(t)
 	c.send(t, frame("STATUS", "1"))
 	if got := c.answer(t); got != "1 serving  " {
@@ -109,6 +114,6 @@
 	c.close(t)
 	closeListener(t, listener)
 	if err := receive(t, done); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve returned %v", err)
 	}
 }
--- a/internal/downstream/parser.go
+++ b/internal/downstream/parser.go
@@ -12,21 +12,23 @@
 
 const (
 	smallBufferSize = 1 << 10
-	maxLengthDigits = 8 // of a length line, leading zeros included
+	maxLengthDigits = 8 // digits of a length line, including leading zeros
 )
 
-// parser cuts a client's bytes into messages. It does no I/O: its owner reads into readBuffer, tells advance, and calls next until it
-// has no message left. It is the reader's own.
+// parser splits a client's input into messages. It does no I/O: its owner reads into readBuffer,
+// calls advance, and then calls next until no message is left. Only the connection's reader uses
+// it.
 type parser struct {
 	pool     *bufpool.Pool
 	small    [smallBufferSize]byte
-	buffer   []byte // small, or one of the pool's while a message does not fit there; nil for none
+	buffer   []byte // small, or a pool buffer while a message does not fit into small; nil for none
 	start    int    // the bytes before it are parsed
 	end      int    // the bytes from here on are free
 	elements [][]byte
 }
 
-// readBuffer returns where the next bytes are to be read to. Messages that next returned must not be used any more: their bytes may move.
+// readBuffer returns the buffer to read the next bytes into. Messages returned by next must not be
+// used after this call, because their bytes may move.
 func (p *parser) readBuffer() []byte {
 	unparsed := p.buffer[p.start:p.end]
 	switch {
@@ -40,13 +42,13 @@
 	return p.buffer[p.end:]
 }
 
-// advance says that n bytes were read to readBuffer.
+// advance records that n bytes were read into the buffer returned by readBuffer.
 func (p *parser) advance(n int) { p.end += n }
 
-// hasPartial reports whether bytes are left that next has not returned.
+// hasPartial reports whether bytes are left that next has not returned in a message.
 func (p *parser) hasPartial() bool { return p.start < p.end }
 
-// release gives the buffer back to the pool.
+// release returns the buffer to the pool.
 func (p *parser) release() {
 	if len(p.buffer) == bufpool.BufferSize {
 		p.pool.Put(p.buffer)
@@ -54,12 +56,12 @@
 	p.buffer, p.start, p.end = nil, 0, 0
 }
 
-// next returns the next message, if a complete one was read. After an error nothing more can be parsed; the message then has the tag,
-// where that was read.
+// next returns the next message if a complete one has been read. After an error nothing more can be
+// parsed; the message then contains the tag if the tag was read.
 func (p *parser) next() (msg message, ok bool, err error) {
 	defer func() {
-		if cause := recover(); cause != nil { // redcon trusts the lengths that it reads
-			err = fmt.Errorf("a frame that can't be cut: %v", cause)
+		if cause := recover(); cause != nil { // redcon does not validate the lengths that it reads
+			err = fmt.Errorf("malformed frame: %v", cause)
 		}
 	}()
 	complete, tag, err := checkFrame(p.buffer[p.start:p.end])
@@ -68,18 +70,19 @@
 	}
 	complete, elements, _, rest, err := redcon.ReadNextCommand(p.buffer[p.start:p.end], p.elements)
 	if err != nil {
-		return message{tag: tag}, false, fmt.Errorf("a frame that can't be cut: %w", err)
+		return message{tag: tag}, false, fmt.Errorf("malformed frame: %w", err)
 	}
 	if !complete {
-		return message{tag: tag}, false, errors.New("a frame that can't be cut: its end is missing")
+		return message{tag: tag}, false, errors.New("malformed frame: incomplete")
 	}
 	p.elements, p.start = elements, p.end-len(rest)
 	msg, err = parseMessage(elements)
 	return msg, err == nil, err
 }
 
-// checkFrame walks along a frame as far as it was read, and reports whether it is complete. A length out of bounds is an error before
-// what it announces has come. The tag is 0 where it was not read.
+// checkFrame scans the part of a frame that has been read and reports whether the frame is
+// complete. An invalid length is an error even before the announced data arrives. The tag is 0 if
+// it was not read.
 func checkFrame(data []byte) (complete bool, tag uint64, err error) {
 	elements, data, complete, err := parseLength(data, '*', maxElements)
 	if err != nil || !complete {
@@ -94,18 +97,19 @@
 			return false, tag, err
 		}
 		if data[length] != '\r' || data[length+1] != '\n' {
-			return false, tag, errors.New("a word that does not end where it said")
+			return false, tag, errors.New("element does not end after its announced length")
 		}
 		if i == tagIndex {
-			tag, _ = strconv.ParseUint(string(data[:length]), 10, 64) // parseMessage refuses what is no number
+			// parseMessage refuses a tag that is not a number
+			tag, _ = strconv.ParseUint(string(data[:length]), 10, 64)
 		}
 		data = data[length+len(lineEnd):]
 	}
 	return true, tag, nil
 }
 
-// parseLength reads a line that is a type byte and a decimal number up to maximum, and returns what follows it. Without an error the line
-// may still be incomplete.
+// parseLength parses a line that consists of a type byte and a decimal number up to maximum, and
+// returns the data that follows it. If it returns no error, the line may still be incomplete.
 func parseLength(data []byte, typeByte byte, maximum int) (n int, rest []byte, complete bool, err error) {
 	for i, b := range data {
 		switch {
@@ -121,7 +125,7 @@
 			}
 			fallthrough
 		default:
-			return 0, nil, false, fmt.Errorf("no %c and a number up to %d: %.12q", typeByte, maximum, data)
+			return 0, nil, false, fmt.Errorf("expected %c and a number up to %d, got %.12q", typeByte, maximum, data)
 		}
 	}
 	return 0, nil, false, nil
--- a/internal/downstream/protocol.go
+++ b/internal/downstream/protocol.go
@@ -8,12 +8,13 @@
 	"github.com/tidwall/redcon"
 )
 
-// Commands of the platform's protocol. A message is an array of RESP, the Redis serialization protocol: the command, the tag by which its
-// response names it, and the command's own elements.
+// Commands of the platform's protocol. A message is an array in RESP, the Redis serialization
+// protocol: the command, the tag that identifies its response, and the command's own elements.
 const (
-	commandRequest = "ASK"       // then the content type's name, the fields and, for a write, the body
-	commandCancel  = "NEVERMIND" // takes a request back; it has no response
-	commandStatus  = "STATUS"    // asks whether the director is serving; an element that follows means nothing
+	// followed by the content type's name, the fields and, for a write, the body
+	commandRequest = "ASK"
+	commandCancel  = "NEVERMIND" // cancels a request; it has no response
+	commandStatus  = "STATUS"    // asks whether the director serves; an extra element is ignored
 )
 
 // Statuses of responses. A response is an array of the tag, the status, the fields and the body.
@@ -27,11 +28,11 @@
 
 // Fields of responses.
 const (
-	fieldRetryAfter = "later" // milliseconds
-	fieldUnchanged  = "still" // 1: the copy that the client holds is valid
+	fieldRetryAfter = "later" // in milliseconds
+	fieldUnchanged  = "still" // 1 if the copy that the client holds is still valid
 )
 
-// Bounds of a message.
+// Limits of a message.
 const (
 	maxElements     = 5
 	maxElementBytes = 512
@@ -41,21 +42,23 @@
 	bodyIndex = maxElements - 1
 )
 
-// message is one that a client sent. Its command is empty where the protocol has none of that form.
+// message is a message from a client. The command is empty if the protocol does not define it in
+// this form.
 type message struct {
 	command string
 	tag     uint64
-	request Request // for commandRequest
+	request Request // set for commandRequest
 }
 
-// parseMessage reads a message's elements. Its error is for a message without a usable tag, which can't be answered.
+// parseMessage parses the elements of a message. It returns an error only for a message without a
+// valid tag, which cannot be answered.
 func parseMessage(elements [][]byte) (message, error) {
 	if len(elements) <= tagIndex {
-		return message{}, errors.New("a message without a tag")
+		return message{}, errors.New("message has no tag")
 	}
 	tag, err := strconv.ParseUint(string(elements[tagIndex]), 10, 64)
 	if err != nil || tag == 0 {
-		return message{}, fmt.Errorf("a tag that is no number from 1 up: %.20q", elements[tagIndex])
+		return message{}, fmt.Errorf("tag is not a positive number: %.20q", elements[tagIndex])
 	}
 	msg := message{tag: tag}
 	switch command := string(elements[0]); {
@@ -67,7 +70,8 @@
 	return msg, nil
 }
 
-// appendResponseHeader appends a response up to the first byte of its body, which has bodyBytes and is followed by a line end.
+// appendResponseHeader appends a response up to the first byte of its body. The caller must append
+// the body, of bodyBytes bytes, and a line end.
 func appendResponseHeader(to []byte, tag uint64, status, fields string, bodyBytes int) []byte {
 	to = redcon.AppendArray(to, 4)
 	to = redcon.AppendBulkString(to, strconv.FormatUint(tag, 10))
--- a/internal/downstream/reader.go
+++ b/internal/downstream/reader.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	maxPendingRequests = 32      // requests that the protocol lets a client have open on one connection
-	discardBufferSize  = 8 << 10 // bytes read at a time of input that is ignored
+	maxPendingRequests = 32      // pending requests that the protocol allows per connection
+	discardBufferSize  = 8 << 10 // bytes per read of ignored input
 )
 
-// Errors of requests, which are logged.
+// Request errors, which are logged.
 var (
-	errTagInUse        = errors.New("the tag is in use")
-	errUnknownCommand  = errors.New("an unknown message")
-	errTooManyRequests = errors.New("too many requests at once")
+	errTagInUse        = errors.New("tag is already used by a pending request")
+	errUnknownCommand  = errors.New("unknown command")
+	errTooManyRequests = errors.New("too many pending requests")
 )
 
-// readLoop reads what the client sends until the connection ends. A client that has closed its side waits for nothing, so requests are
-// given to the handler only once all that lies in the socket is read: a request, its cancellation and the client's end may lie there
-// together, for as long as the connection waited to be accepted. For a client that never stops sending this wait has an end.
+// readLoop reads what the client sends until the connection ends. A client that has closed its side
+// no longer waits for responses, so requests are passed to the handler only once all input in the
+// socket has been read: while a connection waits to be accepted, a request, its cancellation and
+// the client's disconnect may all accumulate in the socket. For a client that never stops sending,
+// this delay is bounded.
 func (c *Conn) readLoop() {
 	defer c.Close()
 	p := parser{pool: c.server.pool}
@@ -38,7 +40,7 @@
 		}
 		p.advance(n)
 		c.handleInput(&p, now)
-		c.deliverWhenRead(now)
+		c.deliverWhenInputRead(now)
 		if !c.trackInput(now, false) {
 			p.release()
 			c.discardLoop()
@@ -47,7 +49,7 @@
 	}
 }
 
-// handleInput acts on the complete messages that the parser holds.
+// handleInput processes the complete messages that the parser holds.
 func (c *Conn) handleInput(p *parser, now time.Time) {
 	for c.trackInput(now, p.hasPartial()) {
 		msg, ok, err := p.next()
@@ -62,7 +64,8 @@
 	}
 }
 
-// handleMalformed answers the message that can't be read, where its tag could be, and ignores all that follows.
+// handleMalformed answers a malformed message if its tag could be read, and ignores all further
+// input.
 func (c *Conn) handleMalformed(tag uint64, err error, now time.Time) {
 	c.server.logClientError(logevent.DownstreamMalformed, err)
 	if tag > 0 {
@@ -73,20 +76,22 @@
 	c.restrictInputLocked(inputDiscarded)
 }
 
-// discardLoop reads on, to see the client's end. Closed with input unread the connection would be reset, and its last responses lost.
+// discardLoop continues to read in order to detect the client's disconnect. Closing the connection
+// with unread input would reset it and lose its last responses.
 func (c *Conn) discardLoop() {
 	buffer := make([]byte, discardBufferSize)
 	for {
 		if _, err := c.netConn.Read(buffer); err != nil && !c.handleReadError(err) {
 			return
 		}
-		c.deliverWhenRead(time.Now())
+		c.deliverWhenInputRead(time.Now())
 	}
 }
 
-// deliverWhenRead gives the received requests to the handler once nothing more lies in the socket, or after MaxDecisionAge.
-func (c *Conn) deliverWhenRead(now time.Time) {
-	if len(c.received) == 0 { // none came, or all were cancelled
+// deliverWhenInputRead passes the received requests to the handler once the socket holds no further
+// input and the client has not closed its side, or after MaxDecisionAge.
+func (c *Conn) deliverWhenInputRead(now time.Time) {
+	if len(c.received) == 0 { // none were received, or all were cancelled
 		c.receivedSince = time.Time{}
 		return
 	}
@@ -100,10 +105,11 @@
 	}
 }
 
-// deliverReceived gives the handler those of the received requests that are still pending.
+// deliverReceived passes the received requests that are still pending to the handler.
 func (c *Conn) deliverReceived() {
 	for i, r := range c.received {
-		c.received[i] = receivedRequest{} // should the handler panic, dropReceived leaves its body to it
+		// if the handler panics, dropReceived must not free the body
+		c.received[i] = receivedRequest{}
 		if c.IsPending(r.tag) {
 			c.handler.HandleRequest(c, r.tag, r.request)
 		} else {
@@ -122,16 +128,19 @@
 	c.received = c.received[:0]
 }
 
-// wakeReader ends a read that waits, so that the reader sees whether to half-close or evict the connection.
+// wakeReader interrupts a blocked read so that the reader checks whether to half-close or evict the
+// connection.
 func (c *Conn) wakeReader() { c.setReadDeadline(time.Unix(1, 0)) }
 
-// setReadDeadline sets when a read that waits ends; the zero time is never. Where it can't be set the connection is closed, and reads end
-// alike.
+// setReadDeadline sets the time at which a blocked read ends; the zero time means never. If it
+// cannot be set, the connection is closed and reads end anyway.
 func (c *Conn) setReadDeadline(deadline time.Time) { _ = c.netConn.SetReadDeadline(deadline) }
 
-// handleReadError deals with a read that failed, and reports whether to read on. A read that was ended by wakeReader may half-close or
-// evict the connection. The reader alone does so, since it alone knows that nothing lies between the socket and the pending requests: what was
-// sent before the client is told that nothing more comes is taken, what is sent later is not.
+// handleReadError handles a failed read and reports whether to continue reading. If wakeReader
+// interrupted the read, the connection may be half-closed or evicted. Only the reader does this,
+// because only the reader knows that no request has been read from the socket without being
+// registered as pending: requests sent before the client learns that the connection is closing are
+// accepted, later ones are not.
 func (c *Conn) handleReadError(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
@@ -143,7 +152,7 @@
 	}
 	now := time.Now()
 	if c.phase >= phaseHalfClosed {
-		// A client that reads slowly keeps the connection while responses are on their way.
+		// A client that reads slowly keeps the connection until it has received the responses.
 		unsent := c.phase == phaseHalfClosed && socket.HasUnsentOutput(c.netConn) && now.Before(c.closeDeadline)
 		if unsent {
 			c.setReadDeadline(now.Add(c.server.timeouts.Connect.Duration()))
@@ -155,7 +164,8 @@
 	return true
 }
 
-// trackInput notes at now whether a message is incomplete, and reports whether input is still acted on.
+// trackInput records whether a message is incomplete at the time now, and reports whether input is
+// still processed.
 func (c *Conn) trackInput(now time.Time, partial bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,12 +175,12 @@
 		c.messageStart = now
 	}
 	if c.phase == phaseDraining {
-		c.wakeWriter() // it may be time to half-close
+		c.wakeWriter() // the connection may be ready to be half-closed
 	}
 	return c.input != inputDiscarded && c.phase < phaseHalfClosed
 }
 
-// handleCancel drops a request that the client no longer waits for.
+// handleCancel removes a request that the client no longer waits for.
 func (c *Conn) handleCancel(tag uint64) {
 	c.mu.Lock()
 	pending := c.pending[tag]
@@ -185,15 +195,18 @@
 	}
 }
 
-// admission is what register found as it took a message.
+// admission is what register found when it registered a message.
 type admission struct {
-	tagInUse bool // by a pending request
-	tooMany  bool // maxPendingRequests are pending
-	late     bool // it came after the deadline of the drain, which a client that never stops sending would put off
+	tagInUse bool // a pending request has the same tag
+	tooMany  bool // maxPendingRequests requests are already pending
+	// it arrived after the drain deadline and is rejected, since a client that never stops sending
+	// would otherwise delay the end of the drain
+	late bool
 }
 
-// register makes a message's tag pending, and reports false where messages that ask for something are no longer taken. Those were
-// sent before the client saw the end of the connection, and are sent again on another.
+// register makes a message's tag pending. It returns false if the connection no longer accepts
+// messages other than cancellations: the client sent the message before it saw the connection end,
+// and sends it again on another connection.
 func (c *Conn) register(msg *message, now time.Time) (a admission, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,7 +221,7 @@
 	return a, true
 }
 
-// handleMessage acts on one message.
+// handleMessage processes one message.
 func (c *Conn) handleMessage(msg message, now time.Time) {
 	if msg.command == commandCancel {
 		c.handleCancel(msg.tag)
@@ -217,7 +230,7 @@
 	admission, ok := c.register(&msg, now)
 	switch {
 	case !ok:
-	case admission.tagInUse: // the first request with the tag gets the one response
+	case admission.tagInUse: // only the first request with the tag gets a response
 		c.ReportBadRequest(errTagInUse)
 	case msg.command == commandRequest:
 		c.handleRequest(msg.tag, msg.request, admission, now)
@@ -229,7 +242,8 @@
 	}
 }
 
-// handleRequest answers a request that can't be taken, and keeps any other for deliverWhenRead.
+// handleRequest answers a request that cannot be accepted and keeps any other for
+// deliverWhenInputRead.
 func (c *Conn) handleRequest(tag uint64, request Request, admission admission, now time.Time) {
 	if err := request.validate(c.server.contentTypes); err != nil {
 		c.ReportBadRequest(err)
@@ -249,11 +263,11 @@
 		c.RejectUnsent(tag, request)
 		return
 	}
-	request.rawBody = nil // the parser uses its buffer again
+	request.rawBody = nil // the parser reuses its buffer
 	c.received = append(c.received, receivedRequest{tag, request})
 }
 
-// status is the answer to STATUS.
+// status returns the response status for a STATUS command.
 func (s *Server) status() string {
 	if s.notServing.Load() {
 		return statusNotServing
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -11,11 +11,11 @@
 	"tallyproxy/policy"
 )
 
-// Fields of a request, as NAME=VALUE with commas between them.
+// Fields of a request, sent as NAME=VALUE and separated by commas.
 const (
 	fieldTransactionID  = "txn"
-	fieldTimeout        = "limit"  // milliseconds
-	fieldIsRetry        = "second" // 1
+	fieldTimeout        = "limit"  // in milliseconds
+	fieldIsRetry        = "second" // always 1
 	fieldIdempotencyKey = "unique"
 	fieldObject         = "item"
 	fieldPart           = "n"
@@ -23,43 +23,44 @@
 	fieldIfNoneMatch    = "mine"
 )
 
-// requiredFields are those without which a request can't be used.
+// requiredFields are the fields that every request must have.
 var requiredFields = []string{fieldTransactionID, fieldTimeout, fieldObject, fieldPart, fieldGroup}
 
-// Bounds of a request's fields.
+// Limits of a request's fields.
 const (
-	idDigits   = 16 // hexadecimal, of transactions, objects and copies
-	keyDigits  = 32 // hexadecimal
+	idDigits   = 16 // hexadecimal, of transaction, object and copy IDs
+	keyDigits  = 32 // hexadecimal, of idempotency keys
 	maxTimeout = 1 << 30
 	maxParts   = 1 << 16
 	maxGroups  = 256
 )
 
-// Request is what a client asks for.
+// Request is a request from a client.
 type Request struct {
-	Type           *policy.ContentType // of TypeName, as the settings have it
-	TypeName       string              // as the client sent it
-	TransactionID  string              // 16 hexadecimal digits; one request that is open at a time has it
-	IdempotencyKey string              // 32 hexadecimal digits, where the type's RetrySafety is IdempotentWithKey
+	Type           *policy.ContentType // the settings of TypeName
+	TypeName       string              // as sent by the client
+	TransactionID  string              // 16 hexadecimal digits, unique among open requests
+	IdempotencyKey string              // 32 hexadecimal digits, for types with IdempotentWithKey
 	Object         string              // 16 hexadecimal digits
-	Part           int                 // of the object, from 0
-	Group          int                 // of the object: the protocol's shard, from 0
-	IfNoneMatch    string              // the tag of the copy that the client holds; empty for none
+	Part           int                 // index within the object, from 0
+	Group          int                 // group of the object, from 0; the protocol's shard
+	IfNoneMatch    string              // tag of the copy that the client holds; empty for none
 	IsRetry        bool                // the client has sent this request before
-	Timeout        time.Duration       // the client waits no longer, from when it sent the request
-	Body           *bufpool.Body       // what a write carries; freed by who holds the request
-	ArrivedAt      time.Time           // when it was read
-	ClientHash     uint64              // a hash of the client's address without its port
+	Timeout        time.Duration       // how long the client waits after sending the request
+	Body           *bufpool.Body       // body of a write; freed by the owner of the request
+	ArrivedAt      time.Time           // when the request was read
+	ClientHash     uint64              // hash of the client's address without its port
 	ClientSuspect  bool                // see Conn.MarkSuspect
 
-	rawBody  []byte // the body in the parser's buffer, until it is copied to Body
-	parseErr error  // the first field that can't be used, or the last one that is missing
+	rawBody  []byte // body in the parser's buffer, until it is copied to Body
+	parseErr error  // the first invalid field, or the last missing one
 }
 
-// parseRequest reads the elements that follow the tag. What can't be used is in parseErr, which validate returns.
+// parseRequest parses the elements that follow the tag. Any error is stored in parseErr, which
+// validate returns.
 func parseRequest(elements [][]byte) (request Request) {
 	if len(elements) < 2 || len(elements) > 3 {
-		request.parseErr = fmt.Errorf("%d words", len(elements))
+		request.parseErr = fmt.Errorf("request has %d elements after the tag, want 2 or 3", len(elements))
 		return request
 	}
 	request.TypeName = string(elements[0])
@@ -70,7 +71,7 @@
 	for field := range strings.SplitSeq(string(elements[1]), ",") {
 		name, value, _ := strings.Cut(field, "=")
 		if seen[name] || !request.setField(name, value) {
-			request.parseErr = fmt.Errorf("%.20s: %.20q can't be used here", name, value)
+			request.parseErr = fmt.Errorf("%.20s: unknown or repeated field, or invalid value %.20q", name, value)
 			return request
 		}
 		seen[name] = true
@@ -83,7 +84,7 @@
 	return request
 }
 
-// setField takes one field over, and reports whether its name is known and its value in bounds.
+// setField sets a field and reports whether its name is known and its value is valid.
 func (r *Request) setField(name, value string) (ok bool) {
 	switch name {
 	case fieldTransactionID:
@@ -108,32 +109,34 @@
 	return ok
 }
 
-// validate checks the request against the content types, which are given by name, and sets its own.
+// validate checks the request against the content types, which are keyed by name, and sets its
+// Type.
 func (r *Request) validate(contentTypes map[string]*policy.ContentType) error {
 	contentType := contentTypes[r.TypeName]
 	switch {
 	case r.parseErr != nil:
 		return r.parseErr
 	case contentType == nil:
-		return errors.New("an unknown content type")
+		return errors.New("unknown content type")
 	case policy.Micros(r.Timeout/time.Microsecond) > contentType.Timeout:
-		return errors.New("limit: over the content type's")
+		return errors.New("limit: exceeds the timeout of the content type")
 	case r.Part > 0 && contentType.Unsplit:
 		return errors.New("n: the content type has no parts")
 	case (contentType.RetrySafety == policy.IdempotentWithKey) != (r.IdempotencyKey != ""):
-		return errors.New("unique: missing, or not for the content type")
+		return errors.New("unique: missing, or not allowed for the content type")
 	}
 	r.Type = contentType
 	return nil
 }
 
-// parseBounded reads a decimal number without a sign or leading zeros, and reports whether it is from minimum to maximum.
+// parseBounded parses a decimal number without a sign or leading zeros and reports whether it is
+// valid and in the range from minimum to maximum.
 func parseBounded(value string, minimum, maximum int) (n int, ok bool) {
 	n, err := strconv.Atoi(value)
 	return n, err == nil && n >= minimum && n <= maximum && strconv.Itoa(n) == value
 }
 
-// isHex reports whether a value is that many hexadecimal digits.
+// isHex reports whether value consists of the given number of hexadecimal digits.
 func isHex(value string, digits int) bool {
 	return len(value) == digits && strings.Trim(value, "0123456789abcdefABCDEF") == ""
 }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,8 +1,9 @@
-// Package downstream speaks with clients over the platform's protocol: it accepts their connections, reads requests and writes the
-// final responses. What becomes of a request is decided by a Handler.
+// Package downstream communicates with clients over the platform's protocol: it accepts their
+// connections, reads requests and writes the final responses. A Handler decides how requests are
+// processed.
 //
-// Each connection has two goroutines, one that reads and one that writes. Neither waits for the other, and no method of Conn waits
-// for the client.
+// Each connection has two goroutines, one that reads and one that writes. Neither waits for the
+// other, and no method of Conn waits for the client.
 package downstream
 
 import (
@@ -17,22 +18,26 @@
 	"tallyproxy/policy"
 )
 
-// Handler takes what clients send. Its methods are called by the connections' readers, several at a time for different connections
-// but one at a time for each, and must not wait: a reader that stands still does not see its client leave.
+// Handler processes what clients send. Except for ConnOpened, its methods are called by the readers
+// of connections, concurrently for different connections but sequentially for each. They must not
+// block: a blocked reader does not notice that its client disconnects.
 type Handler interface {
-	// HandleRequest takes a new request of a connection. The tag names it until it is answered or cancelled; its Body is the
-	// handler's, which frees it.
+	// HandleRequest processes a new request. The tag identifies the request on its connection until
+	// it is answered or cancelled. The handler owns request.Body and must free it.
 	HandleRequest(c *Conn, tag uint64, request Request)
-	// HandleCancel says that the client no longer waits for a request that HandleRequest took.
+	// HandleCancel reports that the client no longer waits for a request that was passed to
+	// HandleRequest.
 	HandleCancel(c *Conn, tag uint64)
-	// ConnOpened says that a client has connected. It comes before all else of this connection, from the goroutine of Serve.
+	// ConnOpened reports that a client has connected. It is called before all other methods for
+	// this connection, from the goroutine of Serve.
 	ConnOpened(c *Conn)
-	// ConnClosed says that a connection has ended, with all requests that are open on it. Nothing of this connection follows.
+	// ConnClosed reports that a connection has ended, along with all its open requests. No calls
+	// for this connection follow.
 	ConnClosed(c *Conn)
 }
 
-// Server accepts clients' connections, as many at a time as its limit allows, and spreads them over its handlers. Its methods are
-// safe for concurrent use.
+// Server accepts client connections up to a limit and distributes them among its handlers. Its
+// methods are safe for concurrent use.
 type Server struct {
 	handlers     []Handler
 	contentTypes map[string]*policy.ContentType // by name
@@ -42,20 +47,20 @@
 	maxConns     atomic.Int64
 	notServing   atomic.Bool
 	lastAccept   atomic.Int64  // Unix time in nanoseconds
-	awaitingSlot atomic.Bool   // an accepted connection waits until fewer than maxConns are held
+	awaitingSlot atomic.Bool   // an accepted connection waits until fewer than maxConns are open
 	openAccepts  atomic.Int64  // calls of Serve that have not returned
-	connEnded    chan struct{} // one element: a connection has ended since it was last emptied
+	connEnded    chan struct{} // one element: a connection has ended since the last receive
 
-	mu             sync.Mutex // guards what follows; locked before a Conn's
+	mu             sync.Mutex // guards the fields below; locked before Conn.mu
 	conns          map[*Conn]struct{}
 	shuttingDown   bool
 	listeners      []net.Listener
-	unloggedErrors int // clients' errors since lastErrorLog
+	unloggedErrors int // client errors since lastErrorLog
 	lastErrorLog   time.Time
 }
 
-// New makes a server that holds at most maxConns connections and gives them to the handlers in turn. The content types that requests
-// may name are the site's.
+// New returns a server that holds at most maxConns connections and assigns them to the handlers in
+// turn. Requests may name the content types of the site.
 func New(handlers []Handler, site config.Site, pool *bufpool.Pool, maxConns int, timeouts policy.Timeouts) *Server {
 	s := &Server{
 		handlers: handlers, contentTypes: map[string]*policy.ContentType{}, pool: pool, timeouts: timeouts,
@@ -68,25 +73,27 @@
 	return s
 }
 
-// SetMaxConns changes how many connections are held at most. Where more are held, idle ones are closed at the next sweep.
+// SetMaxConns changes the maximum number of open connections. If more are open, idle ones are
+// closed at the next sweep.
 func (s *Server) SetMaxConns(maxConns int) { s.maxConns.Store(int64(maxConns)) }
 
-// SetNotServing has the server answer STATUS with not_serving from now on. Requests are served all the same.
+// SetNotServing makes the server answer STATUS with not_serving from now on. Requests are still
+// served.
 func (s *Server) SetNotServing() { s.notServing.Store(true) }
 
-// ConnCount returns how many connections are held.
+// ConnCount returns the number of open connections.
 func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// QuietFor reports whether no connection came within the given time and none waits for a slot.
+// QuietFor reports whether no connection arrived within the given period and none waits for a slot.
 func (s *Server) QuietFor(period time.Duration) bool {
 	return !s.awaitingSlot.Load() && time.Now().UnixNano()-s.lastAccept.Load() >= int64(period)
 }
 
-// remove forgets a connection that has ended, and wakes waitForSlot.
+// remove deletes an ended connection from the table and wakes waitForSlot.
 func (s *Server) remove(c *Conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
@@ -97,8 +104,8 @@
 	}
 }
 
-// logClientError logs a client's error under an event of logevent. At most one line is written each DownstreamIdle; it tells how
-// many errors there were since the line before.
+// logClientError logs a client's error under an event from package logevent. It writes at most one
+// line per DownstreamIdle, which includes the number of errors since the previous line.
 func (s *Server) logClientError(event string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -9,33 +9,33 @@
 	"tallyproxy/internal/socket"
 )
 
-// connPhase is how far the end of a connection has come. It never goes back.
+// connPhase is the progress of a connection towards its end. It never decreases.
 type connPhase int
 
 const (
 	phaseActive     connPhase = iota
 	phaseDraining             // to be half-closed once nothing is pending or queued
-	phaseHalfClosed           // the sending side is closed, and the client's end of the connection is waited for
+	phaseHalfClosed           // the sending side is closed; waiting for the client to close
 	phaseClosed
 )
 
-// inputMode is which messages of a client are still acted on. It only becomes stricter. Whatever comes is read, so that it is seen
-// when the client leaves.
+// inputMode determines which messages of a client are still processed. It only becomes stricter.
+// All input is read in any mode, so that the client's disconnect is detected.
 type inputMode int
 
 const (
 	inputAll       inputMode = iota
 	inputCancels             // requests are ignored
-	inputDiscarded           // all is ignored: where messages begin is not known
+	inputDiscarded           // all input is ignored, because message boundaries are unknown
 )
 
-// Shutdown closes the listeners, drains all connections, and returns once they have ended, at the latest after WriteFlush. A
-// connection that was accepted and waits for a slot is served first.
+// Shutdown closes the listeners, drains all connections, and returns once they have ended, or after
+// WriteFlush at the latest. A connection that was accepted and waits for a slot is served first.
 func (s *Server) Shutdown() {
 	s.mu.Lock()
 	s.shuttingDown = true
 	for _, listener := range s.listeners {
-		_ = listener.Close() // fails only where it is closed already
+		_ = listener.Close() // an error means that it is already closed
 	}
 	for c := range s.conns {
 		c.mu.Lock()
@@ -52,8 +52,9 @@
 	}
 }
 
-// drainLocked has the connection end once nothing is pending or queued. New requests are taken for the Connect timeout and rejected from
-// then on, until it is half-closed. The caller holds c.mu.
+// drainLocked makes the connection end once nothing is pending or queued. New requests are accepted
+// for the Connect timeout and rejected after that, until the connection is half-closed. The caller
+// holds c.mu.
 func (c *Conn) drainLocked() {
 	if c.phase == phaseActive {
 		c.phase, c.closeDeadline = phaseDraining, time.Now().Add(c.server.timeouts.Connect.Duration())
@@ -61,29 +62,33 @@
 	c.wakeWriter()
 }
 
-// restrictInputLocked drains the connection and from now on acts on no more input than the mode allows. The caller holds c.mu.
+// restrictInputLocked drains the connection and from now on processes no more input than mode
+// allows. The caller holds c.mu.
 func (c *Conn) restrictInputLocked(mode inputMode) {
 	c.input = max(c.input, mode)
 	c.drainLocked()
 }
 
-// tryHalfCloseLocked closes the sending side of a draining connection that has nothing more to do: nothing is pending or queued, and no
-// input that is still acted on lies in the socket. What lies there came before the end, so that it is read and answered, after the drain
-// deadline with a rejection. A client that then leaves no moment without input, for PollRetry and as many looks as it may have requests
-// pending, is no longer waited for. After the half-close the client learns that nothing more comes, and closes its own side. The caller
-// is the reader, and holds c.mu.
+// tryHalfCloseLocked closes the sending side of a draining connection if nothing is pending or
+// queued and the socket holds no input that would still be processed. Input in the socket was sent
+// before the half-close, so it is read and answered first, after the drain deadline with a
+// rejection. If input keeps arriving after the drain deadline, for at least PollRetry and
+// maxPendingRequests checks, the connection is half-closed regardless. After the half-close the
+// client sees the end of the stream and closes its own side. The caller is the reader and holds
+// c.mu.
 func (c *Conn) tryHalfCloseLocked(now time.Time) {
 	if c.phase == phaseActive || !c.idleLocked() {
 		return
 	}
 	timeouts := &c.server.timeouts
-	restless := c.restlessLooks >= maxPendingRequests && now.Sub(c.restlessSince) >= timeouts.PollRetry.Duration()
-	if c.input != inputAll || restless {
+	lateInputExceeded := c.lateInputChecks >= maxPendingRequests && now.Sub(c.lateInputSince) >= timeouts.PollRetry.Duration()
+	if c.input != inputAll || lateInputExceeded {
 		if tcp, ok := c.netConn.(*net.TCPConn); ok {
-			_ = tcp.CloseWrite() // fails only where the client has reset the connection, which the reader sees
+			// an error means that the client has reset the connection, which the reader detects
+			_ = tcp.CloseWrite()
 		}
 	} else if !c.closeWriteIfEmpty() {
-		c.noteRestless(now)
+		c.countLateInput(now)
 		return
 	}
 	c.phase, c.closeDeadline = phaseHalfClosed, now.Add(timeouts.WriteFlush.Duration())
@@ -91,38 +96,40 @@
 	c.wakeWriter()
 }
 
-// noteRestless counts a look that found input after the deadline of the drain. The caller holds c.mu.
-func (c *Conn) noteRestless(now time.Time) {
+// countLateInput counts a check that found input after the drain deadline. The caller holds c.mu.
+func (c *Conn) countLateInput(now time.Time) {
 	if !now.After(c.closeDeadline) {
 		return
 	}
-	if c.restlessLooks == 0 {
-		c.restlessSince = now
+	if c.lateInputChecks == 0 {
+		c.lateInputSince = now
 	}
-	c.restlessLooks++
+	c.lateInputChecks++
 }
 
-// reportedGapFraction is the part of MaxDecisionAge, one in so many, from which on a gap between look and half-close is logged.
+// reportedGapFraction determines which gaps between the input check and the half-close are logged:
+// those longer than one part in reportedGapFraction of MaxDecisionAge.
 const reportedGapFraction = 64
 
-// closeWriteIfEmpty closes the sending side of the connection, unless input lies in its socket, and reports whether it did. It logs
-// where the system took the processor away between the look and the close: what came meanwhile is lost.
+// closeWriteIfEmpty closes the sending side of the connection, unless its socket holds unread
+// input, and reports whether it did so. It logs a long gap between the check and the close, which
+// occurs if the process is descheduled: input that arrives in the gap is lost.
 func (c *Conn) closeWriteIfEmpty() bool {
-	closed, lookedAt, gap := socket.CloseWriteIfEmpty(c.netConn)
+	closed, checkedAt, gap := socket.CloseWriteIfEmpty(c.netConn)
 	if closed && gap > c.server.timeouts.MaxDecisionAge.Duration()/reportedGapFraction {
-		slog.Warn(logevent.HalfCloseDelayed, "client", c.netConn.RemoteAddr(), "looked_at", lookedAt.UTC().Format(time.RFC3339Nano), "gap", gap)
+		slog.Warn(logevent.HalfCloseDelayed, "client", c.netConn.RemoteAddr(), "looked_at", checkedAt.UTC().Format(time.RFC3339Nano), "gap", gap)
 	}
 	return closed
 }
 
-// Close ends the connection at once. Responses that are queued are lost.
+// Close closes the connection immediately. Queued responses are lost.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closeLocked()
 }
 
-// closeLocked is Close for a caller that holds c.mu.
+// closeLocked is like Close for a caller that holds c.mu.
 func (c *Conn) closeLocked() {
 	if c.phase == phaseClosed {
 		return
@@ -132,6 +139,6 @@
 		queued.body.Free()
 	}
 	c.queue, c.queuedBytes, c.pending = nil, 0, map[uint64]bool{}
-	_ = c.netConn.Close() // whatever was to be sent is given up
+	_ = c.netConn.Close() // unsent data is discarded
 	c.wakeWriter()
 }
--- a/internal/downstream/writer.go
+++ b/internal/downstream/writer.go
@@ -10,30 +10,31 @@
 	"tallyproxy/internal/logevent"
 )
 
-// Bounds of what may be queued for one client, as a part of the pool: a larger one while less than half of the pool is in use.
+// Limits of the data queued for one client, as fractions of the pool: one part in queueFraction, or
+// one in queueFractionScarce while more than half of the pool is in use.
 const (
 	queueFraction       = 8
 	queueFractionScarce = 64
 	minQueueBuffers     = 4
 
-	typicalHeaderBytes = 96 // of a response
+	typicalHeaderBytes = 96 // size of a typical response header
 )
 
 var (
-	errUnprocessable = errors.New("of use to no node")
-	errClientStalled = errors.New("it reads nothing")
+	errUnprocessable = errors.New("cache nodes agree that they cannot process the request")
+	errClientStalled = errors.New("client does not read its responses")
 
 	lineEnd = []byte("\r\n")
 )
 
-// response is one that waits to be written.
+// response is a response that waits to be written.
 type response struct {
-	header []byte // up to the body's first byte
+	header []byte // everything before the first byte of the body
 	body   *bufpool.Body
 }
 
-// Succeed answers a request with a body, or, where unchanged is set, tells the client that the copy it holds is still valid. The body
-// is the connection's from here on.
+// Succeed answers a request with a body or, if unchanged is set, tells the client that the copy it
+// holds is still valid. The connection takes ownership of the body.
 func (c *Conn) Succeed(tag uint64, body *bufpool.Body, unchanged bool) {
 	fields := ""
 	if unchanged {
@@ -45,8 +46,8 @@
 	c.respond(tag, statusSucceeded, fields, body)
 }
 
-// Reject answers that a retry is harmless, and after how long the client should come back; with 0 it is not told. The protocol's unit is
-// the millisecond.
+// Reject tells the client that a retry is harmless and after which delay it should retry. If
+// retryAfter is 0, no delay is sent. The protocol's unit is the millisecond.
 func (c *Conn) Reject(tag uint64, retryAfter time.Duration) {
 	fields := ""
 	if retryAfter > 0 {
@@ -58,8 +59,9 @@
 	c.respond(tag, statusRejected, fields, nil)
 }
 
-// RejectUnsent answers a request that was not sent on for want of room. It is rejected, with the default time to come back, unless an
-// earlier attempt under the same idempotency key may have run: how long ago is not known here, so that the request fails.
+// RejectUnsent answers a request that was not forwarded for lack of capacity. It rejects the
+// request with the default retry delay, unless an earlier attempt with the same idempotency key may
+// have run. Since it is not known here how long ago that was, such a request fails.
 func (c *Conn) RejectUnsent(tag uint64, request Request) {
 	if request.IsRetry && request.IdempotencyKey != "" {
 		c.Fail(tag)
@@ -68,11 +70,12 @@
 	c.Reject(tag, c.server.timeouts.DefaultRetryAfter.Duration())
 }
 
-// Fail answers that the request may have run or not.
+// Fail tells the client that the request may or may not have run.
 func (c *Conn) Fail(tag uint64) { c.respond(tag, statusFailed, "", nil) }
 
-// MarkSuspect notes that cache nodes agree that they can't use what the client asked for. Its next requests carry ClientSuspect until one
-// succeeds. The connection stays open: nodes that are in trouble can agree too, and requests of others may come over it.
+// MarkSuspect records that cache nodes agree that they cannot process the client's request. The
+// client's further requests carry ClientSuspect until one succeeds. The connection stays open,
+// since failing nodes can agree too, and since it may carry requests of others.
 func (c *Conn) MarkSuspect() {
 	c.server.logClientError(logevent.UnprocessableRequest, errUnprocessable)
 	c.mu.Lock()
@@ -80,8 +83,8 @@
 	c.suspect = true
 }
 
-// ReportBadRequest notes that a request can't be used. After as many as a client may have pending its further requests are ignored, and
-// the connection is drained. The request is to be answered by its own call.
+// ReportBadRequest records an invalid request. After maxPendingRequests of them, further requests
+// are ignored and the connection is drained. The caller must still answer the request.
 func (c *Conn) ReportBadRequest(err error) {
 	c.server.logClientError(logevent.BadRequest, err)
 	c.mu.Lock()
@@ -91,12 +94,12 @@
 	}
 }
 
-// respond queues the response to a request that is still pending, and frees the body of any other. The connection of a client that
-// leaves too much unread is closed.
+// respond queues the response to a request that is still pending, and frees the body otherwise. It
+// closes the connection of a client that leaves too much data unread.
 func (c *Conn) respond(tag uint64, status, fields string, body *bufpool.Body) {
 	maxQueuedBytes := c.server.maxQueuedBytes()
 	c.mu.Lock()
-	if !c.pending[tag] { // answered or cancelled before, or the connection is closed
+	if !c.pending[tag] { // already answered or cancelled, or the connection is closed
 		c.mu.Unlock()
 		body.Free()
 		return
@@ -117,7 +120,7 @@
 	c.wakeWriter()
 }
 
-// maxQueuedBytes is how much one client may leave unread.
+// maxQueuedBytes returns how many bytes one client may leave unread.
 func (s *Server) maxQueuedBytes() int {
 	inUse, limit := s.pool.InUse()
 	buffers := limit / queueFraction
@@ -127,8 +130,9 @@
 	return max(buffers, minQueueBuffers) * bufpool.BufferSize
 }
 
-// writeLoop writes queued responses until the connection is half-closed or closed. A draining connection without any wakes the reader,
-// which alone may half-close it.
+// writeLoop writes queued responses until the connection is half-closed or closed. When a draining
+// connection has nothing left to write, it wakes the reader, because only the reader may half-close
+// the connection.
 func (c *Conn) writeLoop() {
 	for range c.writerWake {
 		c.mu.Lock()
@@ -148,7 +152,8 @@
 	}
 }
 
-// writeResponses writes a queue and frees its bodies. A client that does not take it within WriteFlush is given up.
+// writeResponses writes the responses in queue and frees their bodies. It closes the connection of
+// a client that does not accept them within WriteFlush.
 func (c *Conn) writeResponses(queue []response) {
 	var buffers net.Buffers
 	for _, queued := range queue {
@@ -156,7 +161,7 @@
 		buffers = append(buffers, queued.body.Parts()...)
 		buffers = append(buffers, lineEnd)
 	}
-	// Where the deadline can't be set the connection is closed, and the write fails alike.
+	// If the deadline cannot be set, the connection is closed and the write fails as well.
 	_ = c.netConn.SetWriteDeadline(time.Now().Add(c.server.timeouts.WriteFlush.Duration()))
 	written, err := buffers.WriteTo(c.netConn)
 	for _, queued := range queue {
--- a/internal/downstream/writer_test.go
+++ b/internal/downstream/writer_test.go
@@ -6,68 +6,71 @@
 	"time"
 )
 
-// TestResponses: pending requests are answered in any order, and once each.
+// TestResponses guards against responses that are lost or sent twice if requests are answered out
+// of order.
 func TestResponses(t *testing.T) {
-	b := startServer(t, 8, 64, 10*time.Second)
-	c := b.dial(t)
+	srv := startServer(t, 8, 64, 10*time.Second)
+	c := srv.dial(t)
 	c.send(t, frame("STATUS", "1", ""), requestFrame("2"), requestFrame("3"), requestFrame("4"), requestFrame("5"), requestFrame("6"))
 	if got := c.answer(t); got != "1 serving  " {
 		t.Errorf("got %q", got)
 	}
-	conn := b.nextConn(t, 2)
+	conn := srv.nextConn(t, 2)
 	for tag := uint64(3); tag < 7; tag++ {
-		b.nextConn(t, tag)
+		srv.nextConn(t, tag)
 	}
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		do   func()
 		want string
 	}{
-		{func() { conn.Succeed(6, b.body(3), false) }, "6 200  xxx"}, // in any order
+		{func() { conn.Succeed(6, srv.body(3), false) }, "6 200  xxx"}, // out of order
 		{func() { conn.Succeed(2, nil, true) }, "2 200 still=1 "},
 		{func() { conn.Reject(3, 250*time.Millisecond) }, "3 503 later=250 "},
 		{func() { conn.Reject(4, 0) }, "4 503  "},
-		{func() { conn.Fail(4); conn.Fail(5) }, "5 500  "}, // a second answer to 4 is not passed on
+		{func() { conn.Fail(4); conn.Fail(5) }, "5 500  "}, // the second response to 4 is dropped
 		{func() { c.send(t, frame("SING", "9")) }, "9 500  "},
 		{func() { c.send(t, frame("ASK", "10", "segment", "txn=1")) }, "10 500  "},
-		{func() { b.SetNotServing(); c.send(t, frame("STATUS", "11")) }, "11 not_serving  "},
+		{func() { srv.SetNotServing(); c.send(t, frame("STATUS", "11")) }, "11 not_serving  "},
 	} {
-		x.do()
-		if got := c.answer(t); got != x.want {
-			t.Errorf("got %q, want %q", got, x.want)
+		tc.do()
+		if got := c.answer(t); got != tc.want {
+			t.Errorf("got %q, want %q", got, tc.want)
 		}
 	}
 }
 
-// TestClientThatDoesNotRead: the connection is closed after WriteFlush, or once too much is queued; others are served meanwhile.
+// TestClientThatDoesNotRead guards against keeping a connection whose client does not read: it must
+// be closed after WriteFlush or once too much data is queued. Other clients must be served
+// meanwhile.
 func TestClientThatDoesNotRead(t *testing.T) {
 	cases := []struct {
 		name    string
 		buffers int
 		flush   time.Duration
 	}{{"too long", 4096, 50 * time.Millisecond}, {"too much", 64, time.Hour}}
-	for _, x := range cases {
-		t.Run(x.name, func(t *testing.T) {
-			b := startServer(t, 8, x.buffers, x.flush)
-			c, other := b.dial(t), b.dial(t)
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			srv := startServer(t, 8, tc.buffers, tc.flush)
+			c, other := srv.dial(t), srv.dial(t)
 			closed := false
 			for tag := 1; !closed && tag < 1000; tag++ {
 				c.trySend(requestFrame(fmt.Sprint(tag)))
 				select {
-				case a := <-b.requests:
-					a.conn.Succeed(a.tag, b.body(240_000), false)
-				case <-b.closedConns:
+				case call := <-srv.requests:
+					call.conn.Succeed(call.tag, srv.body(240_000), false)
+				case <-srv.closedConns:
 					closed = true
 				}
-				if tag == 3 { // much is waiting by now
+				if tag == 3 { // much data is queued by now
 					other.send(t, requestFrame("1"))
-					b.nextConn(t, 1).Succeed(1, b.body(240_000), false)
+					srv.nextConn(t, 1).Succeed(1, srv.body(240_000), false)
 					if got := other.answer(t); len(got) != len("1 200  ")+240_000 {
 						t.Errorf("another client got %.20q", got)
 					}
 				}
 			}
 			if !closed {
-				t.Error("it was never left")
+				t.Error("connection was not closed")
 			}
 		})
 	}
