--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -8,14 +8,14 @@
 	"tallyproxy/policy"
 )
 
-// attempt is one try of a request at an endpoint. Its shard's goroutine owns it.
+// attempt is one attempt of a request at an endpoint. The shard's goroutine owns it.
 type attempt struct {
 	*upstream.Attempt
 	deadline policy.Micros
 	ended    bool
 }
 
-// send starts an attempt as the policy decided.
+// send starts an attempt according to a decision of the policy.
 func (s *Shard) send(req *request, d decision) {
 	s.router.sent.Add(1)
 	number := len(req.attempts)
@@ -25,7 +25,7 @@
 	}
 	a := &attempt{deadline: d.at + d.Timeout}
 	req.attempts = append(req.attempts, a)
-	if d.target == nil { // the list has just lost it
+	if d.target == nil { // the endpoint was just removed from the list
 		a.Attempt = &upstream.Attempt{}
 		s.calls.PutUnbounded(func() { s.attemptEnded(req, number, policy.Withdrawn, upstream.Response{}) })
 		return
@@ -35,7 +35,7 @@
 	}, earlier...)
 }
 
-// upstreamRequest puts together what an attempt asks of its endpoint.
+// upstreamRequest builds the request that an attempt sends to its endpoint.
 func (s *Shard) upstreamRequest(req *request, d decision) upstream.Request {
 	message := &req.message
 	out := upstream.Request{
@@ -53,8 +53,9 @@
 	return out
 }
 
-// supersededCheck returns a function that reports, just before an attempt is written, that its decision no longer holds: its client
-// has left, it is too late to begin, or a purge has come since and the decision is too old to be written all the same.
+// supersededCheck returns a function that reports, just before an attempt is written, whether its
+// decision no longer holds: the client no longer waits, it is too late to start, or a purge has
+// arrived since and the decision is older than MaxDecisionAge.
 func (s *Shard) supersededCheck(req *request, d decision) func() bool {
 	conn, tag, purges := req.conn, req.tag, d.purges
 	decidedAt, bounded, notAfter := s.router.timeAt(d.at), d.NotAfter > 0, s.router.timeAt(d.NotAfter)
@@ -66,7 +67,8 @@
 	}
 }
 
-// attemptEnded takes an attempt's result: it answers the client where that succeeded, and has the policy decide what comes next.
+// attemptEnded processes the result of an attempt: it answers the client if the attempt succeeded,
+// and lets the policy decide what to do next.
 func (s *Shard) attemptEnded(req *request, number int, result policy.Result, response upstream.Response) {
 	a := req.attempts[number]
 	if a.ended {
@@ -97,13 +99,13 @@
 	}))
 }
 
-// results gives the result that each of an endpoint's responses stands for.
+// results maps the status of an endpoint's response to the result of the attempt.
 var results = map[upstream.Status]policy.Result{
 	upstream.StatusData: policy.Succeeded, upstream.StatusUnchanged: policy.Succeeded, upstream.StatusAbsent: policy.CacheMiss,
 	upstream.StatusFull: policy.Rejected, upstream.StatusFailed: policy.Failed, upstream.StatusMoot: policy.NotSent,
 }
 
-// cacheStatuses gives the status that each note on an endpoint's response stands for.
+// cacheStatuses maps the cache note of an endpoint's response to a cache status.
 var cacheStatuses = map[string]policy.CacheStatus{
 	"local": policy.Hit, "pulled": policy.Filled, "pulled_far": policy.FilledByOrigin,
 	"rode": policy.Coalesced, "expired": policy.Stale, "turned_away": policy.SourceRejected,
@@ -111,7 +113,8 @@
 	"far_fault": policy.OriginFailed,
 }
 
-// resultOf returns an attempt's result from its response or error. One that was not wholly written never ran; any other may have.
+// resultOf returns the result of an attempt from its response or error. An attempt that was not
+// fully written never ran; any other may have run.
 func resultOf(response upstream.Response, err error) policy.Result {
 	if err == nil {
 		return results[response.Status]
@@ -124,7 +127,7 @@
 	switch {
 	case !written && errors.Is(err, upstream.ErrWithdrawn):
 		return policy.Withdrawn
-	case !written && errors.Is(err, upstream.ErrConnectionLimit): // which says nothing about the endpoint
+	case !written && errors.Is(err, upstream.ErrConnectionLimit): // says nothing about the endpoint
 		return policy.NotSent
 	case !written && failure.Cancelled:
 		return policy.NotSent
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -8,7 +8,7 @@
 	"tallyproxy/policy"
 )
 
-// TestResults gives the result of each way in which an attempt can end.
+// TestResults guards against mapping a response status or an error to the wrong result.
 func TestResults(t *testing.T) {
 	fail := func(stage upstream.Stage, cancelled bool) error {
 		return &upstream.Error{Stage: stage, Cancelled: cancelled, Err: errors.New("x")}
@@ -45,7 +45,8 @@
 	}
 }
 
-// TestNoConnectionAvailable checks that an endpoint isn't blamed where the pool's limit left no connection for it.
+// TestNoConnectionAvailable guards against blaming an endpoint when the pool's limit left no
+// connection for it.
 func TestNoConnectionAvailable(t *testing.T) {
 	err := &upstream.Error{Stage: upstream.NotConnected, Err: upstream.ErrConnectionLimit}
 	if got := resultOf(upstream.Response{}, err); got != policy.NotSent {
--- a/internal/dispatch/blocked_test.go
+++ b/internal/dispatch/blocked_test.go
@@ -9,11 +9,12 @@
 	"tallyproxy/policy"
 )
 
-// cancelAndStatus cancels request 1 and asks for the status, which is answered once the cancellation was read.
+// cancelAndStatus cancels request 1 and sends a STATUS command, which is answered once the
+// cancellation has been read.
 var cancelAndStatus = message("NEVERMIND", "1") + message("STATUS", "2")
 
-// leaving lists the ways in which a client stops waiting for its request.
-var leaving = []struct {
+// departures lists the ways in which a client stops waiting for its request.
+var departures = []struct {
 	name string
 	do   func(h *harness, client net.Conn)
 }{
@@ -23,25 +24,25 @@
 	}},
 	{"cancelled", func(h *harness, client net.Conn) {
 		write(h.t, client, cancelAndStatus)
-		h.expectAnswerBegins(client)
+		h.expectAnswerStart(client)
 	}},
 }
 
-// TestNothingWrittenForLeftClients has a client leave while the call that says so waits behind others: nothing that was decided for
-// it is written, no first attempt and no retry.
+// TestNothingWrittenForLeftClients guards against writing a first attempt or a retry for a client
+// that has left, while the call that reports this waits behind others in the shard's queue.
 func TestNothingWrittenForLeftClients(t *testing.T) {
-	for _, l := range leaving {
-		t.Run("a first attempt, "+l.name, func(t *testing.T) {
+	for _, departure := range departures {
+		t.Run("a first attempt, "+departure.name, func(t *testing.T) {
 			h, p := newBlockingHarness(t)
 			client := h.newClient()
-			h.requestOver(client, "1")
+			h.requestFrom(client, "1")
 			receive(t, p.routing)
-			h.request("2", "") // the shard blocks over this next, before it hears of the leaving
+			h.request("2", "") // the shard blocks on this next, before it processes the departure
 			h.awaitCallForShard()
-			l.do(h, client)
+			departure.do(h, client)
 			p.decide <- sendToE1
 			if got := receive(t, p.routing); got != id("o", "2") {
-				t.Fatalf("blocked over %s", got)
+				t.Fatalf("Route blocks for %s", got)
 			}
 			h.awaitCallForShard()
 			p.decide <- sendToE1
@@ -49,28 +50,30 @@
 			h.endpointSends(id("t", "2") + " data - 0\r\n\r\n")
 			h.expectAnswer("2 200  ")
 		})
-		t.Run("a retry, "+l.name, func(t *testing.T) {
+		t.Run("a retry, "+departure.name, func(t *testing.T) {
 			h, p := newBlockingHarness(t)
 			p.afterDone = func() policy.Decision { return sendToE1 }
 			client := h.newClient()
-			h.requestOver(client, "1")
+			h.requestFrom(client, "1")
 			receive(t, p.routing)
 			p.decide <- sendToE1
 			h.expectAtEndpoint("want " + id("t", "1"))
 			h.request("2", "")
 			receive(t, p.routing)
-			h.endpointSends(id("t", "1") + " failed - 0\r\n\r\n") // heard of once the shard goes on
+			// processed once the shard continues
+			h.endpointSends(id("t", "1") + " failed - 0\r\n\r\n")
 			h.awaitCallForShard()
-			h.request("3", "") // and it blocks again behind that
+			h.request("3", "") // the shard blocks again on this
 			h.awaitClientRead()
-			l.do(h, client)
+			departure.do(h, client)
 			p.decide <- policy.Decision{Action: policy.Fail}
 			h.expectAnswer("2 500  ")
 			if got := receive(t, p.routing); got != id("o", "3") {
-				t.Fatalf("blocked over %s", got)
+				t.Fatalf("Route blocks for %s", got)
 			}
-			if outcome := receive(t, p.outcomes); !outcome.Final { // before the shard hears of the leaving
-				t.Errorf("it is to go on after %+v", outcome)
+			// before the shard processes the departure
+			if outcome := receive(t, p.outcomes); !outcome.Final {
+				t.Errorf("request is not final after %+v", outcome)
 			}
 			p.decide <- sendToE1
 			h.expectAtEndpoint("want " + id("t", "3"))
@@ -80,8 +83,8 @@
 	}
 }
 
-// TestNothingWrittenTooLate checks that an attempt isn't written once it is too late to begin, however that came; the policy decides
-// anew.
+// TestNothingWrittenTooLate guards against writing an attempt after the time at which it may start
+// at the latest. The policy must decide again instead.
 func TestNothingWrittenTooLate(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
@@ -102,7 +105,7 @@
 				return
 			}
 			if outcome := receive(t, p.outcomes); outcome.Result != policy.Withdrawn {
-				t.Errorf("ended as %d", outcome.Result)
+				t.Errorf("attempt ended with result %d", outcome.Result)
 			}
 			h.expectAnswer("1 503  ")
 			h.request("2", "")
@@ -116,8 +119,8 @@
 	}
 }
 
-// TestFullShard checks that requests are turned away at once where a shard is far behind, and that clients are seen to leave all the
-// same.
+// TestFullShard guards against requests that wait for a shard with a full queue instead of being
+// rejected at once, and against disconnects that are not detected meanwhile.
 func TestFullShard(t *testing.T) {
 	h, p := newBlockingHarness(t)
 	client := h.newClient()
@@ -131,18 +134,19 @@
 	}
 	h.request("2", "")
 	h.expectAnswer("2 503  ")
-	h.requestOver(client, "3")
-	h.expectAnswerBegins(client)
+	h.requestFrom(client, "3")
+	h.expectAnswerStart(client)
 	closeAll(t, client)
 	h.awaitConnections(1)
 	p.decide <- policy.Decision{Action: policy.Fail}
 	h.expectAnswer("1 500  ")
 	if len(p.routing) != 0 {
-		t.Errorf("asked about %s", <-p.routing)
+		t.Errorf("the policy was asked about %s", <-p.routing)
 	}
 }
 
-// TestDrainBy checks that open requests, and those that still come, end in time by the policy's decisions.
+// TestDrainBy guards against open or new requests that outlast the drain deadline. The policy
+// decides how they end.
 func TestDrainBy(t *testing.T) {
 	h, p := newBlockingHarness(t)
 	h.request("1", "")
@@ -151,7 +155,7 @@
 	h.expectAtEndpoint("want " + id("t", "1"))
 	h.router.DrainBy(time.Now())
 	if outcome := receive(t, p.outcomes); outcome.Result != policy.TimedOut {
-		t.Errorf("ended as %d", outcome.Result)
+		t.Errorf("attempt ended with result %d", outcome.Result)
 	}
 	h.expectAnswer("1 503  ")
 	h.request("2", "")
@@ -160,7 +164,7 @@
 		for _, byTag := range s.requests { // its goroutine is blocked
 			for _, req := range byTag {
 				if now := h.router.Now(); req.Deadline > now {
-					t.Errorf("it may take %d more", req.Deadline-now)
+					t.Errorf("deadline is %d µs in the future", req.Deadline-now)
 				}
 			}
 		}
@@ -169,8 +173,8 @@
 	h.expectAnswer("2 503  ")
 }
 
-// TestManyLeaveAtOnce has hundreds of clients leave while the shard is behind: the policy is asked about none of them, and nothing is
-// written.
+// TestManyLeaveAtOnce guards against asking the policy about hundreds of clients that have left
+// while the shard was behind, and against writing anything for them.
 func TestManyLeaveAtOnce(t *testing.T) {
 	const count = 300
 	h, p := newBlockingHarness(t)
@@ -183,7 +187,7 @@
 	h.request("1", "")
 	receive(t, p.routing)
 	for i, client := range clients {
-		h.requestOver(client, fmt.Sprint(1000+i))
+		h.requestFrom(client, fmt.Sprint(1000+i))
 	}
 	for _, client := range clients {
 		closeAll(t, client)
@@ -193,7 +197,7 @@
 	h.expectAnswer("1 500  ")
 	h.request("2", "")
 	if got := receive(t, p.routing); got != id("o", "2") {
-		t.Errorf("asked about %s", got)
+		t.Errorf("the policy was asked about %s", got)
 	}
 	p.decide <- sendToE1
 	h.expectAtEndpoint("want " + id("t", "2"))
@@ -201,10 +205,10 @@
 	h.expectAnswer("2 200  ")
 }
 
-// stalled is a monitor that doesn't trust what the director knows until its channel is closed.
-type stalled struct{ resolved chan struct{} }
+// fakeStallMonitor is a stall monitor that reports a stall until its channel is closed.
+type fakeStallMonitor struct{ resolved chan struct{} }
 
-func (s stalled) Trusted() bool {
+func (s fakeStallMonitor) Trusted() bool {
 	select {
 	case <-s.resolved:
 		return true
@@ -213,29 +217,30 @@
 	}
 }
 
-func (s stalled) Resolved() <-chan struct{}          { return s.resolved }
-func (stalled) StaleBy(read time.Time) time.Duration { return 0 }
+func (s fakeStallMonitor) Resolved() <-chan struct{}          { return s.resolved }
+func (fakeStallMonitor) StaleBy(read time.Time) time.Duration { return 0 }
 
-// TestLeavingDuringStall has a client leave, or cancel, while the shard waits for the end of a stall: the policy isn't asked about it
-// afterwards.
+// TestLeavingDuringStall guards against asking the policy about a request whose client left or
+// cancelled it while the shard waited for the end of a stall.
 func TestLeavingDuringStall(t *testing.T) {
-	for _, l := range leaving {
-		t.Run(l.name, func(t *testing.T) {
+	for _, departure := range departures {
+		t.Run(departure.name, func(t *testing.T) {
 			h, p := newBlockingHarness(t)
 			client := h.newClient()
-			monitor, set := stalled{make(chan struct{})}, make(chan struct{})
-			h.router.Shards()[0].calls.PutUnbounded(func() { // by the shard itself, which reads it
+			monitor, set := fakeStallMonitor{make(chan struct{})}, make(chan struct{})
+			// called by the shard itself, since its goroutine reads the monitor
+			h.router.Shards()[0].calls.PutUnbounded(func() {
 				h.router.SetStallMonitor(monitor)
 				close(set)
 			})
 			<-set
-			h.requestOver(client, "1")
-			l.do(h, client)
+			h.requestFrom(client, "1")
+			departure.do(h, client)
 			h.request("2", "")
 			h.awaitClientRead()
 			close(monitor.resolved)
 			if got := receive(t, p.routing); got != id("o", "2") {
-				t.Errorf("asked about %s", got)
+				t.Errorf("the policy was asked about %s", got)
 			}
 			p.decide <- sendToE1
 			h.expectAtEndpoint("want " + id("t", "2"))
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,9 +1,11 @@
-// Package dispatch connects clients, endpoints and the policy. A Router has one policy and one endpoint list. Its shards, a goroutine
-// each, own the requests of their clients with attempts and timers. They ask the policy in turn and do what it decides; they decide
-// nothing themselves.
+// Package dispatch connects clients, endpoints and the policy. A Router has one policy and one
+// endpoint list. Each of its shards is a goroutine that owns the requests of its clients, with
+// their attempts and timers. The shards ask the policy one at a time and carry out its decisions;
+// they decide nothing themselves.
 //
-// On a request's way, Shard.HandleRequest takes it from the connection's reader, route and execute run on the shard's goroutine, send hands an
-// attempt to upstream, and attemptEnded takes its result and writes the answer.
+// The connection's reader passes a request to Shard.HandleRequest. On the shard's goroutine, route
+// and execute obtain and carry out a decision, send starts an attempt through package upstream, and
+// attemptEnded processes its result and writes the answer.
 package dispatch
 
 import (
@@ -20,30 +22,33 @@
 	"tallyproxy/shard"
 )
 
-// Router holds what all shards share. Its methods may be called from any goroutine unless they say otherwise.
+// Router holds what all shards share. Its methods may be called from any goroutine unless
+// documented otherwise.
 type Router struct {
 	timeouts    policy.Timeouts
 	pool        *upstream.Pool
-	clockStart  time.Time     // with the monotonic reading that the policy's clock runs by
-	clockOffset policy.Micros // the system's clock at clockStart
+	clockStart  time.Time     // start of the policy's clock, with a monotonic reading
+	clockOffset policy.Micros // the system clock at clockStart
 	shards      []*Shard
-	owners      *shard.Owners // of requests' ids, until their attempts have ended too
-	epochs      *shard.Epochs // of endpoint updates and purges
-	purges      atomic.Int64  // purges so far
-	open        atomic.Int64  // requests without a final answer
-	monitor     StallMonitor  // nil for none; set before Run
-
-	// mu guards what follows: one shard at a time asks the policy, whose decisions take less than a microsecond.
-	mu             sync.Mutex
-	policy         policy.Policy
-	endpoints      map[string]*endpoint          // by id; an entry leaves as the list drops it
-	listed         map[string]discovery.Endpoint // the list's entries as they came, by id; dropped as the list drops them
-	forcedDraining map[string]bool               // ids that are taken for draining, whatever the list says
+	owners      *shard.Owners // owners of request IDs, until their attempts have ended
+	epochs      *shard.Epochs // epochs of endpoint updates and purges
+	purges      atomic.Int64  // number of purges so far
+	open        atomic.Int64  // number of requests without a final answer
+	monitor     StallMonitor  // nil for none; set before Run or by a shard
+
+	// mu guards the fields below. One shard at a time asks the policy, whose decisions take less
+	// than a microsecond.
+	mu        sync.Mutex
+	policy    policy.Policy
+	endpoints map[string]*endpoint // by ID; removed when the list drops the endpoint
+	// list entries as received, by ID; removed when the list drops the endpoint
+	listed         map[string]discovery.Endpoint
+	forcedDraining map[string]bool // IDs of endpoints treated as draining, regardless of the list
 
 	succeeded, rejected, failed, sent, withdrawn atomic.Int64 // see Counts
 }
 
-// New returns a router with a number of shards; Run lets it work.
+// New returns a router with the given number of shards. Run starts them.
 func New(routingPolicy policy.Policy, timeouts policy.Timeouts, pool *upstream.Pool, shards int) *Router {
 	r := &Router{
 		policy: routingPolicy, timeouts: timeouts, pool: pool, clockStart: time.Now(),
@@ -57,13 +62,14 @@
 	return r
 }
 
-// SetStallMonitor has all shards wait while what they know is not to be trusted. It must be called before Run, or by a shard.
+// SetStallMonitor makes all shards wait while the monitor does not trust the director's state. It
+// must be called before Run, or by a shard.
 func (r *Router) SetStallMonitor(monitor StallMonitor) { r.monitor = monitor }
 
-// Shards returns the sinks that clients are spread over.
+// Shards returns the shards. Client connections are distributed among them.
 func (r *Router) Shards() []*Shard { return r.shards }
 
-// Run works until Stop, and returns once all shards have ended.
+// Run runs the shards until Stop is called, and returns once all of them have ended.
 func (r *Router) Run() {
 	var group sync.WaitGroup
 	for _, s := range r.shards {
@@ -72,7 +78,7 @@
 	group.Wait()
 }
 
-// Stop ends Run. What waits for a shard then is dropped.
+// Stop ends Run. Calls that still wait for a shard are dropped.
 func (r *Router) Stop() {
 	for _, s := range r.shards {
 		s.calls.Close()
@@ -80,7 +86,7 @@
 	}
 }
 
-// DrainBy has open requests, and those that still come, end by a time.
+// DrainBy makes open requests, and those that still arrive, end by the given time.
 func (r *Router) DrainBy(by time.Time) {
 	end := r.microsAt(by)
 	for _, s := range r.shards {
@@ -88,13 +94,14 @@
 	}
 }
 
-// OpenRequests returns how many requests have no final answer yet, after each shard has taken up what waited for it.
+// OpenRequests returns the number of requests without a final answer, after each shard has
+// processed the calls that waited for it.
 func (r *Router) OpenRequests() int {
 	for _, s := range r.shards {
-		reached := make(chan struct{})
-		if s.calls.Put(func() { close(reached) }) {
+		processed := make(chan struct{})
+		if s.calls.Put(func() { close(processed) }) {
 			select {
-			case <-reached:
+			case <-processed:
 			case <-s.done:
 			}
 		}
@@ -102,7 +109,7 @@
 	return int(r.open.Load())
 }
 
-// Counts returns what was done so far, by the names that the status report gives.
+// Counts returns the counters of requests and attempts, keyed by their names in the status report.
 func (r *Router) Counts() map[string]int64 {
 	return map[string]int64{
 		"fulfilled": r.succeeded.Load(), "throttled": r.rejected.Load(), "abandoned": r.failed.Load(),
@@ -110,20 +117,21 @@
 	}
 }
 
-// Now returns the time on the policy's clock, which is read from the system once and runs by the monotonic clock from there.
+// Now returns the time on the policy's clock, which is read from the system clock once and advances
+// with the monotonic clock after that.
 func (r *Router) Now() policy.Micros { return r.microsAt(time.Now()) }
 
-// microsAt converts to the policy's clock.
+// microsAt converts a time to the policy's clock.
 func (r *Router) microsAt(t time.Time) policy.Micros {
 	return r.clockOffset + policy.MicrosOf(t.Sub(r.clockStart))
 }
 
-// timeAt converts from the policy's clock.
+// timeAt converts a time from the policy's clock.
 func (r *Router) timeAt(at policy.Micros) time.Time {
 	return r.clockStart.Add((at - r.clockOffset).Duration())
 }
 
-// WithPolicy makes a call while no shard asks the policy. A panic in it is logged.
+// WithPolicy runs call while no shard asks the policy. A panic in call is logged.
 func (r *Router) WithPolicy(call func()) {
 	defer recoverPanic(nil)
 	r.mu.Lock()
@@ -131,7 +139,8 @@
 	call()
 }
 
-// recoverPanic, deferred, ends a request and its connection alone where a call about it panicked. With nil it ends nothing.
+// recoverPanic logs a panic and ends only the given request and its connection; it ends nothing if
+// req is nil. It must be deferred.
 func recoverPanic(req *request) {
 	if cause := recover(); cause != nil {
 		slog.Error(logevent.PanicRecovered, "component", "dispatch", "err", cause, "stack", string(debug.Stack()))
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -9,8 +9,8 @@
 	"tallyproxy/policy"
 )
 
-// endpoint is one process of an endpoint. Each shard has connections of its own to it, within the pool's one limit: shared ones
-// would have all shards wait for each other's locks.
+// endpoint is one process of an endpoint. Each shard has its own connections to it, within the
+// common limit of the pool: with shared connections, all shards would wait for each other's locks.
 type endpoint struct {
 	byShard []*upstream.Endpoint
 	address string
@@ -25,8 +25,9 @@
 	return e
 }
 
-// is reports whether a list entry is of this process, and not of a later one or another.
-func (e *endpoint) is(node discovery.Endpoint) bool {
+// isSameProcess reports whether a list entry describes this process, rather than a later one or
+// another.
+func (e *endpoint) isSameProcess(node discovery.Endpoint) bool {
 	return e.address == node.Address && e.started == node.Started
 }
 
@@ -42,19 +43,21 @@
 	}
 }
 
-// Epochs returns the number of the last event that came, and that of the last one that all shards have applied.
+// Epochs returns the number of the latest event received and that of the latest event that all
+// shards have applied.
 func (r *Router) Epochs() (latest, applied int64) { return r.epochs.Latest(), r.epochs.Applied() }
 
-// Apply takes events of the command channel. When it returns, the policy heeds them; each shard shows with its next turn that
-// nothing decided before is left in its hands.
+// Apply processes events of the command channel. When it returns, the policy takes them into
+// account. Each shard acknowledges them after its next iteration, when it has carried out all
+// decisions made before.
 func (r *Router) Apply(events []discovery.Event) {
 	for _, e := range events {
 		r.WithPolicy(func() { r.apply(e) })
 	}
-	r.wake()
+	r.wakeShards()
 }
 
-// apply takes an event, with mu held.
+// apply processes an event. The caller holds mu.
 func (r *Router) apply(e discovery.Event) {
 	defer r.epochs.Publish()
 	switch {
@@ -65,9 +68,10 @@
 	}
 }
 
-// updateEndpoints takes the endpoint list, whole or the changed entries alone, with mu held.
+// updateEndpoints applies an endpoint list, or only its changed entries if complete is false. The
+// caller holds mu.
 func (r *Router) updateEndpoints(nodes []discovery.Endpoint, complete bool) {
-	rows, named := make([]policy.Endpoint, len(nodes)), map[string]bool{}
+	updated, present := make([]policy.Endpoint, len(nodes)), map[string]bool{}
 	for i, node := range nodes {
 		if r.listed[node.ID] = node; node.State == policy.Removed {
 			delete(r.listed, node.ID)
@@ -75,25 +79,26 @@
 		if r.forcedDraining[node.ID] && node.State == policy.Ready {
 			node.State = policy.Draining
 		}
-		rows[i], named[node.ID] = node.Endpoint, true
+		updated[i], present[node.ID] = node.Endpoint, true
 		r.updateEndpoint(node)
 	}
 	if complete {
 		for id, e := range r.endpoints {
-			if !named[id] {
+			if !present[id] {
 				e.closeWhenIdle()
 				delete(r.endpoints, id)
 				delete(r.listed, id)
 			}
 		}
 	}
-	r.policy.UpdateEndpoints(r.Now(), rows, complete)
+	r.policy.UpdateEndpoints(r.Now(), updated, complete)
 }
 
-// updateEndpoint has an endpoint's connections follow its list entry: a process that was replaced or removed gets nothing more.
+// updateEndpoint updates an endpoint's connections according to its list entry. A process that was
+// replaced or removed gets no further requests.
 func (r *Router) updateEndpoint(node discovery.Endpoint) {
 	e := r.endpoints[node.ID]
-	if e != nil && (node.State == policy.Removed || !e.is(node)) {
+	if e != nil && (node.State == policy.Removed || !e.isSameProcess(node)) {
 		e.closeWhenIdle()
 		delete(r.endpoints, node.ID)
 		e = nil
@@ -108,26 +113,28 @@
 	e.setDraining(node.State != policy.Ready)
 }
 
-// purge has copies older than a time no longer be served, with mu held.
+// purge stops copies older than at from being served. The caller holds mu.
 func (r *Router) purge(object string, group int, at policy.Micros) {
 	r.purges.Add(1)
 	r.policy.Purge(r.Now(), object, group, at)
 }
 
-// PurgeOlderThan has no copy older than a time be served; 0 takes that back, and leaves the purges that events brought.
+// PurgeOlderThan stops all copies older than at from being served. A value of 0 revokes this, but
+// not the purges from events.
 func (r *Router) PurgeOlderThan(at policy.Micros) {
 	r.WithPolicy(func() { r.purge("", policy.AllGroups, at) })
-	r.wake()
+	r.wakeShards()
 }
 
-// Address returns where an endpoint of the list listens; empty where there is none of that id.
+// Address returns the address of the listed endpoint with the given ID, or an empty string if there
+// is none.
 func (r *Router) Address(id string) (address string) {
 	r.WithPolicy(func() { address = r.listed[id].Address })
 	return address
 }
 
-// SetDraining has the endpoints of these ids taken for draining, whatever the list says, and no others. It is applied as an event
-// of the list is.
+// SetDraining makes the endpoints with the given IDs, and no others, be treated as draining
+// regardless of the list. The change is applied like a list event.
 func (r *Router) SetDraining(ids []string) {
 	r.WithPolicy(func() {
 		before := r.forcedDraining
@@ -145,11 +152,11 @@
 			r.apply(e)
 		}
 	})
-	r.wake()
+	r.wakeShards()
 }
 
-// wake has each shard take a turn, with which it acknowledges what came.
-func (r *Router) wake() {
+// wakeShards makes each shard run an iteration, in which it acknowledges the latest event.
+func (r *Router) wakeShards() {
 	for _, s := range r.shards {
 		s.calls.PutUnbounded(func() {})
 	}
--- a/internal/dispatch/events_test.go
+++ b/internal/dispatch/events_test.go
@@ -7,7 +7,8 @@
 	"tallyproxy/policy"
 )
 
-// TestEvents brings purges and a restarted endpoint.
+// TestEvents guards against purges that do not reach the policy, and against requests sent over the
+// connection of a process that has been restarted.
 func TestEvents(t *testing.T) {
 	h := newHarness(t, 0, sendToE1, sendToE1)
 	h.router.Apply([]discovery.Event{{Object: "o", Group: -1, PurgedAt: 5}, {}, {Group: 3, PurgedAt: 6}})
@@ -16,7 +17,8 @@
 	h.request("1", "")
 	h.expectCall("route b000000000000001")
 	h.expectAtEndpoint("want a000000000000001 ")
-	// The same name and address with another start is a new process: what follows goes over a new connection.
+	// The same name and address with another start time is a new process: later requests use a new
+	// connection.
 	h.router.Apply([]discovery.Event{{HasEndpoints: true, Endpoints: []discovery.Endpoint{
 		{Endpoint: policy.Endpoint{ID: "e1", Started: 7}, Address: h.endpoint.Addr().String()},
 	}}})
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -20,13 +20,13 @@
 	"tallyproxy/policy"
 )
 
-// testTimeout bounds every wait of these tests.
+// testTimeout bounds every wait in these tests.
 const testTimeout = 10 * time.Second
 
-// panicObject is an object over which the scripted policy panics.
+// panicObject is an object for which the scripted policy panics.
 const panicObject = "baaaaaaaaaaaaaad"
 
-// scriptedPolicy gives the decisions that it was made with, in their order, and records its calls.
+// scriptedPolicy returns the decisions it was created with, in order, and records its calls.
 type scriptedPolicy struct {
 	decisions    []policy.Decision
 	recheckAfter policy.Micros
@@ -41,7 +41,7 @@
 	}
 	d := p.decisions[0]
 	if p.decisions = p.decisions[1:]; d.Action == policy.CancelAttempt {
-		p.recheckAfter = 0 // the outcome comes next
+		p.recheckAfter = 0 // AttemptDone is called next
 	}
 	return d
 }
@@ -79,14 +79,15 @@
 	p.calls <- fmt.Sprint("purge ", object, " ", group, " ", int64(at))
 }
 
-// blockingPolicy blocks in Route until the test gives a decision.
+// blockingPolicy blocks in Route until the test provides a decision.
 type blockingPolicy struct {
 	*scriptedPolicy
-	routing   chan string                           // objects that Route blocks over
-	decide    chan policy.Decision                  // what Route returns
-	outcomes  chan policy.Outcome                   // what AttemptDone got
-	afterDone func() policy.Decision                // what AttemptDone returns unless the request is done
-	notAfter  func(now policy.Micros) policy.Micros // the bound of what Route returns; nil for none
+	routing   chan string            // objects for which Route blocks
+	decide    chan policy.Decision   // decisions for Route to return
+	outcomes  chan policy.Outcome    // outcomes passed to AttemptDone
+	afterDone func() policy.Decision // decides for AttemptDone unless the outcome is final
+	// sets NotAfter of Route's decisions; nil for none
+	notAfter func(now policy.Micros) policy.Micros
 }
 
 func (p *blockingPolicy) Route(now policy.Micros, req *policy.Request) policy.Decision {
@@ -106,7 +107,7 @@
 	return p.afterDone()
 }
 
-// harness is a router of one shard, with one client and one endpoint, e1, that the test speaks for.
+// harness is a router of one shard with one client and one endpoint, e1. The test acts for both.
 type harness struct {
 	t             *testing.T
 	router        *Router
@@ -115,11 +116,11 @@
 	client        net.Conn
 	clientIn      *bufio.Reader
 	endpoint      net.Listener
-	endpointConn  net.Conn      // the connection to the endpoint that was accepted last; nil to accept another
-	endpointInput *bufio.Reader // of endpointConn
+	endpointConn  net.Conn      // last accepted connection to the endpoint; nil to accept another
+	endpointInput *bufio.Reader // reads from endpointConn
 }
 
-// sendToE1 has a request sent to e1, filled from p1.
+// sendToE1 decides to send a request to e1, with p1 as its source.
 var sendToE1 = policy.Decision{
 	Action: policy.Send, Endpoint: &policy.Endpoint{ID: "e1"}, Source: &policy.Endpoint{ID: "p1"}, Timeout: 60 * policy.Second,
 }
@@ -172,7 +173,7 @@
 	return h, p
 }
 
-// updateEndpoint brings a list of the one endpoint.
+// updateEndpoint applies a complete list that contains only e1.
 func (h *harness) updateEndpoint(state policy.EndpointState) {
 	h.t.Helper()
 	h.router.Apply([]discovery.Event{{HasEndpoints: true, Snapshot: true, Endpoints: []discovery.Endpoint{
@@ -181,7 +182,7 @@
 	h.expectCall("endpoints 1 true")
 }
 
-// expectCall reads the policy's next call.
+// expectCall reads the next call of the policy, which must be the given one.
 func (h *harness) expectCall(want string) {
 	h.t.Helper()
 	if got := receive(h.t, h.policy.calls); got != want {
@@ -189,7 +190,7 @@
 	}
 }
 
-// expectAtEndpoint reads the next line that the endpoint gets, which must start with a prefix.
+// expectAtEndpoint reads the next line that the endpoint receives, which must start with prefix.
 func (h *harness) expectAtEndpoint(prefix string) {
 	h.t.Helper()
 	if h.endpointConn == nil {
@@ -207,25 +208,25 @@
 	}
 }
 
-// endpointSends writes to the router from the endpoint.
+// endpointSends writes text from the endpoint to the router.
 func (h *harness) endpointSends(text string) {
 	h.t.Helper()
 	write(h.t, h.endpointConn, text)
 }
 
-// clientSends writes a message of the client.
+// clientSends writes a message from the client.
 func (h *harness) clientSends(arguments ...string) {
 	h.t.Helper()
 	write(h.t, h.client, message(arguments...))
 }
 
-// request sends a request of the client, with further fields.
+// request sends a request from the client, with additional fields.
 func (h *harness) request(tag, moreFields string) {
 	h.t.Helper()
 	h.clientSends("ASK", tag, "clip", "txn="+id("t", tag)+",limit=60000,item="+id("o", tag)+",n=0,shard=1"+moreFields)
 }
 
-// expectAnswer reads the client's next answer, as its tag, status, fields and body.
+// expectAnswer reads the client's next answer and compares its tag, status, fields and body.
 func (h *harness) expectAnswer(want string) {
 	h.t.Helper()
 	lines := readLines(h.t, h.clientIn, 9)
@@ -234,7 +235,7 @@
 	}
 }
 
-// newClient connects a further client.
+// newClient connects an additional client.
 func (h *harness) newClient() net.Conn {
 	h.t.Helper()
 	client := dial(h.t, h.client.RemoteAddr())
@@ -242,27 +243,29 @@
 	return client
 }
 
-// requestOver sends a request of a further client.
-func (h *harness) requestOver(client net.Conn, tag string) {
+// requestFrom sends a request from an additional client.
+func (h *harness) requestFrom(client net.Conn, tag string) {
 	h.t.Helper()
 	write(h.t, client, message("ASK", "1", "clip", "txn="+id("t", tag)+",limit=60000,item="+id("o", tag)+",n=0,shard=1"))
 }
 
-// expectAnswerBegins reads the first bytes of a further client's answer.
-func (h *harness) expectAnswerBegins(client net.Conn) {
+// expectAnswerStart reads the first bytes of an additional client's answer.
+func (h *harness) expectAnswerStart(client net.Conn) {
 	h.t.Helper()
 	if _, err := io.ReadFull(client, make([]byte, 10)); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
-// awaitCallForShard waits until a call waits for the shard, which is blocked and has taken all others: a request, or an attempt's end.
+// awaitCallForShard waits until a call, for a request or for the end of an attempt, is queued for
+// the shard. The shard must be blocked and must have taken all earlier calls.
 func (h *harness) awaitCallForShard() {
 	h.t.Helper()
 	waitFor(h.t, "a call to wait for the shard", func() bool { return len(h.router.Shards()[0].calls.Ready()) > 0 })
 }
 
-// awaitClientRead waits until the server has handed on all that the client sent: its reader answers these one after the other.
+// awaitClientRead waits until the server has processed all that the client sent. The reader
+// processes messages in order, so this is the case once it has answered both STATUS commands.
 func (h *harness) awaitClientRead() {
 	h.t.Helper()
 	for _, tag := range []string{"98", "99"} {
@@ -271,19 +274,20 @@
 	}
 }
 
-// awaitConnections waits until no more than so many clients are connected, whatever waits for the shard.
-func (h *harness) awaitConnections(most int) {
+// awaitConnections waits until at most maxConns clients are connected, regardless of the calls that
+// wait for the shard.
+func (h *harness) awaitConnections(maxConns int) {
 	h.t.Helper()
-	waitFor(h.t, "a client's leaving to be seen", func() bool { return h.server.ConnCount() <= most })
+	waitFor(h.t, "a client's disconnect to be detected", func() bool { return h.server.ConnCount() <= maxConns })
 }
 
-// id is a short name as an id of 16 digits, in the letters that those have.
+// id returns an ID of 16 hexadecimal digits for a short name and a tag.
 func id(name, tag string) string {
 	letters := strings.NewReplacer("t", "a", "o", "b")
 	return letters.Replace(name) + strings.Repeat("0", 15-len(tag)) + tag
 }
 
-// message encodes a client's message.
+// message encodes a message from a client.
 func message(arguments ...string) string {
 	out := redcon.AppendArray(nil, len(arguments))
 	for _, w := range arguments {
@@ -297,17 +301,17 @@
 	select {
 	case value = <-from:
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for a value from the channel")
 	}
 	return value
 }
 
 // waitFor waits until a condition holds.
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("timed out waiting for " + what)
+			t.Fatal("timed out waiting for " + description)
 		}
 	}
 }
@@ -337,7 +341,7 @@
 	return conn
 }
 
-// accept takes a connection, which is closed at the test's end.
+// accept accepts a connection, which is closed when the test ends.
 func accept(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
 	conn, err := l.Accept()
@@ -363,7 +367,7 @@
 	}
 }
 
-// readLines reads so many lines, without their ends.
+// readLines reads n lines and returns them without line ends.
 func readLines(t *testing.T, in *bufio.Reader, n int) (lines []string) {
 	t.Helper()
 	for range n {
@@ -376,7 +380,7 @@
 	return lines
 }
 
-// closeAll closes what may be closed already.
+// closeAll closes connections or listeners that may already be closed.
 func closeAll(t *testing.T, closers ...io.Closer) {
 	t.Helper()
 	for _, c := range closers {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -10,23 +10,25 @@
 	"tallyproxy/timerwheel"
 )
 
-// request is one that is open, until its final answer is out and its attempts have ended. Its shard's goroutine owns it.
+// request is an open request, until its final answer is sent and its attempts have ended. The
+// shard's goroutine owns it.
 type request struct {
 	policy.Request
 	shard     *Shard
 	conn      *downstream.Conn
-	tag       uint64 // the client's, on conn
+	tag       uint64 // the client's tag on conn
 	message   downstream.Request
 	attempts  []*attempt
-	recheckAt policy.Micros // when to ask the policy again; 0 for not
-	timerDue  policy.Micros // 0 while it has no timer
+	recheckAt policy.Micros // when to ask the policy again; 0 for never
+	timerDue  policy.Micros // 0 while no timer is set
 	timer     timerwheel.Item[*request]
 }
 
-// errDuplicateID is told to a client that sends a request with an open one's id: no endpoint could tell the two apart.
-var errDuplicateID = errors.New("txn: it is that of an open request")
+// errDuplicateID is reported for a request with the ID of an open one: no endpoint could
+// distinguish the two.
+var errDuplicateID = errors.New("txn: already used by an open request")
 
-// open takes up a request that has come, and asks the policy for its route.
+// open registers a new request and asks the policy for its route.
 func (s *Shard) open(c *downstream.Conn, tag uint64, message downstream.Request) {
 	if !c.IsPending(tag) {
 		message.Body.Free()
@@ -55,7 +57,8 @@
 	req.IsRetry, req.IdempotencyKey = message.IsRetry, message.IdempotencyKey
 	req.ClientHash, req.ClientSuspect = message.ClientHash, message.ClientSuspect
 	arrived := message.ArrivedAt
-	if monitor := s.router.monitor; monitor != nil { // its client waits since it was sent, not since it was read
+	// the client has waited since it sent the request, not since the request was read
+	if monitor := s.router.monitor; monitor != nil {
 		arrived = arrived.Add(-monitor.StaleBy(arrived))
 	}
 	req.ArrivedAt = s.router.microsAt(arrived)
@@ -66,9 +69,10 @@
 	return req
 }
 
-// route asks the policy for a request's route, and does what it decides.
+// route asks the policy for a request's route and carries out its decision.
 func (s *Shard) route(req *request) {
-	if !req.conn.IsPending(req.tag) { // its client has left, and the call that says so waits behind others
+	// the client has left, but the call that reports this is still queued
+	if !req.conn.IsPending(req.tag) {
 		s.finish(req)
 		return
 	}
@@ -77,22 +81,24 @@
 	}))
 }
 
-// decision is the policy's with what belongs to it at that moment.
+// decision is a decision of the policy with the state that it is based on.
 type decision struct {
 	policy.Decision
 	at           policy.Micros
-	recheckAfter policy.Micros // from at on; 0 for not
-	sourceID     string        // of an attempt; read under the router's lock, since the policy changes its entries as the list does
-	target       *endpoint     // of an attempt; nil where the list has just lost it
-	fillSource   *endpoint     // likewise
-	purges       int64         // that the policy knew of
+	recheckAfter policy.Micros // after at; 0 for never
+	// ID of an attempt's source, read under the router's lock because the policy changes its
+	// entries when the list changes
+	sourceID   string
+	target     *endpoint // of an attempt; nil if the list has just dropped it
+	fillSource *endpoint // of an attempt; nil if the list has just dropped it
+	purges     int64     // number of purges that the policy knew of
 }
 
-// decide asks the policy, and when to ask it again.
+// decide asks the policy for a decision and for the time at which to ask it again.
 func (r *Router) decide(req *request, call func(now policy.Micros) policy.Decision) (d decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d.at = r.Now() // under the lock, so that the policy's clock never goes back
+	d.at = r.Now() // read under the lock, so that the policy's clock never goes backwards
 	d.Decision = call(d.at)
 	switch d.Action {
 	case policy.Reject, policy.Fail:
@@ -107,7 +113,7 @@
 	return d
 }
 
-// execute does what the policy decided.
+// execute carries out a decision of the policy.
 func (s *Shard) execute(req *request, d decision) {
 	switch d.Action {
 	case policy.Send:
@@ -117,7 +123,7 @@
 			a.Cancel(true)
 		}
 	case policy.Reject, policy.Fail:
-		s.refuse(req, d)
+		s.rejectOrFail(req, d)
 	}
 	if req.Done {
 		return
@@ -128,8 +134,9 @@
 	s.schedule(req)
 }
 
-// refuse answers a request without an attempt's result: rejected, which makes a retry harmless, or failed, which promises nothing.
-func (s *Shard) refuse(req *request, d decision) {
+// rejectOrFail answers a request without the result of an attempt. It rejects the request, which
+// makes a retry harmless, or fails it, which guarantees nothing.
+func (s *Shard) rejectOrFail(req *request, d decision) {
 	if d.Unprocessable {
 		req.conn.MarkSuspect()
 	}
@@ -143,7 +150,7 @@
 	s.finish(req)
 }
 
-// finish ends a request: its client is owed nothing more, and its attempts are given up.
+// finish ends a request: the client gets no further answer, and running attempts are cancelled.
 func (s *Shard) finish(req *request) {
 	if req.Done {
 		return
@@ -164,7 +171,7 @@
 	s.schedule(req)
 }
 
-// releaseID frees a request's id once no client and no endpoint can know it as open.
+// releaseID releases a request's ID once no client and no endpoint can regard it as open.
 func (s *Shard) releaseID(req *request) {
 	running := slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.ended })
 	if req.Done && !running {
@@ -172,7 +179,8 @@
 	}
 }
 
-// timerExpired ends the attempts that have run out of time, and asks the policy again where it is time for that.
+// timerExpired ends attempts whose deadline has passed, and asks the policy again if a recheck is
+// due.
 func (s *Shard) timerExpired(req *request) {
 	defer recoverPanic(req)
 	req.timerDue = 0
@@ -190,8 +198,9 @@
 	s.schedule(req)
 }
 
-// schedule sets a request's timer for the earliest of its recheck and its attempts' deadlines. A timer whose time has been put off
-// stays, and finds nothing to do when it expires.
+// schedule sets a request's timer to its recheck time or the earliest deadline of its attempts,
+// whichever comes first. If that time is later than before, the timer stays as it is and finds
+// nothing to do when it expires.
 func (s *Shard) schedule(req *request) {
 	next := req.recheckAt
 	for _, a := range req.attempts {
--- a/internal/dispatch/request_test.go
+++ b/internal/dispatch/request_test.go
@@ -9,7 +9,8 @@
 	"tallyproxy/policy"
 )
 
-// TestRequests follows requests of one client from their coming to their answers.
+// TestRequests guards against incorrect policy calls, upstream messages and answers during the life
+// of a request.
 func TestRequests(t *testing.T) {
 	queue, cancel := policy.Decision{Action: policy.Queue}, policy.Decision{Action: policy.CancelAttempt}
 	reject := policy.Decision{Action: policy.Reject, RetryAfter: 250_000}
@@ -19,8 +20,8 @@
 		name         string
 		recheckAfter policy.Micros
 		decisions    []policy.Decision
-		moreFields   string // of the client's request
-		play         func(*harness)
+		moreFields   string // additional fields of the client's request
+		run          func(*harness)
 	}{
 		{"succeeded", 0, []policy.Decision{sendToE1}, "", func(h *harness) {
 			h.expectAtEndpoint("want a000000000000001 sort=clip,asset=b000000000000001,slice=0,patience=60000,from=p1 0\r\n")
@@ -50,7 +51,7 @@
 			h.expectAtEndpoint("want a000000000000001 ")
 			h.endpointSends("a000000000000001 failed n=far_fault 0\r\n\r\n")
 			h.expectCall("done 0 1 10 false")
-			h.endpointConn = nil // over another connection
+			h.endpointConn = nil // the retry uses another connection
 			h.expectAtEndpoint("want a000000000000001 ")
 			h.endpointSends("a000000000000001 data - 0\r\n\r\n")
 			h.expectAnswer("1 200  ")
@@ -98,7 +99,7 @@
 			h.expectAnswer("1 200  xyz")
 			h.expectCall("done 0 0 2 true")
 			if _, err := h.endpointInput.ReadByte(); !errors.Is(err, io.EOF) {
-				h.t.Errorf("its connection was not closed: %v", err)
+				h.t.Errorf("connection to the removed endpoint was not closed: %v", err)
 			}
 		}},
 	}
@@ -107,13 +108,14 @@
 			h := newHarness(t, c.recheckAfter, c.decisions...)
 			h.request("1", c.moreFields)
 			h.expectCall("route b000000000000001")
-			c.play(h)
+			c.run(h)
 		})
 	}
 }
 
-// TestDuplicateID checks that a request with the id of an open one, at a client or an endpoint, is refused without a word to the
-// policy, whoever sends it.
+// TestDuplicateID guards against accepting a request with the ID of a request that is still open at
+// a client or an endpoint. It must be refused without asking the policy, regardless of who sends
+// it.
 func TestDuplicateID(t *testing.T) {
 	h := newHarness(t, 0, sendToE1, policy.Decision{}, sendToE1)
 	h.request("1", "")
@@ -135,14 +137,15 @@
 	h.expectCall("done 0 0 0 true")
 }
 
-// TestPanicEndsOneConnection checks that a panic in a decision costs the connection that it was about, no more.
+// TestPanicEndsOneConnection guards against a panic in a decision that ends more than the
+// connection of the request it concerned.
 func TestPanicEndsOneConnection(t *testing.T) {
 	h := newHarness(t, 0, sendToE1)
 	h.router.Apply([]discovery.Event{{Object: "bad", PurgedAt: 1}})
 	other := h.newClient()
 	write(t, other, message("ASK", "1", "clip", "txn="+panicObject+",limit=60000,item="+panicObject+",n=0,shard=1"))
 	if _, err := other.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("got %v, want the end", err)
+		t.Errorf("got %v, want io.EOF", err)
 	}
 	h.request("1", "")
 	h.expectCall("route b000000000000001")
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -10,32 +10,36 @@
 )
 
 const (
-	queueLimit = 1024 // calls that may wait for a shard before new requests are turned away
-	timerTick  = 250  // µs
+	queueLimit = 1024 // calls that may wait for a shard before new requests are rejected
+	timerTick  = 250  // in microseconds (µs)
 )
 
-// StallMonitor says whether this director may act on what it knows, after a pause in which it may have missed news.
+// StallMonitor tells whether the director may act on its state after a pause in which it may have
+// missed updates.
 type StallMonitor interface {
-	// Trusted reports whether it may act now.
+	// Trusted reports whether the director may act now.
 	Trusted() bool
-	// Resolved returns a channel that is closed once it may act again.
+	// Resolved returns a channel that is closed once the director may act again.
 	Resolved() <-chan struct{}
-	// StaleBy returns by how much what was read at a time may be older than that, since it lay unread during a stall.
+	// StaleBy returns by how much input may be older than the time at which it was read, because it
+	// was unread during a stall.
 	StaleBy(read time.Time) time.Duration
 }
 
-// Shard owns some clients' requests. Its exported methods are those of a downstream.Handler and may be called from any goroutine: each
-// hands a call to the shard's own goroutine, which alone touches the requests.
+// Shard owns the requests of some clients. Its exported methods implement downstream.Handler and
+// may be called from any goroutine. Except for ConnOpened, each queues a call for the shard's own
+// goroutine, which alone accesses the requests.
 type Shard struct {
 	router *Router
 	number int
 	calls  *shard.Queue[func()]
 	done   chan struct{} // closed by Router.Stop
 
-	// The shard's goroutine owns what follows.
-	requests   map[*downstream.Conn]map[uint64]*request // open ones, by the client's tag; dropped as they end
+	// The shard's goroutine owns the fields below.
+	// open requests, by connection and tag; removed when they end
+	requests   map[*downstream.Conn]map[uint64]*request
 	timers     *timerwheel.Wheel[*request]
-	drainUntil policy.Micros // when all is to be answered; 0 for no such time
+	drainUntil policy.Micros // when all requests must be answered; 0 for no limit
 }
 
 func newShard(r *Router, number int) *Shard {
@@ -46,8 +50,8 @@
 	}
 }
 
-// run takes turns until the router stops. A turn makes the calls that wait, runs the timers that are due and acknowledges the last
-// event that had come before it.
+// run executes iterations until the router stops. An iteration makes the queued calls, runs the
+// timers that are due and acknowledges the latest event that had arrived before it.
 func (s *Shard) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -61,11 +65,12 @@
 			return
 		}
 		latest := s.router.epochs.Latest()
-		now, ok := s.takeTurn()
+		now, ok := s.runOnce()
 		if !ok {
 			return
 		}
-		s.router.epochs.Acknowledge(s.number, latest) // what was decided before has been handed on
+		// decisions made before it have been carried out
+		s.router.epochs.Acknowledge(s.number, latest)
 		if s.timers.Len() == 0 {
 			continue
 		}
@@ -77,9 +82,9 @@
 	}
 }
 
-// takeTurn makes the calls that wait and runs the timers that are due, at the time that it returns. It returns false where the
-// router has stopped.
-func (s *Shard) takeTurn() (now time.Time, ok bool) {
+// runOnce makes the queued calls and runs the timers that are due at the time it returns. It
+// returns false if the router has stopped.
+func (s *Shard) runOnce() (now time.Time, ok bool) {
 	for _, call := range s.calls.TakeAll() {
 		if !s.awaitTrusted() {
 			return now, false
@@ -94,9 +99,10 @@
 	return now, true
 }
 
-// awaitTrusted waits while what this director knows is not to be trusted, which the monitor bounds. It returns false where the
-// router has stopped. It comes before every call and all timers: after a pause what waits here is older than what the command
-// channel has to tell, and nothing may be sent or served on it.
+// awaitTrusted waits while the director's state is not trusted; the monitor limits this time. It
+// returns false if the router has stopped. It is called before every queued call and before the
+// timers, because after a pause the queued calls are older than the events waiting on the command
+// channel, and nothing may be sent or served on their basis.
 func (s *Shard) awaitTrusted() bool {
 	for {
 		monitor := s.router.monitor
@@ -111,7 +117,7 @@
 	}
 }
 
-// drainBy has open requests, and those that still come, end by a time.
+// drainBy makes open requests, and those that still arrive, end by the given time.
 func (s *Shard) drainBy(end policy.Micros) {
 	s.drainUntil = end
 	for _, byTag := range s.requests {
@@ -125,8 +131,9 @@
 	}
 }
 
-// HandleRequest takes a request from a client, or turns it away where too much waits for the shard. It never waits: the connection's reader
-// must go on, to see that its client leaves.
+// HandleRequest queues a request from a client, or rejects it if too many calls wait for the shard.
+// It never blocks, since the connection's reader must continue in order to detect that its client
+// disconnects.
 func (s *Shard) HandleRequest(c *downstream.Conn, tag uint64, message downstream.Request) {
 	taken := s.calls.TryPut(func() { s.open(c, tag, message) })
 	if !taken {
@@ -135,7 +142,7 @@
 	}
 }
 
-// ConnOpened tells the policy that a client has connected.
+// ConnOpened notifies the policy that a client has connected.
 func (s *Shard) ConnOpened(*downstream.Conn) {
 	s.router.WithPolicy(func() { s.router.policy.ClientConnected(s.router.Now()) })
 }
@@ -149,7 +156,7 @@
 	})
 }
 
-// ConnClosed ends all requests of a client that is gone.
+// ConnClosed ends all requests of a client that has disconnected.
 func (s *Shard) ConnClosed(c *downstream.Conn) {
 	s.calls.PutUnbounded(func() {
 		for _, req := range s.requests[c] {
--- a/internal/dispatch/shards_test.go
+++ b/internal/dispatch/shards_test.go
@@ -19,7 +19,7 @@
 	"tallyproxy/routing"
 )
 
-// cacheNode answers every request at once, and counts them.
+// cacheNode is a fake cache node that answers every request at once and counts the requests.
 type cacheNode struct {
 	net.Listener
 	requests, fillsFromP0 atomic.Int64
@@ -41,9 +41,9 @@
 	return n
 }
 
-// answer serves one connection until its end.
+// answer serves one connection until it ends.
 func (n *cacheNode) answer(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // whatever the other side did, the test looks at what was answered
+	defer func() { _ = conn.Close() }() // the test only checks the answers
 	for in := bufio.NewReader(conn); ; {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -63,7 +63,8 @@
 	}
 }
 
-// shardedRouter is a router of several shards with the real policy, two edges and two parents, and a client on each shard.
+// shardedRouter is a router of several shards with the real policy, two edges, two parents and one
+// client per shard.
 type shardedRouter struct {
 	*Router
 	t        *testing.T
@@ -98,7 +99,7 @@
 	listener := listen(t)
 	server := downstream.New(handlers, config.Site{TypeNames: []string{"clip"}, Settings: settings}, buffers, 64, timeouts)
 	go serve(t, server, listener)
-	for i := range shards { // each goes to the next shard
+	for i := range shards { // each connection is assigned to the next shard
 		client := dial(t, listener.Addr())
 		setDeadline(t, client, 2*testTimeout)
 		r.clients, r.clientIn = append(r.clients, client), append(r.clientIn, bufio.NewReader(client))
@@ -117,7 +118,7 @@
 	return r
 }
 
-// update brings a list of endpoints, or with complete false of changed ones alone.
+// update applies a complete endpoint list, or only changed entries if complete is false.
 func (r *shardedRouter) update(complete bool, endpoints ...discovery.Endpoint) {
 	r.Apply([]discovery.Event{{HasEndpoints: true, Snapshot: complete, Endpoints: endpoints}})
 }
@@ -134,7 +135,7 @@
 	}
 }
 
-// fillsFromP0 counts the requests that named the first parent as their source.
+// fillsFromP0 returns the number of requests that named the first parent as their source.
 func (r *shardedRouter) fillsFromP0() int64 {
 	return r.edges[0].fillsFromP0.Load() + r.edges[1].fillsFromP0.Load()
 }
@@ -146,30 +147,32 @@
 	write(r.t, r.clients[client], message("ASK", fmt.Sprint(r.sent), "clip", fields))
 }
 
-// readStatus reads an answer, and returns its status.
+// readStatus reads an answer and returns its status.
 func (r *shardedRouter) readStatus(client int) string {
 	r.t.Helper()
-	return readLines(r.t, r.clientIn[client], 9)[4] // *4 and four bulk strings
+	// the array header *4 and four bulk strings of two lines each
+	return readLines(r.t, r.clientIn[client], 9)[4]
 }
 
-// TestDrainWithABusyShard checks that a drain is applied by every shard from the call that brings it, also by one that is busy just
-// then, and that it counts as applied only once that one has acknowledged it.
+// TestDrainWithABusyShard guards against a shard that uses a draining endpoint after Apply has
+// returned, even if it was busy at that time, and against reporting the drain as applied before the
+// busy shard has acknowledged it.
 func TestDrainWithABusyShard(t *testing.T) {
 	r := newShardedRouter(t, 4)
-	for i := range 40 { // connections are up, both edges are used
+	for i := range 40 { // opens the connections and uses both edges
 		r.send(i % 4)
 		if status := r.readStatus(i % 4); status != "200" {
-			t.Fatalf("answered %s", status)
+			t.Fatalf("got status %s", status)
 		}
 	}
 	if r.edges[0].requests.Load() == 0 || r.fillsFromP0() == 0 {
-		t.Fatal("an edge or a parent has no share")
+		t.Fatal("an edge or a parent received no requests")
 	}
-	busy, goOn := make(chan struct{}), make(chan struct{})
-	r.Shards()[1].calls.PutUnbounded(func() { close(busy); <-goOn })
+	busy, resume := make(chan struct{}), make(chan struct{})
+	r.Shards()[1].calls.PutUnbounded(func() { close(busy); <-resume })
 	<-busy
 	for range 10 {
-		r.send(1) // they wait for the busy shard
+		r.send(1) // these wait for the busy shard
 	}
 	r.update(false, r.edge(0, policy.Draining), r.parent(0, policy.Draining))
 	requests, fills := r.edges[0].requests.Load(), r.fillsFromP0()
@@ -177,23 +180,23 @@
 		client := []int{0, 2, 3}[i%3]
 		r.send(client)
 		if status := r.readStatus(client); status != "200" {
-			t.Fatalf("answered %s", status)
+			t.Fatalf("got status %s", status)
 		}
 	}
 	if latest, applied := r.Epochs(); applied >= latest {
-		t.Errorf("event %d is applied at %d while a shard has not acknowledged it", latest, applied)
+		t.Errorf("event %d counts as applied, at %d, although a shard has not acknowledged it", latest, applied)
 	}
-	close(goOn)
+	close(resume)
 	for range 10 {
 		if status := r.readStatus(1); status != "200" {
-			t.Fatalf("answered %s", status)
+			t.Fatalf("got status %s", status)
 		}
 	}
 	if n := r.edges[0].requests.Load(); n != requests {
-		t.Errorf("%d more reached the edge after its drain", n-requests)
+		t.Errorf("%d more requests reached the edge after its drain", n-requests)
 	}
 	if n := r.fillsFromP0(); n != fills {
-		t.Errorf("%d more named the source after its drain", n-fills)
+		t.Errorf("%d more requests named the parent as source after its drain", n-fills)
 	}
 	waitFor(t, "the drain to be applied", func() bool {
 		latest, applied := r.Epochs()
@@ -201,7 +204,8 @@
 	})
 }
 
-// TestEndpointUpdatesUnderLoad changes an endpoint's state over and over while all shards serve: nothing is lost.
+// TestEndpointUpdatesUnderLoad guards against losing requests while the state of an endpoint
+// changes repeatedly and all shards serve.
 func TestEndpointUpdatesUnderLoad(t *testing.T) {
 	r := newShardedRouter(t, 4)
 	stop := make(chan struct{})
@@ -216,7 +220,8 @@
 			default:
 			}
 			r.update(false, r.edge(0, []policy.EndpointState{policy.Draining, policy.Ready}[n%2]))
-			for latest, applied := r.Epochs(); applied < latest; latest, applied = r.Epochs() { // the next once all shards have it
+			// sends the next update once all shards have applied this one
+			for latest, applied := r.Epochs(); applied < latest; latest, applied = r.Epochs() {
 				runtime.Gosched()
 			}
 		}
@@ -224,24 +229,26 @@
 	for i := range 400 {
 		r.send(i % 4)
 		if status := r.readStatus(i % 4); status != "200" {
-			t.Fatalf("request %d: answered %s", i, status)
+			t.Fatalf("request %d: got status %s", i, status)
 		}
 	}
 	close(stop)
 	if n := <-updates; n < 100 {
-		t.Errorf("the endpoint was updated %d times only", n)
+		t.Errorf("the endpoint was updated only %d times", n)
 	}
 }
 
-// TestUnchangedUpdatesWhileSending brings the same endpoints over and over while requests go out to them: what an attempt needs of an
-// endpoint is read while no shard asks the policy, as the race detector sees.
+// TestUnchangedUpdatesWhileSending guards against a data race between updates of the same endpoints
+// and requests sent to them. The race detector fails the test if an attempt reads data of an
+// endpoint while the policy may change it.
 func TestUnchangedUpdatesWhileSending(t *testing.T) {
 	r := newShardedRouter(t, 2)
 	done := make(chan struct{})
 	var answered atomic.Int64
 	go func() {
 		defer close(done)
-		for n := 0; n < 2000 || answered.Load() < 10; n++ { // the updates alone may be through before ten requests are
+		// the updates may finish before ten requests are answered
+		for n := 0; n < 2000 || answered.Load() < 10; n++ {
 			r.update(false, r.edge(0, policy.Ready), r.parent(0, policy.Ready), r.edge(1, policy.Ready), r.parent(1, policy.Ready))
 		}
 	}()
