--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,4 +1,5 @@
-// Package discovery polls the platform's command channel: numbered events that change the endpoint list or purge cached objects.
+// Package discovery polls the command channel of the platform. The channel carries numbered events
+// that change the endpoint list or purge cached objects.
 package discovery
 
 import (
@@ -9,20 +10,23 @@
 	"tallyproxy/stall"
 )
 
-// StallMonitor is told of the polls, and says whether the director has stood still so that a poll is needed at once. See
-// stall.Detector. Run calls it from its own goroutine.
+// StallMonitor is notified of polls and reports whether the process may have been paused, so that
+// the director must poll immediately. See stall.Detector. Run calls the methods from its own
+// goroutine.
 type StallMonitor interface {
-	// Now reads the clocks on which polls are reported.
+	// Now reads the clocks whose readings are passed to the other methods.
 	Now() stall.Reading
-	// Polled is called when a poll begins, and now and then while others poll for this director.
+	// Polled is called when a poll starts, and periodically while other directors poll for this
+	// one.
 	Polled(now stall.Reading)
-	// PollDone is called when a poll has ended by itself, once what it brought has been applied.
+	// PollDone is called when a poll has succeeded, or has failed without being canceled, after its
+	// events were applied.
 	PollDone(began, now stall.Reading, ok bool)
-	// Suspect reports whether what this director knows may be out of date.
+	// Suspect reports whether the director's state may be out of date.
 	Suspect() bool
 }
 
-// noStallMonitor stands where none was set: nothing is ever suspect.
+// noStallMonitor is the default StallMonitor. It never reports that the state is suspect.
 type noStallMonitor struct{}
 
 func (noStallMonitor) Now() stall.Reading                  { return stall.Reading{} }
@@ -30,24 +34,25 @@
 func (noStallMonitor) PollDone(_, _ stall.Reading, _ bool) {}
 func (noStallMonitor) Suspect() bool                       { return false }
 
-// Client polls the command channel and keeps its position in it. The setters that say so are for the time before Run; the other
-// methods may be called from any goroutine, except Decode and DecodeKnown, which must not overlap with each other or Run.
+// Client polls the command channel and keeps its position in it. Setters whose comments say so must
+// be called before Run. The other methods may be called from any goroutine, except Decode and
+// DecodeKnown, which must not run concurrently with each other or with Run.
 type Client struct {
 	site         config.Site
-	cursor       int64 // of the last event applied; belongs to Run once it runs
+	cursor       int64 // last event applied; only Run uses it once it has started
 	stallMonitor StallMonitor
 	seed         uint64
-	shouldPoll   func() bool   // whether to poll now; nil where this director always polls for itself
-	wake         chan struct{} // a buffered signal to ask shouldPoll again
+	shouldPoll   func() bool   // whether to poll now; nil to poll always
+	wake         chan struct{} // has a buffer of one; makes Run call shouldPoll again
 
 	mu         sync.Mutex
 	failing    bool // the last poll failed
-	refreshing bool // the next poll is to be answered at once
+	refreshing bool // the next poll asks for an immediate answer
 	address    string
-	cancelPoll context.CancelFunc // cancels the poll under way and the pause after it
+	cancelPoll context.CancelFunc // cancels the current poll and the pause after it
 }
 
-// New returns a Client that stands at the channel's beginning.
+// New returns a Client positioned at the beginning of the channel.
 func New(site config.Site) *Client {
 	return &Client{
 		site:         site,
@@ -57,25 +62,28 @@
 	}
 }
 
-// SetStallMonitor sets who is told of the polls; before Run.
+// SetStallMonitor sets the monitor that is notified of polls. It must be called before Run.
 func (c *Client) SetStallMonitor(monitor StallMonitor) { c.stallMonitor = monitor }
 
-// SetSeed sets the seed of the pauses between polls, which must differ between the directors of a fleet; before Run.
+// SetSeed sets the seed for the random pauses between polls. Each director of a fleet must have a
+// different seed. SetSeed must be called before Run.
 func (c *Client) SetSeed(seed uint64) { c.seed = seed }
 
-// SetShouldPoll makes the client poll only while the function returns true, because other directors poll for this one; before Run.
-// The function is called from Run's goroutine before each poll.
+// SetShouldPoll makes the client poll only while shouldPoll returns true, for a director that
+// normally relies on polls by other directors. Run calls shouldPoll from its goroutine before each
+// poll. SetShouldPoll must be called before Run.
 func (c *Client) SetShouldPoll(shouldPoll func() bool) { c.shouldPoll = shouldPoll }
 
-// Wake makes Run ask at once whether this director should poll.
+// Wake makes Run check immediately whether this director should poll.
 func (c *Client) Wake() {
 	select {
 	case c.wake <- struct{}{}:
-	default: // a signal waits already
+	default: // a signal is already pending
 	}
 }
 
-// PollNow cancels the poll under way, because its answer may be out of date, and begins the next one at once.
+// PollNow cancels the current poll, whose answer may be out of date, and starts the next one
+// immediately.
 func (c *Client) PollNow() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +91,8 @@
 	c.Wake()
 }
 
-// Refresh cancels the poll under way and begins one that the channel answers at once, because other directors know more.
+// Refresh cancels the current poll and starts one that the channel answers immediately, because
+// other directors have received later events.
 func (c *Client) Refresh() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,14 +101,15 @@
 	c.Wake()
 }
 
-// Failing reports whether the channel did not answer the last poll.
+// Failing reports whether the last poll failed.
 func (c *Client) Failing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failing
 }
 
-// SetAddress sets the channel's address, host and port. A change cancels the poll under way; the position in the channel stays.
+// SetAddress sets the host and port of the channel. If they change, the current poll is canceled;
+// the position in the channel is kept.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +119,8 @@
 	}
 }
 
-// beginPoll records how the poll that begins is canceled, and returns its address and whether it is to be answered at once.
+// beginPoll registers the cancel function of the poll that starts. It returns the address to poll
+// and whether to ask for an immediate answer.
 func (c *Client) beginPoll(cancel context.CancelFunc) (address string, refresh bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,6 +130,7 @@
 	return address, refresh
 }
 
+// setFailing records whether the last poll failed.
 func (c *Client) setFailing(failing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -15,75 +15,78 @@
 	"tallyproxy/policy"
 )
 
-// Event is an event of the command channel: an endpoint list, whole or as changes, or a purge of an object or of a group. One of
-// an unknown kind is none of these.
+// Event is an event of the command channel: a full or partial endpoint list, or a purge of an
+// object or of a group of objects. An event of an unknown kind is neither.
 type Event struct {
-	Cursor       int64         // position in the channel, ascending
+	Cursor       int64         // position in the channel, in ascending order
 	HasEndpoints bool          // the event is an endpoint list
-	Snapshot     bool          // the list is whole: endpoints that it does not name are gone
-	Endpoints    []Endpoint    // of the list
-	Object       string        // the purged object; empty where none is
-	Group        int           // the purged group of objects; policy.AllGroups where none is
+	Snapshot     bool          // the list is full: endpoints that it does not name are removed
+	Endpoints    []Endpoint    // entries of the list
+	Object       string        // the purged object; empty if none is purged
+	Group        int           // the purged group of objects, or policy.AllGroups
 	PurgedAt     policy.Micros // time of the purge, in microseconds since 1970
 }
 
-// Endpoint is an entry of the endpoint list, with its address.
+// Endpoint is an entry of the endpoint list with its address.
 type Endpoint struct {
 	policy.Endpoint
-	Address string // host and port; empty where the channel gave none
+	Address string // host and port; empty if missing
 }
 
-var errEventTooLong = errors.New("an event is longer than what is read of an answer")
+var errEventTooLong = errors.New("event exceeds the maximum answer size")
 
-// response is the channel's answer to a poll, and the form of the configuration's known events.
+// response is the channel's answer to a poll. The configuration's known events have the same form.
 type response struct {
-	Cursor   *int64    `json:"cursor"` // of the last event that the channel has
+	Cursor   *int64    `json:"cursor"` // position of the last event in the channel
 	Commands []command `json:"cmds"`   // in ascending order
 }
 
-// command is an event as the channel encodes it, with one of Nodes and Drop.
+// command is an event as the channel encodes it, with either Nodes or Drop.
 type command struct {
 	Cursor int64         `json:"cursor"` // position in the channel
 	Nodes  *endpointList `json:"nodes"`
 	Drop   *purge        `json:"drop"`
 }
 
-// endpointList is a whole list, or the entries of one that changed.
+// endpointList is a full endpoint list, or the entries that changed.
 type endpointList struct {
-	Snapshot  bool            `json:"snapshot"` // it is whole
+	Snapshot  bool            `json:"snapshot"` // the list is full
 	Endpoints []endpointEntry `json:"endpoints"`
 }
 
-// endpointEntry is one endpoint of a list; a removed one may have its name and status alone.
+// endpointEntry is an entry of an endpoint list. The entry of a removed endpoint may have a name
+// and a status only.
 type endpointEntry struct {
 	Name        string   `json:"name"`
 	Address     string   `json:"address"`
-	Zone        string   `json:"zone"`     // one of the settings' names
-	Type        string   `json:"type"`     // one of the settings' names of machine kinds
+	Zone        string   `json:"zone"`     // one of the zone names of the settings
+	Type        string   `json:"type"`     // one of the kind names of the settings
 	Group       int      `json:"group"`    // the cell
 	Status      string   `json:"status"`   // a key of statusStates
-	Weight      *float64 `json:"weight"`   // 1 where missing
-	SinceMillis float64  `json:"since_ms"` // latest start, in milliseconds since 1970; 0 for long ago
+	Weight      *float64 `json:"weight"`   // 1 if missing
+	SinceMillis float64  `json:"since_ms"` // last start in ms since 1970; 0 for long ago
 }
 
 // purge is a purge of an object or of a group of objects.
 type purge struct {
-	ID         string  `json:"id"`     // of the object
-	Family     *int    `json:"family"` // the group
+	ID         string  `json:"id"`     // name of the object
+	Family     *int    `json:"family"` // number of the group
 	WhenMillis float64 `json:"when"`   // in milliseconds since 1970
 }
 
-// statusStates maps the channel's status of an endpoint.
+// statusStates maps the status of an endpoint on the channel to its state.
 var statusStates = map[string]policy.EndpointState{
 	"up": policy.Ready, "draining": policy.Draining, "removed": policy.Removed,
 }
 
-// forbiddenInName are the characters that names of endpoints must not hold, since the text protocols separate by them.
+// forbiddenInName lists the characters that endpoint names must not contain, since they are
+// separators of the text protocols.
 const forbiddenInName = " ,=\r\n"
 
 const microsPerMilli = 1000
 
-// DecodeKnown reads the events that the configuration holds, in the form of an answer; before Run.
+// DecodeKnown decodes the known events of the configuration, which have the form of an answer. It
+// must be called before Run.
 func (c *Client) DecodeKnown(raw []byte) ([]Event, error) {
 	events, err := c.Decode(raw)
 	if err != nil {
@@ -92,12 +95,13 @@
 	return events, nil
 }
 
-// Decode reads an answer of the channel, returns the events after the client's position and advances the position past them. On an
-// error nothing changes.
+// Decode decodes an answer of the channel. It returns the events after the client's position and
+// advances the position past them. On an error, the position does not change.
 //
-// Where other directors poll for this one, a channel whose position is behind the client's has restarted with fewer events than it
-// had sent: the position goes back to the beginning, so that the next poll reads them all. That undoes nothing, because whole
-// lists are made of them before they come into force.
+// If other directors poll for this one and the channel's position is behind the client's, the
+// channel has restarted with fewer events than it had sent before. Decode then resets the position
+// to the beginning, so that the next poll reads all events again. This reverts nothing, because the
+// events are combined into full lists before those take effect.
 func (c *Client) Decode(raw []byte) ([]Event, error) {
 	var answer response
 	if err := json.Unmarshal(raw, &answer); err != nil {
@@ -124,10 +128,11 @@
 	return events, nil
 }
 
-// decodeCutOff reads the beginning of an answer that is too long, and returns the events after the client's position that came whole. An
-// answer that has none is an error, since the next poll would bring it again.
-func (c *Client) decodeCutOff(raw []byte) ([]Event, error) {
-	commands, err := wholeCommands(raw)
+// decodeTruncated decodes an answer of which only the first maxAnswerBytes were read. It returns
+// the events after the client's position that are complete. If there are none, it returns an error,
+// since the next poll would return the same answer.
+func (c *Client) decodeTruncated(raw []byte) ([]Event, error) {
+	commands, err := completeCommands(raw)
 	if err != nil {
 		return nil, err
 	}
@@ -142,8 +147,8 @@
 	return events, nil
 }
 
-// wholeCommands returns the commands that stand whole in the beginning of an answer.
-func wholeCommands(raw []byte) (commands []command, err error) {
+// completeCommands returns the commands that are complete in a truncated answer.
+func completeCommands(raw []byte) (commands []command, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	for inList := false; !inList; {
 		token, err := decoder.Token()
@@ -158,7 +163,7 @@
 	for decoder.More() {
 		var next command
 		if err := decoder.Decode(&next); errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
-			break // it is cut off here
+			break // the last command is truncated
 		} else if err != nil {
 			return nil, err
 		}
@@ -167,7 +172,8 @@
 	return commands, nil
 }
 
-// newEvents decodes the commands after the client's position; it passes over those that were had before.
+// newEvents decodes the commands after the client's position. It skips those that were decoded
+// before.
 func (c *Client) newEvents(commands []command) (events []Event, err error) {
 	last := c.cursor
 	for i, command := range commands {
@@ -184,7 +190,7 @@
 	return events, nil
 }
 
-// event decodes one command. An error begins with the command's key that is at fault.
+// event decodes a command. The error text begins with the key of the invalid value.
 func (c command) event(site config.Site) (Event, error) {
 	event := Event{Cursor: c.Cursor, Group: policy.AllGroups}
 	switch {
@@ -205,7 +211,7 @@
 			event.Group = *c.Drop.Family
 		}
 		if event.Object == "" && event.Group < 0 {
-			return Event{}, errors.New("drop: neither id nor family")
+			return Event{}, errors.New("drop: neither an id nor a valid family is set")
 		}
 	default:
 		slog.Warn(logevent.DiscoveryUnknownCommand, "cursor", c.Cursor)
@@ -213,12 +219,12 @@
 	return event, nil
 }
 
-// endpoint decodes one entry of a list. Zone and Kind are the indexes of the settings' names; only a removed endpoint may lack them,
-// and has -1 there.
+// endpoint decodes an entry of a list. Zone and Kind are indexes into the names of the settings.
+// They may be -1, for a missing or unknown name, only if the endpoint is removed.
 func (e endpointEntry) endpoint(site config.Site) (Endpoint, error) {
 	state, known := statusStates[e.Status]
 	if !known || e.Name == "" || strings.ContainsAny(e.Name, forbiddenInName) {
-		return Endpoint{}, fmt.Errorf("status %q of name %q can't be used", e.Status, e.Name)
+		return Endpoint{}, fmt.Errorf("status %q is unknown or name %q is invalid", e.Status, e.Name)
 	}
 	zone, kind := slices.Index(site.ZoneNames, e.Zone), slices.Index(site.KindNames, e.Type)
 	if state != policy.Removed && (zone < 0 || kind < 0) {
--- a/internal/discovery/events_test.go
+++ b/internal/discovery/events_test.go
@@ -9,6 +9,7 @@
 	"tallyproxy/policy"
 )
 
+// testSite holds the zone and kind names that the test events use.
 var testSite = config.Site{ZoneNames: []string{"east", "west"}, KindNames: []string{"std", "parent"}}
 
 const (
@@ -20,7 +21,8 @@
 	groupPurge   = `{"cursor":4,"drop":{"family":0,"when":1764576000480}}`
 )
 
-// Lists, changes of lists and purges are read, each event once.
+// TestDecode guards against lists, changes of lists and purges that are decoded wrongly, and
+// against events that are returned twice.
 func TestDecode(t *testing.T) {
 	client := New(testSite)
 	events, err := client.Decode([]byte(`{"cursor":3,"cmds":[` + listEvent + "," + removalEvent + "," + objectPurge + `]}`))
@@ -35,18 +37,20 @@
 		t.Errorf("got %+v, want %+v", events[0], want)
 	}
 	if e := events[1]; e.Snapshot || e.Endpoints[0].State != policy.Removed {
-		t.Errorf("a change was read as %+v", e)
+		t.Errorf("change of the list was decoded as %+v", e)
 	}
 	if e := events[2]; e.HasEndpoints || e.Object != "7f3a9c21e0b4d655" || e.Group != -1 || e.PurgedAt != 1764576000123000 {
-		t.Errorf("a purge was read as %+v", e)
+		t.Errorf("purge was decoded as %+v", e)
 	}
-	events, err = client.Decode([]byte(`{"cursor":9,"cmds":[` + objectPurge + "," + groupPurge + `]}`)) // the first of them was had before
+	// The first of these events was decoded before.
+	events, err = client.Decode([]byte(`{"cursor":9,"cmds":[` + objectPurge + "," + groupPurge + `]}`))
 	if err != nil || len(events) != 1 || events[0].Group != 0 || events[0].Object != "" || client.cursor != 4 {
 		t.Errorf("%+v, %v, cursor %d", events, err, client.cursor)
 	}
 }
 
-// An answer that can't be read changes nothing, wherever the fault stands in it.
+// TestMalformedAnswerChangesNothing guards against a malformed answer of which some events are
+// returned or that advances the position.
 func TestMalformedAnswerChangesNothing(t *testing.T) {
 	cases := []struct{ name, in string }{
 		{"truncated", `{"cursor":2,"cmds":[` + listEvent},
@@ -67,7 +71,9 @@
 	}
 }
 
-// Events that were had before, in an answer with the same cursor or an older one, change nothing; its new events count.
+// TestOlderCursors guards against events that are returned again, or a position that moves back,
+// after an answer with the same cursor or an older one. New events in such an answer must be
+// returned.
 func TestOlderCursors(t *testing.T) {
 	cases := []struct {
 		name, text string
@@ -94,7 +100,7 @@
 	}
 }
 
-// Whatever the answer, an error changes nothing and events come in order.
+// FuzzRead checks for any answer that an error changes nothing and that events are in order.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"cursor":4,"cmds":[` + listEvent + "," + removalEvent + "," + objectPurge + "," + groupPurge + `]}`))
 	f.Add([]byte(`{"cursor":1e3,"cmds":[{"cursor":1,"nodes":{"endpoints":[{}]}}]}`))
@@ -103,11 +109,11 @@
 		client := New(testSite)
 		events, err := client.Decode(raw)
 		if err != nil && (events != nil || client.cursor != 0) {
-			t.Errorf("half applied: %+v, cursor %d, %v", events, client.cursor, err)
+			t.Errorf("partly applied: %+v, cursor %d, %v", events, client.cursor, err)
 		}
 		for i, e := range events {
 			if e.Cursor > client.cursor || i > 0 && e.Cursor <= events[i-1].Cursor {
-				t.Errorf("out of order: %+v, cursor %d", events, client.cursor)
+				t.Errorf("events out of order: %+v, cursor %d", events, client.cursor)
 			}
 		}
 	})
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -15,31 +15,32 @@
 	"tallyproxy/policy"
 )
 
-// maxAnswerBytes bounds what is read of one answer. Of a longer one the events that came whole are taken, and the next poll goes on after
-// them.
+// maxAnswerBytes limits how much of an answer is read. The complete events in a longer answer are
+// used, and the next poll continues after them.
 const maxAnswerBytes = 8 << 20
 
-// Ways in which a poll fails, beside a statusError and errors of decoding.
+// Errors of a poll, apart from statusError and decoding errors.
 var (
 	errNoAnswer  = errors.New("no answer")
 	errTruncated = errors.New("truncated answer")
 )
 
-// statusError is an answer with another status than 200.
+// statusError reports an answer whose HTTP status is not 200.
 type statusError struct {
 	status     int
-	retryAfter time.Duration // of the Retry-After header; 0 where there is none
+	retryAfter time.Duration // from the Retry-After header; 0 if missing
 }
 
-// Error names the status.
-func (e statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
+// Error returns a text with the status.
+func (e statusError) Error() string { return fmt.Sprintf("HTTP status %d", e.status) }
 
-// overloaded reports whether the channel may answer later.
+// overloaded reports whether the channel may answer a later poll.
 func (e statusError) overloaded() bool {
 	return e.status >= http.StatusInternalServerError || e.status == http.StatusTooManyRequests
 }
 
-// newHTTPClient returns the client of one Run. Two connections are enough for a poll and one that was canceled.
+// newHTTPClient returns the HTTP client for one Run. It allows two connections, enough for the
+// current poll and a canceled one.
 func newHTTPClient(timeouts policy.Timeouts) *http.Client {
 	connect := timeouts.Connect.Duration()
 	return &http.Client{
@@ -48,9 +49,12 @@
 	}
 }
 
-// dialIPv4 keeps the channel's connections on TCP over IPv4: the fleet's bench refuses other sockets, and a name that also stands
-// for an IPv6 address must not open one. The dial of a canceled poll goes on without it, and MaxConnsPerHost counts it: without a
-// timeout of its own, dials that nobody answers would keep all later polls back.
+// dialIPv4 restricts connections to the channel to TCP over IPv4: the fleet's bench rejects other
+// sockets, so a name that also resolves to an IPv6 address must not open one.
+//
+// The dialer has its own timeout because http.Transport continues a dial after its poll is
+// canceled, and counts it against MaxConnsPerHost. Without the timeout, dials that are never
+// answered would block all later polls.
 func dialIPv4(timeout time.Duration) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		dialer := net.Dialer{Timeout: timeout}
@@ -58,8 +62,8 @@
 	}
 }
 
-// fetch sends one poll and decodes its answer. A panic while decoding is an error as any other, so that one answer can't end the
-// process.
+// fetch sends a poll and decodes the answer. A panic during decoding is returned as an error, so
+// that a single answer cannot end the process.
 func (c *Client) fetch(ctx context.Context, client *http.Client, url string) (events []Event, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -74,7 +78,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errNoAnswer, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // of a body that is only read
+	defer func() { _ = resp.Body.Close() }() // the body is only read
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errTruncated, err)
@@ -83,22 +87,24 @@
 		return nil, statusError{resp.StatusCode, parseRetryAfter(resp.Header.Get("Retry-After"))}
 	}
 	if len(raw) == maxAnswerBytes {
-		return c.decodeCutOff(raw)
+		return c.decodeTruncated(raw)
 	}
 	events, err = c.Decode(raw)
-	if endsEarly(err, len(raw)) {
+	if isErrorAtEnd(err, len(raw)) {
 		err = fmt.Errorf("%w: %w", errTruncated, err)
 	}
 	return events, err
 }
 
-// endsEarly reports whether a decoding error stands at the end of the text.
-func endsEarly(err error, length int) bool {
+// isErrorAtEnd reports whether a JSON syntax error is at the end of the text, which means that the
+// text is truncated.
+func isErrorAtEnd(err error, length int) bool {
 	var syntaxError *json.SyntaxError
 	return errors.As(err, &syntaxError) && syntaxError.Offset >= int64(length)
 }
 
-// classify says how a poll ended, and when the channel asked to be polled again; 0 where it did not.
+// classify returns the result of a poll, and the delay that the channel requested before the next
+// poll; 0 if it requested none.
 func classify(events []Event, err error, canceled bool) (result backoff.PollResult, retryAfter time.Duration) {
 	switch {
 	case err == nil && len(events) > 0:
@@ -111,7 +117,7 @@
 	return classifyError(err)
 }
 
-// classifyError says how a poll failed.
+// classifyError returns the result of a failed poll, and the requested delay as classify does.
 func classifyError(err error) (result backoff.PollResult, retryAfter time.Duration) {
 	var status statusError
 	var netError net.Error
@@ -130,7 +136,8 @@
 	return backoff.Malformed, 0
 }
 
-// parseRetryAfter reads the value of a Retry-After header, seconds or a date; 0 where there is none or it can't be read.
+// parseRetryAfter parses a Retry-After header, which holds seconds or a date. It returns 0 if the
+// header is missing or malformed.
 func parseRetryAfter(value string) time.Duration {
 	if seconds, err := strconv.ParseUint(value, 10, 31); err == nil {
 		return time.Duration(seconds) * time.Second
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -16,16 +16,17 @@
 	"tallyproxy/internal/fakes"
 )
 
-// respond writes an answer. A poll that was canceled takes none, which is no fault of the test.
+// respond writes an answer. It ignores errors, since the client may have canceled the poll.
 func respond(w io.Writer, text string) {
 	_, _ = io.WriteString(w, text)
 }
 
-// Each way in which a poll fails is told apart.
+// TestClassifyError guards against a failed poll that is classified wrongly, which would select the
+// wrong pause before the next poll.
 func TestClassifyError(t *testing.T) {
 	cases := []struct {
 		name       string
-		serve      http.HandlerFunc // nil: nobody listens
+		serve      http.HandlerFunc // nil if no server listens
 		want       backoff.PollResult
 		retryAfter time.Duration
 	}{
@@ -68,9 +69,10 @@
 	}
 }
 
-// Guards against an answer over maxAnswerBytes that is asked for again without end: after a long outage a channel may tell so many events.
+// TestLongAnswer guards against an answer over maxAnswerBytes that is requested again and again:
+// after a long outage, the channel may send that many events.
 func TestLongAnswer(t *testing.T) {
-	const events = 200_000 // over 8 MiB
+	const events = 200_000 // more than 8 MiB
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		resume, err := strconv.Atoi(r.FormValue("resume"))
 		if err != nil {
@@ -103,7 +105,8 @@
 	}
 }
 
-// An event that is too long by itself is an error: the next poll would bring it again.
+// TestEventTooLong guards against a single event that exceeds maxAnswerBytes without an error: the
+// next poll would return it again.
 func TestEventTooLong(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		respond(w, `{"cursor":1,"cmds":[{"cursor":1,"nodes":{"endpoints":[{"name":"`+strings.Repeat("x", maxAnswerBytes)+`"}]}}]}`)
@@ -114,8 +117,8 @@
 	}
 }
 
-// A dial that nobody answers ends with its timeout though the poll that began it was canceled before: two of them would keep back
-// all later polls.
+// TestDialTimeout guards against unanswered dials that continue after their polls were canceled:
+// two of them would block all later polls.
 func TestDialTimeout(t *testing.T) {
 	listener, err := fakes.ListenUnresponsive()
 	if err != nil {
@@ -130,9 +133,9 @@
 	select {
 	case err := <-dialed:
 		if err == nil {
-			t.Error("it came up")
+			t.Error("the dial succeeded")
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("it goes on")
+		t.Fatal("the dial did not time out")
 	}
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -7,8 +7,9 @@
 	"tallyproxy/policy"
 )
 
-// The command channel's forms as they are read, every field set and every one that may lack left out. The literals are the platform's
-// protocol and are not to be recorded again.
+// TestGoldenAnswer guards against a change in how answers of the command channel are decoded, with
+// all fields set and with all optional fields missing. The literals are the protocol of the
+// platform and must not be recorded again.
 func TestGoldenAnswer(t *testing.T) {
 	cases := []struct {
 		name string
@@ -43,7 +44,7 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("read as %+v, want %+v", got, c.want)
+				t.Errorf("decoded as %+v, want %+v", got, c.want)
 			}
 		})
 	}
--- a/internal/discovery/run.go
+++ b/internal/discovery/run.go
@@ -13,29 +13,30 @@
 	"tallyproxy/stall"
 )
 
-// session is the state of one Run; it belongs to Run's goroutine.
+// session is the state of one call of Run. It belongs to Run's goroutine.
 type session struct {
 	*Client
-	http     *http.Client
-	poller   *backoff.Poller
-	timeouts policy.Timeouts
-	apply    func([]Event)
-	polled   string        // address of the last poll
-	longPoll policy.Micros // longest that the channel may hold the next poll open
+	http          *http.Client
+	poller        *backoff.Poller
+	timeouts      policy.Timeouts
+	apply         func([]Event)
+	polledAddress string        // address of the last poll
+	longPoll      policy.Micros // how long the channel may delay its answer to the next poll
 }
 
 // pollRequest is one poll.
 type pollRequest struct {
 	address  string
-	longPoll time.Duration // longest that the channel may hold the poll open; 0 for an answer at once
+	longPoll time.Duration // how long the channel may delay its answer; 0 for none
 	timeout  time.Duration // of the whole poll
 	began    stall.Reading // on the stall monitor's clocks
 	started  time.Time
 }
 
-// Run polls the channel until the context ends, each time at the address that SetAddress named last. It passes the events of each
-// answer to apply, together and in order, from its own goroutine. Package backoff says when the next poll begins; where what is
-// known is suspect it begins at once and asks for an answer at once.
+// Run polls the channel until the context ends, each time at the address set last by SetAddress. It
+// passes the events of each answer to apply, together and in order, from its own goroutine. Package
+// backoff determines when the next poll starts. If the director's state is suspect, the next poll
+// starts immediately and asks for an immediate answer.
 func (c *Client) Run(ctx context.Context, timeouts policy.Timeouts, apply func([]Event)) {
 	s := c.newSession(timeouts, apply)
 	defer s.http.CloseIdleConnections()
@@ -51,6 +52,7 @@
 	}
 }
 
+// newSession returns the state for one call of Run.
 func (c *Client) newSession(timeouts policy.Timeouts, apply func([]Event)) *session {
 	intervals := backoff.DeriveIntervals(c.site.Settings, timeouts)
 	if c.shouldPoll != nil {
@@ -65,7 +67,8 @@
 	}
 }
 
-// awaitWake waits until Wake is called. It returns after StallThreshold all the same, so that a missed call does no lasting harm.
+// awaitWake waits until Wake is called. It also returns after StallThreshold, so that a missed call
+// has no lasting effect.
 func (s *session) awaitWake(ctx context.Context) {
 	s.stallMonitor.Polled(s.stallMonitor.Now())
 	select {
@@ -75,7 +78,8 @@
 	}
 }
 
-// poll makes one poll, applies what it brings and sleeps until the next is due. A cancellation ends the sleep too.
+// poll sends one poll, applies its events and pauses until the next poll is due. Canceling the poll
+// also ends the pause.
 func (s *session) poll(ctx context.Context) {
 	pollCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -85,25 +89,27 @@
 		s.apply(events)
 	}
 	if err == nil || pollCtx.Err() == nil {
-		s.stallMonitor.PollDone(request.began, s.stallMonitor.Now(), err == nil) // may cancel this poll
+		// PollDone may cancel this poll by calling PollNow.
+		s.stallMonitor.PollDone(request.began, s.stallMonitor.Now(), err == nil)
 	}
 	result, retryAfter := classify(events, err, pollCtx.Err() != nil)
 	s.recordResult(result, err)
 	sleep(pollCtx, s.nextPause(request, result, retryAfter, err))
 }
 
-// newRequest prepares a poll that cancel cancels.
+// newRequest prepares a poll whose context cancel cancels.
 func (s *session) newRequest(cancel context.CancelFunc) pollRequest {
 	address, refresh := s.beginPoll(cancel)
-	if s.polled != address { // an idle connection to the old address would keep its descriptor
+	// An idle connection to the old address would keep its file descriptor.
+	if s.polledAddress != address {
 		s.http.CloseIdleConnections()
-		s.polled = address
+		s.polledAddress = address
 	}
 	connect := s.timeouts.Connect.Duration()
 	r := pollRequest{address: address, longPoll: s.longPoll.Duration(), began: s.stallMonitor.Now()}
 	r.timeout = r.longPoll + 2*connect
 	s.stallMonitor.Polled(r.began)
-	// A stall that is noticed later than here calls PollNow, which cancels this poll.
+	// A stall that is detected after this check calls PollNow, which cancels this poll.
 	if refresh || s.stallMonitor.Suspect() {
 		r.longPoll, r.timeout = 0, connect
 	}
@@ -111,6 +117,7 @@
 	return r
 }
 
+// send sends a poll and returns its events.
 func (s *session) send(ctx context.Context, r pollRequest) ([]Event, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -118,7 +125,8 @@
 	return s.fetch(ctx, s.http, url)
 }
 
-// recordResult logs the first failure in a row and the recovery from it. A canceled poll is no failure, and ends none.
+// recordResult logs the first of consecutive failures and the recovery from them. A canceled poll
+// neither counts as a failure nor ends a series of failures.
 func (s *session) recordResult(result backoff.PollResult, err error) {
 	wasFailing, failed := s.Failing(), err != nil && result != backoff.Canceled
 	switch {
@@ -130,8 +138,9 @@
 	s.setFailing(err != nil && (wasFailing || failed))
 }
 
-// nextPause returns how long to sleep after a poll, and sets the next long poll. After a poll that asked for an answer at once the
-// next one follows at once, or after PollRetry where it failed.
+// nextPause returns the pause after a poll and sets the duration of the next long poll. After a
+// poll that asked for an immediate answer, there is no pause if it succeeded, and PollRetry if it
+// failed.
 func (s *session) nextPause(r pollRequest, result backoff.PollResult, retryAfter time.Duration, err error) (pause policy.Micros) {
 	overrun := time.Since(r.started) - r.longPoll
 	pause, s.longPoll = s.poller.Next(result, policy.MicrosOf(overrun), policy.MicrosOf(retryAfter))
@@ -144,7 +153,7 @@
 	return 0
 }
 
-// sleep returns after the pause, or when the context ends.
+// sleep returns after the pause or when the context ends.
 func sleep(ctx context.Context, pause policy.Micros) {
 	if pause <= 0 {
 		return
--- a/internal/discovery/run_test.go
+++ b/internal/discovery/run_test.go
@@ -16,8 +16,9 @@
 	"tallyproxy/stall"
 )
 
-// The channel answers, fails, breaks off, sends a malformed answer, then events that were had before: each event comes once, in
-// order.
+// TestRun guards against events that are lost, duplicated or out of order when polls fail: the
+// channel returns an error status, a truncated answer, a malformed answer and events that it has
+// sent before.
 func TestRun(t *testing.T) {
 	polls, calls := make(chan string, 9), 0 // one poll at a time
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -59,10 +60,10 @@
 		select {
 		case e := <-events:
 			if e.Cursor != want+1 {
-				t.Errorf("event %d came, want %d", e.Cursor, want+1)
+				t.Errorf("received event %d, want %d", e.Cursor, want+1)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("no event came")
+			t.Fatal("no event was received")
 		}
 	}
 	stop()
@@ -71,15 +72,16 @@
 		var resume, block int
 		got := <-polls
 		if _, err := fmt.Sscanf(got, "/cmd/next?resume=%d&block=%d", &resume, &block); err != nil || resume != want || block < 600 || block > 1200 {
-			t.Errorf("poll %d was for %s", i, got)
+			t.Errorf("poll %d requested %s", i, got)
 		}
 	}
 	if len(events) != 0 {
-		t.Error("an event came twice")
+		t.Error("an event was received twice")
 	}
 }
 
-// A poll that is never answered times out, and the channel is polled again.
+// TestSilentChannel guards against a poll that waits forever for an answer: it must time out and be
+// followed by another.
 func TestSilentChannel(t *testing.T) {
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
@@ -108,11 +110,13 @@
 			t.Errorf("got %+v", batch)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("no event came")
+		t.Fatal("no event was received")
 	}
 }
 
-// A channel that did not answer even dials is polled soon after it is there again, however many polls hung meanwhile.
+// TestRecoveryFromSilence guards against a long delay after an outage in which even dials were not
+// answered: the channel must be polled soon after it is reachable again, however many polls timed
+// out before.
 func TestRecoveryFromSilence(t *testing.T) {
 	listener, err := fakes.ListenUnresponsive()
 	if err != nil {
@@ -131,24 +135,25 @@
 			t.Fatal("no poll failed")
 		}
 	}
-	time.Sleep(10 * timeouts.Connect.Duration()) // several more polls hang
+	time.Sleep(10 * timeouts.Connect.Duration()) // several more polls time out
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		respond(w, `{"cursor":1,"cmds":[`+listEvent+`]}`)
 	})}
-	go func() { _ = server.Serve(listener) }() // until Close
+	go func() { _ = server.Serve(listener) }() // runs until Close
 	defer func() { _ = server.Close() }()      // its connections end with the test
 	recovered := time.Now()
 	select {
 	case <-events:
 		if took := time.Since(recovered); took > 5*time.Second {
-			t.Errorf("after %v", took)
+			t.Errorf("polled only after %v", took)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("never polled again")
+		t.Fatal("the channel was not polled again")
 	}
 }
 
-// A channel at another address is polled at once, from the last event on, though the old one holds its answer back.
+// TestAddressChange guards against a change of address that takes effect only when the current poll
+// is answered, or that loses the position in the channel.
 func TestAddressChange(t *testing.T) {
 	polls := make(chan string, 9)
 	channel := func(name, answer string) *httptest.Server {
@@ -187,7 +192,7 @@
 				t.Errorf("polled %s, want %s", got, want)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("not polled: %s", want)
+			t.Fatalf("%s was not polled", want)
 		}
 		if i == 1 {
 			client.SetAddress(strings.TrimPrefix(newer.URL, "http://"))
@@ -199,7 +204,8 @@
 	}
 }
 
-// An idle connection to an address that is no longer polled is closed: no limit counts its descriptor.
+// TestAddressChangeClosesIdleConnection guards against an idle connection to the old address that
+// stays open: no limit counts its file descriptor.
 func TestAddressChangeClosesIdleConnection(t *testing.T) {
 	closed := make(chan struct{}, 16)
 	older := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -222,21 +228,22 @@
 	defer stop()
 	timeouts := policy.Timeouts{Connect: 10 * policy.Second, PollRetry: policy.Second / 100, LongPoll: 3600 * policy.Second}
 	go client.Run(ctx, timeouts, func([]Event) {
-		client.SetAddress(newer.Listener.Addr().String()) // while the answer is applied: its connection is idle from here on
+		// The address changes while the answer is applied; its connection is idle from here on.
+		client.SetAddress(newer.Listener.Addr().String())
 		applied <- struct{}{}
 	})
 	<-applied
 	select {
 	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("it is still open")
+		t.Fatal("the connection is still open")
 	}
 }
 
-// fakeMonitor is a stall monitor whose suspect state the test sets.
+// fakeMonitor is a StallMonitor whose suspect state the test sets.
 type fakeMonitor struct {
 	now     policy.Micros
-	suspect bool // until a poll succeeds
+	suspect bool // reset when a poll succeeds
 	polls   chan donePoll
 }
 
@@ -246,7 +253,7 @@
 	ok    bool
 }
 
-// Now advances the clocks by a microsecond.
+// Now advances the clocks by a microsecond and returns their reading.
 func (m *fakeMonitor) Now() stall.Reading {
 	m.now++
 	return stall.Reading{Monotonic: m.now, Wall: m.now}
@@ -258,14 +265,15 @@
 	m.polls <- donePoll{began.Monotonic, ok}
 }
 
-// PollNow while suspect cancels the poll under way, and the next one asks for an answer at once; its events are applied before it is
-// reported as done. One that hangs times out after the time of a connection.
+// TestPollNow guards against a PollNow in the suspect state that does not cancel the current poll
+// or does not ask for an immediate answer, and against events that are applied after their poll was
+// reported as done. A poll that is not answered must time out after the connect timeout.
 func TestPollNow(t *testing.T) {
 	blocks, held := make(chan string, 9), make(chan struct{}, 9)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		blocks <- r.FormValue("block")
 		switch len(held) {
-		case 0, 1: // the first waits for events, the second hangs
+		case 0, 1: // the first poll waits for events, the second one is never answered
 			held <- struct{}{}
 			<-r.Context().Done()
 		default:
@@ -277,7 +285,8 @@
 	client.SetStallMonitor(monitor)
 	client.SetAddress(strings.TrimPrefix(server.URL, "http://"))
 	ctx, cancel := context.WithCancel(t.Context())
-	applied := make(chan bool, 99) // events, and whether only the poll before them was reported as done
+	// For each call of apply, whether only the previous poll was reported as done.
+	applied := make(chan bool, 99)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -287,20 +296,20 @@
 	}()
 	defer func() { cancel(); <-done }()
 	if block := <-blocks; block != "9000" {
-		t.Errorf("a long poll of %s ms", block)
+		t.Errorf("first poll may wait %s ms", block)
 	}
 	monitor.suspect = true
 	client.PollNow()
 	if block := <-blocks; block != "0" {
-		t.Errorf("while suspect, a long poll of %s ms", block)
+		t.Errorf("poll in the suspect state may wait %s ms", block)
 	}
 	if !<-applied {
-		t.Error("its events came after it was reported as done, or the hanging poll was not reported")
+		t.Error("events applied after their poll was reported as done, or unanswered poll not reported")
 	}
-	if hung := <-monitor.polls; hung.ok {
-		t.Errorf("the poll that hung: %+v", hung)
+	if unanswered := <-monitor.polls; unanswered.ok {
+		t.Errorf("unanswered poll was reported as %+v", unanswered)
 	}
 	if next := <-monitor.polls; !next.ok {
-		t.Errorf("the next poll: %+v", next)
+		t.Errorf("next poll was reported as %+v", next)
 	}
 }
