--- a/internal/ctl/cachenode.go
+++ b/internal/ctl/cachenode.go
@@ -10,11 +10,12 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// maxSuggestions is how many similar names are offered for an unknown one.
+// maxSuggestions is the number of similar names suggested for an unknown name.
 const maxSuggestions = 3
 
-// CheckCacheNode returns an error with the most similar names where no director's list has a cache node of that name, so that a node is
-// not left in service because its name was mistyped. Where no director reports any node it returns nil.
+// CheckCacheNode returns an error that suggests the most similar names if no director's endpoint list
+// contains a cache node with the given name. It prevents a mistyped name from leaving a node in service
+// unnoticed. It returns nil if no director reports any node.
 func (s *Snapshot) CheckCacheNode(name string) error {
 	known := map[string]bool{}
 	for _, director := range s.Directors {
@@ -29,5 +30,5 @@
 	slices.SortStableFunc(names, func(a, b string) int {
 		return cmp.Compare(levenshtein.ComputeDistance(a, name), levenshtein.ComputeDistance(b, name))
 	})
-	return fmt.Errorf("%s: no director's list has it; nearest are %s", name, strings.Join(names[:min(maxSuggestions, len(names))], ", "))
+	return fmt.Errorf("%s: no director lists this cache node; similar names: %s", name, strings.Join(names[:min(maxSuggestions, len(names))], ", "))
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,6 @@
-// Package ctl is the operator's side of a fleet: it asks the agents for their status and drives changes through them. Package rollout
-// decides; this package is the driver of its Coordinator.
+// Package ctl is the operator's client for a fleet. It queries the agents for their status and rolls out
+// changes through them. Package rollout makes the decisions; this package performs the I/O for its
+// Coordinator.
 package ctl
 
 import (
@@ -18,19 +19,20 @@
 	"tallyproxy/rollout"
 )
 
-// statusTimeout is for one agent to answer with its status or its audit record.
+// statusTimeout limits a request for one agent's status or audit records.
 const statusTimeout = 3 * time.Second
 
-// Fleet is a fleet as an operator reaches it. It is safe for concurrent use.
+// Fleet is an operator's connection to the agents of a fleet. It is safe for concurrent use.
 type Fleet struct {
-	Inventory *config.Inventory // what the fleet consists of; not changed
-	HolderID  string            // this tool as the holder of a ballot: the operator's name and a random number
+	Inventory *config.Inventory // agents and directors of the fleet; read-only
+	HolderID  string            // identifies this process as a ballot holder: operator's name, slash, random number
 	clients   *agent.Clients
-	started   time.Time // the zero of now
+	started   time.Time // time origin of now
 	timeouts  rollout.Timeouts
 }
 
-// Open reaches the fleet of an inventory as the owner of a certificate. Nothing is connected yet; Close ends it.
+// Open returns a client for the fleet of an inventory that authenticates with the given identity. It does
+// not connect to any agent yet. The caller must call Close.
 func Open(inventory *config.Inventory, identity *authority.Identity) *Fleet {
 	timeouts := rollout.DefaultTimeouts()
 	timeouts.Lease = inventory.LeaseDuration
@@ -46,17 +48,19 @@
 // now returns the time since Open on the monotonic clock.
 func (f *Fleet) now() policy.Micros { return policy.MicrosOf(time.Since(f.started)) }
 
+// randomHex returns the given number of random bytes in hexadecimal.
 func randomHex(bytes int) string {
 	b := make([]byte, bytes)
 	_, _ = rand.Read(b) // never fails
 	return hex.EncodeToString(b)
 }
 
-// NewChangeID returns an ID that no other change has: the time in UTC and a random number.
+// NewChangeID returns a unique ID for a change: the current UTC time followed by a random number.
 func NewChangeID() string { return time.Now().UTC().Format("20060102-150405-") + randomHex(3) }
 
-// Audit calls each for every audit record of every agent, agent by agent in the inventory's order, oldest first. The error names the
-// agents that did not answer or whose record is damaged; the others are read all the same.
+// Audit calls each for every audit record of every agent. Agents come in the order of the inventory, and
+// the records of one agent come oldest first. The error names the agents that did not answer or whose
+// audit chain is damaged; the records of the other agents are still reported.
 func (f *Fleet) Audit(ctx context.Context, each func(agent string, r *fleetpb.AuditRecord)) error {
 	var errs []error
 	for _, a := range f.Inventory.Agents {
@@ -72,6 +76,7 @@
 	return errors.Join(errs...)
 }
 
+// audit fetches the audit records of one agent.
 func (f *Fleet) audit(ctx context.Context, name string) (*fleetpb.AuditReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/internal/ctl/golden_test.go
+++ b/internal/ctl/golden_test.go
@@ -11,7 +11,8 @@
 	"tallyproxy/routing"
 )
 
-// Operators' scripts read what `tallyctl show --json`, `status --json` and `history --json` print: it must not change.
+// TestGoldenJSON guards against changes of the output of `tallyctl show --json`, `status --json` and
+// `history --json`, which operators' scripts parse.
 func TestGoldenJSON(t *testing.T) {
 	change := ChangeStatus{
 		ID: "c1", Author: "op/1", Note: "why", Reverts: "c0", Outcome: "go", InProgress: true, Directors: map[string]string{"n0": "failed"},
@@ -45,7 +46,8 @@
 	}
 }
 
-// The line that drain adds to a script is found again by the next version's drain.
+// TestGoldenAvoidLine guards against a new version of tallyctl not recognizing the avoid line that an
+// older version added to a script.
 func TestGoldenAvoidLine(t *testing.T) {
 	const one, two = "avoid(boxes = [\"box-1\"]) # by tallyctl\n", "avoid(boxes = [\"box-1\", \"box-2\"]) # by tallyctl\n"
 	for _, c := range []struct {
@@ -55,8 +57,8 @@
 	}{
 		{"first", "", "box-1", true, one},
 		{"second", one, "box-2", true, two},
-		{"second let in", two, "box-2", false, one},
-		{"last let in", one, "box-1", false, ""},
+		{"second restored", two, "box-2", false, one},
+		{"last restored", one, "box-1", false, ""},
 		{"below other lines", "# x", "box-1", true, "# x\n" + one},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/ctl/membership.go
+++ b/internal/ctl/membership.go
@@ -12,12 +12,14 @@
 )
 
 const (
-	maxMembershipLines = 24
-	staleListAge       = 5 * time.Second // from which the age of a director's list of nodes is worth a line
+	maxMembershipLines = 24              // further lines are cut off and only counted
+	staleListAge       = 5 * time.Second // an endpoint list is reported as stale above this age
 )
 
-// MembershipLines tells for people which views of the membership the directors that take part in it have, where these differ, who polls
-// the command channel, and whose list of nodes is stale. It returns nil where no director takes part.
+// MembershipLines returns human-readable lines about the directors that report a membership view. They
+// list the differing views, the peers that a director does not see as up, name conflicts, the directors
+// that poll the command channel, and the directors with a stale endpoint list. It returns nil if no
+// director that is up reports a membership view.
 func (s *Snapshot) MembershipLines() (lines []string) {
 	var members []DirectorStatus
 	for _, d := range s.Directors {
@@ -34,33 +36,35 @@
 		lines = append(lines, peerLines(d)...)
 	}
 	if more := len(lines) - maxMembershipLines; more > 0 {
-		lines = append(lines[:maxMembershipLines], fmt.Sprintf("and %d lines more", more))
+		lines = append(lines[:maxMembershipLines], fmt.Sprintf("and %d more lines", more))
 	}
 	return lines
 }
 
-// viewLines groups the members by the digest of their views, the largest group first.
+// viewLines returns one line for each distinct membership view, with the directors that have it. The view
+// of most directors comes first.
 func viewLines(members []DirectorStatus) (lines []string) {
 	names, quotas := map[string][]string{}, map[string]string{}
 	for _, d := range members {
 		m := d.Report.Membership
 		names[m.Digest] = append(names[m.Digest], d.Name)
-		quotas[m.Digest] = fmt.Sprintf("with %s, part %.2f of the zone's, %.2f of all", m.PartitionState, m.ZoneQuota, m.FleetQuota)
+		quotas[m.Digest] = fmt.Sprintf("partition %s, zone quota %.2f, fleet quota %.2f", m.PartitionState, m.ZoneQuota, m.FleetQuota)
 	}
 	digests := slices.Collect(maps.Keys(names))
 	slices.SortFunc(digests, func(a, b string) int {
 		return cmp.Or(cmp.Compare(len(names[b]), len(names[a])), cmp.Compare(names[a][0], names[b][0]))
 	})
 	if len(digests) > 1 {
-		lines = append(lines, fmt.Sprintf("%d directors have %d views of who is there:", len(members), len(digests)))
+		lines = append(lines, fmt.Sprintf("%d directors have %d different membership views:", len(members), len(digests)))
 	}
 	for _, digest := range digests {
-		lines = append(lines, fmt.Sprintf("one view: %s (%s)", strings.Join(names[digest], ", "), quotas[digest]))
+		lines = append(lines, fmt.Sprintf("view: %s (%s)", strings.Join(names[digest], ", "), quotas[digest]))
 	}
 	return lines
 }
 
-// relayLines tells which members poll the command channel for the others, and whose list of nodes is stale.
+// relayLines names the members that poll the command channel for the others, and the members whose
+// endpoint list is stale.
 func relayLines(members []DirectorStatus) (lines []string) {
 	var pollers []string
 	for _, d := range members {
@@ -69,7 +73,7 @@
 		}
 	}
 	if len(pollers) > 0 {
-		lines = append(lines, "the command channel is asked by "+strings.Join(pollers, ", "))
+		lines = append(lines, "the command channel is polled by "+strings.Join(pollers, ", "))
 	}
 	for _, d := range members {
 		r := d.Report.Relay
@@ -77,15 +81,16 @@
 			continue
 		}
 		if age := policy.Micros(r.AgeMicros).Duration(); age > staleListAge {
-			sources := cmp.Or(strings.Join(r.Sources, ", "), "nobody who knows more")
-			lines = append(lines, fmt.Sprintf("%s: its list of nodes is known to have held %v ago; it hears %s", d.Name,
+			sources := cmp.Or(strings.Join(r.Sources, ", "), "none")
+			lines = append(lines, fmt.Sprintf("%s: its endpoint list was last confirmed %v ago; sources: %s", d.Name,
 				age.Round(time.Second), sources))
 		}
 	}
 	return lines
 }
 
-// peerLines tells which others a member does not see, and whether another director uses its name.
+// peerLines returns a line with the peers that a member does not see as up, and a line if another process
+// uses the member's name.
 func peerLines(d DirectorStatus) (lines []string) {
 	var missing []string
 	for _, p := range d.Report.Membership.Peers {
@@ -98,7 +103,7 @@
 		lines = append(lines, fmt.Sprintf("%s sees: %s", d.Name, strings.Join(missing, ", ")))
 	}
 	if address := d.Report.Membership.NameConflict; address != "" {
-		lines = append(lines, fmt.Sprintf("%s: another director goes by this name, at %s", d.Name, address))
+		lines = append(lines, fmt.Sprintf("%s: another director uses this name, at %s", d.Name, address))
 	}
 	return lines
 }
--- a/internal/ctl/run.go
+++ b/internal/ctl/run.go
@@ -10,18 +10,21 @@
 )
 
 const (
-	maxRecoveryRetries = 4                     // while an agent's recovery holds the right to change
-	ballotTimeout      = 2 * time.Second       // for one agent to tell the ballot that it has promised
-	messageTimeout     = 5 * time.Second       // of one call
-	releaseTimeout     = time.Second           // for the last calls, which give the right to change back
-	tickInterval       = 50 * time.Millisecond // of the coordinator
+	maxRecoveryRetries = 4                     // while an agent's recovery holds the lease, or Result.NeedsResume is set
+	ballotTimeout      = 2 * time.Second       // for one agent to report the ballot that it has promised
+	messageTimeout     = 5 * time.Second       // for one call to an agent
+	releaseTimeout     = time.Second           // for the last calls, which release the lease
+	tickInterval       = 50 * time.Millisecond // between calls of Coordinator.Tick
 )
 
-// Run takes a change through; with a nil change it completes what others left open. The progress function, if not nil, is called with
-// each new step and wave. The health check, if not nil, is called between waves and returns why to stop, empty to go on; it may be slow.
+// Run rolls out a change. If change is nil, Run instead completes the changes that other holders left
+// open. The progress function, if not nil, is called at each new step and wave. The health check, if not
+// nil, is called between waves. It returns the reason to stop the rollout, or an empty string to
+// continue, and may be slow.
 //
-// Run returns in a bounded time whoever answers (docs/fleet.md), and at once with an error where the context ends: the right to change is
-// given back then, and the agents complete what was begun.
+// Run returns within a bounded time no matter which agents answer (see docs/fleet.md). If the context
+// ends, Run releases the lease and returns an error without waiting for the change; the agents then
+// complete what was started.
 func (f *Fleet) Run(ctx context.Context, change *rollout.Change, healthCheck func() string, progress func(rollout.Step, int)) (rollout.Result, error) {
 	for retries := 0; ; retries++ {
 		result, err := f.run(ctx, change, healthCheck, progress)
@@ -29,7 +32,7 @@
 		if err != nil || !mayRetry || retries == maxRecoveryRetries {
 			return result, err
 		}
-		select { // an agent's recovery is no other operator, and soon over
+		select { // an agent's recovery does not compete with the operator and ends soon, so it is worth waiting
 		case <-ctx.Done():
 			return result, nil
 		case <-time.After(f.timeouts.Resend.Duration() + result.LeaseLeft.Duration()):
@@ -37,7 +40,7 @@
 	}
 }
 
-// run is one attempt of Run.
+// run performs one attempt of Run.
 func (f *Fleet) run(ctx context.Context, change *rollout.Change, healthCheck func() string, progress func(rollout.Step, int)) (rollout.Result, error) {
 	number, err := f.nextBallotNumber(ctx)
 	if err != nil {
@@ -45,7 +48,7 @@
 	}
 	agents := f.Inventory.AgentNames()
 	coordinator := rollout.NewCoordinator(f.HolderID, number, agents, change, f.timeouts, asyncHealthCheck(healthCheck))
-	callContext, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the last calls outlive an interrupt
+	callContext, cancel := context.WithCancel(context.WithoutCancel(ctx)) // lets the last calls continue after an interrupt
 	defer cancel()
 	m := newMessenger(callContext, f, 4*len(agents)+16)
 	ticker := time.NewTicker(tickInterval)
@@ -66,20 +69,20 @@
 			m.send(coordinator.Release())
 			m.wait(releaseTimeout)
 			return coordinator.Result(),
-				fmt.Errorf("left at %v: %w; the agents settle what was begun, `resume` goes on with further waves", at, ctx.Err())
+				fmt.Errorf("left at %v: %w; the agents complete what was started, `resume` continues with further waves", at, ctx.Err())
 		}
 	}
 	m.wait(releaseTimeout)
 	return coordinator.Result(), nil
 }
 
-// asyncHealthCheck makes a rollout.HealthCheck of a function that may be slow: it runs in a goroutine of its own, once for each answer that is
-// taken.
+// asyncHealthCheck turns a function that may be slow into a rollout.HealthCheck, which must not block.
+// The function runs in its own goroutine. It runs again only after its previous result was returned.
 func asyncHealthCheck(healthCheck func() string) rollout.HealthCheck {
 	if healthCheck == nil {
 		return nil
 	}
-	var pending chan string // nil while the function does not run
+	var pending chan string // nil while the function is not running
 	return func() (stopReason string, answered bool) {
 		if pending == nil {
 			answer := make(chan string, 1)
@@ -96,26 +99,28 @@
 	}
 }
 
-// messenger calls the agents for one run of a coordinator and collects their replies.
+// messenger sends the messages of one run of a coordinator to the agents and collects their replies.
 type messenger struct {
-	ctx     context.Context // of the calls
+	ctx     context.Context // parent context of all calls
 	fleet   *Fleet
 	calls   sync.WaitGroup
-	slots   chan struct{} // holds a token for each call under way
+	slots   chan struct{} // semaphore: one element for each call in progress
 	replies chan receivedReply
 }
 
-// receivedReply is a reply with the agent that sent it.
+// receivedReply is a reply and the name of the agent that sent it.
 type receivedReply struct {
 	from  string
 	reply rollout.Reply
 }
 
+// newMessenger returns a messenger that runs at most maxCalls calls at the same time.
 func newMessenger(ctx context.Context, fleet *Fleet, maxCalls int) *messenger {
 	return &messenger{ctx: ctx, fleet: fleet, slots: make(chan struct{}, maxCalls), replies: make(chan receivedReply, maxCalls)}
 }
 
-// send calls the receivers at once. Where too many calls are under way a message is dropped; the coordinator sends it again.
+// send starts a call for each envelope and does not block. It drops a message if too many calls are in
+// progress; the coordinator resends it.
 func (m *messenger) send(envelopes []rollout.Envelope) {
 	for _, envelope := range envelopes {
 		select {
@@ -130,7 +135,7 @@
 	}
 }
 
-// call sends one message and passes the reply on. A call that fails is as a message that is lost.
+// call sends one message and delivers the reply. A failed call is treated like a lost message.
 func (m *messenger) call(envelope rollout.Envelope) {
 	ctx, cancel := context.WithTimeout(m.ctx, messageTimeout)
 	defer cancel()
@@ -144,7 +149,7 @@
 	}
 }
 
-// wait waits for the calls under way, no longer than the timeout.
+// wait waits until all calls have ended or the timeout has passed.
 func (m *messenger) wait(timeout time.Duration) {
 	done := make(chan struct{})
 	go func() {
@@ -157,8 +162,8 @@
 	}
 }
 
-// nextBallotNumber returns a number higher than that of any ballot which the reachable agents have promised. It fails only where no
-// agent is reachable.
+// nextBallotNumber returns a number higher than that of every ballot that a reachable agent has promised.
+// It returns an error only if no agent is reachable.
 func (f *Fleet) nextBallotNumber(ctx context.Context) (int64, error) {
 	var mu sync.Mutex // guards the following three
 	var highest int64
--- a/internal/ctl/snapshot.go
+++ b/internal/ctl/snapshot.go
@@ -16,59 +16,60 @@
 	"tallyproxy/rollout"
 )
 
-// Snapshot is the status of a fleet at one time. Its JSON form is the output of `tallyctl show --json`.
+// Snapshot is the status of a fleet at one point in time. Its JSON form is the output of
+// `tallyctl show --json`.
 type Snapshot struct {
 	Agents    []AgentStatus    `json:"agents"`           // in the inventory's order
 	Directors []DirectorStatus `json:"directors"`        // in the inventory's order
-	Changes   []ChangeStatus   `json:"changes"`          // by ID, and so by the time they were made
-	Holder    string           `json:"holder,omitempty"` // who holds the right to change; empty for no one
-	HeldFor   time.Duration    `json:"held,omitempty"`   // since Holder was given it
-	LeaseLeft time.Duration    `json:"left,omitempty"`   // of Holder's lease
+	Changes   []ChangeStatus   `json:"changes"`          // by ID, and therefore by creation time
+	Holder    string           `json:"holder,omitempty"` // current holder of the lease; empty if there is none
+	HeldFor   time.Duration    `json:"held,omitempty"`   // time since Holder acquired the lease
+	LeaseLeft time.Duration    `json:"left,omitempty"`   // remaining time of the lease
 	entries   []rollout.Entry  // of all agents, in the inventory's order
 }
 
 // AgentStatus is the status of one agent.
 type AgentStatus struct {
-	Name      string            `json:"name"`              // in the inventory
-	Depot     string            `json:"depot"`             // its site
-	Reachable bool              `json:"answers"`           // it answered this time
-	Reason    string            `json:"why,omitempty"`     // why it is not reachable
-	Members   map[string]string `json:"members,omitempty"` // state of each other agent as this one sees it
+	Name      string            `json:"name"`              // name in the inventory
+	Depot     string            `json:"depot"`             // the agent's site
+	Reachable bool              `json:"answers"`           // the agent answered the status request
+	Reason    string            `json:"why,omitempty"`     // why the agent is not reachable
+	Members   map[string]string `json:"members,omitempty"` // state of each other agent as seen by this agent
 }
 
 // DirectorStatus is the status of one director.
 type DirectorStatus struct {
-	Name           string        `json:"name"`          // in the inventory
-	Agent          string        `json:"agent"`         // that looks after it
+	Name           string        `json:"name"`          // name in the inventory
+	Agent          string        `json:"agent"`         // name of the agent that manages the director
 	Depot          string        `json:"depot"`         // the agent's site
-	Up             bool          `json:"up"`            // it reports its status to its agent
-	Reason         string        `json:"why,omitempty"` // why it is not known to be up
-	Script         string        `json:"script"`        // that its agent has applied
-	Drifted        bool          `json:"drifted"`       // it runs another script than that
-	AgentReachable bool          `json:"known"`         // its agent answered; otherwise nothing else is known
-	Report         status.Report `json:"report"`        // its own, where it is up
-	Settings       string        `json:"settings"`      // digest of the script that it runs
+	Up             bool          `json:"up"`            // the agent received the director's status report
+	Reason         string        `json:"why,omitempty"` // why the director is not known to be up
+	Script         string        `json:"script"`        // script that the agent has applied
+	Drifted        bool          `json:"drifted"`       // the director runs a script other than Script
+	AgentReachable bool          `json:"known"`         // the agent answered; if not, the status is unknown
+	Report         status.Report `json:"report"`        // the director's report; set only if Up
+	Settings       string        `json:"settings"`      // digest of the script that the director runs
 }
 
-// ChangeStatus is what the reachable agents together know of a change.
+// ChangeStatus is the status of a change, merged from all reachable agents.
 type ChangeStatus struct {
 	ID         string            `json:"id"`               // unique among all changes
-	Author     string            `json:"by"`               // who proposed it
-	Note       string            `json:"note"`             // what it is for, in the author's words
-	Reverts    string            `json:"undoes,omitempty"` // ID of the change that this one takes back
+	Author     string            `json:"by"`               // who proposed the change
+	Note       string            `json:"note"`             // the author's description of the change
+	Reverts    string            `json:"undoes,omitempty"` // ID of the change that this change reverts
 	Outcome    string            `json:"outcome"`          // "open", "go" or "drop"
-	InProgress bool              `json:"open"`             // an agent has more to do or to learn about it
-	Directors  map[string]string `json:"directors"`        // phase by director; "not known" where its agent is not reachable
-	Reasons    map[string]string `json:"whys,omitempty"`   // why a director refused or failed, by director
+	InProgress bool              `json:"open"`             // an agent has not completed the change yet
+	Directors  map[string]string `json:"directors"`        // phase by director; "not known" if its agent is not reachable
+	Reasons    map[string]string `json:"whys,omitempty"`   // by director: why it refused the change or failed
 }
 
 // agentReply is an agent's reply to a status request.
 type agentReply struct {
-	status *fleetpb.StatusReply // nil where err is not
+	status *fleetpb.StatusReply // nil if err is set
 	err    error
 }
 
-// Snapshot asks all agents at once and returns what they answer within three seconds.
+// Snapshot queries all agents concurrently and returns the status that they report within three seconds.
 func (f *Fleet) Snapshot(ctx context.Context) Snapshot {
 	replies := make([]agentReply, len(f.Inventory.Agents))
 	var calls sync.WaitGroup
@@ -85,6 +86,7 @@
 	return s
 }
 
+// agentStatus requests the status of one agent.
 func (f *Fleet) agentStatus(ctx context.Context, name string) agentReply {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -96,7 +98,8 @@
 	return agentReply{reply, err}
 }
 
-// addAgents adds the agents, their entries and the holder of the highest ballot, and returns the directors that the agents told of.
+// addAgents adds the agents, their entries and the lease holder with the highest ballot to the snapshot.
+// It returns the directors that the agents reported, by name.
 func (s *Snapshot) addAgents(inventory *config.Inventory, replies []agentReply) (directors map[string]*fleetpb.DirectorStatus) {
 	directors = map[string]*fleetpb.DirectorStatus{}
 	var promised rollout.Ballot
@@ -120,7 +123,8 @@
 	return directors
 }
 
-// directorStatus combines a director's entry with what its agent told, nil where the agent is not reachable.
+// directorStatus combines a director's inventory entry with the status reported by its agent. The
+// reported status is nil if the agent is not reachable.
 func directorStatus(inventory *config.Inventory, entry config.DirectorEntry, reported *fleetpb.DirectorStatus) DirectorStatus {
 	s := DirectorStatus{Name: entry.Name, Agent: entry.Agent, Depot: inventory.Agent(entry.Agent).Depot, Reason: "its agent does not answer"}
 	if reported == nil {
@@ -128,13 +132,13 @@
 	}
 	s.AgentReachable, s.Up, s.Reason, s.Script, s.Settings = true, reported.GetUp(), reported.GetWhy(), reported.GetScript(), reported.GetSettings()
 	if s.Up {
-		_ = json.Unmarshal(reported.GetReport(), &s.Report) // of a report that can't be read, what could be read is shown
+		_ = json.Unmarshal(reported.GetReport(), &s.Report) // a report that can't be fully decoded is shown as far as it was decoded
 		s.Drifted = s.Settings != config.Digest([]byte(s.Script))
 	}
 	return s
 }
 
-// mergeChanges combines the agents' entries to one status for each change.
+// mergeChanges merges the agents' entries into one status for each change.
 func (s *Snapshot) mergeChanges() {
 	index := map[string]int{}
 	for _, e := range s.entries {
@@ -149,6 +153,7 @@
 	slices.SortStableFunc(s.Changes, func(a, b ChangeStatus) int { return cmp.Compare(a.ID, b.ID) })
 }
 
+// newChangeStatus returns the status of a change before any agent's entry is merged into it.
 func newChangeStatus(change *rollout.Change) ChangeStatus {
 	c := ChangeStatus{
 		ID: change.ID, Author: change.Author, Note: change.Note, Reverts: change.Reverts, Outcome: rollout.Undecided.String(),
@@ -160,6 +165,7 @@
 	return c
 }
 
+// merge adds one agent's entry to the status.
 func (c *ChangeStatus) merge(e rollout.Entry) {
 	if e.Outcome != rollout.Undecided {
 		c.Outcome = e.Outcome.String()
@@ -173,8 +179,8 @@
 	}
 }
 
-// Change returns a change that an agent knows, nil for none, and by director the script that was active before it, for those directors
-// that have it applied.
+// Change returns the change with the given ID, or nil if no reachable agent knows it. For each director
+// that has applied the change, previous holds the script that was active before.
 func (s *Snapshot) Change(id string) (change *rollout.Change, previous map[string]string) {
 	previous = map[string]string{}
 	for _, e := range s.entries {
@@ -191,7 +197,8 @@
 	return change, previous
 }
 
-// Candidates returns all directors for planning a change. The error names one whose agent is not reachable.
+// Candidates returns all directors as candidates for a change. It returns an error that names a director
+// if that director's agent is not reachable.
 func (s *Snapshot) Candidates() (candidates []rollout.Candidate, err error) {
 	for _, d := range s.Directors {
 		if !d.AgentReachable {
@@ -202,8 +209,9 @@
 	return candidates, nil
 }
 
-// FailureRate returns which share of the directors' answers since an earlier snapshot were no success, and how many answers there were.
-// Directors that are down or were restarted in between are left out.
+// FailureRate returns the share of unsuccessful answers among all answers that the directors sent since
+// an earlier snapshot, and the number of those answers. It ignores directors that are down or were
+// restarted in between.
 func (s *Snapshot) FailureRate(since Snapshot) (rate float64, answers int64) {
 	before := map[string]status.Report{}
 	for _, d := range since.Directors {
