--- a/cmd/tallyctl/agent.go
+++ b/cmd/tallyctl/agent.go
@@ -11,10 +11,10 @@
 
 type agentCommand struct {
 	Name  string `arg:"" help:"The agent's name in the inventory."`
-	Store string `placeholder:"FILE" help:"Where it keeps what it must not forget; NAME.db beside the inventory by default."`
+	Store string `placeholder:"FILE" help:"Database of the agent's persistent state. The default is NAME.db in the inventory's folder."`
 }
 
-// Run looks after directors until it is stopped; they go on running.
+// Run manages the agent's directors until it is interrupted. The directors keep running afterwards.
 func (a *agentCommand) Run(ctx context.Context, c *command) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	inventory, err := c.loadInventory()
@@ -27,13 +27,13 @@
 	}
 	path := a.Store
 	if path == "" {
-		path = resolve(inventory.Path, a.Name+".db")
+		path = resolvePath(inventory.Path, a.Name+".db")
 	}
 	store, err := agent.OpenStore(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = store.Close() }() // all that was saved is on disk already
+	defer func() { _ = store.Close() }() // every committed write is already on disk
 	running, err := agent.New(inventory, a.Name, identity, store)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
--- a/cmd/tallyctl/change.go
+++ b/cmd/tallyctl/change.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	healthCheckDelay   = time.Second // after a wave, so that clients have met its directors
-	healthCheckAnswers = 20          // fewer answers than these tell nothing
+	healthCheckDelay   = time.Second // after a wave, so that its directors have answered clients
+	healthCheckAnswers = 20          // minimum number of answers for a meaningful failure rate
 )
 
-// runFlags are the flags of all commands that take a change through.
+// runFlags are the flags of all commands that roll out a change.
 type runFlags struct {
-	Limit int     `help:"So many at a time, depot by depot; 0: all at once."`
-	Worse float64 `default:"0.1" help:"Stop between waves where the share of answers that are no success grew by this."`
+	Limit int     `help:"Maximum number of directors changed at a time, depot by depot. 0 changes all at once."`
+	Worse float64 `default:"0.1" help:"Stop between waves if the share of unsuccessful answers has grown by more than this."`
 }
 
-// run takes a change through and prints its result; with a nil change it completes what is open.
+// run rolls out a change and prints the result. If change is nil, it completes all open changes instead.
 func (r runFlags) run(ctx context.Context, c *command, fleet *ctl.Fleet, change *rollout.Change, snapshot ctl.Snapshot) error {
 	if change != nil && len(change.Targets) == 0 {
 		return c.print(rollout.Result{}, func() { fmt.Println("nothing to change") })
@@ -33,7 +33,7 @@
 	}
 	result, err := fleet.Run(ctx, change, r.healthCheck(ctx, fleet, snapshot), progress)
 	if err != nil {
-		return exitError{exitPartly, err}
+		return exitError{exitPartial, err}
 	}
 	if err := c.print(result, func() { printResult(result) }); err != nil {
 		return err
@@ -42,12 +42,13 @@
 	case result.RefusalReason != "":
 		return exitError{exitRefused, errors.New(result.RefusalReason)}
 	case !result.AllOrNone():
-		return exitError{exitPartly, fmt.Errorf("%s: not every director is where the others are", result.ID)}
+		return exitError{exitPartial, fmt.Errorf("%s: not all directors are in the same state", result.ID)}
 	}
 	return nil
 }
 
-// healthCheck returns a function that compares the failure rate since its last call with that before the change, and returns why to stop.
+// healthCheck returns a function that compares the failure rate since its last call with the rate before
+// the change. The function returns the reason to stop, or an empty string to continue.
 func (r runFlags) healthCheck(ctx context.Context, fleet *ctl.Fleet, before ctl.Snapshot) func() string {
 	baseRate, _ := before.FailureRate(ctl.Snapshot{})
 	last := before
@@ -57,12 +58,13 @@
 		rate, answers := now.FailureRate(last)
 		last = now
 		if answers >= healthCheckAnswers && rate > baseRate+r.Worse {
-			return fmt.Sprintf("%.0f%% of the answers are no success, after %.0f%%", 100*rate, 100*baseRate)
+			return fmt.Sprintf("%.0f%% of the answers were unsuccessful, compared with %.0f%% before the change", 100*rate, 100*baseRate)
 		}
 		return ""
 	}
 }
 
+// printProgress prints the current step, and the wave if the change has several.
 func printProgress(change *rollout.Change, step rollout.Step, wave int) {
 	if step == rollout.StepApply && change != nil && change.WaveCount() > 1 {
 		fmt.Printf("%v, wave %d of %d\n", step, wave, change.WaveCount())
@@ -71,10 +73,10 @@
 	}
 }
 
-// printResult prints what came of each director.
+// printResult prints the lease holder if there is one, the state of each director and the outcome.
 func printResult(r rollout.Result) {
 	if r.Holder != "" {
-		fmt.Printf("held by %s for %.0f s, for %.0f s more\n", r.Holder, float64(r.HeldFor)/1e6, float64(r.LeaseLeft)/1e6)
+		fmt.Printf("lease held by %s for %.0f s, %.0f s left\n", r.Holder, float64(r.HeldFor)/1e6, float64(r.LeaseLeft)/1e6)
 	}
 	for _, t := range r.Targets {
 		fmt.Printf("%-16s %-16s %s\n", t.Instance, t.State, t.Reason)
@@ -90,11 +92,11 @@
 type applyCommand struct {
 	selection
 	runFlags
-	Script string `arg:"" help:"The operator's script."`
-	Note   string `short:"m" help:"What for."`
+	Script string `arg:"" help:"The operator's script to run."`
+	Note   string `short:"m" help:"Description of the change for other operators."`
 }
 
-// Run has directors run a script.
+// Run rolls out a script to the selected directors.
 func (a *applyCommand) Run(ctx context.Context, c *command) error {
 	fleet, err := c.openFleet()
 	if err != nil {
@@ -112,11 +114,11 @@
 type drainCommand struct {
 	selection
 	runFlags
-	Node    string `arg:"" name:"box" help:"The box's name in the list."`
-	Restore bool   `name:"back" help:"Let it in again."`
+	Node    string `arg:"" name:"box" help:"The cache node's name in the endpoint list."`
+	Restore bool   `name:"back" help:"Put the cache node back into service."`
 }
 
-// Run has directors avoid a cache node, or use it again.
+// Run makes the selected directors avoid a cache node, or use it again.
 func (d *drainCommand) Run(ctx context.Context, c *command) error {
 	fleet, err := c.openFleet()
 	if err != nil {
@@ -141,10 +143,10 @@
 
 type undoCommand struct {
 	runFlags
-	ID string `arg:"" help:"The change's id."`
+	ID string `arg:"" help:"ID of the change."`
 }
 
-// Run takes a change back.
+// Run reverts a change.
 func (u *undoCommand) Run(ctx context.Context, c *command) error {
 	fleet, err := c.openFleet()
 	if err != nil {
@@ -154,20 +156,23 @@
 	snapshot := fleet.Snapshot(ctx)
 	change, previous := snapshot.Change(u.ID)
 	if change == nil {
-		return unknownChange(u.ID)
+		return unknownChangeError(u.ID)
 	}
 	undo := rollout.Undo(ctl.NewChangeID(), fleet.HolderID, change, previous, checksum)
 	return u.run(ctx, c, fleet, undo, snapshot)
 }
 
-func unknownChange(id string) error { return fmt.Errorf("%s: no agent that answers knows it", id) }
+// unknownChangeError is the error for the ID of a change that no reachable agent knows.
+func unknownChangeError(id string) error {
+	return fmt.Errorf("%s: no reachable agent knows this change", id)
+}
 
 type resumeCommand struct {
 	runFlags
-	ID string `arg:"" optional:"" help:"The change's id, to be told of; all that is open is brought to its end."`
+	ID string `arg:"" optional:"" help:"ID of a change whose status is printed afterwards. All open changes are completed in any case."`
 }
 
-// Run completes all changes that are open.
+// Run completes all open changes.
 func (r *resumeCommand) Run(ctx context.Context, c *command) error {
 	fleet, err := c.openFleet()
 	if err != nil {
--- a/cmd/tallyctl/check.go
+++ b/cmd/tallyctl/check.go
@@ -8,10 +8,10 @@
 )
 
 type checkCommand struct {
-	Script []string `arg:"" optional:"" help:"Operators' scripts to read too."`
+	Script []string `arg:"" optional:"" help:"Operators' scripts to check as well."`
 }
 
-// Run reads the inventory and the scripts.
+// Run checks that the inventory and the scripts are valid.
 func (k *checkCommand) Run(c *command) error {
 	inventory, err := c.loadInventory()
 	if err != nil {
@@ -27,7 +27,8 @@
 	})
 }
 
-// inventoryOutput is what `check --json` prints. Its keys stay when the fields of config.Inventory are renamed.
+// inventoryOutput is the output of `check --json`. It is separate from config.Inventory so that renaming a
+// field there does not change the printed keys.
 type inventoryOutput struct {
 	Path      string           `json:"Path"`
 	Lease     policy.Micros    `json:"Lease"` // in microseconds
@@ -37,7 +38,7 @@
 	Directors []directorOutput `json:"Directors"`
 }
 
-// agentOutput is an agent of inventoryOutput.
+// agentOutput is an agent in inventoryOutput.
 type agentOutput struct {
 	Name    string `json:"Name"`
 	Address string `json:"Address"`
@@ -46,7 +47,7 @@
 	Beyond  bool   `json:"Beyond"`
 }
 
-// directorOutput is a director of inventoryOutput.
+// directorOutput is a director in inventoryOutput.
 type directorOutput struct {
 	Name     string   `json:"Name"`
 	Agent    string   `json:"Agent"`
@@ -57,6 +58,7 @@
 	Pidfile  string   `json:"Pidfile"`
 }
 
+// newInventoryOutput converts an inventory to its printed form.
 func newInventoryOutput(inventory *config.Inventory) inventoryOutput {
 	out := inventoryOutput{
 		Path: inventory.Path, Lease: inventory.LeaseDuration, Authority: inventory.AuthorityDir, TalkKey: inventory.GossipKeyFile,
--- a/cmd/tallyctl/golden_test.go
+++ b/cmd/tallyctl/golden_test.go
@@ -14,8 +14,8 @@
 	"tallyproxy/rollout"
 )
 
-// printed gives what a function writes to the standard output.
-func printed(t *testing.T, write func()) string {
+// captureStdout returns the text that a function writes to standard output.
+func captureStdout(t *testing.T, write func()) string {
 	t.Helper()
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -35,7 +35,7 @@
 	return string(text)
 }
 
-// Operators' scripts read what --json prints: it must not change.
+// TestGoldenJSON guards against changes of the --json output, which operators' scripts parse.
 func TestGoldenJSON(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -54,8 +54,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := printed(t, func() {
-				if err := (&command{JSON: true}).print(c.value, func() { t.Error("printed for people") }); err != nil {
+			got := captureStdout(t, func() {
+				if err := (&command{JSON: true}).print(c.value, func() { t.Error("printed text instead of JSON") }); err != nil {
 					t.Error(err)
 				}
 			})
@@ -72,14 +72,15 @@
 director("n1", agent = "a0", config = "n1.json", settings = "n1.star", socket = "n1.sock", pidfile = "n1.pid")
 `
 
-// check --json prints the inventory as it was read, its paths from its own folder.
+// TestGoldenCheckJSON guards against changes of the output of `check --json`, which prints the inventory
+// with its paths resolved relative to the inventory's folder.
 func TestGoldenCheckJSON(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "fleet.star")
 	if err := os.WriteFile(path, []byte(goldenInventory), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got := printed(t, func() {
+	got := captureStdout(t, func() {
 		if code := Main([]string{"check", "--json", "-i", path}); code != exitDone {
 			t.Errorf("exit code %d", code)
 		}
@@ -90,7 +91,8 @@
 	}
 }
 
-// Sub-commands, arguments, flags, their defaults and environment variables are what operators type.
+// TestGoldenFlags guards against changes of the command line that operators and their scripts use:
+// sub-commands, arguments, flags, defaults and environment variables.
 func TestGoldenFlags(t *testing.T) {
 	var c command
 	parser, err := kong.New(&c, kong.Name("tallyctl"))
--- a/cmd/tallyctl/main.go
+++ b/cmd/tallyctl/main.go
@@ -1,4 +1,5 @@
-// Command tallyctl is the operators' tool for many directors, and the agent that looks after the directors of one machine.
+// Command tallyctl is the operators' tool for a fleet of directors. It also contains the agent that
+// manages the directors of one machine.
 package main
 
 import (
@@ -15,13 +16,13 @@
 
 // Exit codes that scripts can rely on.
 const (
-	exitDone    = 0 // done as asked
+	exitDone    = 0 // the command succeeded
 	exitRefused = 1 // refused; nothing has changed
 	exitUsage   = 2 // the arguments are wrong
-	exitPartly  = 3 // partly reached; the output tells which directors are where
+	exitPartial = 3 // partly done; the output shows the state of each director
 )
 
-// exitError is an error that decides the exit code.
+// exitError is an error that sets the exit code.
 type exitError struct {
 	code int
 	err  error
@@ -33,36 +34,36 @@
 // Unwrap returns the error without its code.
 func (e exitError) Unwrap() error { return e.err }
 
-// command is the command line. Its help texts document the fields here and in the sub-commands.
+// command is the command line. The help texts document its fields and those of the sub-commands.
 type command struct {
-	Inventory string `short:"i" env:"TALLYCTL_INVENTORY" default:"fleet.star" placeholder:"FILE" help:"What the fleet is made of, a Starlark script."`
-	Cert      string `env:"TALLYCTL_CERT" placeholder:"FILE" help:"Who you are: a certificate, its key beside it as NAME-key.pem."`
-	JSON      bool   `name:"json" help:"Print one JSON object."`
+	Inventory string `short:"i" env:"TALLYCTL_INVENTORY" default:"fleet.star" placeholder:"FILE" help:"Inventory of the fleet, a Starlark script."`
+	Cert      string `env:"TALLYCTL_CERT" placeholder:"FILE" help:"Your certificate. Its private key must be NAME-key.pem in the same folder."`
+	JSON      bool   `name:"json" help:"Print JSON instead of text."`
 
-	Agent   agentCommand   `cmd:"" help:"Look after the directors of this machine."`
-	Keys    keysCommand    `cmd:"" help:"The fleet's own certificate authority."`
-	Show    showCommand    `cmd:"" help:"Agents, directors and changes."`
-	Diff    diffCommand    `cmd:"" help:"What a script would change, director by director."`
-	Plan    planCommand    `cmd:"" help:"Which director would change in which wave."`
-	Apply   applyCommand   `cmd:"" help:"Have directors run a script: all of them, or none."`
-	Drain   drainCommand   `cmd:"" help:"Keep a box out at every director, or let it in again."`
-	Undo    undoCommand    `cmd:"" help:"Take a change back, as a change of its own."`
-	Resume  resumeCommand  `cmd:"" help:"Bring to its end what a tool left open."`
-	Status  statusCommand  `cmd:"" help:"What became of a change."`
-	History historyCommand `cmd:"" help:"Changes that the agents remember, or who had them do what."`
-	Check   checkCommand   `cmd:"" help:"Read inventory and scripts without reaching anybody."`
-	Watch   watchCommand   `cmd:"" help:"Depots, directors, boxes and changes, as they go."`
+	Agent   agentCommand   `cmd:"" help:"Run the agent that manages the directors of this machine."`
+	Keys    keysCommand    `cmd:"" help:"Manage the fleet's certificate authority."`
+	Show    showCommand    `cmd:"" help:"Show agents, directors and changes."`
+	Diff    diffCommand    `cmd:"" help:"Show what a script would change at each director."`
+	Plan    planCommand    `cmd:"" help:"Show which director would change in which wave."`
+	Apply   applyCommand   `cmd:"" help:"Roll out a script to all selected directors or to none."`
+	Drain   drainCommand   `cmd:"" help:"Take a cache node out of service at every director, or put it back."`
+	Undo    undoCommand    `cmd:"" help:"Revert a change by a new change."`
+	Resume  resumeCommand  `cmd:"" help:"Complete the changes that were left open."`
+	Status  statusCommand  `cmd:"" help:"Show the status of a change."`
+	History historyCommand `cmd:"" help:"Show the changes or the audit records that the agents have stored."`
+	Check   checkCommand   `cmd:"" help:"Check the inventory and scripts without contacting any agent."`
+	Watch   watchCommand   `cmd:"" help:"Show directors, cache nodes and changes, continuously updated."`
 }
 
 func main() { os.Exit(Main(os.Args[1:])) }
 
-// Main runs the command line's arguments, without the program's name, and returns the exit code.
+// Main runs tallyctl with the given arguments, without the program name, and returns the exit code.
 func Main(args []string) int {
 	var c command
-	parser, err := kong.New(&c, kong.Name("tallyctl"), kong.Description("Many directors, shown, changed and checked together. Exit "+
-		"code 0: done; 1: refused, nothing has changed; 2: the arguments; 3: partly reached, with who is where."))
+	parser, err := kong.New(&c, kong.Name("tallyctl"), kong.Description("Shows, changes and checks a fleet of directors. Exit "+
+		"code 0: done; 1: refused, nothing has changed; 2: invalid arguments; 3: partly done, see the output."))
 	if err != nil {
-		panic(err) // the types above are wrong
+		panic(err) // a struct tag of command or of a sub-command is invalid
 	}
 	k, err := parser.Parse(args)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return exitRefused
 }
 
-// print prints a value as JSON where that is asked for, and otherwise calls printText.
+// print prints a value as JSON if --json is set, and otherwise calls printText.
 func (c *command) print(value any, printText func()) error {
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(value)
--- a/cmd/tallyctl/open.go
+++ b/cmd/tallyctl/open.go
@@ -9,47 +9,48 @@
 	"tallyproxy/internal/ctl"
 )
 
-var errNoCertificate = errors.New("--cert: missing; `tallyctl keys issue` makes one")
+var errNoCertificate = errors.New("--cert: missing; create a certificate with `tallyctl keys issue`")
 
-// loadInventory reads the inventory; relative paths in it start at its own folder.
+// loadInventory reads the inventory and resolves its relative paths.
 func (c *command) loadInventory() (*config.Inventory, error) {
 	inventory, err := config.LoadInventory(c.Inventory)
 	if err != nil {
 		return nil, err
 	}
 	if inventory.GossipKeyFile != "" {
-		inventory.GossipKeyFile = resolve(inventory.Path, inventory.GossipKeyFile)
+		inventory.GossipKeyFile = resolvePath(inventory.Path, inventory.GossipKeyFile)
 	}
 	for i := range inventory.Directors {
 		d := &inventory.Directors[i]
-		d.PlatformFile = resolve(inventory.Path, d.PlatformFile)
-		d.SettingsFile = resolve(inventory.Path, d.SettingsFile)
-		d.StatusSocket = resolve(inventory.Path, d.StatusSocket)
+		d.PlatformFile = resolvePath(inventory.Path, d.PlatformFile)
+		d.SettingsFile = resolvePath(inventory.Path, d.SettingsFile)
+		d.StatusSocket = resolvePath(inventory.Path, d.StatusSocket)
 		if d.PIDFile != "" {
-			d.PIDFile = resolve(inventory.Path, d.PIDFile)
+			d.PIDFile = resolvePath(inventory.Path, d.PIDFile)
 		}
 	}
 	return inventory, nil
 }
 
-// resolve makes a path of the inventory relative to the inventory's folder.
-func resolve(inventory, path string) string {
+// resolvePath interprets a relative path as relative to the folder of the inventory file.
+func resolvePath(inventory, path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(filepath.Dir(inventory), path)
 }
 
-// identity opens the caller's certificate and key.
+// identity loads the operator's certificate and private key.
 func (c *command) identity(inventory *config.Inventory) (*authority.Identity, error) {
 	if c.Cert == "" {
 		return nil, exitError{exitUsage, errNoCertificate}
 	}
 	key := c.Cert[:len(c.Cert)-len(filepath.Ext(c.Cert))] + "-key.pem"
-	return authority.Open(resolve(inventory.Path, inventory.AuthorityDir), c.Cert, key)
+	return authority.Open(resolvePath(inventory.Path, inventory.AuthorityDir), c.Cert, key)
 }
 
-// openFleet reads the inventory and the caller's identity and reaches the fleet. The caller closes it.
+// openFleet loads the inventory and the operator's identity and returns a client for the fleet. The caller
+// must close it.
 func (c *command) openFleet() (*ctl.Fleet, error) {
 	inventory, err := c.loadInventory()
 	if err != nil {
--- a/cmd/tallyctl/plan.go
+++ b/cmd/tallyctl/plan.go
@@ -12,19 +12,21 @@
 	"tallyproxy/rollout"
 )
 
-// selection picks the directors that a change may take in; empty lists pick all.
+// selection limits a change to certain directors. An empty list is no limit.
 type selection struct {
-	Depot    []string `placeholder:"NAME,..." help:"Only directors of these depots."`
+	Depot    []string `placeholder:"NAME,..." help:"Only the directors of these depots."`
 	Director []string `placeholder:"NAME,..." help:"Only these directors."`
 }
 
+// includes reports whether the selection contains a director.
 func (s selection) includes(c rollout.Candidate) bool {
 	return (len(s.Depot) == 0 || slices.Contains(s.Depot, c.Depot)) && (len(s.Director) == 0 || slices.Contains(s.Director, c.Instance))
 }
 
+// checksum returns the digest by which rollout targets identify a script.
 func checksum(script string) string { return config.Digest([]byte(script)) }
 
-// planScript makes a change that gives the selected directors the script of a file.
+// planScript plans a change that gives the selected directors the script in a file.
 func (s selection) planScript(snapshot *ctl.Snapshot, path, author, note string, limit int) (*rollout.Change, error) {
 	script, err := os.ReadFile(path)
 	if err != nil {
@@ -36,13 +38,13 @@
 	return s.planEdit(snapshot, author, note, limit, func(rollout.Candidate) (string, error) { return string(script), nil })
 }
 
-// planEdit makes a change that edits the active script of each selected director.
+// planEdit plans a change that edits the active script of each selected director.
 func (s selection) planEdit(snapshot *ctl.Snapshot, author, note string, limit int, edit func(rollout.Candidate) (string, error)) (*rollout.Change, error) {
 	candidates, err := snapshot.Candidates()
 	if err != nil {
-		return nil, fmt.Errorf("%w: nothing is changed while one can't be reached", err)
+		return nil, fmt.Errorf("%w: a change requires that the agents of all directors are reachable", err)
 	}
-	var editErr error // the first
+	var editErr error // first error of edit
 	change := rollout.Plan(ctl.NewChangeID(), author, note, candidates, limit, checksum, func(c rollout.Candidate) string {
 		if !s.includes(c) {
 			return c.Script
@@ -61,7 +63,7 @@
 	Script string `arg:"" help:"The operator's script."`
 }
 
-// Run prints line by line what a script would change.
+// Run prints the lines that a script would add and remove at each director.
 func (d *diffCommand) Run(ctx context.Context, c *command) error {
 	fleet, err := c.openFleet()
 	if err != nil {
@@ -76,6 +78,7 @@
 	return c.print(change, func() { printDiff(change, &snapshot) })
 }
 
+// printDiff prints the removed and the added lines for each director that the change targets.
 func printDiff(change *rollout.Change, snapshot *ctl.Snapshot) {
 	for _, t := range change.Targets {
 		fmt.Printf("%s\n", t.Instance)
@@ -89,6 +92,7 @@
 	}
 }
 
+// printLinesNotIn prints the lines that other does not contain, each after a mark.
 func printLinesNotIn(other []string, mark string, lines []string) {
 	for _, line := range lines {
 		if !slices.Contains(other, line) {
@@ -100,10 +104,10 @@
 type planCommand struct {
 	selection
 	Script string `arg:"" help:"The operator's script."`
-	Limit  int    `help:"So many at a time, depot by depot; 0: all at once."`
+	Limit  int    `help:"Maximum number of directors changed at a time, depot by depot. 0 changes all at once."`
 }
 
-// Run prints which director would change in which wave.
+// Run prints the wave in which each director would change.
 func (p *planCommand) Run(ctx context.Context, c *command) error {
 	fleet, err := c.openFleet()
 	if err != nil {
--- a/cmd/tallyctl/show.go
+++ b/cmd/tallyctl/show.go
@@ -27,13 +27,14 @@
 	}
 	for _, a := range snapshot.Agents {
 		if !a.Reachable {
-			return exitError{exitPartly, fmt.Errorf("%s: %s", a.Name, a.Reason)}
+			return exitError{exitPartial, fmt.Errorf("%s: %s", a.Name, a.Reason)}
 		}
 	}
 	return nil
 }
 
-// directorTable formats the status of a fleet, a line for each director and then what is out of the ordinary.
+// directorTable formats the status of a fleet: a line for each director, followed by lines about
+// membership, unreachable agents, the lease holder and open changes.
 func directorTable(s ctl.Snapshot) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-12s %-16s %-12s %-5s %-9s %7s %9s %9s  %s\n",
@@ -51,11 +52,11 @@
 	}
 	for _, a := range s.Agents {
 		if !a.Reachable {
-			fmt.Fprintf(&b, "agent %s does not answer: %s\n", a.Name, a.Reason)
+			fmt.Fprintf(&b, "agent %s is not reachable: %s\n", a.Name, a.Reason)
 		}
 	}
 	if s.Holder != "" {
-		fmt.Fprintf(&b, "%s holds the right to change for %v, for %v more\n", s.Holder, s.HeldFor.Round(time.Second), s.LeaseLeft.Round(time.Second))
+		fmt.Fprintf(&b, "%s has held the lease for %v, %v left\n", s.Holder, s.HeldFor.Round(time.Second), s.LeaseLeft.Round(time.Second))
 	}
 	for _, change := range s.Changes {
 		if change.InProgress {
@@ -65,23 +66,23 @@
 	return b.String()
 }
 
-// directorNote tells what an operator should know of a director, empty for nothing.
+// directorNote returns the remark on a director in the status table, or an empty string.
 func directorNote(d ctl.DirectorStatus) string {
 	note := d.Reason
 	if d.Drifted {
-		note = "runs something else than its agent put in force"
+		note = "does not run the script that its agent applied"
 	}
 	if len(d.Report.AvoidedNodes) > 0 {
-		note = strings.TrimSpace("keeps out " + strings.Join(d.Report.AvoidedNodes, ", ") + "  " + note)
+		note = strings.TrimSpace("avoids " + strings.Join(d.Report.AvoidedNodes, ", ") + "  " + note)
 	}
 	return note
 }
 
 type statusCommand struct {
-	ID string `arg:"" help:"The change's id."`
+	ID string `arg:"" help:"ID of the change."`
 }
 
-// Run prints what became of a change.
+// Run prints the status of a change.
 func (s *statusCommand) Run(ctx context.Context, c *command) error {
 	fleet, err := c.openFleet()
 	if err != nil {
@@ -91,18 +92,19 @@
 	snapshot := fleet.Snapshot(ctx)
 	i := slices.IndexFunc(snapshot.Changes, func(change ctl.ChangeStatus) bool { return change.ID == s.ID })
 	if i < 0 {
-		return unknownChange(s.ID)
+		return unknownChangeError(s.ID)
 	}
 	change := snapshot.Changes[i]
 	if err := c.print(change, func() { printChange(change) }); err != nil {
 		return err
 	}
 	if change.InProgress {
-		return exitError{exitPartly, fmt.Errorf("%s is open; `resume` brings it to its end", s.ID)}
+		return exitError{exitPartial, fmt.Errorf("%s is open; `resume` completes it", s.ID)}
 	}
 	return nil
 }
 
+// printChange prints a change and the phase of each of its directors.
 func printChange(change ctl.ChangeStatus) {
 	fmt.Printf("%s  %s  by %s  %s\n", change.ID, change.Outcome, change.Author, change.Note)
 	for _, name := range slices.Sorted(maps.Keys(change.Directors)) {
@@ -111,10 +113,10 @@
 }
 
 type historyCommand struct {
-	Audit bool `help:"Who had which agent do what, from the agents' records, whose chain of hashes is checked."`
+	Audit bool `help:"Show who requested which action from which agent, from the agents' audit records. Their hash chain is verified."`
 }
 
-// Run prints the changes that the agents remember, or their audit records.
+// Run prints the changes that the agents have stored, or their audit records.
 func (h *historyCommand) Run(ctx context.Context, c *command) error {
 	fleet, err := c.openFleet()
 	if err != nil {
@@ -136,7 +138,7 @@
 	})
 }
 
-// auditLine is what `history --audit --json` prints for each record.
+// auditLine is the output of `history --audit --json` for one record.
 type auditLine struct {
 	Agent  string    `json:"Agent"`
 	Actor  string    `json:"Who"`
@@ -144,8 +146,9 @@
 	At     time.Time `json:"At"`
 }
 
+// printAudit prints the audit records of all agents.
 func printAudit(ctx context.Context, c *command, fleet *ctl.Fleet) error {
-	var printErr error // the first
+	var printErr error // first error of print
 	err := fleet.Audit(ctx, func(agent string, r *fleetpb.AuditRecord) {
 		line := auditLine{agent, r.Who, r.What, time.UnixMilli(r.UnixMs).UTC()}
 		err := c.print(line, func() {
--- a/cmd/tallyctl/watch.go
+++ b/cmd/tallyctl/watch.go
@@ -13,14 +13,14 @@
 	"tallyproxy/internal/ctl"
 )
 
-// watchedChanges is how many changes are shown, the latest ones.
+// watchedChanges is the number of changes shown; the latest ones are shown.
 const watchedChanges = 5
 
 type watchCommand struct {
-	Every time.Duration `default:"1s" help:"How often all agents are asked."`
+	Every time.Duration `default:"1s" help:"Interval between status requests to all agents."`
 }
 
-// Run shows the fleet in the terminal until the operator leaves.
+// Run shows the status of the fleet in the terminal until the operator quits.
 func (w *watchCommand) Run(ctx context.Context, c *command) error {
 	fleet, err := c.openFleet()
 	if err != nil {
@@ -32,22 +32,23 @@
 	return err
 }
 
-// watchModel is the state of the terminal's display, for bubbletea.
+// watchModel is the bubbletea model of the terminal display.
 type watchModel struct {
-	ctx       context.Context // of the requests to agents
+	ctx       context.Context // context of the requests to agents
 	fleet     *ctl.Fleet
 	interval  time.Duration
 	snapshot  ctl.Snapshot
-	takenAt   time.Time // of snapshot; zero before the first
-	showNodes bool      // cache nodes instead of directors
+	takenAt   time.Time // time of snapshot; zero before the first one
+	showNodes bool      // show cache nodes instead of directors
 }
 
-// snapshotMessage tells the model of a new snapshot.
+// snapshotMessage delivers a new snapshot to the model.
 type snapshotMessage struct {
 	snapshot ctl.Snapshot
 	takenAt  time.Time
 }
 
+// takeSnapshot is the bubbletea command that queries all agents.
 func (w watchModel) takeSnapshot() tea.Msg {
 	return snapshotMessage{w.fleet.Snapshot(w.ctx), time.Now()}
 }
@@ -55,7 +56,8 @@
 // Init returns the command that takes the first snapshot.
 func (w watchModel) Init() tea.Cmd { return w.takeSnapshot }
 
-// Update handles keys and snapshots; after a snapshot the next one is taken when the interval has passed.
+// Update handles key presses and snapshots. After each snapshot it schedules the next one for when the
+// interval has passed.
 func (w watchModel) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.KeyMsg:
@@ -72,10 +74,10 @@
 	return w, nil
 }
 
-// View formats the display.
+// View renders the display.
 func (w watchModel) View() string {
 	if w.takenAt.IsZero() {
-		return "asking the agents...\n"
+		return "querying the agents...\n"
 	}
 	var b strings.Builder
 	if w.showNodes {
@@ -87,11 +89,11 @@
 	for _, change := range changes[max(0, len(changes)-watchedChanges):] {
 		fmt.Fprintf(&b, "%s  %-5s %-24s %s\n", change.ID, change.Outcome, change.Note, phaseCounts(change))
 	}
-	fmt.Fprintf(&b, "\n%s   b: directors or boxes   q: leave\n", w.takenAt.Format(time.TimeOnly))
+	fmt.Fprintf(&b, "\n%s   b: directors or boxes   q: quit\n", w.takenAt.Format(time.TimeOnly))
 	return b.String()
 }
 
-// phaseCounts formats how many directors of a change are in which phase.
+// phaseCounts formats the number of directors in each phase of a change.
 func phaseCounts(change ctl.ChangeStatus) string {
 	counts := map[string]int{}
 	for _, phase := range change.Directors {
@@ -105,7 +107,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// nodeTable formats the state of each cache node as the directors of a depot see it.
+// nodeTable formats the state of each cache node as reported by the directors of each depot.
 func nodeTable(s ctl.Snapshot) string {
 	type key struct{ depot, node string }
 	states := map[key][]string{}
