--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs decision modules on the bench's wire: standard input to standard output.
+// Command simadapter connects the routing policy to the bench's simulator. It reads the simulator's
+// messages from standard input and writes the decisions to standard output.
 package main
 
 import (
@@ -11,8 +12,8 @@
 )
 
 func main() {
-	start := func(s policy.Settings) policy.Policy { return routing.New(s, routing.Options{}) }
-	if err := simadapter.Serve(os.Stdin, os.Stdout, start); err != nil {
+	newPolicy := func(s policy.Settings) policy.Policy { return routing.New(s, routing.Options{}) }
+	if err := simadapter.Serve(os.Stdin, os.Stdout, newPolicy); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
--- a/cmd/tallybench/commands.go
+++ b/cmd/tallybench/commands.go
@@ -12,10 +12,10 @@
 
 type stormCommand struct {
 	experiment.Storm
-	Verbose bool `short:"v" help:"Show the directors' log."` // on standard error
+	Verbose bool `short:"v" help:"Print the directors' log to standard error."`
 }
 
-// Run runs a storm.
+// Run runs the storm experiment and draws its plot if --plot is set.
 func (c *stormCommand) Run(ctx context.Context) (err error) {
 	if c.Argv, err = directorCommand(c.DirectorPath); err != nil {
 		return err
@@ -35,7 +35,7 @@
 	return printResult(c.JSON, result, func() { printFields(result) }, strings.Join(result.Broken(), ", "))
 }
 
-// printFields prints a result's JSON without its punctuation, one field a line.
+// printFields prints a result's JSON without quotes, commas and outer braces, one field per line.
 func printFields(result any) {
 	text, err := json.MarshalIndent(result, "", "  ")
 	if err != nil {
@@ -49,7 +49,7 @@
 	experiment.Rollout
 }
 
-// Run runs changes of fleets under faults.
+// Run simulates configuration changes of fleets under faults.
 func (c *fleetCommand) Run() error {
 	runs, err := c.Execute()
 	if err != nil {
@@ -70,11 +70,12 @@
 		printRollouts(runs)
 	}
 	if inconsistent+unfinished > 0 {
-		return fmt.Errorf("%d changes ended in neither state, %d did not end", inconsistent, unfinished)
+		return fmt.Errorf("%d changes ended with an inconsistent fleet, %d did not end", inconsistent, unfinished)
 	}
 	return nil
 }
 
+// printRollouts prints the runs as a table.
 func printRollouts(runs []experiment.RolloutRun) {
 	fmt.Println("instances schedules changed untouched partial  mixed unended | ended p50 ms  p99 ms   no crash | known p50 ms  p99 ms  " +
 		"after fault |    tools   agents one by one ms")
@@ -87,10 +88,10 @@
 
 type peersCommand struct {
 	experiment.Membership
-	Verbose bool `short:"v" help:"Show the directors' log."` // on standard error
+	Verbose bool `short:"v" help:"Print the directors' log to standard error."`
 }
 
-// Run runs faults between directors.
+// Run runs a cluster of directors under faults between them.
 func (c *peersCommand) Run(ctx context.Context) (err error) {
 	if c.Argv, err = directorCommand(c.DirectorPath); err != nil {
 		return err
@@ -105,7 +106,8 @@
 	return printResult(c.JSON, result, func() { printMembership(result.Runs) }, strings.Join(result.Broken(), ", "))
 }
 
-// printMembership prints runs as a table, and on standard error which schedules failed and why.
+// printMembership prints the runs as a table, and on standard error the schedules that failed and
+// why.
 func printMembership(runs []*experiment.MembershipRun) {
 	fmt.Println("directors faults    schedules rules lost quota overload unended | quotas  death p50   p99 ms  one view | wrong/h  " +
 		"packets/s  bytes/s   MB | share   recovery ms  cold peak")
@@ -123,6 +125,7 @@
 	}
 }
 
+// printMembershipRun prints one row of the table, followed by a remark.
 func printMembershipRun(r *experiment.MembershipRun, remark string) {
 	fmt.Printf("%9d %-9s %9d %5d %4d %5d %8d %7d | %6.2f %10.0f %8.0f %9.0f | %7.1f %10.1f %8.0f %4.0f | %.4f %11.0f %10.3f%s\n",
 		r.Directors, r.Faults, r.Schedules, r.RulesBroken, r.Lost, r.QuotaExceeded, r.OverloadedNodes, r.Unfinished, r.PeakQuotaSum,
@@ -134,7 +137,7 @@
 	experiment.Startup
 }
 
-// Run runs a start of many directors.
+// Run starts many directors at once, with faults of the command channel.
 func (c *startCommand) Run(ctx context.Context) (err error) {
 	if c.Argv, err = directorCommand(c.DirectorPath); err != nil {
 		return err
@@ -154,7 +157,7 @@
 	experiment.MaintenancePlan
 }
 
-// Run plans maintenance.
+// Run plans the maintenance of machines and checks the plans.
 func (c *planCommand) Run() error {
 	result, err := c.Execute()
 	if err != nil {
@@ -167,7 +170,7 @@
 	experiment.Cores
 }
 
-// Run measures a director on several cores.
+// Run measures a director on several cores and draws the plot if --plot is set.
 func (c *coresCommand) Run(ctx context.Context) (err error) {
 	if c.Argv, err = directorCommand(c.DirectorPath); err != nil {
 		return err
@@ -184,6 +187,7 @@
 	return printResult(c.JSON, result, func() { printCores(result.Runs) }, strings.Join(result.Broken(), "; "))
 }
 
+// printCores prints the runs as a table.
 func printCores(runs []experiment.CoresRun) {
 	fmt.Println("cores  own  rate/s   p50 ms   p99 ms  p99.9 ms  cpu µs  rss MB   rejected  failed")
 	for _, r := range runs {
--- a/cmd/tallybench/golden_test.go
+++ b/cmd/tallybench/golden_test.go
@@ -8,7 +8,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// Sub-commands and flags keep their names, defaults and permitted values.
+// TestFlagsGolden guards against changes of the names, defaults and permitted values of
+// sub-commands and flags, which scripts use.
 func TestFlagsGolden(t *testing.T) {
 	parser, err := kong.New(&command{}, kong.Name("tallybench"))
 	if err != nil {
--- a/cmd/tallybench/main.go
+++ b/cmd/tallybench/main.go
@@ -1,4 +1,5 @@
-// Command tallybench runs load and experiments against directors that it starts, with fakes of all they talk to.
+// Command tallybench runs load tests and experiments against directors that it starts, with fakes
+// of all their peer systems.
 package main
 
 import (
@@ -12,20 +13,20 @@
 	"github.com/alecthomas/kong"
 )
 
-// command has the sub-commands; their help texts are those of `tallybench --help`.
+// command is the command line. The help texts are printed by `tallybench --help`.
 type command struct {
-	Storm stormCommand `cmd:"" help:"Many clients that connect and retry at once, on cold caches."`
-	Fleet fleetCommand `cmd:"" help:"Configuration changes of many instances under faults, in simulated time."`
-	Peers peersCommand `cmd:"" help:"Directors that form a cluster, and faults between them."`
-	Start startCommand `cmd:"" help:"Many directors that start at once, and a command channel that is unavailable for a while."`
-	Plan  planCommand  `cmd:"" help:"Plans of the order in which machines are taken out for maintenance."`
-	Cores coresCommand `cmd:"" help:"A director on several cores: rate, latency, memory."`
+	Storm stormCommand `cmd:"" help:"Run many clients that connect and retry at once while the caches are cold."`
+	Fleet fleetCommand `cmd:"" help:"Simulate configuration changes of many instances under faults."`
+	Peers peersCommand `cmd:"" help:"Run a cluster of directors with faults between them."`
+	Start startCommand `cmd:"" help:"Start many directors at once while the command channel is unavailable for a time."`
+	Plan  planCommand  `cmd:"" help:"Plan the order in which machines are taken out of service for maintenance."`
+	Cores coresCommand `cmd:"" help:"Measure rate, latency and memory of a director on several cores."`
 }
 
 func main() {
 	var c command
-	parser := kong.Parse(&c, kong.Name("tallybench"), kong.Description("Load and experiments on loopback. Exit code 0: every rule "+
-		"held; 1: one was broken, or the experiment could not be run; 2: invalid arguments."), kong.UsageOnError())
+	parser := kong.Parse(&c, kong.Name("tallybench"), kong.Description("Load tests and experiments on loopback. Exit code 0: no "+
+		"rule was broken; 1: a rule was broken, or the experiment could not run; 2: invalid arguments."), kong.UsageOnError())
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	parser.BindTo(ctx, (*context.Context)(nil))
 	err := parser.Run()
@@ -36,7 +37,8 @@
 	}
 }
 
-// printResult prints a result, as JSON or by a function as text, and returns an error where rules were broken.
+// printResult prints a result, either as JSON or by calling printText. It returns an error if
+// broken, which names the broken rules, is not empty.
 func printResult(asJSON bool, result any, printText func(), broken string) error {
 	if asJSON {
 		if err := json.NewEncoder(os.Stdout).Encode(result); err != nil {
@@ -46,12 +48,13 @@
 		printText()
 	}
 	if broken != "" {
-		return fmt.Errorf("broken: %s", broken)
+		return fmt.Errorf("broken rules: %s", broken)
 	}
 	return nil
 }
 
-// directorCommand is the command that starts a director: the program at a path, or, for an empty one, tallyproxy beside this program.
+// directorCommand returns the command that starts a director. An empty path selects the tallyproxy
+// binary in the folder of the running program.
 func directorCommand(path string) ([]string, error) {
 	if path == "" {
 		self, err := os.Executable()
@@ -61,7 +64,7 @@
 		path = filepath.Join(filepath.Dir(self), "tallyproxy")
 	}
 	if _, err := os.Stat(path); err != nil {
-		return nil, fmt.Errorf("--director: %w; `make build` makes it", err)
+		return nil, fmt.Errorf("--director: %w; build it with `make build`", err)
 	}
 	return []string{path}, nil
 }
--- a/cmd/tallyctl/change.go
+++ b/cmd/tallyctl/change.go
@@ -21,7 +21,8 @@
 	Worse float64 `default:"0.1" help:"Stop between waves if the share of unsuccessful answers has grown by more than this."`
 }
 
-// run rolls out a change and prints the result. If change is nil, it completes all open changes instead.
+// run rolls out a change and prints the result. If change is nil, it completes all open changes
+// instead.
 func (r runFlags) run(ctx context.Context, c *command, fleet *ctl.Fleet, change *rollout.Change, snapshot ctl.Snapshot) error {
 	if change != nil && len(change.Targets) == 0 {
 		return c.print(rollout.Result{}, func() { fmt.Println("nothing to change") })
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// healthCheck returns a function that compares the failure rate since its last call with the rate before
-// the change. The function returns the reason to stop, or an empty string to continue.
+// healthCheck returns a function that compares the failure rate since its last call with the rate
+// before the change. The function returns the reason to stop, or an empty string to continue.
 func (r runFlags) healthCheck(ctx context.Context, fleet *ctl.Fleet, before ctl.Snapshot) func() string {
 	baseRate, _ := before.FailureRate(ctl.Snapshot{})
 	last := before
--- a/cmd/tallyctl/check.go
+++ b/cmd/tallyctl/check.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// inventoryOutput is the output of `check --json`. It is separate from config.Inventory so that renaming a
-// field there does not change the printed keys.
+// inventoryOutput is the output of `check --json`. It is separate from config.Inventory so that
+// renaming a field there does not change the printed keys.
 type inventoryOutput struct {
 	Path      string           `json:"Path"`
 	Lease     policy.Micros    `json:"Lease"` // in microseconds
--- a/cmd/tallyctl/golden_test.go
+++ b/cmd/tallyctl/golden_test.go
@@ -72,8 +72,8 @@
 director("n1", agent = "a0", config = "n1.json", settings = "n1.star", socket = "n1.sock", pidfile = "n1.pid")
 `
 
-// TestGoldenCheckJSON guards against changes of the output of `check --json`, which prints the inventory
-// with its paths resolved relative to the inventory's folder.
+// TestGoldenCheckJSON guards against changes of the output of `check --json`, which prints the
+// inventory with its paths resolved relative to the inventory's folder.
 func TestGoldenCheckJSON(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "fleet.star")
--- a/cmd/tallyctl/keys.go
+++ b/cmd/tallyctl/keys.go
@@ -48,8 +48,8 @@
 	Certs []string `arg:"" help:"Certificate files to revoke."`
 }
 
-// Run revokes certificates. Each agent reads the revocation list from its own authority folder, so the
-// updated list has to be copied there.
+// Run revokes certificates. Each agent reads the revocation list from its own authority folder, so
+// the updated list has to be copied there.
 func (k *keysRevokeCommand) Run(c *command) error {
 	var certs []*x509.Certificate
 	for _, path := range k.Certs {
--- a/cmd/tallyctl/open.go
+++ b/cmd/tallyctl/open.go
@@ -49,8 +49,8 @@
 	return authority.Open(resolvePath(inventory.Path, inventory.AuthorityDir), c.Cert, key)
 }
 
-// openFleet loads the inventory and the operator's identity and returns a client for the fleet. The caller
-// must close it.
+// openFleet loads the inventory and the operator's identity and returns a client for the fleet. The
+// caller must close it.
 func (c *command) openFleet() (*ctl.Fleet, error) {
 	inventory, err := c.loadInventory()
 	if err != nil {
--- a/cmd/tallyctl/watch.go
+++ b/cmd/tallyctl/watch.go
@@ -56,8 +56,8 @@
 // Init returns the command that takes the first snapshot.
 func (w watchModel) Init() tea.Cmd { return w.takeSnapshot }
 
-// Update handles key presses and snapshots. After each snapshot it schedules the next one for when the
-// interval has passed.
+// Update handles key presses and snapshots. After each snapshot it schedules the next one for when
+// the interval has passed.
 func (w watchModel) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.KeyMsg:
--- a/cmd/tallyproxy/main.go
+++ b/cmd/tallyproxy/main.go
@@ -1,4 +1,5 @@
-// Command tallyproxy is the director: it takes requests from clients and has cache nodes answer them.
+// Command tallyproxy is the director. It accepts requests from clients and routes them to cache
+// nodes.
 package main
 
 import (
--- a/internal/ctl/avoid.go
+++ b/internal/ctl/avoid.go
@@ -9,13 +9,13 @@
 	"tallyproxy/internal/config"
 )
 
-// avoidLine matches the line that EditAvoidedNodes writes. Its form must not change, because scripts
-// already in service contain it.
+// avoidLine matches the line that EditAvoidedNodes writes. Its form must not change, because
+// scripts already in service contain it.
 var avoidLine = regexp.MustCompile(`(?m)^avoid\(boxes = \[([^\]]*)\]\) # by tallyctl\n?`)
 
-// EditAvoidedNodes adds a cache node to the avoid line that tallyctl maintains in a script, or removes
-// the node from it, and returns the edited script. It returns an error if the script contains another
-// call of avoid: that call belongs to the script's author, who has to edit it.
+// EditAvoidedNodes adds a cache node to the avoid line that tallyctl maintains in a script, or
+// removes the node from it, and returns the edited script. It returns an error if the script
+// contains another call of avoid: that call belongs to the script's author, who has to edit it.
 func EditAvoidedNodes(script, node string, avoid bool) (string, error) {
 	var nodes []string
 	if m := avoidLine.FindStringSubmatch(script); m != nil {
--- a/internal/ctl/cachenode.go
+++ b/internal/ctl/cachenode.go
@@ -13,9 +13,9 @@
 // maxSuggestions is the number of similar names suggested for an unknown name.
 const maxSuggestions = 3
 
-// CheckCacheNode returns an error that suggests the most similar names if no director's endpoint list
-// contains a cache node with the given name. It prevents a mistyped name from leaving a node in service
-// unnoticed. It returns nil if no director reports any node.
+// CheckCacheNode returns an error that suggests the most similar names if no director's endpoint
+// list contains a cache node with the given name. It prevents a mistyped name from leaving a node
+// in service unnoticed. It returns nil if no director reports any node.
 func (s *Snapshot) CheckCacheNode(name string) error {
 	known := map[string]bool{}
 	for _, director := range s.Directors {
--- a/internal/ctl/cachenode_test.go
+++ b/internal/ctl/cachenode_test.go
@@ -8,8 +8,8 @@
 	"tallyproxy/routing"
 )
 
-// TestCheckCacheNode guards against a mistyped node name being accepted silently, and against a correct
-// name being rejected when no director reports its nodes.
+// TestCheckCacheNode guards against a mistyped node name being accepted silently, and against a
+// correct name being rejected when no director reports its nodes.
 func TestCheckCacheNode(t *testing.T) {
 	reporting := func(names ...string) (d DirectorStatus) {
 		for _, name := range names {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,6 +1,6 @@
-// Package ctl is the operator's client for a fleet. It queries the agents for their status and rolls out
-// changes through them. Package rollout makes the decisions; this package performs the I/O for its
-// Coordinator.
+// Package ctl is the operator's client for a fleet. It queries the agents for their status and
+// rolls out changes through them. Package rollout makes the decisions; this package performs the
+// I/O for its Coordinator.
 package ctl
 
 import (
@@ -25,14 +25,14 @@
 // Fleet is an operator's connection to the agents of a fleet. It is safe for concurrent use.
 type Fleet struct {
 	Inventory *config.Inventory // agents and directors of the fleet; read-only
-	HolderID  string            // identifies this process as a ballot holder: operator's name, slash, random number
+	HolderID  string            // ballot holder's ID: operator's name, slash, random number
 	clients   *agent.Clients
 	started   time.Time // time origin of now
 	timeouts  rollout.Timeouts
 }
 
-// Open returns a client for the fleet of an inventory that authenticates with the given identity. It does
-// not connect to any agent yet. The caller must call Close.
+// Open returns a client for the fleet of an inventory that authenticates with the given identity.
+// It does not connect to any agent yet. The caller must call Close.
 func Open(inventory *config.Inventory, identity *authority.Identity) *Fleet {
 	timeouts := rollout.DefaultTimeouts()
 	timeouts.Lease = inventory.LeaseDuration
@@ -58,9 +58,9 @@
 // NewChangeID returns a unique ID for a change: the current UTC time followed by a random number.
 func NewChangeID() string { return time.Now().UTC().Format("20060102-150405-") + randomHex(3) }
 
-// Audit calls each for every audit record of every agent. Agents come in the order of the inventory, and
-// the records of one agent come oldest first. The error names the agents that did not answer or whose
-// audit chain is damaged; the records of the other agents are still reported.
+// Audit calls each for every audit record of every agent. Agents come in the order of the
+// inventory, and the records of one agent come oldest first. The error names the agents that did
+// not answer or whose audit chain is damaged; the records of the other agents are still reported.
 func (f *Fleet) Audit(ctx context.Context, each func(agent string, r *fleetpb.AuditRecord)) error {
 	var errs []error
 	for _, a := range f.Inventory.Agents {
--- a/internal/ctl/golden_test.go
+++ b/internal/ctl/golden_test.go
@@ -11,8 +11,8 @@
 	"tallyproxy/routing"
 )
 
-// TestGoldenJSON guards against changes of the output of `tallyctl show --json`, `status --json` and
-// `history --json`, which operators' scripts parse.
+// TestGoldenJSON guards against changes of the output of `tallyctl show --json`, `status --json`
+// and `history --json`, which operators' scripts parse.
 func TestGoldenJSON(t *testing.T) {
 	change := ChangeStatus{
 		ID: "c1", Author: "op/1", Note: "why", Reverts: "c0", Outcome: "go", InProgress: true, Directors: map[string]string{"n0": "failed"},
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestGoldenAvoidLine guards against a new version of tallyctl not recognizing the avoid line that an
-// older version added to a script.
+// TestGoldenAvoidLine guards against a new version of tallyctl not recognizing the avoid line that
+// an older version added to a script.
 func TestGoldenAvoidLine(t *testing.T) {
 	const one, two = "avoid(boxes = [\"box-1\"]) # by tallyctl\n", "avoid(boxes = [\"box-1\", \"box-2\"]) # by tallyctl\n"
 	for _, c := range []struct {
--- a/internal/ctl/membership.go
+++ b/internal/ctl/membership.go
@@ -16,10 +16,10 @@
 	staleListAge       = 5 * time.Second // an endpoint list is reported as stale above this age
 )
 
-// MembershipLines returns human-readable lines about the directors that report a membership view. They
-// list the differing views, the peers that a director does not see as up, name conflicts, the directors
-// that poll the command channel, and the directors with a stale endpoint list. It returns nil if no
-// director that is up reports a membership view.
+// MembershipLines returns human-readable lines about the directors that report a membership view.
+// They list the differing views, the peers that a director does not see as up, name conflicts, the
+// directors that poll the command channel, and the directors with a stale endpoint list. It returns
+// nil if no director that is up reports a membership view.
 func (s *Snapshot) MembershipLines() (lines []string) {
 	var members []DirectorStatus
 	for _, d := range s.Directors {
@@ -41,8 +41,8 @@
 	return lines
 }
 
-// viewLines returns one line for each distinct membership view, with the directors that have it. The view
-// of most directors comes first.
+// viewLines returns one line for each distinct membership view, with the directors that have it.
+// The view of most directors comes first.
 func viewLines(members []DirectorStatus) (lines []string) {
 	names, quotas := map[string][]string{}, map[string]string{}
 	for _, d := range members {
@@ -89,8 +89,8 @@
 	return lines
 }
 
-// peerLines returns a line with the peers that a member does not see as up, and a line if another process
-// uses the member's name.
+// peerLines returns a line with the peers that a member does not see as up, and a line if another
+// process uses the member's name.
 func peerLines(d DirectorStatus) (lines []string) {
 	var missing []string
 	for _, p := range d.Report.Membership.Peers {
--- a/internal/ctl/membership_test.go
+++ b/internal/ctl/membership_test.go
@@ -9,8 +9,8 @@
 	"tallyproxy/relays"
 )
 
-// TestMembershipLines guards against the lines hiding a membership view that differs, a peer that is not
-// up, a name conflict or a stale endpoint list.
+// TestMembershipLines guards against the lines hiding a membership view that differs, a peer that
+// is not up, a name conflict or a stale endpoint list.
 func TestMembershipLines(t *testing.T) {
 	director := func(name, digest, partitionState string, peers ...membership.PeerReport) DirectorStatus {
 		return DirectorStatus{Name: name, Up: true, Report: status.Report{Membership: &membership.Report{
--- a/internal/ctl/run.go
+++ b/internal/ctl/run.go
@@ -10,21 +10,24 @@
 )
 
 const (
-	maxRecoveryRetries = 4                     // while an agent's recovery holds the lease, or Result.NeedsResume is set
-	ballotTimeout      = 2 * time.Second       // for one agent to report the ballot that it has promised
-	messageTimeout     = 5 * time.Second       // for one call to an agent
-	releaseTimeout     = time.Second           // for the last calls, which release the lease
-	tickInterval       = 50 * time.Millisecond // between calls of Coordinator.Tick
+	// maxRecoveryRetries limits the retries of Run while an agent's recovery holds the lease, or
+	// while another holder has decided the change and waves are left.
+	maxRecoveryRetries = 4
+
+	ballotTimeout  = 2 * time.Second       // for one agent to report its promised ballot
+	messageTimeout = 5 * time.Second       // for one call to an agent
+	releaseTimeout = time.Second           // for the last calls, which release the lease
+	tickInterval   = 50 * time.Millisecond // between calls of Coordinator.Tick
 )
 
-// Run rolls out a change. If change is nil, Run instead completes the changes that other holders left
-// open. The progress function, if not nil, is called at each new step and wave. The health check, if not
-// nil, is called between waves. It returns the reason to stop the rollout, or an empty string to
-// continue, and may be slow.
+// Run rolls out a change. If change is nil, Run instead completes the changes that other holders
+// left open. The progress function, if not nil, is called at each new step and wave. The health
+// check, if not nil, is called between waves. It returns the reason to stop the rollout, or an
+// empty string to continue, and may be slow.
 //
-// Run returns within a bounded time no matter which agents answer (see docs/fleet.md). If the context
-// ends, Run releases the lease and returns an error without waiting for the change; the agents then
-// complete what was started.
+// Run returns within a bounded time no matter which agents answer (see docs/fleet.md). If the
+// context ends during an attempt, Run releases the lease and returns an error without waiting for
+// the change; the agents then complete what was started.
 func (f *Fleet) Run(ctx context.Context, change *rollout.Change, healthCheck func() string, progress func(rollout.Step, int)) (rollout.Result, error) {
 	for retries := 0; ; retries++ {
 		result, err := f.run(ctx, change, healthCheck, progress)
@@ -32,7 +35,8 @@
 		if err != nil || !mayRetry || retries == maxRecoveryRetries {
 			return result, err
 		}
-		select { // an agent's recovery does not compete with the operator and ends soon, so it is worth waiting
+		// An agent's recovery does not compete with the operator and ends soon: wait for it.
+		select {
 		case <-ctx.Done():
 			return result, nil
 		case <-time.After(f.timeouts.Resend.Duration() + result.LeaseLeft.Duration()):
@@ -48,7 +52,8 @@
 	}
 	agents := f.Inventory.AgentNames()
 	coordinator := rollout.NewCoordinator(f.HolderID, number, agents, change, f.timeouts, asyncHealthCheck(healthCheck))
-	callContext, cancel := context.WithCancel(context.WithoutCancel(ctx)) // lets the last calls continue after an interrupt
+	// The calls do not end with ctx, so that the lease can still be released after an interrupt.
+	callContext, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	m := newMessenger(callContext, f, 4*len(agents)+16)
 	ticker := time.NewTicker(tickInterval)
@@ -76,8 +81,9 @@
 	return coordinator.Result(), nil
 }
 
-// asyncHealthCheck turns a function that may be slow into a rollout.HealthCheck, which must not block.
-// The function runs in its own goroutine. It runs again only after its previous result was returned.
+// asyncHealthCheck turns a function that may be slow into a rollout.HealthCheck, which must not
+// block. The function runs in its own goroutine. It runs again only after its previous result was
+// returned.
 func asyncHealthCheck(healthCheck func() string) rollout.HealthCheck {
 	if healthCheck == nil {
 		return nil
@@ -99,7 +105,8 @@
 	}
 }
 
-// messenger sends the messages of one run of a coordinator to the agents and collects their replies.
+// messenger sends the messages of one run of a coordinator to the agents and collects their
+// replies.
 type messenger struct {
 	ctx     context.Context // parent context of all calls
 	fleet   *Fleet
@@ -119,8 +126,8 @@
 	return &messenger{ctx: ctx, fleet: fleet, slots: make(chan struct{}, maxCalls), replies: make(chan receivedReply, maxCalls)}
 }
 
-// send starts a call for each envelope and does not block. It drops a message if too many calls are in
-// progress; the coordinator resends it.
+// send starts a call for each envelope and does not block. It drops a message if too many calls are
+// in progress; the coordinator resends it.
 func (m *messenger) send(envelopes []rollout.Envelope) {
 	for _, envelope := range envelopes {
 		select {
@@ -162,8 +169,8 @@
 	}
 }
 
-// nextBallotNumber returns a number higher than that of every ballot that a reachable agent has promised.
-// It returns an error only if no agent is reachable.
+// nextBallotNumber returns a number higher than that of every ballot that a reachable agent has
+// promised. It returns an error only if no agent is reachable.
 func (f *Fleet) nextBallotNumber(ctx context.Context) (int64, error) {
 	var mu sync.Mutex // guards the following three
 	var highest int64
--- a/internal/ctl/snapshot.go
+++ b/internal/ctl/snapshot.go
@@ -16,13 +16,13 @@
 	"tallyproxy/rollout"
 )
 
-// Snapshot is the status of a fleet at one point in time. Its JSON form is the output of
-// `tallyctl show --json`.
+// Snapshot is the status of a fleet at one point in time. Its JSON form is the output of `tallyctl
+// show --json`.
 type Snapshot struct {
 	Agents    []AgentStatus    `json:"agents"`           // in the inventory's order
 	Directors []DirectorStatus `json:"directors"`        // in the inventory's order
 	Changes   []ChangeStatus   `json:"changes"`          // by ID, and therefore by creation time
-	Holder    string           `json:"holder,omitempty"` // current holder of the lease; empty if there is none
+	Holder    string           `json:"holder,omitempty"` // lease holder; empty if there is none
 	HeldFor   time.Duration    `json:"held,omitempty"`   // time since Holder acquired the lease
 	LeaseLeft time.Duration    `json:"left,omitempty"`   // remaining time of the lease
 	entries   []rollout.Entry  // of all agents, in the inventory's order
@@ -34,33 +34,34 @@
 	Depot     string            `json:"depot"`             // the agent's site
 	Reachable bool              `json:"answers"`           // the agent answered the status request
 	Reason    string            `json:"why,omitempty"`     // why the agent is not reachable
-	Members   map[string]string `json:"members,omitempty"` // state of each other agent as seen by this agent
+	Members   map[string]string `json:"members,omitempty"` // states of the other agents, by name
 }
 
 // DirectorStatus is the status of one director.
 type DirectorStatus struct {
 	Name           string        `json:"name"`          // name in the inventory
-	Agent          string        `json:"agent"`         // name of the agent that manages the director
+	Agent          string        `json:"agent"`         // the agent that manages the director
 	Depot          string        `json:"depot"`         // the agent's site
-	Up             bool          `json:"up"`            // the agent received the director's status report
+	Up             bool          `json:"up"`            // the agent received its status report
 	Reason         string        `json:"why,omitempty"` // why the director is not known to be up
 	Script         string        `json:"script"`        // script that the agent has applied
-	Drifted        bool          `json:"drifted"`       // the director runs a script other than Script
-	AgentReachable bool          `json:"known"`         // the agent answered; if not, the status is unknown
+	Drifted        bool          `json:"drifted"`       // it runs a script other than Script
+	AgentReachable bool          `json:"known"`         // if not, the status is unknown
 	Report         status.Report `json:"report"`        // the director's report; set only if Up
-	Settings       string        `json:"settings"`      // digest of the script that the director runs
+	Settings       string        `json:"settings"`      // digest of the running script
 }
 
-// ChangeStatus is the status of a change, merged from all reachable agents.
+// ChangeStatus is the status of a change, merged from all reachable agents. The phase of a director
+// is "not known" if its agent is not reachable.
 type ChangeStatus struct {
 	ID         string            `json:"id"`               // unique among all changes
 	Author     string            `json:"by"`               // who proposed the change
 	Note       string            `json:"note"`             // the author's description of the change
-	Reverts    string            `json:"undoes,omitempty"` // ID of the change that this change reverts
+	Reverts    string            `json:"undoes,omitempty"` // ID of the reverted change
 	Outcome    string            `json:"outcome"`          // "open", "go" or "drop"
-	InProgress bool              `json:"open"`             // an agent has not completed the change yet
-	Directors  map[string]string `json:"directors"`        // phase by director; "not known" if its agent is not reachable
-	Reasons    map[string]string `json:"whys,omitempty"`   // by director: why it refused the change or failed
+	InProgress bool              `json:"open"`             // an agent has not completed it
+	Directors  map[string]string `json:"directors"`        // phase by director, or "not known"
+	Reasons    map[string]string `json:"whys,omitempty"`   // cause of failure or refusal, by name
 }
 
 // agentReply is an agent's reply to a status request.
@@ -69,7 +70,8 @@
 	err    error
 }
 
-// Snapshot queries all agents concurrently and returns the status that they report within three seconds.
+// Snapshot queries all agents concurrently and returns the status that they report within three
+// seconds.
 func (f *Fleet) Snapshot(ctx context.Context) Snapshot {
 	replies := make([]agentReply, len(f.Inventory.Agents))
 	var calls sync.WaitGroup
@@ -98,8 +100,8 @@
 	return agentReply{reply, err}
 }
 
-// addAgents adds the agents, their entries and the lease holder with the highest ballot to the snapshot.
-// It returns the directors that the agents reported, by name.
+// addAgents adds the agents, their entries and the lease holder with the highest ballot to the
+// snapshot. It returns the directors that the agents reported, by name.
 func (s *Snapshot) addAgents(inventory *config.Inventory, replies []agentReply) (directors map[string]*fleetpb.DirectorStatus) {
 	directors = map[string]*fleetpb.DirectorStatus{}
 	var promised rollout.Ballot
@@ -132,7 +134,8 @@
 	}
 	s.AgentReachable, s.Up, s.Reason, s.Script, s.Settings = true, reported.GetUp(), reported.GetWhy(), reported.GetScript(), reported.GetSettings()
 	if s.Up {
-		_ = json.Unmarshal(reported.GetReport(), &s.Report) // a report that can't be fully decoded is shown as far as it was decoded
+		// A report that can't be fully decoded is shown as far as it was decoded.
+		_ = json.Unmarshal(reported.GetReport(), &s.Report)
 		s.Drifted = s.Settings != config.Digest([]byte(s.Script))
 	}
 	return s
@@ -179,8 +182,8 @@
 	}
 }
 
-// Change returns the change with the given ID, or nil if no reachable agent knows it. For each director
-// that has applied the change, previous holds the script that was active before.
+// Change returns the change with the given ID, or nil if no reachable agent knows it. For each
+// director that has applied the change, previous holds the script that was active before.
 func (s *Snapshot) Change(id string) (change *rollout.Change, previous map[string]string) {
 	previous = map[string]string{}
 	for _, e := range s.entries {
@@ -197,8 +200,8 @@
 	return change, previous
 }
 
-// Candidates returns all directors as candidates for a change. It returns an error that names a director
-// if that director's agent is not reachable.
+// Candidates returns all directors as candidates for a change. It returns an error that names a
+// director if that director's agent is not reachable.
 func (s *Snapshot) Candidates() (candidates []rollout.Candidate, err error) {
 	for _, d := range s.Directors {
 		if !d.AgentReachable {
@@ -209,9 +212,9 @@
 	return candidates, nil
 }
 
-// FailureRate returns the share of unsuccessful answers among all answers that the directors sent since
-// an earlier snapshot, and the number of those answers. It ignores directors that are down or were
-// restarted in between.
+// FailureRate returns the share of unsuccessful answers among all answers that the directors sent
+// since an earlier snapshot, and the number of those answers. It ignores directors that are down or
+// were restarted in between.
 func (s *Snapshot) FailureRate(since Snapshot) (rate float64, answers int64) {
 	before := map[string]status.Report{}
 	for _, d := range since.Directors {
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,5 +1,6 @@
-// Package goldentest holds encoded forms to texts that were recorded from a version in service. Versions meet during a roll-out, so the
-// recorded texts are never recorded anew to get a pass.
+// Package goldentest compares encoded values with texts recorded from a version in service.
+// Different versions exchange these encodings during a rollout, so a failing test must never be
+// fixed by recording its text again.
 package goldentest
 
 import (
@@ -8,7 +9,7 @@
 	"testing"
 )
 
-// JSON checks that a value is written as the text, and that the text is read as the value.
+// JSON checks that value is encoded as text, and that text is decoded as value.
 func JSON(t testing.TB, value any, text string) {
 	t.Helper()
 	raw, err := json.Marshal(value)
@@ -16,13 +17,13 @@
 		t.Fatal(err)
 	}
 	if string(raw) != text {
-		t.Errorf("%T is written as\n%s, want\n%s", value, raw, text)
+		t.Errorf("%T is encoded as\n%s, want\n%s", value, raw, text)
 	}
 	read := reflect.New(reflect.TypeOf(value))
 	if err := json.Unmarshal([]byte(text), read.Interface()); err != nil {
 		t.Fatal(err)
 	}
 	if got := read.Elem().Interface(); !reflect.DeepEqual(got, value) {
-		t.Errorf("%s is read as\n%+v, want\n%+v", text, got, value)
+		t.Errorf("%s is decoded as\n%+v, want\n%+v", text, got, value)
 	}
 }
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,7 +1,8 @@
-// Package simadapter speaks the simulator's wire: it reads batches of messages, a line each, calls the decision module of each
-// simulated director and writes what the module decides. It keeps requests and timers in hand and decides nothing.
+// Package simadapter implements the simulator's line protocol. It reads batches of messages, one
+// per line, calls the policy of each simulated director and writes the policy's decisions. It keeps
+// track of requests and wake-ups but makes no decisions itself.
 //
-// A simulation is one goroutine: Serve reads, decides and writes in turn, so nothing here is locked.
+// Serve reads, decides and writes in a single goroutine, so this package needs no locks.
 package simadapter
 
 import (
@@ -15,15 +16,15 @@
 )
 
 const (
-	bufferSize = 1 << 16 // bytes, of the reader and of the writer
-	pageCount  = 16      // pages of endpoints that the wire can refer to
+	bufferSize = 1 << 16 // bytes, for the reader and for the writer
+	pageCount  = 16      // number of endpoint pages that the protocol can address
 )
 
-// NewPolicy makes the decision module of one simulated director from its settings.
+// NewPolicy creates the policy of one simulated director from its settings.
 type NewPolicy func(policy.Settings) policy.Policy
 
-// Serve answers batches until the input ends. Malformed input ends it with an error that names the line; so does an output that
-// can't be written.
+// Serve answers batches until the input ends. It stops with an error that names the input line if
+// the input is malformed or the output can't be written.
 func Serve(in io.Reader, out io.Writer, newPolicy NewPolicy) error {
 	s := &simulation{
 		in:        lineReader{in: bufio.NewReaderSize(in, bufferSize)},
@@ -45,26 +46,27 @@
 	}
 }
 
-// simulation is what all simulated directors share.
+// simulation is the state that all simulated directors share.
 type simulation struct {
-	in        lineReader
-	out       *bufio.Writer
-	newPolicy NewPolicy
-	instances map[string]*instance // by director-id; "retire" takes one out
-	pages     [pageCount]page
-	now       policy.Micros // time of the batch
-	subject   string        // director-id of the instance that messages are about
-	actor     string        // director-id that was last written in this batch, before actions
+	in             lineReader
+	out            *bufio.Writer
+	newPolicy      NewPolicy
+	instances      map[string]*instance // by director-id; "retire" removes an instance
+	pages          [pageCount]page
+	now            policy.Micros // time of the current batch
+	inputDirector  string        // director-id that the messages read now refer to
+	outputDirector string        // director-id last written in this batch; empty if none
 }
 
-// instance is one simulated director with what it has in hand.
+// instance is one simulated director and its requests.
 type instance struct {
 	policy       policy.Policy
 	contentTypes []*policy.ContentType
-	requests     map[uint64]*request // by xid; a request leaves once it is done and its attempts have ended
+	requests     map[uint64]*request // by xid; deleted when done with no attempt in flight
 }
 
-// handle takes one message. A message about an instance that is not there is passed over, and so is one of an unknown name.
+// handle processes one message. It ignores messages with an unknown name and messages about an
+// instance that does not exist.
 func (s *simulation) handle(msg message) error {
 	switch msg.name {
 	case "sync":
@@ -72,17 +74,17 @@
 	case "go":
 		return s.endBatch()
 	case "about":
-		s.subject = msg.fields["director-id"]
+		s.inputDirector = msg.fields["director-id"]
 		return nil
 	case "inventory":
 		return s.readPage(msg)
 	case "spawn":
 		return s.spawn(msg)
 	case "retire":
-		delete(s.instances, s.subject)
+		delete(s.instances, s.inputDirector)
 		return nil
 	}
-	inst := s.instances[s.subject]
+	inst := s.instances[s.inputDirector]
 	if inst == nil {
 		return nil
 	}
@@ -103,15 +105,16 @@
 	return nil
 }
 
+// beginBatch sets the time of a new batch.
 func (s *simulation) beginBatch(msg message) error {
 	if msg.fields["t"] == "" {
 		return errors.New("sync has no t")
 	}
-	s.actor = ""
+	s.outputDirector = ""
 	return msg.micros("t", &s.now)
 }
 
-// endBatch tells the simulator that all of a batch was answered.
+// endBatch signals to the simulator that the batch is fully answered, and flushes the output.
 func (s *simulation) endBatch() error {
 	if _, err := s.out.WriteString("next\n"); err != nil {
 		return err
@@ -119,6 +122,7 @@
 	return s.out.Flush()
 }
 
+// spawn creates an instance, and replaces an existing one with the same director-id.
 func (s *simulation) spawn(msg message) error {
 	seed, err := msg.seed("salt")
 	if err != nil {
@@ -129,7 +133,7 @@
 		return fmt.Errorf("spawn: params: %w", err)
 	}
 	site.Seed = seed
-	s.instances[s.subject] = &instance{
+	s.instances[s.inputDirector] = &instance{
 		policy:       s.newPolicy(site.Settings),
 		contentTypes: site.ContentTypes,
 		requests:     map[uint64]*request{},
@@ -137,6 +141,7 @@
 	return nil
 }
 
+// purge forwards a purge to the instance's policy.
 func (s *simulation) purge(inst *instance, msg message) error {
 	group, age := policy.AllGroups, policy.Micros(0)
 	if err := firstError(msg.integer("group", &group), msg.micros("oldness", &age)); err != nil {
--- a/internal/simadapter/endpoints.go
+++ b/internal/simadapter/endpoints.go
@@ -8,16 +8,17 @@
 	"tallyproxy/policy"
 )
 
-// maxRowsAhead bounds the memory that is set aside for rows that were announced and not yet read.
+// maxRowsAhead limits the number of rows for which memory is allocated before they are read.
 const maxRowsAhead = 1 << 12
 
-// page is a list of endpoints as the simulator sends it, once for all directors that are told of it.
+// page is an endpoint list. The simulator sends each list once and then refers to it by page number
+// in the updates of all directors that receive it.
 type page struct {
-	known     bool // it was sent
+	received  bool // the simulator has sent this page
 	endpoints []policy.Endpoint
 }
 
-// readPage reads an "inventory" message and the rows that follow it.
+// readPage handles an "inventory" message and reads the rows that follow it.
 func (s *simulation) readPage(msg message) error {
 	number, rows := -1, -1
 	if err := firstError(msg.integer("page", &number), msg.integer("rows-in", &rows)); err != nil {
@@ -44,11 +45,11 @@
 		}
 		endpoints = append(endpoints, endpoint)
 	}
-	s.pages[number] = page{known: true, endpoints: endpoints}
+	s.pages[number] = page{received: true, endpoints: endpoints}
 	return nil
 }
 
-// endpoint reads a "row" message.
+// endpoint converts a "row" message.
 func (m message) endpoint() (policy.Endpoint, error) {
 	e := policy.Endpoint{ID: m.fields["node"], Weight: 1}
 	err := firstError(
@@ -74,7 +75,8 @@
 	return e, nil
 }
 
-// updateEndpoints tells an instance of a page. A poll that the simulator lost ("lost") tells nothing.
+// updateEndpoints passes a page to the instance's policy. The kind "lost" stands for a poll that
+// failed in the simulation; its page is ignored.
 func (s *simulation) updateEndpoints(inst *instance, msg message) error {
 	kind := msg.fields["kind"]
 	if kind == "lost" {
@@ -84,7 +86,7 @@
 	if err := msg.integer("page", &number); err != nil {
 		return err
 	}
-	if number < 0 || number >= len(s.pages) || !s.pages[number].known {
+	if number < 0 || number >= len(s.pages) || !s.pages[number].received {
 		return fmt.Errorf("directory_update: page %d was never sent", number)
 	}
 	switch kind {
--- a/internal/simadapter/message.go
+++ b/internal/simadapter/message.go
@@ -12,25 +12,26 @@
 	"tallyproxy/policy"
 )
 
-// Largest numbers that a float64 holds exactly, or nearly so after the conversion to microseconds.
+// Largest accepted numbers. A float64 holds integers up to maxInteger exactly, and times up to
+// maxMilliseconds nearly exactly after the conversion to microseconds.
 const (
 	maxInteger      = 1 << 53
 	maxMilliseconds = 1 << 52
 )
 
-// message is one line, cut into its name and its fields.
+// message is one input line, split into its name and its fields.
 type message struct {
 	name   string
 	fields map[string]string
 }
 
-// lineReader cuts the input into messages.
+// lineReader splits the input into messages.
 type lineReader struct {
 	in   *bufio.Reader
-	line int // number of the last line read, from 1
+	line int // number of the last line read, counted from 1
 }
 
-// next reads one message; blank lines are passed over. It returns io.EOF at the end of the input.
+// next reads the next message and skips blank lines. It returns io.EOF at the end of the input.
 func (r *lineReader) next() (message, error) {
 	for {
 		text, err := r.in.ReadString('\n')
@@ -44,7 +45,8 @@
 	}
 }
 
-// parseMessage cuts a line: a name, then key=value fields. The field "params" is JSON and goes on to the line's end.
+// parseMessage splits a line into a name and key=value fields, which are separated by spaces. The
+// field "params" is JSON and extends to the end of the line.
 func parseMessage(text string) message {
 	name, rest, _ := strings.Cut(text, " ")
 	msg := message{name, make(map[string]string, 12)}
@@ -63,8 +65,8 @@
 	return msg
 }
 
-// number reads a field into to, which stays as it is where the message has no such field.
-func (m message) number(key string, to *float64) error {
+// number stores a field in target. It leaves target unchanged if the message has no such field.
+func (m message) number(key string, target *float64) error {
 	text, ok := m.fields[key]
 	if !ok {
 		return nil
@@ -73,33 +75,33 @@
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
 		return fmt.Errorf("%s: %s=%q is not a number", m.name, key, text)
 	}
-	*to = v
+	*target = v
 	return nil
 }
 
-// integer is as number, for whole numbers.
-func (m message) integer(key string, to *int) error {
-	v := float64(*to)
+// integer is like number, but accepts only whole numbers.
+func (m message) integer(key string, target *int) error {
+	v := float64(*target)
 	err := m.number(key, &v)
 	if err == nil && (v != math.Trunc(v) || math.Abs(v) > maxInteger) {
 		return fmt.Errorf("%s: %s=%q is not a whole number", m.name, key, m.fields[key])
 	}
-	*to = int(v)
+	*target = int(v)
 	return err
 }
 
-// micros is as number, for times in milliseconds.
-func (m message) micros(key string, to *policy.Micros) error {
-	v := float64(*to) / 1000
+// micros is like number, but converts a time from milliseconds to microseconds.
+func (m message) micros(key string, target *policy.Micros) error {
+	v := float64(*target) / 1000
 	err := m.number(key, &v)
 	if err == nil && math.Abs(v) > maxMilliseconds {
 		return fmt.Errorf("%s: %s=%q is out of range", m.name, key, m.fields[key])
 	}
-	*to = policy.Micros(math.Round(v * 1000))
+	*target = policy.Micros(math.Round(v * 1000))
 	return err
 }
 
-// seed reads a field that has to be there; its sign is dropped.
+// seed returns a required field as a seed. It ignores the sign.
 func (m message) seed(key string) (uint64, error) {
 	v, err := strconv.ParseUint(strings.TrimPrefix(m.fields[key], "-"), 10, 64)
 	if err != nil {
@@ -108,7 +110,7 @@
 	return v, nil
 }
 
-// xid reads a request's id, which has to be there.
+// xid returns a required field as a request ID.
 func (m message) xid(key string) (uint64, error) {
 	v, err := strconv.ParseUint(m.fields[key], 10, 64)
 	if err != nil {
@@ -117,7 +119,7 @@
 	return v, nil
 }
 
-// firstError is the first error that is not nil.
+// firstError returns the first error that is not nil.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -7,23 +7,23 @@
 	"tallyproxy/policy"
 )
 
-// Bits of the field "opts" of an attempt.
+// Bits of the field "opts" of a "read_through" message.
 const (
 	optionCoalesce     = 1
 	optionOnlyIfCached = 2
 	optionRevalidate   = 8
 )
 
-// request is a request in hand, with what the wire needs to know of it.
+// request is a request in progress, with the state that the protocol needs.
 type request struct {
 	policy.Request
 	xid      uint64
-	attempts int           // sent so far; the next one's number
+	attempts int           // number of attempts sent, and therefore the number of the next one
 	inFlight int           // attempts that have not ended yet
-	wakeAt   policy.Micros // when the simulator was asked to wake the instance; 0 where it was not
+	wakeAt   policy.Micros // time of the wake-up requested from the simulator; 0 if none is pending
 }
 
-// results are the wire's words for how an attempt ended.
+// results maps the values of the field "state-code" to the results of attempts.
 var results = map[string]policy.Result{
 	"success":     policy.Succeeded,
 	"failure":     policy.Failed,
@@ -36,7 +36,7 @@
 	"absent":      policy.CacheMiss,
 }
 
-// route takes a request that arrives.
+// route handles the arrival of a request.
 func (s *simulation) route(inst *instance, msg message) error {
 	xid, err := msg.xid("xid")
 	contentType := 0
@@ -61,10 +61,11 @@
 	r.IsRetry = msg.fields["resent"] == "1"
 	r.ArrivedAt, r.Deadline = s.now, s.now+patience
 	inst.requests[xid] = r
-	return s.act(inst, r, inst.policy.Route(s.now, &r.Request))
+	return s.applyDecision(inst, r, inst.policy.Route(s.now, &r.Request))
 }
 
-// attemptDone takes the end of an attempt. Those of requests that are not in hand are passed over.
+// attemptDone handles the end of an attempt. It ignores attempts that were not sent and attempts of
+// requests that are no longer in progress.
 func (s *simulation) attemptDone(inst *instance, msg message) error {
 	xid, err := msg.xid("xid")
 	var outcome policy.Outcome
@@ -82,15 +83,17 @@
 		return nil
 	}
 	if remark >= int(policy.Unknown) && remark <= int(policy.OriginFailed) {
-		outcome.CacheStatus = policy.CacheStatus(remark) // the wire's numbers are those of the constants
+		// The protocol uses the values of the policy.CacheStatus constants.
+		outcome.CacheStatus = policy.CacheStatus(remark)
 	}
 	outcome.Result, outcome.Final = result, msg.fields["last"] == "1"
 	r.inFlight--
 	r.Done = r.Done || outcome.Final
-	return s.act(inst, r, inst.policy.AttemptDone(s.now, &r.Request, outcome))
+	return s.applyDecision(inst, r, inst.policy.AttemptDone(s.now, &r.Request, outcome))
 }
 
-// recheck takes a wake-up that act asked for.
+// recheck handles a wake-up. It calls the policy again unless the request is done or the wake-up is
+// outdated.
 func (s *simulation) recheck(inst *instance, msg message) error {
 	xid, err := msg.xid("key-back")
 	if err != nil {
@@ -101,10 +104,10 @@
 		return nil
 	}
 	r.wakeAt = 0
-	return s.act(inst, r, inst.policy.Route(s.now, &r.Request))
+	return s.applyDecision(inst, r, inst.policy.Route(s.now, &r.Request))
 }
 
-// clientLeft takes the news that nobody waits for a request any more.
+// clientLeft handles the message that the client no longer waits for a request.
 func (s *simulation) clientLeft(inst *instance, msg message) error {
 	xid, err := msg.xid("xid")
 	if err != nil {
@@ -112,13 +115,14 @@
 	}
 	if r := inst.requests[xid]; r != nil {
 		r.Done = true
-		inst.forgetIfEnded(r)
+		inst.deleteIfEnded(r)
 	}
 	return nil
 }
 
-// act writes a decision to the wire, and asks to be woken where the policy wants to be asked again.
-func (s *simulation) act(inst *instance, r *request, decision policy.Decision) error {
+// applyDecision writes the action for a decision, updates the request, and schedules a wake-up if
+// the policy wants to be called again.
+func (s *simulation) applyDecision(inst *instance, r *request, decision policy.Decision) error {
 	if line := actionLine(r, decision); line != "" {
 		if err := s.write(line); err != nil {
 			return err
@@ -136,11 +140,11 @@
 			return err
 		}
 	}
-	inst.forgetIfEnded(r)
+	inst.deleteIfEnded(r)
 	return nil
 }
 
-// actionLine is the wire's line for a decision; empty where nothing is to be done.
+// actionLine formats the action for a decision. It is empty if the decision requires no action.
 func actionLine(r *request, decision policy.Decision) string {
 	switch decision.Action {
 	case policy.Send:
@@ -164,6 +168,7 @@
 	return ""
 }
 
+// options returns the bits of the field "opts" for a decision.
 func options(decision policy.Decision) (bits int) {
 	if decision.Coalesce {
 		bits |= optionCoalesce
@@ -177,7 +182,8 @@
 	return bits
 }
 
-// scheduleRecheck asks the simulator for a wake-up, unless one is due that comes as soon.
+// scheduleRecheck requests a wake-up from the simulator, unless one that is due no later is
+// pending.
 func (s *simulation) scheduleRecheck(inst *instance, r *request) error {
 	wait := inst.policy.RecheckAfter(s.now, &r.Request)
 	if wait <= 0 || r.wakeAt != 0 && r.wakeAt <= s.now+wait {
@@ -187,18 +193,19 @@
 	return s.write(fmt.Sprintf("wake_at in=%s key-back=%d", milliseconds(wait), r.xid))
 }
 
-// forgetIfEnded forgets a request that is done and has no attempt in flight.
-func (inst *instance) forgetIfEnded(r *request) {
+// deleteIfEnded deletes a request that is done and has no attempt in flight.
+func (inst *instance) deleteIfEnded(r *request) {
 	if r.Done && r.inFlight == 0 {
 		delete(inst.requests, r.xid)
 	}
 }
 
-// write writes an action, after the name of the instance it is for where that is not the last one's.
+// write writes an action. If the action is for another instance than the previous one in this
+// batch, write first writes a line with the instance's director-id.
 func (s *simulation) write(line string) error {
-	if s.actor != s.subject {
-		s.actor = s.subject
-		if _, err := s.out.WriteString("at director-id=" + s.subject + "\n"); err != nil {
+	if s.outputDirector != s.inputDirector {
+		s.outputDirector = s.inputDirector
+		if _, err := s.out.WriteString("at director-id=" + s.inputDirector + "\n"); err != nil {
 			return err
 		}
 	}
@@ -206,7 +213,7 @@
 	return err
 }
 
-// milliseconds is a duration as the wire writes it.
+// milliseconds formats a duration as the protocol does, in milliseconds.
 func milliseconds(t policy.Micros) string {
 	return strconv.FormatFloat(float64(t)/1000, 'f', -1, 64)
 }
