--- a/example/ask/main.go
+++ b/example/ask/main.go
@@ -1,4 +1,4 @@
-// Command ask asks a director for one object and prints the answer.
+// Command ask requests one object from a director and prints the answer.
 package main
 
 import (
@@ -23,15 +23,15 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	defer func() { _ = nc.Close() }() // nothing of it is buffered
-	begun := time.Now()
-	if err := nc.SetDeadline(begun.Add(5 * time.Second)); err != nil {
+	defer func() { _ = nc.Close() }() // nothing is buffered, so an error loses no data
+	start := time.Now()
+	if err := nc.SetDeadline(start.Add(5 * time.Second)); err != nil {
 		log.Fatal(err)
 	}
 	fields := fmt.Sprintf("txn=%016x,limit=3000,item=%s,n=0,shard=0", rand.Uint64(), flag.Arg(0))
 	out := redcon.AppendArray(nil, 4)
-	for _, word := range []string{"ASK", "1", *kind, fields} {
-		out = redcon.AppendBulkString(out, word)
+	for _, arg := range []string{"ASK", "1", *kind, fields} {
+		out = redcon.AppendBulkString(out, arg)
 	}
 	if _, err := nc.Write(out); err != nil {
 		log.Fatal(err)
@@ -47,7 +47,7 @@
 			log.Fatal(err)
 		}
 		if complete {
-			fmt.Printf("%s in %v: %q %q\n", words[1], time.Since(begun).Round(100*time.Microsecond), words[2], words[3])
+			fmt.Printf("%s in %v: %q %q\n", words[1], time.Since(start).Round(100*time.Microsecond), words[2], words[3])
 			return
 		}
 	}
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -1,5 +1,6 @@
-// Command fleet plays a fleet of three directors with an agent each on loopback, for a first try of tallyctl. It writes keys,
-// inventory and scripts into bin/fleet and says what to do next. With --peers the directors know each other.
+// Command fleet runs a fleet of three directors on loopback, each with its own agent, for trying
+// out tallyctl. It writes keys, the inventory and scripts to bin/fleet and prints the next steps.
+// With --peers the directors form a cluster.
 package main
 
 import (
@@ -17,7 +18,7 @@
 )
 
 func main() {
-	peers := flag.Bool("peers", false, "the directors know each other")
+	peers := flag.Bool("peers", false, "let the directors form a cluster")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -53,9 +54,9 @@
 	}
 	fmt.Printf("Three directors and their agents are up. In another terminal:\n\n"+
 		"    export TALLYCTL_INVENTORY=%s/fleet.star TALLYCTL_CERT=%s/op.pem\n"+
-		"    bin/tallyctl show\n    bin/tallyctl drain box-0\n    bin/tallyctl watch\n\nControl-C ends them.\n", dir, dir)
+		"    bin/tallyctl show\n    bin/tallyctl drain box-0\n    bin/tallyctl watch\n\nPress Control-C to stop them.\n", dir, dir)
 	<-ctx.Done()
-	begun := time.Now()
+	closeStart := time.Now()
 	f.Close()
-	fmt.Printf("ended after %v\n", time.Since(begun).Round(time.Millisecond))
+	fmt.Printf("stopped after %v\n", time.Since(closeStart).Round(time.Millisecond))
 }
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,7 +1,8 @@
-// Command toy plays what a director talks to, for a first try of it: the three caches, the parent and the origin of
-// example/config.json, and the command channel, all of the project's stand-ins.
+// Command toy runs fakes of all the systems that a director connects to, for trying out a director:
+// the three edges, the parent and the origin of example/config.json, and the command channel.
 //
-// The channel takes three calls of its own: /purge?id=OBJECT, /kill?name=NODE and /start?name=NODE.
+// The fake command channel accepts three additional HTTP calls: /purge?id=OBJECT, /kill?name=NODE
+// and /start?name=NODE.
 package main
 
 import (
@@ -44,7 +45,7 @@
 	w.ChannelMux.HandleFunc("/start", func(_ http.ResponseWriter, r *http.Request) {
 		if n := w.Node(r.FormValue("name")); n != nil {
 			if err := n.Restart(); err != nil {
-				slog.Error("not started", "node", n.Name, "err", err)
+				slog.Error("could not restart the node", "node", n.Name, "err", err)
 			}
 		}
 	})
--- a/internal/ci/knownred/knownred_test.go
+++ b/internal/ci/knownred/knownred_test.go
@@ -11,12 +11,13 @@
 tallyproxy/relays TestDelegates | go test ./relays | a call too many | issue 44
 `
 
-// The outputs in testdata were printed by go test 1.26.
+// TestRun guards against a failure that is not listed being passed over, and against a listed
+// failure making the run red. The outputs in testdata were printed by go test 1.26.
 func TestRun(t *testing.T) {
 	for _, c := range []struct {
 		output string // a file of testdata
-		want   string // in the error; empty for none
-		passed int    // entries that are passed over
+		want   string // part of the error; empty for no error
+		passed int    // number of entries passed over
 	}{
 		{"listed_subtest.txt", "", 1},
 		{"listed_in_two_packages.txt", "", 2},
@@ -24,11 +25,11 @@
 		{"parent_by_itself.txt", "tallyproxy/rollout TestAnyHistory failed", 0},
 		{"parent_alone.txt", "tallyproxy/rollout TestAnyHistory failed", 0},
 		{"sibling.txt", "TestAnyHistory/another_tool failed", 0},
-		{"panic.txt", "did not end in order", 0},
-		{"race.txt", "did not end in order", 0},
-		{"build.txt", "did not end in order", 0},
-		{"timeout.txt", "did not end in order", 0},
-		{"cut_off.txt", "no package's end", 0},
+		{"panic.txt", "ended abnormally", 0},
+		{"race.txt", "ended abnormally", 0},
+		{"build.txt", "ended abnormally", 0},
+		{"timeout.txt", "ended abnormally", 0},
+		{"cut_off.txt", "no package result", 0},
 		{"passed.txt", errNothingFailed.Error(), 0},
 	} {
 		t.Run(strings.TrimSuffix(c.output, ".txt"), func(t *testing.T) {
@@ -53,7 +54,7 @@
 	}
 }
 
-// The repository's own list can be read.
+// TestOwnList guards against malformed entries in the repository's own list.
 func TestOwnList(t *testing.T) {
 	text, err := os.ReadFile("../../../KNOWN-RED.txt")
 	if err != nil {
@@ -64,10 +65,11 @@
 	}
 }
 
+// TestMalformedList guards against entries being accepted that lack a part or name no test.
 func TestMalformedList(t *testing.T) {
 	for _, text := range []string{"TestA | command | seen | issue", "pkg TestA | seen | issue", "pkg TestA and more | command | seen | issue"} {
 		if _, err := parseList(text); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("parseList accepted %q", text)
 		}
 	}
 }
--- a/internal/ci/knownred/main.go
+++ b/internal/ci/knownred/main.go
@@ -1,6 +1,7 @@
-// Command knownred reads the output of a failed run of `go test` on its standard input, and decides whether only tests failed that a list
-// of known failures names, in the list's packages. It prints the entries that it passes over, or why the run is red, and then exits
-// with 1.
+// Command knownred reads the output of a failed run of `go test` from standard input and checks
+// that the run ended normally and that every failed test is in a list of known failures, under the
+// same package. If so, it prints the entries that it passes over. Otherwise it prints why the run
+// is red and exits with status 1.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	}
 }
 
-// run decides about one run's output. It returns why the run is red.
+// run checks the output of one test run against the list. The error says why the run is red.
 func run(listPath string, output io.Reader, report io.Writer) error {
 	text, err := os.ReadFile(listPath)
 	if err != nil {
@@ -34,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	passedOver, err := list.cover(failed)
+	passedOver, err := list.check(failed)
 	if err != nil {
 		return err
 	}
--- a/internal/ci/knownred/output.go
+++ b/internal/ci/knownred/output.go
@@ -10,40 +10,41 @@
 )
 
 const (
-	indentWidth   = 4       // of a subtest's lines, beyond its parent's
+	indentWidth   = 4       // columns that a subtest's lines are indented beyond its parent's
 	maxOutputLine = 4 << 20 // bytes
 )
 
 var (
-	// disorderPattern is of lines of a run that did not end in order, whatever tests failed.
-	disorderPattern = regexp.MustCompile(`^panic:|^fatal error:|^WARNING: DATA RACE|^exit status|^signal:|\[(build|setup) failed\]|^\*\*\* Test killed`)
-	failPattern     = regexp.MustCompile(`^( *)--- FAIL: (\S+) \(`)
-	logPattern      = regexp.MustCompile(`^( +)\S+\.go:\d+: `)
-	packagePattern  = regexp.MustCompile(`^(ok  |FAIL|\?   )\t(\S+)`)
+	// abnormalEndPattern matches lines that a run prints only if it ended abnormally, no matter
+	// which tests failed.
+	abnormalEndPattern = regexp.MustCompile(`^panic:|^fatal error:|^WARNING: DATA RACE|^exit status|^signal:|\[(build|setup) failed\]|^\*\*\* Test killed`)
+	failPattern        = regexp.MustCompile(`^( *)--- FAIL: (\S+) \(`)
+	logPattern         = regexp.MustCompile(`^( +)\S+\.go:\d+: `)
+	packagePattern     = regexp.MustCompile(`^(ok  |FAIL|\?   )\t(\S+)`)
 
-	errDisorder = errors.New("a run that did not end in order")
+	errAbnormalEnd = errors.New("the test run ended abnormally")
 )
 
 // failure is a test that failed.
 type failure struct {
 	test      test
-	ownOutput bool // it printed something itself: it may have failed by itself too
+	ownOutput bool // the test itself printed something, so it may have failed on its own as well
 }
 
 // outputParser collects failures until the line that names their package.
 type outputParser struct {
-	failed  []failure // of packages that have ended
-	current []failure // of the present package, without its path
-	open    []int     // indices in current of the latest failure of each depth
+	failed        []failure // failures of packages that have ended
+	current       []failure // failures of the current package; pkg is not set yet
+	latestAtDepth []int     // by depth of nesting: index in current of the latest failure
 }
 
-// parseOutput reads what `go test` printed without -v, over any number of packages.
+// parseOutput parses the output of `go test` without -v for any number of packages.
 func parseOutput(output io.Reader) ([]failure, error) {
 	var p outputParser
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxOutputLine)
 	for lines.Scan() {
-		if err := p.take(lines.Text()); err != nil {
+		if err := p.parseLine(lines.Text()); err != nil {
 			return nil, err
 		}
 	}
@@ -51,25 +52,25 @@
 		return nil, err
 	}
 	if len(p.current) > 0 {
-		return nil, fmt.Errorf("%w: no package's end after %s", errDisorder, p.current[0].test.name)
+		return nil, fmt.Errorf("%w: no package result after %s", errAbnormalEnd, p.current[0].test.name)
 	}
 	return p.failed, nil
 }
 
-// take takes one line.
-func (p *outputParser) take(line string) error {
-	if disorderPattern.MatchString(line) {
-		return fmt.Errorf("%w: %s", errDisorder, line)
+// parseLine processes one line.
+func (p *outputParser) parseLine(line string) error {
+	if abnormalEndPattern.MatchString(line) {
+		return fmt.Errorf("%w: %s", errAbnormalEnd, line)
 	}
 	if match := failPattern.FindStringSubmatch(line); match != nil {
-		depth := min(len(match[1])/indentWidth, len(p.open))
-		p.open = append(p.open[:depth], len(p.current))
+		depth := min(len(match[1])/indentWidth, len(p.latestAtDepth))
+		p.latestAtDepth = append(p.latestAtDepth[:depth], len(p.current))
 		p.current = append(p.current, failure{test: test{name: match[2]}})
 		return nil
 	}
 	if match := logPattern.FindStringSubmatch(line); match != nil {
-		if depth := len(match[1])/indentWidth - 1; depth >= 0 && depth < len(p.open) {
-			p.current[p.open[depth]].ownOutput = true
+		if depth := len(match[1])/indentWidth - 1; depth >= 0 && depth < len(p.latestAtDepth) {
+			p.current[p.latestAtDepth[depth]].ownOutput = true
 		}
 		return nil
 	}
@@ -79,15 +80,15 @@
 	return nil
 }
 
-// endPackage gives the failures so far their package.
+// endPackage assigns the package to the failures collected since the previous package ended.
 func (p *outputParser) endPackage(result, path string) error {
 	if result == "FAIL" && len(p.current) == 0 {
-		return fmt.Errorf("%w: %s failed without a test", errDisorder, path)
+		return fmt.Errorf("%w: %s failed, but none of its tests did", errAbnormalEnd, path)
 	}
 	for _, f := range p.current {
 		f.test.pkg = path
 		p.failed = append(p.failed, f)
 	}
-	p.current, p.open = nil, nil
+	p.current, p.latestAtDepth = nil, nil
 	return nil
 }
--- a/internal/fleetpb/convert.go
+++ b/internal/fleetpb/convert.go
@@ -1,5 +1,6 @@
-// Package fleetpb is the protocol between tallyctl and its agents: gRPC, with messages generated from fleet.proto. Its functions convert
-// the messages of package rollout to protobuf messages (From...) and back (To...).
+// Package fleetpb implements the gRPC protocol between tallyctl and its agents. The messages are
+// generated from fleet.proto. The functions convert the types of package rollout to protobuf
+// messages (From...) and back (To...).
 //
 //go:generate protoc --go_out=. --go_opt=paths=source_relative --go-grpc_out=. --go-grpc_opt=paths=source_relative fleet.proto
 package fleetpb
@@ -9,15 +10,15 @@
 	"tallyproxy/rollout"
 )
 
-// FromBallot converts a ballot.
+// FromBallot converts a ballot to protobuf.
 func FromBallot(b rollout.Ballot) *Ballot { return &Ballot{N: b.Number, Holder: b.Holder} }
 
-// ToBallot converts a ballot; nil is the zero ballot.
+// ToBallot converts a ballot from protobuf. Nil becomes the zero ballot.
 func ToBallot(b *Ballot) rollout.Ballot {
 	return rollout.Ballot{Number: b.GetN(), Holder: b.GetHolder()}
 }
 
-// fromChange converts a change; nil stays nil.
+// fromChange converts a change to protobuf. Nil stays nil.
 func fromChange(c *rollout.Change) *Change {
 	if c == nil {
 		return nil
@@ -31,7 +32,7 @@
 	return out
 }
 
-// toChange converts a change; nil stays nil.
+// toChange converts a change from protobuf. Nil stays nil.
 func toChange(c *Change) *rollout.Change {
 	if c == nil {
 		return nil
@@ -45,7 +46,7 @@
 	return out
 }
 
-// FromEntries converts what an agent knows of changes.
+// FromEntries converts an agent's entries about changes to protobuf.
 func FromEntries(entries []rollout.Entry) (out []*Entry) {
 	for _, e := range entries {
 		converted := &Entry{
@@ -62,8 +63,9 @@
 	return out
 }
 
-// ToEntries converts what an agent knows of changes. An entry without its change or with an unknown outcome is left out, and so are a
-// vote with an unknown outcome and a target's state with an unknown phase.
+// ToEntries converts an agent's entries about changes from protobuf. It omits entries that have no
+// change or an unknown outcome, votes with an unknown outcome, and target states with an unknown
+// phase.
 func ToEntries(entries []*Entry) (out []rollout.Entry) {
 	for _, e := range entries {
 		if e.GetChange() == nil || !isOutcome(e.Outcome) {
@@ -88,13 +90,15 @@
 	return out
 }
 
+// isOutcome reports whether n is the number of a rollout.Outcome.
 func isOutcome(n int32) bool { return n >= int32(rollout.Undecided) && n <= int32(rollout.Abort) }
 
+// isPhase reports whether n is the number of a rollout.Phase.
 func isPhase(n int32) bool {
 	return n >= int32(rollout.PhasePrepared) && n <= int32(rollout.PhaseUnchanged)
 }
 
-// FromMessage converts a message.
+// FromMessage converts a message to protobuf.
 func FromMessage(m rollout.Message) *SayRequest {
 	return &SayRequest{
 		Verb: int32(m.Type), Seq: int64(m.Seq), Ballot: FromBallot(m.Ballot), LeaseUs: int64(m.Lease), Change: fromChange(m.Change),
@@ -102,8 +106,9 @@
 	}
 }
 
-// ToMessage converts a message and reports whether it is valid: its type and outcome are known, its lease is not negative, and it has a
-// change where its type needs one.
+// ToMessage converts a message from protobuf and reports whether the message is valid. In a valid
+// message the type and the outcome are known, the lease is not negative, and a change is present if
+// the type requires one.
 func ToMessage(r *SayRequest) (m rollout.Message, valid bool) {
 	m = rollout.Message{
 		Type: rollout.MessageType(r.GetVerb()), Seq: int(r.GetSeq()), Ballot: ToBallot(r.GetBallot()), Lease: policy.Micros(r.GetLeaseUs()),
@@ -116,7 +121,7 @@
 	return m, hasKnownType && isOutcome(r.GetOutcome()) && m.Lease >= 0 && (!needsChange || hasChange)
 }
 
-// FromReply converts a reply.
+// FromReply converts a reply to protobuf.
 func FromReply(r rollout.Reply) *SayReply {
 	return &SayReply{
 		Verb: int32(r.Type), Seq: int64(r.Seq), Ok: r.OK, Why: r.Reason, Ballot: FromBallot(r.Promised), HeldUs: int64(r.HeldFor),
@@ -124,7 +129,7 @@
 	}
 }
 
-// ToReply converts a reply; of its entries only the valid ones are kept, as ToEntries does.
+// ToReply converts a reply from protobuf. Like ToEntries, it omits invalid entries.
 func ToReply(r *SayReply) rollout.Reply {
 	return rollout.Reply{
 		Type: rollout.MessageType(r.GetVerb()), Seq: int(r.GetSeq()), OK: r.GetOk(), Reason: r.GetWhy(), Promised: ToBallot(r.GetBallot()),
--- a/internal/fleetpb/golden_test.go
+++ b/internal/fleetpb/golden_test.go
@@ -11,12 +11,14 @@
 	"tallyproxy/rollout"
 )
 
+// goldenChange returns a change that has every field set.
 func goldenChange() *rollout.Change {
 	return &rollout.Change{ID: "c1", Author: "op/1", Note: "why", Reverts: "c0", Targets: []rollout.Target{
 		{Instance: "n0", Agent: "a0", Base: "sum", Script: "log()", Wave: 2},
 	}}
 }
 
+// goldenEntries returns one entry that has every field set.
 func goldenEntries() []rollout.Entry {
 	return []rollout.Entry{{
 		Change: goldenChange(), Vote: &rollout.Vote{Ballot: rollout.Ballot{Number: 7, Holder: "op/1"}, Outcome: rollout.Abort}, Outcome: rollout.Commit,
@@ -24,7 +26,8 @@
 	}}
 }
 
-// Agents and tools of different versions talk to each other during a roll-out: the encoded bytes must not change.
+// TestGoldenBytes guards against changes of the encoded bytes. Agents and tools of different
+// versions exchange these messages during a rollout.
 func TestGoldenBytes(t *testing.T) {
 	message := rollout.Message{
 		Type: rollout.Accept, Seq: 4, Ballot: rollout.Ballot{Number: 7, Holder: "op/1"}, Lease: 3 * policy.Second, Change: goldenChange(), ChangeID: "c1",
@@ -81,19 +84,20 @@
 				t.Fatal(err)
 			}
 			if decoded := c.decode(c.empty); !reflect.DeepEqual(decoded, c.value) {
-				t.Errorf("read back as %+v, want %+v", decoded, c.value)
+				t.Errorf("decoded as %+v, want %+v", decoded, c.value)
 			}
 		})
 	}
 }
 
-// Names that the wire carries: gRPC dispatches by them.
+// TestGoldenService guards against changes of the service and method names, by which gRPC
+// dispatches calls.
 func TestGoldenService(t *testing.T) {
 	var got []string
 	for _, m := range Agent_ServiceDesc.Methods {
 		got = append(got, m.MethodName)
 	}
 	if want := []string{"Say", "Status", "Probe", "Audit"}; Agent_ServiceDesc.ServiceName != "tallyproxy.fleet.Agent" || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: %v, want %v", Agent_ServiceDesc.ServiceName, got, want)
+		t.Errorf("service %s has methods %v, want %v", Agent_ServiceDesc.ServiceName, got, want)
 	}
 }
