--- a/cmd/tallybench/commands.go
+++ b/cmd/tallybench/commands.go
@@ -35,7 +35,7 @@
 	return printResult(c.JSON, result, func() { printFields(result) }, strings.Join(result.Broken(), ", "))
 }
 
-// printFields prints a result's JSON without quotes, commas and outer braces, one field per line.
+// printFields prints a result's JSON, one field per line, without quotes, commas and most braces.
 func printFields(result any) {
 	text, err := json.MarshalIndent(result, "", "  ")
 	if err != nil {
--- a/internal/ctl/membership.go
+++ b/internal/ctl/membership.go
@@ -48,7 +48,7 @@
 	for _, d := range members {
 		m := d.Report.Membership
 		names[m.Digest] = append(names[m.Digest], d.Name)
-		quotas[m.Digest] = fmt.Sprintf("partition %s, zone quota %.2f, fleet quota %.2f", m.PartitionState, m.ZoneQuota, m.FleetQuota)
+		quotas[m.Digest] = fmt.Sprintf("partition %s, %.2f of the fixed zone quota, %.2f of the fixed fleet quota", m.PartitionState, m.ZoneQuota, m.FleetQuota)
 	}
 	digests := slices.Collect(maps.Keys(names))
 	slices.SortFunc(digests, func(a, b string) int {
