--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -8,25 +8,28 @@
 	"tallyproxy/policy"
 )
 
-// Agent is the state machine of one machine's agent. Its driver stores State whenever TakeDirty says so, before it sends the reply or
-// carries out the commands that depend on it.
+// Agent is the state machine of the agent of one machine. Its driver stores State whenever
+// TakeDirty returns true, before it sends the reply or carries out the commands that depend on that
+// state.
 type Agent struct {
-	Name  string // in the inventory
-	State State  // only the driver's load and store touch it from outside
+	Name  string // this agent's name in the inventory
+	State State  // accessed from outside only by the driver, to load and store it
 
 	checkScript func(instance, script string) error
 	checksum    func(script string) string
 
-	// The lease is not stored: after a restart the holder has a whole lease again.
-	defaultLease  policy.Micros // for a ballot that is first seen in a Prepare or Accept
-	leaseEnd      policy.Micros // of the promised ballot
-	leaseReleased bool          // by its holder, before it expired
+	// The lease is not stored. After a restart of the agent, the holder has a full lease again.
+	defaultLease  policy.Micros // lease of a ballot that is first seen in a Prepare or Accept
+	leaseEnd      policy.Micros // when the lease of the promised ballot expires
+	leaseReleased bool          // the holder released the lease before it expired
 	promisedAt    policy.Micros
 	dirty         bool
 }
 
-// NewAgent makes an agent of its stored state; at the first start that has only ActiveScripts. The lease is that of the fleet's
-// inventory. checkScript says whether a director could run a script, and checksum gives the form of Target.Base; both are pure.
+// NewAgent returns an agent that continues from its stored state. At the first start, that state
+// contains only ActiveScripts. The lease is the one of the fleet's inventory. checkScript reports
+// whether a director could run a script, and checksum computes the value of Target.Base; both must
+// be pure functions.
 func NewAgent(now policy.Micros, name string, state State, lease policy.Micros, checkScript func(instance, script string) error,
 	checksum func(script string) string) *Agent {
 	a := &Agent{Name: name, State: state, checkScript: checkScript, checksum: checksum, defaultLease: lease, promisedAt: now}
@@ -46,10 +49,11 @@
 	return dirty
 }
 
-// Entry returns what is known of a change, nil for nothing.
+// Entry returns the entry of a change, or nil if the agent does not know the change.
 func (a *Agent) Entry(id string) *Entry { return a.State.entry(id) }
 
-// Handle processes a message and returns the reply. The caller carries out the commands and reports each to CommandDone.
+// Handle processes a message and returns the reply. The caller carries out the commands and reports
+// the result of each command to CommandDone.
 func (a *Agent) Handle(now policy.Micros, m Message) (reply Reply, commands []Command) {
 	reply = Reply{Type: m.Type, Seq: m.Seq}
 	switch m.Type {
@@ -81,8 +85,10 @@
 	return reply, commands
 }
 
-// allEntries returns, for a new holder of the right to change, every incomplete entry and the outcome of every complete one. Without the
-// outcomes, a holder whose majority consists of agents that were told nothing and agents that are done would abort a committed change.
+// allEntries returns every incomplete entry and the outcome of every complete one, for a new holder
+// of the right to change. Without these outcomes, a holder would abort a committed change if its
+// majority consisted of agents that have not learned the outcome and agents that have completed the
+// change.
 func (a *Agent) allEntries() (entries []Entry) {
 	for _, c := range a.State.Completed {
 		entries = append(entries, c.entry())
@@ -97,8 +103,8 @@
 	return entries
 }
 
-// entriesOf returns the entry of the change that a message is about. The change is given by its ID alone: whoever asks has the rest, or
-// has no use for it.
+// entriesOf returns the entry of the change that a message refers to. The change in the entry has
+// only its ID, because the sender either has the rest or does not need it.
 func (a *Agent) entriesOf(m Message) (entries []Entry) {
 	for _, e := range a.State.Entries {
 		if m.ChangeID == e.Change.ID || m.Change != nil && m.Change.ID == e.Change.ID {
@@ -115,11 +121,12 @@
 	return entries
 }
 
-// promise grants the right to change to a higher ballot, unless another holder's lease has not expired.
+// promise grants the right to change to a higher ballot, unless the lease of another holder has not
+// expired yet.
 func (a *Agent) promise(now policy.Micros, m Message) (ok bool, reason string) {
 	current := a.State.Promised
 	switch {
-	case m.Ballot == current: // repeated: the reply was lost
+	case m.Ballot == current: // the message was repeated because its reply was lost
 	case !current.Less(m.Ballot):
 		return false, fmt.Sprintf("a higher right was given, to %s", current.Holder)
 	case current.Number > 0 && current.Holder != m.Ballot.Holder && a.leaseEnd > now:
@@ -131,8 +138,9 @@
 	return true, ""
 }
 
-// fence reports whether a higher ballot has taken over from the message's ballot. A ballot higher than the promised one is promised: its
-// Promise was lost, or granted by other agents only.
+// fence reports whether a ballot higher than the message's has been promised. If the message's
+// ballot is higher than the promised one, fence promises it: the Promise message was lost, or only
+// other agents granted it.
 func (a *Agent) fence(now policy.Micros, m Message) (fenced bool, reason string) {
 	if m.Ballot.Less(a.State.Promised) {
 		return true, fmt.Sprintf("taken over by %s", a.State.Promised.Holder)
@@ -169,7 +177,8 @@
 	return reason == "", reason
 }
 
-// refusal returns why the first of the targets, by name, that was refused was so; empty where none was.
+// refusal returns the reason of the first refused target, in the order of the instance names. It
+// returns an empty string if no target was refused.
 func (e *Entry) refusal() (reason string) {
 	for _, instance := range slices.Sorted(maps.Keys(e.TargetStates)) {
 		if state := e.TargetStates[instance]; state.Phase == PhaseRefused {
@@ -179,7 +188,7 @@
 	return ""
 }
 
-// prepareTarget checks whether a target can be applied.
+// prepareTarget checks whether a target can be applied and returns its initial state.
 func (a *Agent) prepareTarget(t Target) *TargetState {
 	active, known := a.State.ActiveScripts[t.Instance]
 	state := &TargetState{PreviousScript: active}
@@ -199,7 +208,7 @@
 	return state
 }
 
-// hasPendingTarget reports whether an earlier change of a director has not come to its end.
+// hasPendingTarget reports whether an earlier change of a director has not reached a final phase.
 func (a *Agent) hasPendingTarget(instance string) bool {
 	for _, e := range a.State.Entries {
 		if state := e.TargetStates[instance]; state != nil && !state.IsTerminal() {
@@ -214,7 +223,7 @@
 	a.State.add(e)
 }
 
-// accept votes for an outcome, unless a higher ballot was promised.
+// accept votes for an outcome unless a higher ballot has been promised.
 func (a *Agent) accept(now policy.Micros, m Message) (ok bool, reason string) {
 	if fenced, reason := a.fence(now, m); fenced {
 		return false, reason
@@ -226,7 +235,7 @@
 	if completed != nil {
 		return true, ""
 	}
-	if e == nil { // the agent has no target or was not reached by Prepare; it can vote all the same
+	if e == nil { // the agent has no target or Prepare did not reach it, but it can still vote
 		e = &Entry{Change: m.Change}
 		a.add(e)
 	}
@@ -236,7 +245,8 @@
 	return true, ""
 }
 
-// learn stores a chosen outcome and the waves that are allowed. It needs no ballot, since what was chosen can't change any more.
+// learn stores a chosen outcome and the waves that are allowed. It needs no ballot, because a
+// chosen outcome cannot change any more.
 func (a *Agent) learn(m Message) (ok bool, reason string, commands []Command) {
 	id := m.ChangeID
 	if m.Change != nil {
@@ -253,7 +263,8 @@
 	if e == nil {
 		return false, "not known", nil
 	}
-	if e.Outcome != Undecided && e.Outcome != m.Outcome { // only where an agent has lost its store
+	// The outcomes can differ only if an agent has lost its store.
+	if e.Outcome != Undecided && e.Outcome != m.Outcome {
 		return false, fmt.Sprintf("%s was chosen, not %s", e.Outcome, m.Outcome), nil
 	}
 	allowed, final := max(e.AllowedWaves, m.AllowedWaves), e.Final || m.Final
@@ -266,7 +277,8 @@
 	return true, "", a.advance(e)
 }
 
-// advance moves an entry's prepared targets on as far as the outcome and the allowed waves go.
+// advance moves the prepared targets of an entry to their next phase, as far as the outcome and the
+// allowed waves permit, and returns the commands to carry out.
 func (a *Agent) advance(e *Entry) (commands []Command) {
 	for _, t := range e.Change.Targets {
 		state := e.TargetStates[t.Instance]
@@ -284,8 +296,8 @@
 	return commands
 }
 
-// UnfinishedCommands returns the commands to carry out after a restart: those that were being carried out, of which it is not known
-// whether the director has the script, and those that are due.
+// UnfinishedCommands returns the commands to carry out after a restart: commands that were in
+// progress, for which it is unknown whether the director has the script, and commands that are due.
 func (a *Agent) UnfinishedCommands() (commands []Command) {
 	for _, e := range a.State.Entries {
 		for _, t := range e.Change.Targets {
@@ -298,7 +310,8 @@
 	return commands
 }
 
-// CommandDone takes the result of a command. The failure is empty where the director was read back as running the script.
+// CommandDone records the result of a command. An empty failure means that the director has
+// reported that it runs the script.
 func (a *Agent) CommandDone(c Command, failure string) {
 	e := a.Entry(c.ChangeID)
 	if e == nil || e.TargetStates[c.Instance] == nil || e.TargetStates[c.Instance].Phase != PhaseApplying {
@@ -315,8 +328,9 @@
 	a.State.ActiveScripts[c.Instance] = c.Script
 }
 
-// InDoubt returns the IDs of the changes whose outcome the agent should ask other agents for: undecided ones, and those with a target
-// that waits for its wave. A change that is being applied is not in doubt.
+// InDoubt returns the IDs of the changes whose outcome the agent should query from other agents:
+// undecided changes, and changes with a target that waits for its wave. A change that is being
+// applied is not in doubt.
 func (a *Agent) InDoubt() (ids []string) {
 	for _, e := range a.State.Entries {
 		inDoubt := e.Outcome == Undecided
@@ -330,7 +344,7 @@
 	return ids
 }
 
-// HandleQueryReply learns from another agent's reply to Query which outcomes were chosen.
+// HandleQueryReply learns the chosen outcomes from another agent's reply to a Query.
 func (a *Agent) HandleQueryReply(reply Reply) (commands []Command) {
 	for _, e := range reply.Entries {
 		if e.Outcome != Undecided && a.Entry(e.Change.ID) != nil {
--- a/rollout/change.go
+++ b/rollout/change.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// Ballot is the right to change the fleet, ordered by Number and then by Holder. A higher ballot takes the right over from a lower one.
+// Ballot is a claim to the right to change the fleet. Ballots are ordered by Number and then by
+// Holder. A higher ballot takes the right over from a lower one.
 type Ballot struct {
-	Number int64  `json:"n"`      // of the attempt; zero before the first
-	Holder string `json:"holder"` // the tool or agent that proposes, such as "alice/1f2e3d4c"
+	Number int64  `json:"n"`      // number of the attempt; zero before the first
+	Holder string `json:"holder"` // proposing tool or agent, such as "alice/1f2e3d4c"
 }
 
 // Less reports whether b is lower than other.
@@ -16,37 +17,39 @@
 	return cmp.Or(cmp.Compare(b.Number, other.Number), cmp.Compare(b.Holder, other.Holder)) < 0
 }
 
-// Outcome is what was decided about a change. Its numbers are sent and stored.
+// Outcome is the decision about a change. Its numeric values are sent and stored.
 type Outcome int
 
 // The outcomes of a change.
 const (
 	Undecided Outcome = iota // no outcome is known to be chosen
-	Commit                   // every target gets its script
-	Abort                    // every target keeps the script it has
+	Commit                   // every target gets its new script
+	Abort                    // every target keeps its current script
 )
 
 var outcomeNames = [...]string{"open", "go", "drop"}
 
-// String returns the name that tools print and that the audit record has; it does not change with the constants' names.
+// String returns the name that tools print and that audit records contain. It must not change when
+// a constant is renamed.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Target is the part of a change that is about one director.
+// Target is the part of a change that concerns one director.
 type Target struct {
-	Instance string `json:"instance"` // the director's name
-	Agent    string `json:"agent"`    // the agent that looks after it
-	Base     string `json:"base"`     // checksum of the script that must be active before the change
+	Instance string `json:"instance"` // name of the director
+	Agent    string `json:"agent"`    // name of the agent that manages the director
+	Base     string `json:"base"`     // checksum of the script that the change replaces
 	Script   string `json:"script"`   // the new script
-	Wave     int    `json:"wave"`     // from 1; a wave begins when the one before has been applied
+	Wave     int    `json:"wave"`     // from 1; a wave starts once the previous one is applied
 }
 
-// Change gives several directors new scripts, all of them or none. It is immutable once it has been proposed.
+// Change replaces the scripts of several directors: either all of them or none. It is immutable
+// once it has been proposed.
 type Change struct {
 	ID      string   `json:"id"`               // unique among all changes
-	Author  string   `json:"by"`               // who proposed it
-	Note    string   `json:"note"`             // what it is for, in the author's words
-	Reverts string   `json:"undoes,omitempty"` // ID of the change that this one takes back, if any
-	Targets []Target `json:"targets"`          // empty where a reply names the change by its ID only
+	Author  string   `json:"by"`               // who proposed the change
+	Note    string   `json:"note"`             // purpose of the change, in the author's words
+	Reverts string   `json:"undoes,omitempty"` // ID of the change that this one undoes, if any
+	Targets []Target `json:"targets"`          // empty if a reply contains only the ID
 }
 
 // WaveCount returns the number of waves.
@@ -66,29 +69,29 @@
 	return slices.Compact(names)
 }
 
-// Phase is how far a change has come at one director. Its numbers are sent and stored.
+// Phase is the progress of a change at one director. Its numeric values are sent and stored.
 type Phase int
 
-// The phases of a target. A target ends in one of PhaseRefused, PhaseApplied, PhaseFailed and PhaseUnchanged.
+// The phases of a target. PhaseRefused, PhaseApplied, PhaseFailed and PhaseUnchanged are final.
 const (
 	PhasePrepared  Phase = iota // stored, and either undecided or waiting for its wave
-	PhaseRefused                // could not be prepared
-	PhaseApplying               // the agent is applying it
-	PhaseApplied                // active, read back from the director
-	PhaseFailed                 // the director rejected it and has its previous script again
-	PhaseUnchanged              // aborted, or stopped before its wave
+	PhaseRefused                // the target could not be prepared
+	PhaseApplying               // the agent is applying the script
+	PhaseApplied                // the director has reported that it runs the script
+	PhaseFailed                 // the director rejected the script and has its previous one again
+	PhaseUnchanged              // the change was aborted, or stopped before the target's wave
 )
 
 var phaseNames = [...]string{"waiting", "refused", "going", "in force", "failed", "untouched"}
 
-// String returns the name that tools print; it does not change with the constants' names.
+// String returns the name that tools print. It must not change when a constant is renamed.
 func (p Phase) String() string { return phaseNames[p] }
 
-// TargetState is an agent's stored state of one target.
+// TargetState is the state of one target that an agent stores.
 type TargetState struct {
-	Phase          Phase  `json:"phase"`         // how far the change has come
-	Reason         string `json:"why,omitempty"` // why it was refused or failed
-	PreviousScript string `json:"before"`        // the script that was active when the change was prepared
+	Phase          Phase  `json:"phase"`         // progress of the change
+	Reason         string `json:"why,omitempty"` // why the target was refused or failed
+	PreviousScript string `json:"before"`        // active script when the change was prepared
 }
 
 // IsTerminal reports whether the phase is final.
@@ -96,23 +99,24 @@
 	return s.Phase == PhaseApplied || s.Phase == PhaseFailed || s.Phase == PhaseUnchanged || s.Phase == PhaseRefused
 }
 
-// Vote is the outcome that an agent has accepted, and by which ballot.
+// Vote is the outcome that an agent has accepted and the ballot that proposed it.
 type Vote struct {
-	Ballot  Ballot  `json:"ballot"`  // by which it was proposed
+	Ballot  Ballot  `json:"ballot"`  // ballot that proposed the outcome
 	Outcome Outcome `json:"outcome"` // Commit or Abort
 }
 
-// Entry is what an agent knows of a change.
+// Entry is what an agent knows about a change.
 type Entry struct {
-	Change       *Change                 `json:"change"`          // never nil; without targets in a reply that tells the state only
-	Vote         *Vote                   `json:"vote,omitempty"`  // nil until an outcome has been accepted
-	Outcome      Outcome                 `json:"outcome"`         // the chosen one, Undecided until the agent learns it
-	AllowedWaves int                     `json:"waves"`           // waves up to this one may be applied
-	Final        bool                    `json:"final"`           // AllowedWaves will not grow any more
-	TargetStates map[string]*TargetState `json:"local,omitempty"` // of this agent's targets, by instance
+	// Never nil. Replies that report only the state have a change without targets.
+	Change       *Change                 `json:"change"`
+	Vote         *Vote                   `json:"vote,omitempty"`  // nil until the agent has voted
+	Outcome      Outcome                 `json:"outcome"`         // Undecided until it is learned
+	AllowedWaves int                     `json:"waves"`           // last allowed wave
+	Final        bool                    `json:"final"`           // AllowedWaves will not increase
+	TargetStates map[string]*TargetState `json:"local,omitempty"` // of this agent, by instance
 }
 
-// IsComplete reports whether the agent has nothing more to do or to learn about the change.
+// IsComplete reports whether the agent has nothing left to do or to learn for the change.
 func (e *Entry) IsComplete() bool {
 	if e.Outcome == Undecided {
 		return false
@@ -125,15 +129,15 @@
 	return e.Outcome == Abort || e.Final || e.AllowedWaves >= e.Change.WaveCount()
 }
 
-// clone returns a copy that shares only the immutable change.
+// clone returns a copy that shares only the immutable change with the original.
 func (e *Entry) clone() Entry {
 	c := *e
 	if e.TargetStates != nil {
 		c.TargetStates = map[string]*TargetState{}
 	}
 	for instance, state := range e.TargetStates {
-		own := *state
-		c.TargetStates[instance] = &own
+		stateCopy := *state
+		c.TargetStates[instance] = &stateCopy
 	}
 	if e.Vote != nil {
 		vote := *e.Vote
@@ -142,7 +146,7 @@
 	return c
 }
 
-// completed returns what is kept of the change once its entry is dropped.
+// completed returns the record of the change that is kept after its entry is dropped.
 func (e *Entry) completed() CompletedChange {
 	return CompletedChange{e.Change.ID, e.Outcome, e.AllowedWaves, e.Final}
 }
--- a/rollout/coordinator.go
+++ b/rollout/coordinator.go
@@ -8,31 +8,31 @@
 	"tallyproxy/policy"
 )
 
-// Timeouts are how long a coordinator waits, in microseconds.
+// Timeouts are the times that a coordinator waits, in microseconds.
 type Timeouts struct {
-	Lease  policy.Micros // lease of the right to change; it is renewed three times as often
-	Resend policy.Micros // until a message that has no reply is sent again
-	Step   policy.Micros // for an agent to answer in a step, before the step goes on without it
+	Lease  policy.Micros // lease of the right to change, renewed after a third of it
+	Resend policy.Micros // until an unanswered message is sent again
+	Step   policy.Micros // for an agent to answer; then the step continues without it
 	Wave   policy.Micros // for the directors of a wave to run their scripts
 }
 
-// DefaultTimeouts suit agents that are a few milliseconds apart.
+// DefaultTimeouts returns timeouts for agents that are a few milliseconds apart.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{Lease: 3 * policy.Second, Resend: policy.Second / 2, Step: 5 * policy.Second, Wave: 20 * policy.Second}
 }
 
-// Step is the step that a coordinator is in.
+// Step is a step of a coordinator.
 type Step int
 
-// The steps of a coordinator, in their order. StepRecover is repeated for each undecided change of an earlier holder; StepQuery is
-// entered only where another holder has taken over.
+// The steps of a coordinator, in their order. StepRecover is repeated for each undecided change of
+// an earlier holder. StepQuery is entered only if another holder has taken over.
 const (
-	StepPromise Step = iota // asks for the right to change
-	StepRecover             // decides a change that an earlier holder left open
-	StepPrepare             // has its own change checked and stored
-	StepDecide              // has its own change's outcome accepted
-	StepApply               // has the chosen outcome learned, wave by wave
-	StepQuery               // asks what became of its change
+	StepPromise Step = iota // requests the right to change
+	StepRecover             // decides a change that an earlier holder left undecided
+	StepPrepare             // has the agents check and store the coordinator's own change
+	StepDecide              // has the agents accept the outcome of the coordinator's own change
+	StepApply               // has the agents learn the chosen outcome, wave by wave
+	StepQuery               // asks the agents for the outcome of the coordinator's change
 	StepDone                // the result is complete
 )
 
@@ -41,44 +41,50 @@
 // String returns the name that tools print.
 func (s Step) String() string { return stepNames[s] }
 
-// HealthCheck is asked between waves until it has answered. A stopReason that is not empty stops the change before its next wave.
+// HealthCheck is called between waves until it has answered. A non-empty stopReason stops the
+// change before its next wave.
 type HealthCheck func() (stopReason string, answered bool)
 
-// Coordinator is the state machine that takes one change through, or completes the changes that earlier holders left open. Its driver
-// sends the envelopes that Start, Tick and HandleReply return, until Step is StepDone.
+// Coordinator is the state machine that carries out one change, or completes the changes that
+// earlier holders left undecided. Its driver sends the envelopes that Start, Tick and HandleReply
+// return, until Step returns StepDone.
 type Coordinator struct {
-	agents      []string // all of the fleet, sorted
+	agents      []string // all agents of the fleet, sorted
 	timeouts    Timeouts
 	ballot      Ballot
-	ownChange   *Change // nil once it is current, or where there is none
+	ownChange   *Change // nil once it is current, or if there is none
 	healthCheck HealthCheck
-	recoverOnly bool // begins no wave that no one has begun: whether to go on is an operator's decision
+	// If set, the coordinator starts no wave that has not been started before: whether to continue
+	// is an operator's decision.
+	recoverOnly bool
 
-	// The present step.
+	// State of the current step.
 	step            Step
 	stepStarted     policy.Micros
 	leaseRenewed    policy.Micros
-	seq             int                // counts steps
-	unanswered      map[string]Message // by agent
+	seq             int                // number of steps entered
+	unanswered      map[string]Message // messages without a final reply, by agent
 	sentAt          map[string]policy.Micros
 	replies         map[string]Reply
-	accepts, denies int // of replies
+	accepts, denies int // numbers of replies
 
 	// The change that is being decided or applied.
 	current        *Change
 	targetsByAgent map[string][]Target
-	targetStates   map[string]TargetState // the latest known, by instance
+	targetStates   map[string]TargetState // latest known states, by instance
 	outcome        Outcome
 	wave           int
-	stopReason     string // why no further wave is begun; empty while one may
+	stopReason     string // why no further wave is started; empty if one may be started
 
-	undecided     []*Entry // of earlier holders, still to be completed
-	lostToAnother bool     // another holder has, or took over, the right to change
+	undecided     []*Entry // changes of earlier holders that are still to be completed
+	lostToAnother bool     // another holder has the right to change, or took it over
 	result        Result
 }
 
-// NewCoordinator makes a coordinator that proposes as holder. The number must be higher than that of any ballot the holder has used
-// before, agents are all of the fleet, and a nil change means to complete what others left open. The health check may be nil.
+// NewCoordinator returns a coordinator that proposes as holder. The number must be higher than that
+// of any ballot that the holder has used before, and agents must be all agents of the fleet. If
+// change is nil, the coordinator completes the changes that others left undecided. The health check
+// may be nil.
 func NewCoordinator(holder string, number int64, agents []string, change *Change, timeouts Timeouts, healthCheck HealthCheck) *Coordinator {
 	c := &Coordinator{
 		agents: slices.Sorted(slices.Values(agents)), timeouts: timeouts, ownChange: change, ballot: Ballot{number, holder},
@@ -90,26 +96,27 @@
 	return c
 }
 
-// Start returns the first messages.
+// Start returns the messages of the first step.
 func (c *Coordinator) Start(now policy.Micros) []Envelope {
 	return c.enter(now, StepPromise, c.agents, Message{Type: Promise, Lease: c.timeouts.Lease, Change: c.ownChange})
 }
 
-// Step returns the present step.
+// Step returns the current step.
 func (c *Coordinator) Step() Step { return c.step }
 
 // Wave returns the wave that is being applied.
 func (c *Coordinator) Wave() int { return c.wave }
 
-// Result returns what is known of the result; it is complete in StepDone.
+// Result returns the result as far as it is known. It is complete in StepDone.
 func (c *Coordinator) Result() Result { return c.result }
 
-// DebugString tells the step and the agents it waits for.
+// DebugString describes the current step and the agents that it waits for.
 func (c *Coordinator) DebugString() string {
-	return fmt.Sprintf("%v %s since %v, for %v", c.step, c.result.ID, c.stepStarted, slices.Sorted(maps.Keys(c.unanswered)))
+	return fmt.Sprintf("%v %s since %v, waiting for %v", c.step, c.result.ID, c.stepStarted, slices.Sorted(maps.Keys(c.unanswered)))
 }
 
-// Tick goes on where a time has come: it is to be called several times in Timeouts.Resend.
+// Tick does what is due at the given time: it ends steps that have timed out, resends messages and
+// renews the lease. It must be called several times per Timeouts.Resend.
 func (c *Coordinator) Tick(now policy.Micros) []Envelope {
 	if c.step == StepDone {
 		return nil
@@ -126,7 +133,8 @@
 	return out
 }
 
-// HandleReply takes an agent's reply. One of an earlier step only updates what is known of the targets.
+// HandleReply processes an agent's reply. A reply to an earlier step only updates the known states
+// of the targets.
 func (c *Coordinator) HandleReply(now policy.Micros, from string, reply Reply) []Envelope {
 	if c.step == StepDone || reply.Type == Renew || reply.Type == Release {
 		return nil
@@ -142,33 +150,35 @@
 	c.count(reply, +1)
 	c.replies[from] = reply
 	switch {
-	case c.step == StepQuery && (c.outcome == Undecided || !c.targetsDone(from)): // it is asked again
+	case c.step == StepQuery && (c.outcome == Undecided || !c.targetsDone(from)):
+		// The message is sent again.
 	case c.step != StepApply || !reply.OK || c.targetsDone(from):
 		delete(c.unanswered, from)
 	}
 	return c.proceed(now)
 }
 
-// Release gives the right to change back, at the end or in the middle of a change: others may then complete at once what is open.
+// Release gives the right to change back, at the end or in the middle of a change. Other holders
+// can then complete undecided changes at once.
 func (c *Coordinator) Release() []Envelope {
 	return c.broadcast(Message{Type: Release, Ballot: c.ballot})
 }
 
-// count adds a reply to the accepts or denies, or takes it away again.
-func (c *Coordinator) count(reply Reply, by int) {
+// count adds a reply to accepts or denies, or subtracts it again.
+func (c *Coordinator) count(reply Reply, delta int) {
 	if reply.OK {
-		c.accepts += by
+		c.accepts += delta
 	} else {
-		c.denies += by
+		c.denies += delta
 	}
 }
 
 func (c *Coordinator) isMajority(agents int) bool { return agents > len(c.agents)/2 }
 
-// outvoted reports whether so many agents have denied that no majority can accept any more.
+// outvoted reports whether so many agents have denied that a majority can no longer accept.
 func (c *Coordinator) outvoted() bool { return !c.isMajority(len(c.agents) - c.denies) }
 
-// enter begins a step by sending a message to some agents.
+// enter begins a step by sending a message to the given agents.
 func (c *Coordinator) enter(now policy.Micros, step Step, to []string, m Message) []Envelope {
 	c.step, c.stepStarted = step, now
 	c.unanswered, c.sentAt, c.replies = map[string]Message{}, map[string]policy.Micros{}, map[string]Reply{}
@@ -181,7 +191,8 @@
 	return c.send(now)
 }
 
-// send returns the step's messages that were not sent yet, or were sent and not answered for Timeouts.Resend.
+// send returns the messages of the step that have not been sent yet, or have been unanswered for
+// Timeouts.Resend since they were last sent.
 func (c *Coordinator) send(now policy.Micros) (out []Envelope) {
 	for _, agent := range slices.Sorted(maps.Keys(c.unanswered)) {
 		if at, sent := c.sentAt[agent]; !sent || now-at >= c.timeouts.Resend {
@@ -193,7 +204,7 @@
 	return out
 }
 
-// broadcast returns a message to all agents that waits for no reply.
+// broadcast returns a message to all agents that expects no reply.
 func (c *Coordinator) broadcast(m Message) (out []Envelope) {
 	for _, agent := range c.agents {
 		out = append(out, Envelope{agent, m})
@@ -202,7 +213,8 @@
 	return out
 }
 
-// updateTargets takes from a reply how the targets of the current change are, and what became of it.
+// updateTargets updates the known states of the current change's targets from a reply. In
+// StepQuery, it also takes the outcome of the change from the reply.
 func (c *Coordinator) updateTargets(reply Reply) {
 	for _, e := range reply.Entries {
 		if c.current == nil || e.Change.ID != c.current.ID {
@@ -219,12 +231,13 @@
 	}
 }
 
-// targetsDone reports whether all targets of an agent in the waves so far have come to their end.
+// targetsDone reports whether no target of an agent is pending.
 func (c *Coordinator) targetsDone(agent string) bool {
 	return !slices.ContainsFunc(c.targetsByAgent[agent], c.isPending)
 }
 
-// isPending reports whether a target of the waves so far has not come to its end.
+// isPending reports whether a target has not reached a final phase yet. If the change is committed,
+// targets of later waves are not pending. If it is not, targets of unknown state are not pending.
 func (c *Coordinator) isPending(t Target) bool {
 	if c.outcome == Commit && t.Wave > c.wave {
 		return false
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -11,7 +11,7 @@
 	"tallyproxy/policy"
 )
 
-// testChecksum stands for the checksum of a script.
+// testChecksum returns a fake checksum of a script.
 func testChecksum(script string) string { return "sum of " + script }
 
 // machine is an agent with its store and its directors.
@@ -24,22 +24,22 @@
 	down     bool
 }
 
-// fleet is a simulated fleet, with a network that loses, repeats, delays and reorders messages.
+// fleet is a simulated fleet with a network that loses, repeats, delays and reorders messages.
 type fleet struct {
 	now        policy.Micros
 	machines   map[string]*machine
 	names      []string
-	tools      map[int]*Coordinator // coordinators that run, by ballot number
+	tools      map[int]*Coordinator // running coordinators, by ballot number
 	inFlight   []delivery
 	lastBallot int64
-	rejects    map[string]bool // directors that reject what their agent checked
+	rejects    map[string]bool // directors that reject scripts that their agent has accepted
 	chosen     map[string]Outcome
-	commanded  map[string]bool // change and instance of each command that was carried out
-	err        error           // the first violation that was seen
+	commanded  map[string]bool // change ID and instance of each command that was carried out
+	err        error           // first violation
 }
 
 type delivery struct {
-	to      string // an agent, or a tool's number
+	to      string // an agent, or the ballot number of a tool
 	from    string
 	message *Message
 	reply   *Reply
@@ -67,7 +67,7 @@
 	return f
 }
 
-// boot starts an agent from what it had stored.
+// boot starts an agent from its stored state.
 func (f *fleet) boot(name string) {
 	m := f.machines[name]
 	var s State
@@ -86,15 +86,16 @@
 	f.store(m)
 }
 
-// runRecovery has an agent's recovery do something; its messages are sent once the state is stored.
-func (f *fleet) runRecovery(m *machine, act func() ([]Envelope, []Command)) {
+// runRecovery runs an action of an agent's recovery. The messages of the action are sent after the
+// state is stored.
+func (f *fleet) runRecovery(m *machine, action func() ([]Envelope, []Command)) {
 	if m.down {
 		return
 	}
-	sends, do := act()
+	envelopes, commands := action()
 	f.store(m)
-	m.commands = append(m.commands, do...)
-	f.enqueue(m.Name, sends)
+	m.commands = append(m.commands, commands...)
+	f.enqueue(m.Name, envelopes)
 }
 
 func (f *fleet) tickRecovery(m *machine) {
@@ -124,40 +125,40 @@
 	return c
 }
 
-func (f *fleet) enqueue(from string, sends []Envelope) {
-	for _, s := range sends {
+func (f *fleet) enqueue(from string, envelopes []Envelope) {
+	for _, s := range envelopes {
 		m := s.Message
 		f.inFlight = append(f.inFlight, delivery{to: s.To, from: from, message: &m})
 	}
 }
 
 // deliver delivers one message or reply.
-func (f *fleet) deliver(it delivery) {
-	if it.message != nil {
-		m := f.machines[it.to]
+func (f *fleet) deliver(d delivery) {
+	if d.message != nil {
+		m := f.machines[d.to]
 		if m.down {
 			return
 		}
-		r, do := m.Handle(f.now, *it.message)
+		reply, commands := m.Handle(f.now, *d.message)
 		f.store(m)
-		m.commands = append(m.commands, do...)
-		f.inFlight = append(f.inFlight, delivery{to: it.from, from: it.to, reply: &r})
+		m.commands = append(m.commands, commands...)
+		f.inFlight = append(f.inFlight, delivery{to: d.from, from: d.to, reply: &reply})
 		return
 	}
-	if m := f.machines[it.to]; m != nil { // a reply to its recovery
-		f.runRecovery(m, func() ([]Envelope, []Command) { return m.recovery.HandleReply(f.now, it.from, *it.reply) })
+	if m := f.machines[d.to]; m != nil { // a reply to the agent's recovery
+		f.runRecovery(m, func() ([]Envelope, []Command) { return m.recovery.HandleReply(f.now, d.from, *d.reply) })
 		return
 	}
 	var n int
-	if _, err := fmt.Sscan(it.to, &n); err != nil {
+	if _, err := fmt.Sscan(d.to, &n); err != nil {
 		f.err = err
 	}
 	if c := f.tools[n]; c != nil {
-		f.enqueue(it.to, c.HandleReply(f.now, it.from, *it.reply))
+		f.enqueue(d.to, c.HandleReply(f.now, d.from, *d.reply))
 	}
 }
 
-// carryOutNext has an agent carry out its next command.
+// carryOutNext makes an agent carry out its next command.
 func (f *fleet) carryOutNext(m *machine) {
 	if len(m.commands) == 0 || m.down {
 		return
@@ -166,11 +167,11 @@
 	m.commands = m.commands[1:]
 	f.commanded[c.ChangeID+" "+c.Instance] = true
 	if f.chosen[c.ChangeID] != Commit {
-		f.err = fmt.Errorf("%s: %s was driven though the change was %s", c.ChangeID, c.Instance, f.chosen[c.ChangeID])
+		f.err = fmt.Errorf("%s: the script was applied to %s although the outcome is %s", c.ChangeID, c.Instance, f.chosen[c.ChangeID])
 	}
 	failure := ""
 	if f.rejects[c.Instance] {
-		failure = "it would not have it"
+		failure = "the director rejected the script"
 		m.running[c.Instance] = c.PreviousScript
 	} else {
 		m.running[c.Instance] = c.Script
@@ -179,13 +180,13 @@
 	f.store(m)
 }
 
-// runRounds delivers and carries out everything, round after round of a quarter of a second.
+// runRounds delivers all messages and carries out all commands in rounds of a quarter of a second.
 func (f *fleet) runRounds(rounds int) {
 	for range rounds {
 		for len(f.inFlight) > 0 {
-			it := f.inFlight[0]
+			d := f.inFlight[0]
 			f.inFlight = f.inFlight[1:]
-			f.deliver(it)
+			f.deliver(d)
 		}
 		for _, name := range f.names {
 			for m := f.machines[name]; len(m.commands) > 0 && !m.down; {
@@ -217,8 +218,8 @@
 	return c
 }
 
-// checkConsistent checks that every director runs exactly what its agent reports, that each change has one outcome, and that nothing is
-// left open.
+// checkConsistent checks that every director runs exactly the script that its agent reports, that
+// each change has one outcome, and that no change is left undecided.
 func (f *fleet) checkConsistent(fail func(string, ...any), when string) {
 	if f.err != nil {
 		fail("%s: %v", when, f.err)
@@ -226,46 +227,47 @@
 	for _, name := range f.names {
 		m := f.machines[name]
 		for _, e := range m.State.Entries {
-			for _, t := range e.Change.Targets { // committed means prepared everywhere
+			for _, t := range e.Change.Targets { // a committed change must be prepared everywhere
 				other := f.machines[t.Agent].Entry(e.Change.ID)
-				if past := f.machines[t.Agent].State.completed(e.Change.ID); past != nil && past.Outcome == e.Outcome {
+				if completed := f.machines[t.Agent].State.completed(e.Change.ID); completed != nil && completed.Outcome == e.Outcome {
 					continue
 				}
 				if e.Outcome == Commit && (other == nil || other.TargetStates[t.Instance] == nil || other.TargetStates[t.Instance].Phase == PhaseRefused) {
-					fail("%s: %s was decided though %s could not take it", when, e.Change.ID, t.Instance)
+					fail("%s: %s was committed although %s was not prepared", when, e.Change.ID, t.Instance)
 				}
 			}
-			for instance, l := range e.TargetStates {
+			for instance, state := range e.TargetStates {
 				runs := m.running[instance]
 				switch want := ""; {
-				case !l.IsTerminal():
-					fail("%s: %s of %s is left %v, %s is %v", when, instance, name, l.Phase, e.Change.ID, e.Outcome)
-				case l.Phase == PhaseApplied:
+				case !state.IsTerminal():
+					fail("%s: %s of %s is left in phase %v, the outcome of %s is %v", when, instance, name, state.Phase, e.Change.ID, e.Outcome)
+				case state.Phase == PhaseApplied:
 					for _, t := range e.Change.Targets {
 						if t.Instance == instance {
 							want = t.Script
 						}
 					}
 					if e == m.State.Entries[len(m.State.Entries)-1] && runs != want {
-						fail("%s: %s runs %q though %s is in force", when, instance, runs, e.Change.ID)
+						fail("%s: %s runs %q although %s was applied", when, instance, runs, e.Change.ID)
 					}
-				case f.commanded[e.Change.ID+" "+instance] && l.Phase != PhaseFailed:
-					fail("%s: %s was driven to %s, and is told to be %v", when, instance, e.Change.ID, l.Phase)
+				case f.commanded[e.Change.ID+" "+instance] && state.Phase != PhaseFailed:
+					fail("%s: %s was given the script of %s, but its phase is %v", when, instance, e.Change.ID, state.Phase)
 				}
 			}
 			if e.Outcome == Undecided && len(e.TargetStates) > 0 {
-				fail("%s: %s is left open at %s", when, e.Change.ID, name)
+				fail("%s: %s is left undecided at %s", when, e.Change.ID, name)
 			}
 		}
 		for instance, script := range m.State.ActiveScripts {
 			if m.running[instance] != script {
-				fail("%s: %s runs %q, its agent takes it for %q", when, instance, m.running[instance], script)
+				fail("%s: %s runs %q, but its agent reports %q", when, instance, m.running[instance], script)
 			}
 		}
 	}
 }
 
-// deliverUntil delivers one message after another until a condition holds; where there is none, time passes.
+// deliverUntil delivers one message after another until a condition holds. If there is no message,
+// it advances the time.
 func (f *fleet) deliverUntil(reached func() bool) {
 	for !reached() {
 		if len(f.inFlight) == 0 {
@@ -275,8 +277,8 @@
 			}
 			continue
 		}
-		it := f.inFlight[0]
+		d := f.inFlight[0]
 		f.inFlight = f.inFlight[1:]
-		f.deliver(it)
+		f.deliver(d)
 	}
 }
--- a/rollout/golden_test.go
+++ b/rollout/golden_test.go
@@ -9,8 +9,9 @@
 	"tallyproxy/policy"
 )
 
-// Agents and tools of different versions meet during a roll-out, and an agent's store outlives its version: the encoded forms below
-// must not change.
+// goldenChange returns a change with all fields set. Agents and tools of different versions
+// communicate during an upgrade, and an agent's store outlives the agent's version. Therefore, the
+// encoded forms below must not change.
 func goldenChange() *Change {
 	return &Change{ID: "c1", Author: "op/1", Note: "why", Reverts: "c0", Targets: []Target{{"n0", "a0", "sum", "log()", 2}}}
 }
@@ -22,6 +23,7 @@
 	}
 }
 
+// TestGoldenJSON guards against changes of the JSON forms that are stored, sent and printed.
 func TestGoldenJSON(t *testing.T) {
 	entry := goldenEntry()
 	cases := []struct {
@@ -54,7 +56,8 @@
 	}
 }
 
-// The numbers are sent and stored, the words are printed and part of the audit record.
+// TestGoldenNumbers guards against changes of the numbers, which are sent and stored, and of the
+// names, which are printed and are part of audit records.
 func TestGoldenNumbers(t *testing.T) {
 	var got []string
 	for _, v := range []fmt.Stringer{
--- a/rollout/history_test.go
+++ b/rollout/history_test.go
@@ -11,8 +11,10 @@
 	"tallyproxy/policy"
 )
 
-// Any history of losses, repeats, delays, crashes and several tools ends, once the network works, with every target changed or
-// unchanged and one outcome for each change, whoever is left to complete it, and in a bounded time.
+// TestAnyHistory guards against histories of lost, repeated and delayed messages, crashes and
+// several tools after which a change does not end. Once the network works, every target must be
+// changed or unchanged in a bounded time, with one outcome for each change, regardless of who
+// completes it.
 func TestAnyHistory(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -20,11 +22,12 @@
 		end   func(f *fleet)
 	}{
 		{"another tool", 3, func(f *fleet) {
-			f.tools = map[int]*Coordinator{} // the tools crash, what they sent still arrives
+			// The tools crash, but the messages that they sent still arrive.
+			f.tools = map[int]*Coordinator{}
 			f.now += 30 * policy.Second
 			f.startTool(nil)
 		}},
-		{"the tools that live", 3, func(*fleet) {}},
+		{"the surviving tools", 3, func(*fleet) {}},
 		{"the agents alone", 1, func(f *fleet) { f.tools = map[int]*Coordinator{} }},
 	}
 	for _, c := range cases {
@@ -32,7 +35,7 @@
 	}
 }
 
-// hasUnstartedWave reports whether a wave is left that only an operator may begin.
+// hasUnstartedWave reports whether a wave is left that only an operator may start.
 func (f *fleet) hasUnstartedWave() bool {
 	for _, name := range f.names {
 		for _, e := range f.machines[name].State.Entries {
@@ -44,49 +47,51 @@
 	return false
 }
 
+// checkHistory simulates a random history, ends it with the given function and checks the final
+// state of the fleet.
 func checkHistory(t *rapid.T, waves int, end func(*fleet)) {
 	f := newFleet(rapid.IntRange(1, 4).Draw(t, "agents"))
 	changes := 0
 	for range rapid.IntRange(1, 150).Draw(t, "steps") {
 		name := rapid.SampledFrom(f.names).Draw(t, "agent")
 		m := f.machines[name]
-		switch what := rapid.IntRange(0, 14).Draw(t, "what"); {
-		case what == 0 && changes < 4:
+		switch action := rapid.IntRange(0, 14).Draw(t, "what"); {
+		case action == 0 && changes < 4:
 			changes++
 			script := rapid.SampledFrom([]string{"x", "y", "faulty"}).Draw(t, "script")
 			f.startTool(f.newChange(fmt.Sprint("c", changes), fmt.Sprint(script, changes), rapid.IntRange(1, waves).Draw(t, "waves")))
-		case what == 1:
+		case action == 1:
 			m.down = true
 			m.commands = nil
-		case what == 2 && m.down:
+		case action == 2 && m.down:
 			f.boot(name)
-		case what == 3 && len(f.tools) > 0:
+		case action == 3 && len(f.tools) > 0:
 			tools := slices.Sorted(maps.Keys(f.tools))
 			delete(f.tools, rapid.SampledFrom(tools).Draw(t, "tool"))
-		case what == 4 && len(f.tools) < 3:
+		case action == 4 && len(f.tools) < 3:
 			f.startTool(nil)
-		case what == 5:
+		case action == 5:
 			f.now += policy.Micros(rapid.IntRange(1, 20_000_000).Draw(t, "time"))
 			for _, n := range slices.Sorted(maps.Keys(f.tools)) {
 				f.enqueue(fmt.Sprint(n), f.tools[n].Tick(f.now))
 			}
-		case what == 6:
+		case action == 6:
 			f.carryOutNext(m)
-		case what == 7:
+		case action == 7:
 			f.tickRecovery(m)
-		case what == 8:
+		case action == 8:
 			f.rejects[fmt.Sprint("n", name[1:], "0")] = rapid.Bool().Draw(t, "refuses")
 		case len(f.inFlight) > 0:
 			i := rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "message")
-			it := f.inFlight[i]
-			if what == 9 { // lost
+			d := f.inFlight[i]
+			if action == 9 { // the message is lost
 				f.inFlight = slices.Delete(f.inFlight, i, i+1)
 				continue
 			}
-			if what != 10 { // otherwise it arrives again later
+			if action != 10 { // otherwise the message arrives again later
 				f.inFlight = slices.Delete(f.inFlight, i, i+1)
 			}
-			f.deliver(it)
+			f.deliver(d)
 		}
 		if f.err != nil {
 			t.Fatal(f.err)
@@ -102,10 +107,10 @@
 	f.runRounds(600)
 	for n, c := range f.tools {
 		if c.Step() != StepDone {
-			t.Fatalf("tool %d never returns: %s", n, c.DebugString())
+			t.Fatalf("tool %d does not finish: %s", n, c.DebugString())
 		}
 	}
-	for range 3 { // each change with a wave left waits for an operator who resumes it
+	for range 3 { // each change with an unstarted wave waits for an operator to resume it
 		if f.hasUnstartedWave() {
 			f.startTool(nil)
 			f.runRounds(200)
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// Candidate is a director that a change may take in.
+// Candidate is a director that a change may include.
 type Candidate struct {
-	Instance string // its name
-	Agent    string // the agent that looks after it
-	Depot    string // the site that its agent is at
-	Script   string // the active one
+	Instance string // name of the director
+	Agent    string // name of the agent that manages the director
+	Depot    string // site of the agent
+	Script   string // active script
 }
 
-// Plan makes a change of the candidates whose script edit changes. With a limit of 0 there is one wave; otherwise a wave has the
-// directors of one depot, at most limit of them. The checksum gives the form of Target.Base.
+// Plan returns a change with the candidates whose script the function edit changes. If limit is 0,
+// there is one wave. Otherwise, each wave has directors of one depot only, at most limit of them.
+// The function checksum computes the values of Target.Base.
 func Plan(id, author, note string, candidates []Candidate, limit int, checksum func(string) string, edit func(Candidate) string) *Change {
 	change := &Change{ID: id, Author: author, Note: note}
 	sorted := slices.Clone(candidates)
@@ -37,10 +38,11 @@
 	return change
 }
 
-// Undo makes the change that takes another one back at the directors that run it. Previous has the script that each of them had before.
-func Undo(id, author string, of *Change, previous map[string]string, checksum func(string) string) *Change {
-	change := &Change{ID: id, Author: author, Note: "undo " + of.ID, Reverts: of.ID}
-	for _, t := range of.Targets {
+// Undo returns a change that undoes another one at the directors that run it. previous maps these
+// directors to the scripts that they had before.
+func Undo(id, author string, undone *Change, previous map[string]string, checksum func(string) string) *Change {
+	change := &Change{ID: id, Author: author, Note: "undo " + undone.ID, Reverts: undone.ID}
+	for _, t := range undone.Targets {
 		if script, applied := previous[t.Instance]; applied {
 			change.Targets = append(change.Targets, Target{Instance: t.Instance, Agent: t.Agent, Base: checksum(t.Script), Script: script, Wave: t.Wave})
 		}
--- a/rollout/recovery.go
+++ b/rollout/recovery.go
@@ -10,54 +10,62 @@
 	"tallyproxy/policy"
 )
 
-// How an agent asks others about changes that it is in doubt about, as multiples of Timeouts.Resend.
+// Timing of an agent's queries about a change in doubt, as multiples of Timeouts.Resend.
 const (
-	queryDelay       = 2 // before the first query: by then most changes have become known without one
-	maxQueryInterval = 4 // between two queries: a change that waits for an operator is asked about rarely
+	// Before the first query. By then, most outcomes have become known without a query.
+	queryDelay = 2
+	// Between two queries at most, so that a change that waits for an operator is queried rarely.
+	maxQueryInterval = 4
 )
 
-// queryFanout is the number of other agents that are asked at a time.
+// queryFanout is the number of other agents that are queried at a time.
 const queryFanout = 2
 
-// recoverySuffix marks a ballot's holder as an agent's recovery. Agents of all versions compare it.
+// recoverySuffix marks the holder of a ballot as an agent's recovery. Agents of all versions
+// compare it.
 const recoverySuffix = "/settles"
 
-// IsRecoveryHolder reports whether the holder of the right to change is an agent that completes what a tool left open: that is no other
-// operator's work, and soon over.
+// IsRecoveryHolder reports whether the holder of the right to change is an agent that completes a
+// change that a tool left undecided. Such a holder does no other operator's work and finishes soon.
 func IsRecoveryHolder(holder string) bool {
 	agent, found := strings.CutSuffix(holder, recoverySuffix)
 	return found && agent != ""
 }
 
-// Recovery is the part of an agent that completes changes in doubt without an operator. It asks other agents what became of them. Where
-// the holder of the right to change is silent for its whole lease, it takes the right and completes what a majority knows, as any tool
-// would; it begins no wave that no one has begun, since a tool may have stopped because of a health check.
+// Recovery is the part of an agent that completes changes in doubt without an operator. It queries
+// other agents for the outcomes of these changes. If the holder of the right to change is silent
+// for its whole lease, Recovery acquires that right and completes the changes that a majority
+// knows, as a tool would. It starts no wave that has not been started before, because a tool may
+// have stopped the change after a health check.
 //
-// Agents take turns, in an order that is shuffled by the ID of the change: the first that is up tries first, the second some time
-// later, and so on. Two that try at once all the same can each keep a majority from the other. Each then rests for a time that it draws
-// from its own seed, so that they do not try at once again (see retryBackoff).
+// Agents take turns in an order that is shuffled by the ID of the change: the first agent that is
+// up tries first, the second one some time later, and so on. If two agents still try at the same
+// time, each can keep the other from getting a majority. Each of them then waits for a time that it
+// draws with its own seed, so that they do not try at the same time again (see retryBackoff).
 type Recovery struct {
-	agent        *Agent
-	agents       []string // all of the fleet, sorted
-	timeouts     Timeouts
-	queries      map[string]*query // of the changes in doubt, by ID
-	queryTurn    int               // index in agents of the one that was asked last
-	coordinator  *Coordinator      // nil while this agent does not hold or ask for the right to change
-	highest      int64             // ballot number heard of
-	turnsSince   policy.Micros     // agents' turns count from then: the last holder fell silent, or a tool gave the right back
-	backoff      retryBackoff      // of attempts that were refused
-	backoffUntil policy.Micros     // it does not try again before
+	agent         *Agent
+	agents        []string // all agents of the fleet, sorted
+	timeouts      Timeouts
+	queries       map[string]*query // for the changes in doubt, by change ID
+	lastQueried   int               // index in agents of the agent that was queried last
+	coordinator   *Coordinator      // nil unless this agent holds or requests the right to change
+	highestNumber int64             // highest ballot number seen in a reply
+	// The agents' turns start at this time: when the last holder's lease expired, or when a tool
+	// gave the right to change back.
+	turnsSince   policy.Micros
+	backoff      retryBackoff  // after refused attempts
+	backoffUntil policy.Micros // no new attempt is made before this time
 }
 
-// query is when other agents are asked about a change in doubt.
+// query is the schedule of the queries about a change in doubt.
 type query struct {
 	inDoubtSince policy.Micros
 	next         policy.Micros
 	interval     policy.Micros
 }
 
-// NewRecovery makes the recovery of an agent among all agents of the fleet. Changes that are in doubt at the start were left by an
-// earlier run and are asked about at once.
+// NewRecovery returns the recovery of an agent; agents are all agents of the fleet. Changes that
+// are in doubt at the start were left by an earlier run and are queried at once.
 func NewRecovery(now policy.Micros, a *Agent, agents []string, timeouts Timeouts) *Recovery {
 	r := &Recovery{
 		agent: a, agents: slices.Sorted(slices.Values(agents)), timeouts: timeouts, queries: map[string]*query{},
@@ -69,7 +77,8 @@
 	return r
 }
 
-// Tick goes on where a time has come. The agent's state must be stored before anything is sent.
+// Tick does what is due at the given time: it sends queries and runs the coordinator. The agent's
+// state must be stored before any of the returned envelopes is sent.
 func (r *Recovery) Tick(now policy.Micros) (out []Envelope, commands []Command) {
 	ids := r.agent.InDoubt()
 	for id := range r.queries {
@@ -85,7 +94,7 @@
 	case r.coordinator != nil:
 		envelopes = r.coordinator.Tick(now)
 	case r.isDue(now):
-		number := max(r.highest, r.agent.State.Promised.Number) + 1
+		number := max(r.highestNumber, r.agent.State.Promised.Number) + 1
 		r.coordinator = NewCoordinator(r.agent.Name+recoverySuffix, number, r.agents, nil, r.timeouts, nil)
 		r.coordinator.recoverOnly = true
 		envelopes = r.coordinator.Start(now)
@@ -96,9 +105,9 @@
 	return append(out, remote...), commands
 }
 
-// HandleReply takes another agent's reply to an envelope.
+// HandleReply processes another agent's reply to one of the returned envelopes.
 func (r *Recovery) HandleReply(now policy.Micros, from string, reply Reply) (out []Envelope, commands []Command) {
-	r.highest = max(r.highest, reply.Promised.Number)
+	r.highestNumber = max(r.highestNumber, reply.Promised.Number)
 	if reply.Type == Query {
 		return nil, r.agent.HandleQueryReply(reply)
 	}
@@ -108,50 +117,52 @@
 	return nil, nil
 }
 
-// DebugString tells what the recovery is doing.
+// DebugString describes what the recovery is doing.
 func (r *Recovery) DebugString(now policy.Micros) string {
-	text := fmt.Sprintf("%s in doubt about %v, lease over in %v", r.agent.Name, r.agent.InDoubt(), max(0, r.agent.leaseEnd-now))
+	text := fmt.Sprintf("%s: changes in doubt: %v, lease expires in %v", r.agent.Name, r.agent.InDoubt(), max(0, r.agent.leaseEnd-now))
 	if r.coordinator != nil {
-		text += ", settling: " + r.coordinator.DebugString()
+		text += ", recovering: " + r.coordinator.DebugString()
 	}
 	return text
 }
 
-// query asks the agents whose turn it is what became of a change.
+// query returns the queries about a change that are due, to the agents whose turn it is.
 func (r *Recovery) query(now policy.Micros, id string) (out []Envelope) {
 	q := r.queries[id]
 	if q == nil {
 		q = &query{inDoubtSince: now, next: now + queryDelay*r.timeouts.Resend, interval: r.timeouts.Resend}
 		r.queries[id] = q
-		r.queryTurn = r.rank(id)
+		r.lastQueried = r.rank(id)
 	}
 	if now < q.next {
 		return nil
 	}
 	q.next, q.interval = now+q.interval, min(2*q.interval, maxQueryInterval*r.timeouts.Resend)
 	for range min(queryFanout, len(r.agents)-1) {
-		r.queryTurn = (r.queryTurn + 1) % len(r.agents)
-		if r.agents[r.queryTurn] == r.agent.Name {
-			r.queryTurn = (r.queryTurn + 1) % len(r.agents)
+		r.lastQueried = (r.lastQueried + 1) % len(r.agents)
+		if r.agents[r.lastQueried] == r.agent.Name {
+			r.lastQueried = (r.lastQueried + 1) % len(r.agents)
 		}
-		out = append(out, Envelope{r.agents[r.queryTurn], Message{Type: Query, ChangeID: id}})
+		out = append(out, Envelope{r.agents[r.lastQueried], Message{Type: Query, ChangeID: id}})
 	}
 	return out
 }
 
-// rank returns this agent's turn for a change, from 0. It depends on the same hash in every version.
+// rank returns this agent's turn for a change, from 0. All versions must use the same hash for it.
 func (r *Recovery) rank(id string) int {
-	own, n := slices.Index(r.agents, r.agent.Name), len(r.agents)
-	return (own + int(xxhash.Sum64String(id)%uint64(n))) % n
+	ownIndex, n := slices.Index(r.agents, r.agent.Name), len(r.agents)
+	return (ownIndex + int(xxhash.Sum64String(id)%uint64(n))) % n
 }
 
-// isDue reports whether a change is undecided, its holder has been silent for the lease, and it is this agent's turn.
+// isDue reports whether a change is undecided, its holder has been silent for the whole lease, and
+// it is this agent's turn to complete the change.
 func (r *Recovery) isDue(now policy.Micros) bool {
 	if now < r.backoffUntil || now < r.agent.leaseEnd {
 		return false
 	}
-	// A recovery that gave the right back was refused, or is done. The other agents' turns go on: if they began anew, agents that refuse
-	// each other again and again would keep the turns of those after them from coming.
+	// A recovery that gave the right back was refused or is done. The turns of the other agents
+	// then continue. If the turns started anew, agents that refuse each other again and again would
+	// keep the turns of later agents from coming.
 	if !r.agent.leaseReleased || !IsRecoveryHolder(r.agent.State.Promised.Holder) {
 		r.turnsSince = r.agent.leaseEnd
 	}
@@ -160,7 +171,7 @@
 		if e.Outcome != Undecided || q == nil {
 			continue
 		}
-		// The operator's tool comes first: it resends, waits, and only then gives up.
+		// The operator's tool has priority: it resends its messages, waits, and only then gives up.
 		silentSince := max(r.turnsSince, q.inDoubtSince+queryDelay*r.timeouts.Resend)
 		if now >= silentSince+policy.Micros(r.rank(e.Change.ID))*r.timeouts.Resend {
 			return true
@@ -169,7 +180,8 @@
 	return false
 }
 
-// deliverLocal handles the coordinator's messages to this agent itself and returns those to others.
+// deliverLocal handles the coordinator's messages to this agent itself and returns the messages to
+// other agents.
 func (r *Recovery) deliverLocal(now policy.Micros, envelopes []Envelope) (out []Envelope, commands []Command) {
 	for len(envelopes) > 0 {
 		envelope := envelopes[0]
--- a/rollout/restart.go
+++ b/rollout/restart.go
@@ -3,22 +3,24 @@
 import "tallyproxy/policy"
 
 const (
-	initialRestartDelay = policy.Second      // doubled after each restart
-	maxRestartDelay     = 64 * policy.Second // the longest
-	stableUptime        = 30 * policy.Second // after which the delay is the initial one again
+	initialRestartDelay = policy.Second      // first delay; doubled after each restart
+	maxRestartDelay     = 64 * policy.Second // longest delay
+	stableUptime        = 30 * policy.Second // uptime after which the delay is reset
 )
 
-// RestartPolicy decides when a director that exited by itself is started again, with an exponential backoff so that one that can't run
-// does not take its machine's time. One that exited because it was told to stop stays down. The zero value is ready to use.
+// RestartPolicy decides when to restart a director that exited on its own. It uses an exponential
+// backoff, so that a director that cannot run does not use up its machine's time. A director that
+// exited because it was told to stop stays down. The zero value is ready to use.
 type RestartPolicy struct {
 	up    bool
-	at    policy.Micros // when it was found up, or when it is to be started
+	at    policy.Micros // when it was found up, or when its next start is due
 	delay policy.Micros
 	exits int
 }
 
-// ShouldStart takes whether the director is up, and whether it was told to stop, and reports whether to start it now.
-func (p *RestartPolicy) ShouldStart(now policy.Micros, up, toldToStop bool) bool {
+// ShouldStart reports whether to start the director now. up says whether the director is running,
+// and stopRequested whether it exited because it was told to stop.
+func (p *RestartPolicy) ShouldStart(now policy.Micros, up, stopRequested bool) bool {
 	switch {
 	case up && !p.up:
 		p.up, p.at = true, now
@@ -29,7 +31,7 @@
 		p.up, p.exits = false, p.exits+1
 		p.delay = min(max(initialRestartDelay, 2*p.delay), maxRestartDelay)
 		p.at = now + p.delay
-	case !toldToStop && now >= p.at:
+	case !stopRequested && now >= p.at:
 		p.delay = min(2*p.delay, maxRestartDelay)
 		p.at = now + p.delay
 		return true
--- a/rollout/restart_test.go
+++ b/rollout/restart_test.go
@@ -7,12 +7,17 @@
 	"tallyproxy/policy"
 )
 
+// TestRestartPolicy guards against a director that is restarted too often, not at all, or although
+// it was told to stop.
 func TestRestartPolicy(t *testing.T) {
 	cases := []struct {
-		name       string
-		lives      func(started int, since policy.Micros) bool // whether it is up so long after its latest start
-		toldToStop bool
-		want       []policy.Micros // when it is started, in seconds
+		name string
+		// Reports whether the director is up, from the number of starts and the time since the
+		// latest one.
+		isUp          func(started int, since policy.Micros) bool
+		stopRequested bool
+		want          []policy.Micros // when the director is started, in seconds
+
 	}{
 		{"it runs", func(int, policy.Micros) bool { return true }, false, nil},
 		{"it dies once", func(n int, since policy.Micros) bool { return n > 0 || since < 10*policy.Second }, false, []policy.Micros{11}},
@@ -24,11 +29,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var k RestartPolicy
+			var restarts RestartPolicy
 			var got []policy.Micros
 			started, at := 0, policy.Micros(0)
 			for now := policy.Micros(0); now < 200*policy.Second; now += policy.Second {
-				if k.ShouldStart(now, c.lives(started, now-at), c.toldToStop) {
+				if restarts.ShouldStart(now, c.isUp(started, now-at), c.stopRequested) {
 					started, at, got = started+1, now, append(got, now/policy.Second)
 				}
 			}
--- a/rollout/result.go
+++ b/rollout/result.go
@@ -2,26 +2,30 @@
 
 import "tallyproxy/policy"
 
-// TargetResult is what came of one target of a change.
+// TargetResult is the result of a change for one target.
 type TargetResult struct {
-	Instance string `json:"instance"`      // the director
-	Agent    string `json:"agent"`         // its agent
-	State    string `json:"state"`         // "changed", "untouched", "will be changed" or "not known"
-	Reason   string `json:"why,omitempty"` // why it was not changed
+	Instance string `json:"instance"` // name of the director
+	Agent    string `json:"agent"`    // name of its agent
+	// One of "changed", "untouched", "will be changed" and "not known".
+	State  string `json:"state"`
+	Reason string `json:"why,omitempty"` // why the target was not changed
 }
 
-// Result is what came of a coordinator's work.
+// Result is the result of a coordinator's work.
 type Result struct {
-	ID            string         `json:"id"`                // of the change; empty where there was none
-	Outcome       Outcome        `json:"outcome"`           // Undecided where the decision is not known
-	RefusalReason string         `json:"refused,omitempty"` // why nothing was begun, or the change was aborted
-	Holder        string         `json:"holder,omitempty"`  // who holds the right to change, where that is the reason
-	HeldFor       policy.Micros  `json:"held,omitempty"`    // since Holder was given it, in microseconds
-	LeaseLeft     policy.Micros  `json:"left,omitempty"`    // of Holder's lease, in microseconds
-	StopReason    string         `json:"stopped,omitempty"` // why no further wave was begun
-	NeedsResume   bool           `json:"resume,omitempty"`  // another holder decided it, and waves are left for whoever may begin them
-	Targets       []TargetResult `json:"ends"`              // in the order of the change; nil where nothing was begun
-	MessagesSent  int            `json:"sent"`              // by the coordinator, renewals and repetitions included
+	ID      string  `json:"id"`      // ID of the change; empty if there was none
+	Outcome Outcome `json:"outcome"` // Undecided if the decision is unknown
+	// Why nothing was started, or why the change was aborted.
+	RefusalReason string `json:"refused,omitempty"`
+	// The holder of the right to change, if that is the reason for the refusal.
+	Holder     string        `json:"holder,omitempty"`
+	HeldFor    policy.Micros `json:"held,omitempty"`    // time since Holder got the right, in µs
+	LeaseLeft  policy.Micros `json:"left,omitempty"`    // remaining lease of Holder, in µs
+	StopReason string        `json:"stopped,omitempty"` // why no further wave was started
+	// Another holder decided the change, and an operator may resume the remaining waves.
+	NeedsResume  bool           `json:"resume,omitempty"`
+	Targets      []TargetResult `json:"ends"` // in the order of the change; nil if nothing started
+	MessagesSent int            `json:"sent"` // includes lease renewals and resent messages
 }
 
 // AllOrNone reports whether every target was changed, or every target is unchanged.
@@ -33,7 +37,7 @@
 	return counts["changed"] == len(r.Targets) || counts["untouched"] == len(r.Targets)
 }
 
-// targetResults gives the result of each target of the current change.
+// targetResults returns the result of each target of the current change.
 func (c *Coordinator) targetResults() (results []TargetResult) {
 	for _, t := range c.current.Targets {
 		result := TargetResult{Instance: t.Instance, Agent: t.Agent, State: "untouched"}
@@ -44,9 +48,9 @@
 		case known && state.IsTerminal():
 			result.Reason = state.Reason
 		case c.outcome == Commit && t.Wave <= c.wave:
-			result.State, result.Reason = "will be changed", "its agent does not answer, and does it when it is back"
+			result.State, result.Reason = "will be changed", "its agent does not answer and will apply the change once it is reachable"
 			if known && state.Phase == PhaseApplying {
-				result.Reason = "its director is not done with it"
+				result.Reason = "its director has not finished applying the change"
 			}
 		}
 		results = append(results, result)
--- a/rollout/steps.go
+++ b/rollout/steps.go
@@ -8,7 +8,7 @@
 	"tallyproxy/policy"
 )
 
-// proceed goes on as far as the replies and the time allow.
+// proceed continues with the next steps as far as the replies and the elapsed time allow.
 func (c *Coordinator) proceed(now policy.Micros) []Envelope {
 	switch c.step {
 	case StepPromise:
@@ -27,22 +27,24 @@
 	return nil
 }
 
-// proceedPromise goes on to the changes that earlier holders left open once a majority has granted the right to change.
+// proceedPromise continues with the changes that earlier holders left undecided once a majority has
+// granted the right to change.
 func (c *Coordinator) proceedPromise(now policy.Micros) []Envelope {
-	late := now-c.stepStarted >= c.timeouts.Step
-	if c.outvoted() || late && !c.isMajority(c.accepts) {
+	timedOut := now-c.stepStarted >= c.timeouts.Step
+	if c.outvoted() || timedOut && !c.isMajority(c.accepts) {
 		c.refusePromise()
 		return c.finish(now, "")
 	}
-	if !c.isMajority(c.accepts) || len(c.unanswered) > 0 && !late && now-c.stepStarted < c.timeouts.Resend {
-		return nil // the remaining agents get a moment, since they may know of an open change
+	if !c.isMajority(c.accepts) || len(c.unanswered) > 0 && !timedOut && now-c.stepStarted < c.timeouts.Resend {
+		return nil // wait a moment for the remaining agents, which may know an undecided change
 	}
 	c.leaseRenewed = now
 	c.collectUndecided()
 	return c.nextChange(now)
 }
 
-// refusePromise fills the result with the reason of the agent that has promised the highest ballot.
+// refusePromise fills the result with the refusal of the agent that has promised the highest
+// ballot.
 func (c *Coordinator) refusePromise() {
 	c.result.RefusalReason = "no majority of the agents answers"
 	if c.denies == 0 {
@@ -59,8 +61,9 @@
 	c.result.HeldFor, c.result.LeaseLeft = highest.HeldFor, highest.LeaseLeft
 }
 
-// collectUndecided finds in the promises the changes that must be completed first. If the coordinator's own change is among them it has
-// been proposed before, and is completed like the others.
+// collectUndecided collects the changes that must be completed first from the replies to Promise.
+// If the coordinator's own change is among them, it was proposed before and is completed like the
+// others.
 func (c *Coordinator) collectUndecided() {
 	known := c.mergedEntries()
 	for _, id := range slices.Sorted(maps.Keys(known)) {
@@ -68,16 +71,17 @@
 		own := c.ownChange != nil && id == c.ownChange.ID
 		switch {
 		case own && (e.Vote != nil || e.Outcome != Undecided):
-			e.Change = c.ownChange // agents that are done with it told no more than its outcome
+			e.Change = c.ownChange // agents that have completed it report only its outcome
 			c.undecided, c.ownChange = append(c.undecided, e), nil
-		case !own && len(e.Change.Targets) > 0: // without targets, all who know the change are done with it
+		case !own && len(e.Change.Targets) > 0:
+			// Without targets, all agents that know the change have completed it.
 			c.undecided = append(c.undecided, e)
 		}
 	}
 }
 
-// mergedEntries combines what the agents that promised know of each change: its outcome where one knows it, else the vote of the highest
-// ballot.
+// mergedEntries combines what the agents that promised know about each change: its outcome if an
+// agent knows it, and otherwise the vote with the highest ballot.
 func (c *Coordinator) mergedEntries() map[string]*Entry {
 	merged := map[string]*Entry{}
 	for _, agent := range slices.Sorted(maps.Keys(c.replies)) {
@@ -93,7 +97,7 @@
 			if known.Outcome == Undecided {
 				known.Outcome = e.Outcome
 			}
-			if len(known.Change.Targets) == 0 { // from an agent that is done with it
+			if len(known.Change.Targets) == 0 { // from an agent that has completed the change
 				known.Change = e.Change
 			}
 			known.AllowedWaves, known.Final = max(known.AllowedWaves, e.AllowedWaves), known.Final || e.Final
@@ -105,7 +109,7 @@
 	return merged
 }
 
-// nextChange takes up the next change that was left open, or else the coordinator's own.
+// nextChange starts the next undecided change, or the coordinator's own change if none is left.
 func (c *Coordinator) nextChange(now policy.Micros) []Envelope {
 	c.targetStates, c.stopReason = map[string]TargetState{}, ""
 	if len(c.undecided) > 0 {
@@ -121,8 +125,9 @@
 	return c.enter(now, StepPrepare, c.current.Agents(), Message{Type: Prepare, Change: c.current})
 }
 
-// recover proposes the outcome that a change must have: the chosen one where it is known, else that of the highest vote. Where nobody of
-// a majority has voted, no outcome was chosen and none can be with a lower ballot, so the change is aborted.
+// recover proposes the outcome that a change must have: the chosen one if it is known, and
+// otherwise that of the vote with the highest ballot. If no agent of a majority has voted, no
+// outcome was chosen and none can be chosen with a lower ballot, so the change is aborted.
 func (c *Coordinator) recover(now policy.Micros, e *Entry) []Envelope {
 	c.setCurrent(e.Change, max(1, e.AllowedWaves))
 	for instance, state := range e.TargetStates {
@@ -135,7 +140,7 @@
 		c.outcome = e.Vote.Outcome
 	}
 	if e.Final && e.AllowedWaves < e.Change.WaveCount() {
-		c.stopReason = "stopped before"
+		c.stopReason = "stopped earlier"
 	}
 	return c.enter(now, StepRecover, c.agents, Message{Type: Accept, Change: c.current, Outcome: c.outcome})
 }
@@ -147,7 +152,8 @@
 	}
 }
 
-// proceedPrepare decides to commit once every agent has prepared the change, and to abort if one refuses or does not answer.
+// proceedPrepare decides to commit once every agent has prepared the change, and to abort if an
+// agent refuses or does not answer.
 func (c *Coordinator) proceedPrepare(now policy.Micros) []Envelope {
 	for _, agent := range slices.Sorted(maps.Keys(c.replies)) {
 		if reply := c.replies[agent]; !reply.OK {
@@ -170,7 +176,7 @@
 	return c.enter(now, StepDecide, c.agents, Message{Type: Accept, Change: c.current, Outcome: outcome})
 }
 
-// proceedDecide goes on to apply the outcome once a majority has accepted it.
+// proceedDecide applies the outcome once a majority has accepted it.
 func (c *Coordinator) proceedDecide(now policy.Micros) []Envelope {
 	switch {
 	case c.isMajority(c.accepts):
@@ -178,15 +184,15 @@
 			c.result.ID, c.result.Outcome = c.current.ID, c.outcome
 		}
 		return c.apply(now)
-	case c.outvoted(): // also where an even number of agents is split in halves and all have answered
+	case c.outvoted(): // also if an even number of agents is split in halves and all have answered
 		return c.query(now)
 	case now-c.stepStarted >= 4*c.timeouts.Step:
-		return c.finish(now, "no majority of the agents answers; `resume` goes on once they do")
+		return c.finish(now, "no majority of the agents answers; run `resume` once they do")
 	}
 	return nil
 }
 
-// apply tells all agents the chosen outcome and the waves that are allowed.
+// apply sends the chosen outcome and the allowed waves to all agents.
 func (c *Coordinator) apply(now policy.Micros) []Envelope {
 	final := c.outcome == Abort || c.stopReason != "" || c.wave >= c.current.WaveCount()
 	return c.enter(now, StepApply, c.agents, Message{
@@ -194,20 +200,22 @@
 	})
 }
 
-// proceedApply goes on to the next wave once a majority knows of this one and its directors run their scripts. It stops the change where a
-// director rejected its script, where one is late, or where the health check says so.
+// proceedApply continues with the next wave once a majority knows of the current one and its
+// directors run their scripts. It stops the change if a director rejected its script, if a director
+// is late, or if the health check returns a reason to stop.
 func (c *Coordinator) proceedApply(now policy.Micros) []Envelope {
 	known := c.isMajority(c.accepts)
-	late := now-c.stepStarted >= c.timeouts.Wave
-	if !late && !known {
+	timedOut := now-c.stepStarted >= c.timeouts.Wave
+	if !timedOut && !known {
 		return nil
 	}
 	pending, failure := c.waveProgress()
-	if !late && pending && !c.recoverOnly { // a recovery does not hold the right to change back from others meanwhile
+	// A recovery does not keep the right to change from other holders while targets are pending.
+	if !timedOut && pending && !c.recoverOnly {
 		return nil
 	}
 	if c.outcome == Abort || c.stopReason != "" || c.recoverOnly || c.wave >= c.current.WaveCount() {
-		if late || now-c.stepStarted >= c.timeouts.Resend || len(c.unanswered) == 0 {
+		if timedOut || now-c.stepStarted >= c.timeouts.Resend || len(c.unanswered) == 0 {
 			return c.finishChange(now)
 		}
 		return nil
@@ -216,16 +224,17 @@
 	case failure != "":
 		c.stopReason = failure
 	case pending:
-		c.stopReason = fmt.Sprintf("wave %d did not come to its end", c.wave)
-	case !known: // otherwise each of many waves could take its whole time with nobody there
+		c.stopReason = fmt.Sprintf("wave %d was not completed in time", c.wave)
+	case !known:
+		// Otherwise, each of many waves could take its whole timeout with no agent reachable.
 		c.stopReason = fmt.Sprintf("no majority of the agents knows of wave %d", c.wave)
 	case c.healthCheck != nil:
 		reason, answered := c.healthCheck()
 		if !answered && now-c.stepStarted < 2*c.timeouts.Wave {
-			return nil // the lease is renewed meanwhile
+			return nil // the lease is renewed in the meantime
 		}
 		if !answered {
-			reason = fmt.Sprintf("after wave %d nobody could say how things look", c.wave)
+			reason = fmt.Sprintf("the health check after wave %d did not answer", c.wave)
 		}
 		c.stopReason = reason
 	}
@@ -235,7 +244,8 @@
 	return c.apply(now)
 }
 
-// waveProgress reports whether a target of the waves so far is pending, and the failure of the last of those that failed.
+// waveProgress reports whether a target of the waves so far is pending, and returns the failure of
+// the last target that failed.
 func (c *Coordinator) waveProgress() (pending bool, failure string) {
 	for _, t := range c.current.Targets {
 		pending = pending || c.isPending(t)
@@ -246,7 +256,7 @@
 	return pending, failure
 }
 
-// finishChange records the result of the current change and takes up the next one.
+// finishChange records the result of the current change and starts the next one.
 func (c *Coordinator) finishChange(now policy.Micros) []Envelope {
 	if c.result.ID == c.current.ID {
 		c.result.StopReason = c.stopReason
@@ -255,11 +265,13 @@
 	return c.nextChange(now)
 }
 
-// query asks what became of the coordinator's own change once another holder has the right to change: that holder completes it.
+// query asks for the outcome of the coordinator's own change after another holder has acquired the
+// right to change, because that holder completes the change.
 func (c *Coordinator) query(now policy.Micros) []Envelope {
 	c.lostToAnother = true
-	if c.result.ID == "" || c.current.ID != c.result.ID { // it was another's change; the own one was not begun
-		return c.finish(now, "taken over by another while an earlier change was being settled")
+	// The current change is an earlier holder's, and the coordinator's own change was not started.
+	if c.result.ID == "" || c.current.ID != c.result.ID {
+		return c.finish(now, "another holder took over while an earlier change was being recovered")
 	}
 	c.outcome, c.wave = Undecided, 1
 	return c.enter(now, StepQuery, c.agents, Message{Type: Query, ChangeID: c.current.ID})
@@ -267,24 +279,25 @@
 
 func (c *Coordinator) finishQuery(now policy.Micros) []Envelope {
 	if c.outcome == Undecided {
-		return c.finish(now, "taken over by another while it was being decided; `status` tells what came of it")
+		return c.finish(now, "another holder took over while the change was being decided; `status` shows the outcome")
 	}
 	c.result.Outcome, c.result.Targets = c.outcome, c.targetResults()
 	switch {
 	case c.outcome == Abort && c.result.RefusalReason == "":
-		c.result.RefusalReason = "taken over by another before it was decided"
+		c.result.RefusalReason = "another holder took over before the change was decided"
 	case c.outcome == Commit:
 		c.result.RefusalReason, c.result.NeedsResume = "", c.wave < c.current.WaveCount()
 	}
 	return c.finish(now, "")
 }
 
-// finish enters StepDone and gives the right to change back. A reason that is not empty refuses the change.
+// finish enters StepDone and gives the right to change back. A non-empty reason means that the
+// change was refused.
 func (c *Coordinator) finish(now policy.Micros, reason string) []Envelope {
 	if reason != "" {
 		c.result.RefusalReason = reason
 		change, state := c.current, "not known"
-		if c.ownChange != nil { // it was not begun
+		if c.ownChange != nil { // the change was not started
 			change, state = c.ownChange, "untouched"
 		}
 		for _, t := range change.Targets {
