--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -1,6 +1,7 @@
-// Package authority is a small certificate authority for a fleet: one certificate for each agent and each operator, with roles and a
-// limited lifetime, and a list of revoked certificates. Connections are mutual TLS 1.3. An authority is a folder of PEM files; private
-// keys are readable by their owner alone.
+// Package authority is a small certificate authority for a fleet. It issues one certificate for
+// each agent and each operator, with roles and a limited lifetime, and keeps a list of revoked
+// certificates. Connections use mutual TLS 1.3. An authority is a directory of PEM files; only
+// their owner can read the private keys.
 package authority
 
 import (
@@ -18,33 +19,34 @@
 	"time"
 )
 
-// Role is what a certificate allows its owner to do. Certificates hold it as an organizational unit.
+// Role is what a certificate allows its owner to do. Certificates contain roles as organizational
+// units.
 type Role string
 
-// The roles, by the words that certificates hold.
+// The roles. Certificates contain these values.
 const (
-	RoleAgent    Role = "agent"  // an agent: may ask and probe others
+	RoleAgent    Role = "agent"  // an agent, which may query and probe other agents
 	RoleViewer   Role = "see"    // an operator who may read the state of the fleet
-	RoleEditor   Role = "change" // an operator who may change it
+	RoleEditor   Role = "change" // an operator who may change the fleet
 	RoleKeyAdmin Role = "keys"   // an operator who may revoke certificates
 )
 
 var allRoles = []Role{RoleAgent, RoleViewer, RoleEditor, RoleKeyAdmin}
 
 const (
-	caLifetime = 10 * 365 * 24 * time.Hour // of the authority's own certificate, and the most of any other
-	clockSkew  = time.Hour                 // by which the clocks of two hosts may differ: certificates hold from so long ago
-	serialBits = 120                       // of a random serial number
+	caLifetime = 10 * 365 * 24 * time.Hour // of the CA certificate, and maximum of all others
+	clockSkew  = time.Hour                 // between hosts; NotBefore is this far in the past
+	serialBits = 120                       // size of a random serial number in bits
 )
 
-// Init makes a new authority under a common name: its key, its certificate and an empty revocation list. It is an error if the folder
-// has one already.
+// Init creates a new authority with a common name: its key, its certificate and an empty revocation
+// list. It returns an error if the directory already has an authority.
 func Init(dir, name string, now time.Time) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
 	if _, err := os.Stat(filepath.Join(dir, caKeyFile)); err == nil {
-		return fmt.Errorf("%s: there is an authority", dir)
+		return fmt.Errorf("%s: an authority already exists", dir)
 	}
 	key, err := newKey()
 	if err != nil {
@@ -68,8 +70,9 @@
 	return Revoke(dir, nil, now)
 }
 
-// Issue makes a key and a certificate with the roles for a name, signed by the authority in dir, as NAME.pem and NAME-key.pem of the folder
-// into. Issuing for the same name again renews: the certificate before stays valid until it expires or is revoked.
+// Issue creates a key and a certificate with the roles for a name, signed by the authority in dir,
+// and writes them as NAME.pem and NAME-key.pem to the directory into. Issuing a certificate for the
+// same name again renews it: the previous certificate stays valid until it expires or is revoked.
 func Issue(dir, into, name string, roles []Role, lifetime time.Duration, now time.Time) error {
 	if err := checkIssue(name, roles, lifetime); err != nil {
 		return err
@@ -105,21 +108,22 @@
 	return writeKeyPair(filepath.Join(into, name+".pem"), filepath.Join(into, name+"-key.pem"), der, key)
 }
 
-// checkIssue checks what a certificate is asked for. A name becomes a file's and must not be one of the authority's own.
+// checkIssue checks the parameters of a certificate. The name becomes a file name and must not be
+// one of the authority's own.
 func checkIssue(name string, roles []Role, lifetime time.Duration) error {
 	if name == "" || strings.ContainsAny(name, "/\\ \n") || name == "ca" || name == "revoked" {
-		return fmt.Errorf("name: %q can't be used", name)
+		return fmt.Errorf("name: %q is not a valid certificate name", name)
 	}
 	if len(roles) == 0 || slices.ContainsFunc(roles, func(r Role) bool { return !slices.Contains(allRoles, r) }) {
-		return fmt.Errorf("roles: %v is not of %v", roles, allRoles)
+		return fmt.Errorf("roles: %v must be one or more of %v", roles, allRoles)
 	}
 	if lifetime <= 0 || lifetime > caLifetime {
-		return fmt.Errorf("life: %v is not above 0 and within the authority's", lifetime)
+		return fmt.Errorf("life: %v must be above 0 and at most the authority's lifetime", lifetime)
 	}
 	return nil
 }
 
-// LoadCACertificate reads the own certificate of the authority in a folder.
+// LoadCACertificate reads the certificate of the authority in a directory.
 func LoadCACertificate(dir string) (*x509.Certificate, error) {
 	return LoadCertificate(filepath.Join(dir, caCertFile))
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestPrivateKeyModes: private keys are readable by their owner alone, or refused. Init and Issue refuse what can't be used.
+// TestPrivateKeyModes guards against private keys that other users can read, and against invalid
+// arguments that Init and Issue accept.
 func TestPrivateKeyModes(t *testing.T) {
 	dir, into := newAuthority(t), t.TempDir()
 	issueIdentity(t, dir, into, "op", time.Hour, time.Now(), RoleViewer)
@@ -20,10 +21,10 @@
 	requireNoError(t, os.Chmod(filepath.Join(into, "op-key.pem"), 0o644))
 	_, err := Open(dir, filepath.Join(into, "op.pem"), filepath.Join(into, "op-key.pem"))
 	if err == nil || !strings.Contains(err.Error(), "may read it") {
-		t.Errorf("a key that others may read: %v", err)
+		t.Errorf("a key that other users may read: %v", err)
 	}
 	if err := Init(dir, "again", time.Now()); err == nil {
-		t.Error("an authority was made over another")
+		t.Error("an authority was created over an existing one")
 	}
 	for _, c := range []struct {
 		name     string
--- a/internal/authority/files.go
+++ b/internal/authority/files.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Files of an authority's folder.
+// Files in an authority's directory.
 const (
 	caCertFile  = "ca.pem"
 	caKeyFile   = "ca-key.pem"
@@ -23,14 +23,15 @@
 	pemRevocationList = "X509 CRL"
 )
 
-// Modes of files: a private key's is privateMode, and none beyond ownerMask may be set on it.
+// File modes. A private key has privateMode, and must not have any permission outside ownerMask.
 const (
 	publicMode  os.FileMode = 0o644
 	privateMode os.FileMode = 0o600
 	ownerMask   os.FileMode = 0o700
 )
 
-// writePEM replaces a file by one PEM block. A reader sees the file before or the whole new one.
+// writePEM replaces a file by one PEM block atomically: a reader sees either the old file or the
+// complete new one.
 func writePEM(path, blockType string, der []byte, mode os.FileMode) error {
 	temporary := path + ".new"
 	file, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, mode)
@@ -45,13 +46,14 @@
 		err = closeErr
 	}
 	if err != nil {
-		_ = os.Remove(temporary) // the next write truncates what is left
+		_ = os.Remove(temporary) // the next write truncates a file that remains
 		return fmt.Errorf("write %s: %w", temporary, err)
 	}
 	return os.Rename(temporary, path)
 }
 
-// writeKeyPair writes a key and its certificate, the key first. A reader may see the new key with the old certificate for a moment.
+// writeKeyPair writes a key and its certificate, the key first. For a moment, a reader may see the
+// new key with the old certificate.
 func writeKeyPair(certPath, keyPath string, certDER []byte, key *ecdsa.PrivateKey) error {
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
@@ -63,7 +65,7 @@
 	return writePEM(certPath, pemCertificate, certDER, publicMode)
 }
 
-// readPEM returns the bytes of the first PEM block of a file, which must have the type.
+// readPEM returns the content of the first PEM block of a file. The block must have the given type.
 func readPEM(path, blockType string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -71,19 +73,19 @@
 	}
 	block, _ := pem.Decode(text)
 	if block == nil || block.Type != blockType {
-		return nil, fmt.Errorf("%s: no %s is in it", path, blockType)
+		return nil, fmt.Errorf("%s: expected a PEM block of type %s", path, blockType)
 	}
 	return block.Bytes, nil
 }
 
-// readPrivateKey reads a key. A file that others than its owner may read is refused.
+// readPrivateKey reads a private key. It refuses a file that users other than its owner may access.
 func readPrivateKey(path string) (*ecdsa.PrivateKey, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Mode().Perm()&^ownerMask != 0 {
-		return nil, fmt.Errorf("%s: others than its owner may read it (%v)", path, info.Mode().Perm())
+		return nil, fmt.Errorf("%s: users other than its owner may read it (%v)", path, info.Mode().Perm())
 	}
 	der, err := readPEM(path, pemPrivateKey)
 	if err != nil {
@@ -109,7 +111,7 @@
 	return cert, nil
 }
 
-// modTime returns when a file was last modified; zero for one that can't be looked at.
+// modTime returns when a file was last modified, or the zero time if its status cannot be read.
 func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/authority/golden_test.go
+++ b/internal/authority/golden_test.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// goldenFiles are an authority's folder and certificates as they are stored: made on 1 December 2026 for this test alone, and valid
-// a day. Fleets in service hold such files: they are never recorded anew.
+// goldenFiles are the stored files of an authority and of its certificates. They were created on 1
+// December 2026 for this test only, and the certificates are valid for a day. Fleets in production
+// have such files, so they must never be recorded anew.
 var goldenFiles = map[string]string{
 	"ca.pem": `-----BEGIN CERTIFICATE-----
 MIIBZTCCAQugAwIBAgIQAODo1zq53CfmH+Dm5cvugTAKBggqhkjOPQQDAjARMQ8w
@@ -87,7 +88,7 @@
 `,
 }
 
-// goldenFolder writes the golden files into a new folder.
+// goldenFolder writes the golden files to a new directory.
 func goldenFolder(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -97,8 +98,9 @@
 	return dir
 }
 
-// TestGoldenFilesAreRead checks that stored certificates and the list of revoked ones keep their meaning.
-// A certificate stores its roles as a set, whose encoding sorts them by length.
+// TestGoldenFilesAreRead guards against stored certificates and revocation lists that are read
+// differently than before. A certificate stores its roles as a set, whose encoding sorts them by
+// length.
 func TestGoldenFilesAreRead(t *testing.T) {
 	dir := goldenFolder(t)
 	now := time.Date(2026, 12, 1, 18, 0, 0, 0, time.UTC)
@@ -129,8 +131,8 @@
 	}
 }
 
-// TestGoldenFilesAreWritten checks the form of what is stored: names, PEM types, modes and what a certificate holds. Keys, serial
-// numbers and signatures are random.
+// TestGoldenFilesAreWritten guards against changes of the stored form: names, PEM types, modes and
+// the contents of certificates. Keys, serial numbers and signatures are random.
 func TestGoldenFilesAreWritten(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
@@ -146,7 +148,7 @@
 	checkGoldenRevocations(t, dir, revoked)
 }
 
-// checkGoldenModes checks the names, PEM types and modes of the files in a folder.
+// checkGoldenModes checks the names, PEM types and modes of the files in a directory.
 func checkGoldenModes(t *testing.T, dir string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -174,7 +176,7 @@
 	}
 }
 
-// checkGoldenCertificates compares the certificates in a folder with the golden ones.
+// checkGoldenCertificates compares the certificates in a directory with the golden ones.
 func checkGoldenCertificates(t *testing.T, dir string) {
 	t.Helper()
 	golden := goldenFolder(t)
@@ -192,7 +194,8 @@
 	}
 }
 
-// checkGoldenRevocations compares the revocation list in a folder with the golden one, but for the serial number of its one entry.
+// checkGoldenRevocations compares the revocation list in a directory with the golden one, except
+// for the serial number of its only entry.
 func checkGoldenRevocations(t *testing.T, dir string, revoked *x509.Certificate) {
 	t.Helper()
 	list := loadRevocationList(t, dir)
@@ -205,7 +208,8 @@
 	}
 }
 
-// certificateForm is all that a certificate holds but keys, serial numbers, identifiers made from keys and signatures.
+// certificateForm has the contents of a certificate except keys, serial numbers, identifiers
+// derived from keys, and signatures.
 type certificateForm struct {
 	Subject, Issuer     string
 	Units, DNSNames     []string
@@ -216,10 +220,10 @@
 	Signature           x509.SignatureAlgorithm
 	PublicKey           x509.PublicKeyAlgorithm
 	Extensions          int
-	RawPublicKey        int // bytes, which tell the curve
+	RawPublicKey        int // size in bytes, which identifies the curve
 }
 
-// formOf returns what of a certificate is compared.
+// formOf returns the parts of a certificate that are compared.
 func formOf(c *x509.Certificate) certificateForm {
 	return certificateForm{
 		Subject: c.Subject.String(), Issuer: c.Issuer.String(), Units: c.Subject.OrganizationalUnit, DNSNames: c.DNSNames,
@@ -229,7 +233,7 @@
 	}
 }
 
-// loadRevocationList reads the revocation list in a folder.
+// loadRevocationList reads the revocation list in a directory.
 func loadRevocationList(t *testing.T, dir string) *x509.RevocationList {
 	t.Helper()
 	ca, err := LoadCACertificate(dir)
--- a/internal/authority/helpers_test.go
+++ b/internal/authority/helpers_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// requireNoError ends the test on an error.
+// requireNoError ends the test if there is an error.
 func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -18,7 +18,7 @@
 	}
 }
 
-// newAuthority makes an authority in a folder of the test's.
+// newAuthority creates an authority in a temporary directory of the test.
 func newAuthority(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -26,7 +26,7 @@
 	return dir
 }
 
-// issueIdentity issues a certificate and opens it.
+// issueIdentity issues a certificate and opens it as an identity.
 func issueIdentity(t *testing.T, dir, into, name string, lifetime time.Duration, at time.Time, roles ...Role) *Identity {
 	t.Helper()
 	requireNoError(t, Issue(dir, into, name, roles, lifetime, at))
@@ -43,7 +43,7 @@
 	return cert
 }
 
-// handshake connects a client to a server, and returns why either refused.
+// handshake connects a client to a server and returns an error if either side refuses the other.
 func handshake(t *testing.T, server, client *Identity, name string) error {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 	return err
 }
 
-// serveOne accepts one connection and sends it a byte.
+// serveOne accepts one connection and sends one byte to it.
 func serveOne(listener net.Listener, server *Identity) (err error) {
 	netConn, err := listener.Accept()
 	if err != nil {
--- a/internal/authority/identity.go
+++ b/internal/authority/identity.go
@@ -11,26 +11,27 @@
 	"time"
 )
 
-// Identity is this side's certificate, and the authority that it trusts. Certificate, key and revocation list are read again when their
-// files change, so that a renewal needs no restart and a revoked certificate is refused with the next connection or call. It is safe for
+// Identity is the certificate of this side and the authority that it trusts. The certificate, its
+// key and the revocation list are read again when their files change, so that a renewal needs no
+// restart and a revoked certificate is refused at the next connection or call. Identity is safe for
 // concurrent use.
 type Identity struct {
 	caDir, certPath, keyPath string
 	ca                       *x509.Certificate
-	pool                     *x509.CertPool // the ca alone
+	pool                     *x509.CertPool // contains only ca
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	current        *tls.Certificate
 	currentModTime keyPairModTime  // of the files that current was read from
 	revoked        map[string]bool // decimal serial numbers
 	revokedModTime time.Time       // of the file that revoked was read from
 }
 
-// keyPairModTime is when the files of a certificate and of its key were last modified.
+// keyPairModTime has the modification times of a certificate file and of its key file.
 type keyPairModTime struct{ cert, key time.Time }
 
-// Open reads an identity from the files of its certificate and key. The authority's folder must have its certificate and revocation
-// list; its key is not needed.
+// Open reads an identity from the files of its certificate and key. The authority's directory must
+// contain its certificate and revocation list; its key is not needed.
 func Open(caDir, certPath, keyPath string) (*Identity, error) {
 	ca, err := LoadCACertificate(caDir)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return i, i.refreshRevoked()
 }
 
-// Name returns the common name of the own certificate.
+// Name returns the common name of this side's certificate.
 func (i *Identity) Name() string {
 	current, err := i.currentCertificate()
 	if err != nil {
@@ -53,8 +54,9 @@
 	return current.Leaf.Subject.CommonName
 }
 
-// currentCertificate returns the own certificate, which it reads where a file has changed. While the files can't be read, or do not
-// belong together since one of them is being replaced, the certificate before stays.
+// currentCertificate returns this side's certificate, and reads it again if a file has changed. If
+// the files cannot be read, or do not match because one of them is being replaced, the previous
+// certificate stays in use.
 func (i *Identity) currentCertificate() (*tls.Certificate, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -73,7 +75,7 @@
 	return cert, nil
 }
 
-// loadKeyPair reads the own certificate and its key.
+// loadKeyPair reads this side's certificate and its key.
 func (i *Identity) loadKeyPair() (*tls.Certificate, error) {
 	key, err := readPrivateKey(i.keyPath)
 	if err != nil {
@@ -84,12 +86,13 @@
 		return nil, err
 	}
 	if public, ok := cert.PublicKey.(*ecdsa.PublicKey); !ok || !public.Equal(key.Public()) {
-		return nil, fmt.Errorf("%s: it is not the key of %s", i.keyPath, i.certPath)
+		return nil, fmt.Errorf("%s: the private key does not match certificate %s", i.keyPath, i.certPath)
 	}
 	return &tls.Certificate{Certificate: [][]byte{cert.Raw}, PrivateKey: key, Leaf: cert}, nil
 }
 
-// refreshRevoked reads the revocation list where its file has changed. While it can't be read, the list before stays.
+// refreshRevoked reads the revocation list if its file has changed. If the file cannot be read, the
+// previous list stays in use.
 func (i *Identity) refreshRevoked() error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -102,7 +105,7 @@
 		if i.revoked != nil {
 			return nil
 		}
-		return fmt.Errorf("the list of revoked certificates: %w", err)
+		return fmt.Errorf("revocation list: %w", err)
 	}
 	i.revoked, i.revokedModTime = map[string]bool{}, modified
 	for _, entry := range list.RevokedCertificateEntries {
@@ -111,7 +114,8 @@
 	return nil
 }
 
-// Verify checks that a certificate is the authority's, valid at a time and not revoked, and returns its common name and its roles.
+// Verify checks that a certificate was issued by the authority, is valid at the given time and has
+// not been revoked. It returns the common name and the roles in the certificate.
 func (i *Identity) Verify(cert *x509.Certificate, now time.Time) (name string, roles []Role, err error) {
 	if _, err := cert.Verify(x509.VerifyOptions{
 		Roots: i.pool, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
@@ -132,7 +136,8 @@
 	return cert.Subject.CommonName, roles, nil
 }
 
-// ServerTLS returns the configuration of a listener whose clients must have a certificate that Verify accepts.
+// ServerTLS returns the configuration of a listener whose clients must have a certificate that
+// Verify accepts.
 func (i *Identity) ServerTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: i.pool,
@@ -141,7 +146,8 @@
 	}
 }
 
-// ClientTLS returns the configuration of a connection to the server of the given name, which its certificate must have.
+// ClientTLS returns the configuration of a connection to the named server, whose certificate must
+// contain that name.
 func (i *Identity) ClientTLS(serverName string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, RootCAs: i.pool, ServerName: serverName,
@@ -150,10 +156,10 @@
 	}
 }
 
-// verifyConnection checks the other side's certificate, also that of a resumed session.
+// verifyConnection verifies the certificate of the other side, also in a resumed session.
 func (i *Identity) verifyConnection(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("no certificate")
+		return errors.New("the peer presented no certificate")
 	}
 	_, _, err := i.Verify(state.PeerCertificates[0], time.Now())
 	return err
--- a/internal/authority/identity_test.go
+++ b/internal/authority/identity_test.go
@@ -10,13 +10,15 @@
 	"time"
 )
 
-// TestVerify: which certificates either side of a connection accepts.
+// TestVerify guards against a side of a connection that accepts an invalid certificate or refuses a
+// valid one.
 func TestVerify(t *testing.T) {
 	dir, now := newAuthority(t), time.Now()
 	server := issueIdentity(t, dir, t.TempDir(), "a0", time.Hour, now, RoleAgent)
 	good := issueIdentity(t, dir, t.TempDir(), "op", time.Hour, now, RoleViewer, RoleEditor)
 	expired := issueIdentity(t, dir, t.TempDir(), "late", time.Minute, now.Add(-2*time.Hour), RoleEditor)
-	ahead := issueIdentity(t, dir, t.TempDir(), "ahead", time.Hour, now.Add(50*time.Minute), RoleEditor) // its clock is off by less than an hour
+	// The clock of this issuer is ahead by less than an hour.
+	ahead := issueIdentity(t, dir, t.TempDir(), "ahead", time.Hour, now.Add(50*time.Minute), RoleEditor)
 	other := newAuthority(t)
 	foreign := issueIdentity(t, other, t.TempDir(), "op", time.Hour, now, RoleViewer, RoleEditor)
 	revoked := issueIdentity(t, dir, t.TempDir(), "left", time.Hour, now, RoleEditor)
@@ -29,7 +31,7 @@
 		name   string
 		client *Identity
 		server string
-		want   string // of the fault; empty for none
+		want   string // part of the expected error; empty for none
 	}{
 		{"good", good, "a0", ""}, {"expired", expired, "a0", "expired"}, {"issued by a clock that is ahead", ahead, "a0", ""},
 		{"of another authority", foreign, "a0", "unknown authority"}, {"revoked", revoked, "a0", "revoked"},
@@ -50,7 +52,8 @@
 	}
 }
 
-// TestRenewal: a certificate that was issued again is used from the next connection on, and one that can't be read is not.
+// TestRenewal guards against a renewed certificate that is not used for the next connection, and
+// against an unreadable certificate file that replaces the current certificate.
 func TestRenewal(t *testing.T) {
 	dir, into := newAuthority(t), t.TempDir()
 	identity := issueIdentity(t, dir, into, "a0", time.Hour, time.Now(), RoleAgent)
@@ -61,10 +64,11 @@
 		requireNoError(t, os.Chtimes(filepath.Join(into, name), later, later))
 	}
 	if ownCertificate(t, identity).Leaf.SerialNumber.Cmp(first) == 0 {
-		t.Error("the old one is still used")
+		t.Error("the old certificate is still used")
 	}
-	requireNoError(t, os.WriteFile(filepath.Join(into, "a0.pem"), []byte("half"), 0o600)) // being replaced just then
+	// The file is just being replaced.
+	requireNoError(t, os.WriteFile(filepath.Join(into, "a0.pem"), []byte("half"), 0o600))
 	if _, err := identity.currentCertificate(); err != nil {
-		t.Errorf("a file that is half changed: %v", err)
+		t.Errorf("a partly written file: %v", err)
 	}
 }
--- a/internal/authority/revocation.go
+++ b/internal/authority/revocation.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// Revoke adds certificates to the authority's revocation list, which it makes where there is none. Identities see it with their next
-// connection, once their folders have the new file.
+// Revoke adds certificates to the authority's revocation list, and creates the list if there is
+// none. Identities apply the new list to their next connection once their directories contain the
+// new file.
 func Revoke(dir string, certs []*x509.Certificate, now time.Time) error {
 	ca, key, err := loadCA(dir)
 	if err != nil {
@@ -40,8 +41,8 @@
 	return writePEM(filepath.Join(dir, revokedFile), pemRevocationList, der, publicMode)
 }
 
-// readRevocationList reads the revocation list of the authority in a folder, and checks its signature. The error wraps os.ErrNotExist
-// where there is none.
+// readRevocationList reads the revocation list of the authority in a directory and verifies its
+// signature. The error wraps os.ErrNotExist if there is no list.
 func readRevocationList(dir string, ca *x509.Certificate) (*x509.RevocationList, error) {
 	path := filepath.Join(dir, revokedFile)
 	der, err := readPEM(path, pemRevocationList)
