--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -19,39 +19,40 @@
 	"tallyproxy/rollout"
 )
 
-// maxOutgoingCalls bounds the calls to other agents that are under way.
+// maxOutgoingCalls limits the concurrent calls to other agents.
 const maxOutgoingCalls = 256
 
-// Agent is one machine's agent. New makes it, Serve runs it once.
+// Agent is the agent of one machine. New creates it, and Serve runs it once.
 type Agent struct {
 	fleetpb.UnimplementedAgentServer
 	inventory *config.Inventory
-	entry     config.AgentEntry // this agent's, in the inventory
+	entry     config.AgentEntry // this agent's entry in the inventory
 	identity  *authority.Identity
 	store     *Store
-	directors map[string]*Director // by name; fixed
-	clients   *Clients             // of the other agents
-	started   time.Time            // the zero of now
+	directors map[string]*Director // by name; not modified after New
+	clients   *Clients             // for calls to the other agents
+	started   time.Time            // now counts from this time
 
-	runContext    context.Context // of Serve; set before the service takes calls
-	tasks         sync.WaitGroup  // commands, calls to other agents, and one supervisor for each director
-	outgoingCalls chan struct{}   // holds a token for each call under way
+	runContext    context.Context // of Serve; set before the service accepts calls
+	tasks         sync.WaitGroup  // commands, outgoing calls and one supervisor per director
+	outgoingCalls chan struct{}   // holds a token for each call in progress
 	membership    atomic.Pointer[gossipnet.Driver]
 
 	mu       sync.Mutex
-	state    *rollout.Agent    // guarded by mu; replaced where a save fails
+	state    *rollout.Agent    // guarded by mu; replaced if a save fails
 	recovery *rollout.Recovery // guarded by mu
 }
 
-// New makes the named agent of what is stored, and of what the directors' settings files say for those that nothing is stored of. The
-// caller keeps the store and closes it after Serve has returned.
+// New returns the named agent with its stored state. It reads the scripts of directors that have no
+// stored script from their settings files. The caller owns the store and closes it after Serve has
+// returned.
 func New(inventory *config.Inventory, name string, identity *authority.Identity, store *Store) (*Agent, error) {
 	entry := inventory.Agent(name)
 	if entry == nil {
 		return nil, fmt.Errorf("%s: there is no agent %q", inventory.Path, name)
 	}
 	if identity.Name() != name {
-		return nil, fmt.Errorf("the certificate is that of %q, not of %q", identity.Name(), name)
+		return nil, fmt.Errorf("the certificate was issued to %q, not to %q", identity.Name(), name)
 	}
 	a := &Agent{
 		inventory: inventory, entry: *entry, identity: identity, store: store, directors: map[string]*Director{}, started: time.Now(),
@@ -63,7 +64,8 @@
 	return a, a.load()
 }
 
-// load makes the state machine and its recovery of what is stored. The caller holds the mutex or is New.
+// load creates the state machine and its recovery from the stored state. The caller holds the mutex
+// or is New.
 func (a *Agent) load() error {
 	state, complete, err := a.store.Load()
 	if err != nil {
@@ -72,7 +74,7 @@
 	if state.ActiveScripts == nil {
 		state.ActiveScripts = map[string]string{}
 	}
-	for name := range state.ActiveScripts { // directors that the inventory no longer has
+	for name := range state.ActiveScripts { // drop directors that are no longer in the inventory
 		if a.directors[name] == nil {
 			delete(state.ActiveScripts, name)
 		}
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// checkScript reads a script as the director would.
+// checkScript parses a script as the director does.
 func checkScript(instance, script string) error {
 	_, err := config.ParseOperator(instance+".star", []byte(script))
 	return err
@@ -108,8 +110,9 @@
 // now returns the time since New in microseconds, on the monotonic clock.
 func (a *Agent) now() policy.Micros { return policy.MicrosOf(time.Since(a.started)) }
 
-// save stores the state if it has changed. Where that fails, as on a full disk, the agent returns to what is stored: it must not promise
-// what it can't remember. The caller holds the mutex.
+// save stores the state if it has changed. If that fails, for example because the disk is full, the
+// agent returns to the stored state: it must not promise what it cannot remember. The caller holds
+// the mutex.
 func (a *Agent) save() error {
 	if !a.state.TakeDirty() {
 		return nil
@@ -124,7 +127,7 @@
 	return err
 }
 
-// audit appends a record. A record that can't be written stops nothing.
+// audit appends an audit record. A failure to write it is logged and otherwise ignored.
 func (a *Agent) audit(actor, action string) {
 	if err := a.store.AppendAudit(time.Now(), actor, action); err != nil {
 		slog.Error(logevent.AuditWriteFailed, "agent", a.entry.Name, "err", err)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -14,7 +14,8 @@
 	"tallyproxy/rollout"
 )
 
-// testAgent is an agent with one director that nobody starts, and a client of an operator who may change the fleet.
+// testAgent is an agent with one director that is not started, and clients that call the agent as
+// an operator with RoleEditor.
 type testAgent struct {
 	agent    *Agent
 	store    *Store
@@ -26,7 +27,7 @@
 	t.Helper()
 	dir, now := t.TempDir(), time.Now()
 	keys := filepath.Join(dir, "keys")
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +46,7 @@
 	}
 	path, settings := filepath.Join(dir, "fleet.star"), filepath.Join(dir, "n0.star")
 	text := fmt.Sprintf("fleet(lease = seconds(5), authority = %q)\nagent(\"a0\", address = %q, depot = \"d\")\n"+
-		"director(\"n0\", agent = \"a0\", config = \"n0.json\", settings = %q, socket = \"n0.sock\", pidfile = \"n0.pid\")\n", keys, l.Addr(), settings)
+		"director(\"n0\", agent = \"a0\", config = \"n0.json\", settings = %q, socket = \"n0.sock\", pidfile = \"n0.pid\")\n", keys, listener.Addr(), settings)
 	for file, text := range map[string]string{path: text, settings: ""} {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -63,64 +64,65 @@
 	}
 	clients := NewClients(inventory, identity("op", authority.RoleEditor))
 	t.Cleanup(clients.Close)
-	return testAgent{a, store, l, clients}
+	return testAgent{a, store, listener, clients}
 }
 
-// An agent that is told to end while it stores a promise ends once that is done: whoever opens the store next finds it whole, and
-// nothing is begun besides what was waited for. Otherwise what the message began would meet a closed store.
+// TestServeReturnsAfterSaving guards against an agent that returns from ServeListener while it
+// still stores a promise: the work that the message has started would then use a closed store.
 func TestServeReturnsAfterSaving(t *testing.T) {
 	checkReturnsAfterSaving(t, func(cancel func(), _ net.Listener) { cancel() }, false)
 }
 
-// The same where serving fails.
+// TestServeReturnsAfterSavingWhenItFails checks the same if serving fails.
 func TestServeReturnsAfterSavingWhenItFails(t *testing.T) {
-	checkReturnsAfterSaving(t, func(_ func(), l net.Listener) { _ = l.Close() }, true)
+	checkReturnsAfterSaving(t, func(_ func(), listener net.Listener) { _ = listener.Close() }, true)
 }
 
-// checkReturnsAfterSaving ends an agent that stores a promise, and checks when and how ServeListener returns.
-func checkReturnsAfterSaving(t *testing.T, end func(cancel func(), l net.Listener), fails bool) {
+// checkReturnsAfterSaving stops an agent that is storing a promise, and checks when and how
+// ServeListener returns.
+func checkReturnsAfterSaving(t *testing.T, stop func(cancel func(), listener net.Listener), wantErr bool) {
 	t.Helper()
-	f := newTestAgent(t)
+	test := newTestAgent(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- f.agent.ServeListener(ctx, f.listener) }()
+	returned := make(chan error, 1)
+	go func() { returned <- test.agent.ServeListener(ctx, test.listener) }()
 	promise := func(number int64) error {
-		_, err := f.clients.Send(t.Context(), "a0",
+		_, err := test.clients.Send(t.Context(), "a0",
 			rollout.Message{Type: rollout.Promise, Ballot: rollout.Ballot{Number: number, Holder: "op/1"}, Lease: 1})
 		return err
 	}
 	if err := promise(1); err != nil {
 		t.Fatal(err)
 	}
-	tx, err := f.store.db.Begin(true) // as if the disk were slow
+	tx, err := test.store.db.Begin(true) // simulates a slow disk
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = promise(2) }() // the reply may be lost as the agent ends
-	for until := time.Now().Add(10 * time.Second); f.agent.mu.TryLock(); time.Sleep(time.Millisecond) {
-		if f.agent.mu.Unlock(); time.Now().After(until) {
-			t.Fatal("the message did not come")
+	go func() { _ = promise(2) }() // the reply may be lost as the agent stops
+	for deadline := time.Now().Add(10 * time.Second); test.agent.mu.TryLock(); time.Sleep(time.Millisecond) {
+		if test.agent.mu.Unlock(); time.Now().After(deadline) {
+			t.Fatal("the message did not arrive")
 		}
 	}
 	defer cancel()
-	end(cancel, f.listener)
+	stop(cancel, test.listener)
 	select {
-	case err := <-ended:
-		t.Errorf("ended (%v) while it stored what it took", err)
+	case err := <-returned:
+		t.Errorf("returned (%v) while it was storing the promise", err)
 	case <-time.After(300 * time.Millisecond):
 	}
 	if err := tx.Rollback(); err != nil {
 		t.Error(err)
 	}
 	select {
-	case err := <-ended:
-		if (err != nil) != fails {
-			t.Errorf("ended with %v", err)
+	case err := <-returned:
+		if (err != nil) != wantErr {
+			t.Errorf("returned %v", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("did not end")
+		t.Fatal("did not return")
 	}
-	if state, _, err := f.store.Load(); err != nil || state.Promised.Number != 2 {
+	if state, _, err := test.store.Load(); err != nil || state.Promised.Number != 2 {
 		t.Errorf("promised %+v, %v", state.Promised, err)
 	}
 }
--- a/internal/agent/apply.go
+++ b/internal/agent/apply.go
@@ -13,14 +13,15 @@
 	"tallyproxy/internal/status"
 )
 
-// repeatedErrorDelay is when a reload error that is the same as before the signal counts as the answer to it.
+// repeatedErrorDelay is the time after which a reload error that equals the error before the signal
+// counts as the result of the signal.
 const repeatedErrorDelay = startTimeout / 10
 
-// Apply has the director run a script and reads back that it does. Where the director rejects it, the previous script is applied again
-// and the error is returned.
+// Apply makes the director run a script and verifies that it does. If the director rejects the
+// script, Apply restores the previous script and returns the error.
 func (d *Director) Apply(ctx context.Context, script, previous string) error {
 	if err := replaceFile(d.SettingsFile, script); err != nil {
-		return err // the previous file is still there and active
+		return err // the previous file still exists and is active
 	}
 	err := d.reload(ctx, script)
 	if err == nil {
@@ -35,7 +36,8 @@
 	return err
 }
 
-// reload has the director read its settings file, or starts it where it is not running, and waits until it reports the script's digest.
+// reload makes the director read its settings file, or starts the director if it is not running,
+// and waits until the director reports the digest of the script.
 func (d *Director) reload(ctx context.Context, script string) error {
 	want := config.Digest([]byte(script))
 	before, err := d.Report(ctx)
@@ -62,7 +64,8 @@
 	})
 }
 
-// replaceFile replaces a file so that it has either its old text or the new one, also after a crash.
+// replaceFile replaces a file atomically: the file has either its old or its new content, also
+// after a crash.
 func replaceFile(path, text string) error {
 	dir := filepath.Dir(path)
 	temporary, err := writeTemporary(dir, text)
@@ -70,13 +73,13 @@
 		return err
 	}
 	if err := os.Rename(temporary, path); err != nil {
-		_ = os.Remove(temporary) // best effort: the error is that of the rename
+		_ = os.Remove(temporary) // best effort; the error of the rename is returned
 		return err
 	}
 	return syncDirectory(dir)
 }
 
-// writeTemporary writes a file of a name of its own that is on disk when it returns.
+// writeTemporary writes a file with a unique name. The file is on disk when the function returns.
 func writeTemporary(dir, text string) (path string, err error) {
 	f, err := os.CreateTemp(dir, ".script-*")
 	if err != nil {
@@ -90,7 +93,7 @@
 		err = closeErr
 	}
 	if err != nil {
-		_ = os.Remove(f.Name()) // best effort: the error is that of the write
+		_ = os.Remove(f.Name()) // best effort; the error of the write is returned
 		return "", err
 	}
 	return f.Name(), nil
@@ -101,6 +104,6 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = d.Close() }() // opened for reading: nothing can be lost
+	defer func() { _ = d.Close() }() // opened for reading, so no data can be lost
 	return d.Sync()
 }
--- a/internal/agent/audit.go
+++ b/internal/agent/audit.go
@@ -13,23 +13,24 @@
 
 var auditBucket = []byte("audit")
 
-// maxAuditRecords is how many records are kept.
+// maxAuditRecords is the number of records that are kept.
 const maxAuditRecords = 10_000
 
-// AuditRecord is one record of who had this agent do what. Each has the hash of the one before, so that a changed or a missing record
-// shows. The hash covers the JSON text: names, order and form of the fields are part of the stored chain.
+// AuditRecord is a record of who made this agent do what. Each record has the hash of the previous
+// one, so that a changed or missing record is detected. The hash covers the JSON text: the names,
+// the order and the form of the fields are part of the stored chain.
 type AuditRecord struct {
 	Number       int64  `json:"number"`  // from 1, without gaps
-	UnixMS       int64  `json:"unix_ms"` // when, in milliseconds since 1970
-	Actor        string `json:"who"`     // name of the caller's certificate, or of this agent
-	Action       string `json:"what"`    // what was done, to which change, with what result
-	PreviousHash string `json:"before"`  // Hash of the record before; empty in the first
-	Hash         string `json:"hash"`    // SHA-256 in hex of this record's JSON text with an empty Hash
+	UnixMS       int64  `json:"unix_ms"` // time in milliseconds since 1970
+	Actor        string `json:"who"`     // name in the caller's certificate, or of this agent
+	Action       string `json:"what"`    // the action, the change and the result
+	PreviousHash string `json:"before"`  // Hash of the previous record; empty in the first
+	Hash         string `json:"hash"`    // hex SHA-256 of the JSON text with an empty Hash
 }
 
 func (r AuditRecord) hash() string {
 	r.Hash = ""
-	text, _ := json.Marshal(r) // strings and numbers can't fail
+	text, _ := json.Marshal(r) // marshaling strings and numbers cannot fail
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
@@ -65,7 +66,8 @@
 	})
 }
 
-// Audit returns the records, oldest first. It fails where one is missing, was changed, or does not continue the chain of hashes.
+// Audit returns the records, oldest first. It returns an error if a record is missing, was changed,
+// or does not continue the chain of hashes.
 func (s *Store) Audit() (records []AuditRecord, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(auditBucket)
@@ -87,7 +89,7 @@
 	return records, err
 }
 
-// continues reports whether a record is the next one of the chain.
+// continues reports whether a record directly follows previous in the chain.
 func (r AuditRecord) continues(previous AuditRecord) bool {
 	return r.PreviousHash == previous.Hash && r.Number == previous.Number+1
 }
--- a/internal/agent/clients.go
+++ b/internal/agent/clients.go
@@ -21,24 +21,27 @@
 	minConnectTimeout = 2 * time.Second
 )
 
-// reconnectBackoff is between two attempts to connect to an agent.
+// reconnectBackoff is the backoff between attempts to connect to an agent.
 var reconnectBackoff = backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: time.Second}
 
-// Clients calls agents by their names in the inventory, over one connection for each. It is safe for concurrent use.
+// Clients calls agents by their names in the inventory, with one connection for each agent. It is
+// safe for concurrent use.
 type Clients struct {
 	inventory *config.Inventory
 	identity  *authority.Identity
 
 	mu    sync.Mutex
-	conns map[string]*grpc.ClientConn // by name, at most one for each agent of the inventory
+	conns map[string]*grpc.ClientConn // by name; at most one for each agent of the inventory
 }
 
-// NewClients makes the clients of an inventory's agents, which call as the owner of a certificate. Nothing is connected yet.
+// NewClients returns clients of an inventory's agents. The clients authenticate with the given
+// identity. NewClients does not connect to any agent.
 func NewClients(inventory *config.Inventory, identity *authority.Identity) *Clients {
 	return &Clients{inventory: inventory, identity: identity, conns: map[string]*grpc.ClientConn{}}
 }
 
-// Client returns the client of the named agent; an agent that the inventory does not have is an error.
+// Client returns the client of the named agent, or an error if the inventory does not have this
+// agent.
 func (c *Clients) Client(name string) (fleetpb.AgentClient, error) {
 	entry := c.inventory.Agent(name)
 	if entry == nil {
@@ -61,7 +64,7 @@
 	return fleetpb.NewAgentClient(conn), nil
 }
 
-// Send sends a message of a change to an agent and returns the reply.
+// Send sends a message about a change to an agent and returns the reply.
 func (c *Clients) Send(ctx context.Context, to string, m rollout.Message) (rollout.Reply, error) {
 	client, err := c.Client(to)
 	if err != nil {
@@ -79,7 +82,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, conn := range c.conns {
-		_ = conn.Close() // only an error of a second close
+		_ = conn.Close() // only a second close returns an error
 		delete(c.conns, name)
 	}
 }
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -14,7 +14,7 @@
 	saveRetryInterval   = time.Second
 )
 
-// resumeCommands carries out what an earlier run of the agent has left unfinished.
+// resumeCommands carries out the commands that an earlier run of the agent left unfinished.
 func (a *Agent) resumeCommands() {
 	a.mu.Lock()
 	unfinished := a.state.UnfinishedCommands()
@@ -25,7 +25,7 @@
 	}
 }
 
-// carryOut carries out each command in a goroutine of its own.
+// carryOut carries out each command in its own goroutine.
 func (a *Agent) carryOut(commands []rollout.Command) {
 	for _, c := range commands {
 		a.tasks.Go(func() {
@@ -39,7 +39,8 @@
 	}
 }
 
-// apply applies a command's script and returns why that failed, empty for success.
+// apply applies a command's script. It returns the reason for a failure, or an empty string on
+// success.
 func (a *Agent) apply(c rollout.Command) (failure string) {
 	director := a.directors[c.Instance]
 	if director == nil {
@@ -51,7 +52,8 @@
 	return ""
 }
 
-// recordDone stores a command's result; until that succeeds the result is told to no one.
+// recordDone stores the result of a command. The result is not reported to anyone until that
+// succeeds.
 func (a *Agent) recordDone(c rollout.Command, failure string) {
 	for a.runContext.Err() == nil {
 		a.mu.Lock()
@@ -65,7 +67,8 @@
 	}
 }
 
-// runRecovery has the recovery do a step. Its messages and commands leave once the state that they depend on is stored.
+// runRecovery runs a step of the recovery. The messages and commands of the step are sent and
+// carried out only after the state that they depend on is stored.
 func (a *Agent) runRecovery(step func() ([]rollout.Envelope, []rollout.Command)) {
 	a.mu.Lock()
 	envelopes, commands := step()
@@ -83,8 +86,8 @@
 	}
 }
 
-// send calls another agent and gives the reply to the recovery. Where too many calls are under way the message is dropped; the recovery
-// sends it again.
+// send sends a message to another agent and passes the reply to the recovery. If too many calls are
+// in progress, the message is dropped; the recovery sends it again.
 func (a *Agent) send(envelope rollout.Envelope) {
 	select {
 	case a.outgoingCalls <- struct{}{}:
--- a/internal/agent/director.go
+++ b/internal/agent/director.go
@@ -19,31 +19,33 @@
 const (
 	reportInterval  = 20 * time.Millisecond // between two reads of a director's status
 	startTimeout    = 10 * time.Second      // for a director to start, or to read its files
-	shutdownTimeout = 20 * time.Second      // for a director to answer all requests that it has taken
+	shutdownTimeout = 20 * time.Second      // for a director to answer all accepted requests
 )
 
-// Why a director's process can't be started, stopped or signalled.
+// Errors of starting, stopping and signaling a director's process. The errors of Apply are stored
+// and sent to tools as the reason for a failed target.
 var (
-	errNotRunning   = errors.New("it is not running")
-	errNoCommand    = errors.New("it does not run, and its inventory has no command")
-	errExited       = errors.New("it ended")
-	errDidNotExit   = errors.New("it does not end on SIGTERM")
-	errNoReport     = errors.New("it does not tell how it is")
-	errScriptUnread = errors.New("it did not take the script")
+	errNotRunning      = errors.New("it is not running")
+	errNoCommand       = errors.New("it does not run, and its inventory has no command")
+	errExited          = errors.New("it ended")
+	errDidNotExit      = errors.New("it did not exit after SIGTERM")
+	errNoReport        = errors.New("it does not tell how it is")
+	errScriptNotLoaded = errors.New("it did not take the script")
 )
 
-// Director is a director that an agent looks after. Its methods may be called from any goroutine; the zero value with a DirectorEntry is
-// ready to use.
+// Director is a director that an agent manages. Its methods are safe for concurrent use. The zero
+// value with a DirectorEntry is ready to use.
 type Director struct {
 	config.DirectorEntry
-	starting sync.Mutex // held over a start: a change and the supervisor may want one at once
+	starting sync.Mutex // held during a start, since a change and the supervisor may both want one
 
 	mu      sync.Mutex
-	command *exec.Cmd     // guarded by mu; nil where this agent has not started it
+	command *exec.Cmd     // guarded by mu; nil if this agent has not started it
 	exited  chan struct{} // guarded by mu; closed once command has exited
 }
 
-// pid returns the director's process: the one that this agent started, the one that the pidfile names, or the one that the status names.
+// pid returns the process ID of the director: of the process that this agent started, or that the
+// PID file contains, or that the director's status reports.
 func (d *Director) pid() (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,7 +59,8 @@
 	if d.PIDFile != "" {
 		return readPidfile(d.PIDFile)
 	}
-	if report, err := status.Read(context.Background(), d.StatusSocket); err == nil { // an earlier run of the agent started it
+	// An earlier run of the agent started the director.
+	if report, err := status.Read(context.Background(), d.StatusSocket); err == nil {
 		return report.PID, nil
 	}
 	return 0, errNotRunning
@@ -75,8 +78,9 @@
 	return pid, nil
 }
 
-// process reports whether the process that this agent started is running and, where it is not, whether it exited as one does that was
-// told to stop. Nothing is known of a process that an earlier run of the agent started.
+// process reports whether the process that this agent started is running and, if it is not, whether
+// it exited successfully, as a director does after it was told to stop. Nothing is known about a
+// process that an earlier run of the agent started.
 func (d *Director) process() (running, stopped bool) {
 	d.mu.Lock()
 	command, exited := d.command, d.exited
@@ -106,14 +110,15 @@
 	return status.Read(ctx, d.StatusSocket)
 }
 
-// Start starts the director unless it is running, and waits until it reports its status. The process outlives the agent.
+// Start starts the director unless it is running, and waits until it reports its status. The
+// process continues to run after the agent has exited.
 func (d *Director) Start(ctx context.Context) error {
 	d.starting.Lock()
 	defer d.starting.Unlock()
 	if _, err := d.Report(ctx); err == nil {
 		return nil
 	}
-	if running, _ := d.process(); running { // a second process would find its address in use
+	if running, _ := d.process(); running { // a second process could not use the same address
 		return d.waitForReport(ctx)
 	}
 	if len(d.Command) == 0 {
@@ -121,13 +126,14 @@
 	}
 	command := exec.Command(d.Command[0], append(append([]string(nil), d.Command[1:]...), "--config", d.PlatformFile, "--settings", d.SettingsFile)...)
 	command.Env, command.Stderr = os.Environ(), os.Stderr
-	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a signal to the agent's group does not reach it
+	// A signal to the agent's process group must not reach the director.
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := command.Start(); err != nil {
 		return err
 	}
 	exited := make(chan struct{})
 	go func() {
-		_ = command.Wait() // how it exited is in ProcessState
+		_ = command.Wait() // the exit status is in ProcessState
 		close(exited)
 	}()
 	d.mu.Lock()
@@ -136,16 +142,17 @@
 	return d.waitForReport(ctx)
 }
 
-// Stop tells the director to shut down and waits until it has answered all requests that it has taken. It returns errDidNotExit where
-// the director takes too long, and the context's error where that ends before.
+// Stop tells the director to shut down and waits until it has answered all accepted requests. It
+// returns errDidNotExit if the director takes longer than shutdownTimeout, and the context's error
+// if the context ends first.
 func (d *Director) Stop(ctx context.Context) error {
 	if err := d.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	for end := time.Now().Add(shutdownTimeout); time.Now().Before(end); time.Sleep(reportInterval) {
+	for deadline := time.Now().Add(shutdownTimeout); time.Now().Before(deadline); time.Sleep(reportInterval) {
 		_, err := d.Report(ctx)
 		switch {
-		case ctx.Err() != nil: // whether the director has ended is not known
+		case ctx.Err() != nil: // it is unknown whether the director has exited
 			return ctx.Err()
 		case err != nil:
 			return nil
@@ -158,11 +165,11 @@
 	return d.waitUntil(ctx, func(status.Report) (bool, error) { return true, nil })
 }
 
-// waitUntil reads the director's status until the condition is met, the condition fails with an error, the process exits, or startTimeout
-// has passed.
+// waitUntil reads the director's status until the condition is met or returns an error, the process
+// exits, or startTimeout has passed.
 func (d *Director) waitUntil(ctx context.Context, condition func(status.Report) (met bool, err error)) error {
 	timeoutError := errNoReport
-	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(reportInterval) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(reportInterval) {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -174,11 +181,11 @@
 			if met, err := condition(report); met || err != nil {
 				return err
 			}
-			timeoutError = errScriptUnread
+			timeoutError = errScriptNotLoaded
 			continue
 		}
 		select {
-		case <-exited: // nil, and so never ready, where this agent has not started it
+		case <-exited: // nil, and therefore never ready, if this agent has not started it
 			return errExited
 		default:
 		}
--- a/internal/agent/director_test.go
+++ b/internal/agent/director_test.go
@@ -14,22 +14,23 @@
 	"tallyproxy/internal/config"
 )
 
-// Guards against a director that counts as ended where only the caller's context has: its status may hang.
-func TestStopTellsItsContextsEnd(t *testing.T) {
+// TestStopReturnsContextError guards against a director that counts as stopped although only the
+// caller's context has ended: its status may hang.
+func TestStopReturnsContextError(t *testing.T) {
 	dir := t.TempDir()
 	process := exec.Command("sleep", "60")
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = process.Process.Kill() // it may have ended on the signal
+		_ = process.Process.Kill() // it may have exited on the signal
 		_ = process.Wait()
 	})
 	pidfile, socket := filepath.Join(dir, "pid"), filepath.Join(dir, "sock")
 	if err := os.WriteFile(pidfile, fmt.Append(nil, process.Process.Pid), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	listener, err := net.Listen("unix", socket) // nobody accepts
+	listener, err := net.Listen("unix", socket) // nothing accepts connections
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,6 +39,6 @@
 	defer cancel()
 	d := &Director{DirectorEntry: config.DirectorEntry{Name: "n0", PIDFile: pidfile, StatusSocket: socket}}
 	if err := d.Stop(ctx); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("got %v, want the context's end", err)
+		t.Errorf("got %v, want context.DeadlineExceeded", err)
 	}
 }
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// goldenRecords are those of testdata/agent.db, which was written by a version before this text.
+// goldenRecords returns the records of testdata/agent.db, which was written by an earlier version.
 func goldenRecords() []AuditRecord {
 	return []AuditRecord{
 		{1, 1_700_000_000_000, "op", "take c1 open ok=true", "", "277cf9085fd28a102b98e1e44b3798f69b7eda7dc7ca1896f63d55f11627c665"},
@@ -73,7 +73,8 @@
 	}
 }
 
-// A store that an earlier version wrote is read whole, its chain of hashes checked, and goes on.
+// TestGoldenStoreOfEarlierVersion guards against a store of an earlier version that cannot be read
+// completely, fails the check of its chain of hashes, or cannot be appended to.
 func TestGoldenStoreOfEarlierVersion(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "agent.db"))
 	if err != nil {
@@ -91,11 +92,11 @@
 	}
 	all, err := s.Audit()
 	if err != nil || len(all) != 4 || all[3].PreviousHash != goldenRecords()[2].Hash || all[3].Hash != "6818f5e552b8bf6905babd5042dee084f0f894a695c57a3655cddcd71b5b14a7" {
-		t.Errorf("after one more: %+v, %v", all, err)
+		t.Errorf("after appending a record: %+v, %v", all, err)
 	}
 }
 
-// What is written now is what earlier versions read.
+// TestGoldenStoreWritten guards against a stored form that earlier versions cannot read.
 func TestGoldenStoreWritten(t *testing.T) {
 	s := openStore(t, filepath.Join(t.TempDir(), "agent.db"))
 	defer closeStore(t, s)
@@ -110,6 +111,8 @@
 	checkGoldenStore(t, s)
 }
 
+// TestGoldenAuditJSON guards against changes of the JSON text of audit records, which their hashes
+// cover.
 func TestGoldenAuditJSON(t *testing.T) {
 	text, err := json.Marshal(goldenRecords()[1])
 	if err != nil {
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -31,18 +31,20 @@
 	handshakeTimeout     = 5 * time.Second
 )
 
-// Serve listens on the agent's address and works until the context ends. The directors go on running.
+// Serve listens on the agent's address and runs the agent until the context ends. The directors
+// continue to run after that.
 func (a *Agent) Serve(ctx context.Context) error {
-	l, err := net.Listen("tcp", a.entry.Address)
+	listener, err := net.Listen("tcp", a.entry.Address)
 	if err != nil {
 		return err
 	}
-	return a.ServeListener(ctx, l)
+	return a.ServeListener(ctx, listener)
 }
 
-// ServeListener works as Serve does on a listener of the caller's, which it closes. When the context ends, or serving fails, it returns
-// after the calls and commands that it has taken are finished, so that the store may be closed.
-func (a *Agent) ServeListener(ctx context.Context, l net.Listener) error {
+// ServeListener is like Serve with a listener of the caller, which it closes. When the context ends
+// or serving fails, it returns after the accepted calls and commands have finished, so that the
+// caller can close the store.
+func (a *Agent) ServeListener(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	a.runContext = ctx
@@ -54,15 +56,15 @@
 	}
 	server := a.newServer()
 	served := make(chan error, 1)
-	go func() { served <- server.Serve(l) }()
+	go func() { served <- server.Serve(listener) }()
 	a.resumeCommands()
 	for _, director := range managed {
 		a.tasks.Go(func() { a.supervise(ctx, director) })
 	}
-	if err := a.joinMembership(); err != nil { // directors are looked after all the same
+	if err := a.joinMembership(); err != nil { // the agent manages its directors all the same
 		slog.Error(logevent.GossipUnavailable, "agent", a.entry.Name, "err", err)
 	}
-	slog.Info(logevent.AgentStarted, "agent", a.entry.Name, "listen", l.Addr().String(), "directors", len(a.directors))
+	slog.Info(logevent.AgentStarted, "agent", a.entry.Name, "listen", listener.Addr().String(), "directors", len(a.directors))
 	ticker := time.NewTicker(recoveryInterval)
 	defer ticker.Stop()
 	for {
@@ -80,7 +82,8 @@
 	}
 }
 
-// shutdown ends what ServeListener has begun, once its context has ended.
+// shutdown stops everything that ServeListener has started. The context of ServeListener must have
+// ended.
 func (a *Agent) shutdown(server *grpc.Server) {
 	server.Stop()
 	a.tasks.Wait()
@@ -88,7 +91,7 @@
 	a.membership.Load().Leave()
 }
 
-// managedDirectors returns the directors that this agent starts, by name.
+// managedDirectors returns the directors that this agent starts, sorted by name.
 func (a *Agent) managedDirectors() (managed []*Director) {
 	for _, name := range slices.Sorted(maps.Keys(a.directors)) {
 		if director := a.directors[name]; len(director.Command) > 0 {
@@ -102,13 +105,14 @@
 	server := grpc.NewServer(
 		grpc.Creds(credentials.NewTLS(a.identity.ServerTLS())), grpc.MaxRecvMsgSize(maxRequestBytes),
 		grpc.MaxConcurrentStreams(maxConcurrentStreams), grpc.ConnectionTimeout(handshakeTimeout), grpc.UnaryInterceptor(a.authorize),
-		grpc.WaitForHandlers(true), // a call that was taken has ended before the store is closed
+		grpc.WaitForHandlers(true), // accepted calls finish before the store is closed
 	)
 	fleetpb.RegisterAgentServer(server, a)
 	return server
 }
 
-// joinMembership has the agents detect each other's failures, as directors do. It does nothing where the inventory has no gossip address.
+// joinMembership starts failure detection among the agents, in the same way as among directors. It
+// does nothing if the inventory has no gossip address for this agent.
 func (a *Agent) joinMembership() error {
 	if a.entry.GossipAddress == "" {
 		return nil
@@ -133,7 +137,8 @@
 	return err
 }
 
-// supervise starts a director again that exited by itself, with the script that it was given last, until the context ends.
+// supervise restarts a director that exited on its own, with the latest script that it was given,
+// until the context ends.
 func (a *Agent) supervise(ctx context.Context, director *Director) {
 	var restarts rollout.RestartPolicy
 	ticker := time.NewTicker(supervisionInterval)
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -23,13 +23,13 @@
 	"tallyproxy/rollout"
 )
 
-// Why a caller has no identity.
+// Errors of calls whose caller cannot be identified. Their texts are sent to the caller.
 var (
 	errNoCaller      = errors.New("no caller")
 	errNoCertificate = errors.New("no certificate")
 )
 
-// caller returns the name and the roles of the certificate that a call came with.
+// caller returns the name and the roles in the certificate of a call's client.
 func (a *Agent) caller(ctx context.Context) (string, []authority.Role, error) {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
@@ -42,7 +42,8 @@
 	return a.identity.Verify(info.State.PeerCertificates[0], time.Now())
 }
 
-// authorize passes a call on where the certificate is valid now and has one of the roles that the call needs. A panic ends the call alone.
+// authorize handles a call if the caller's certificate is currently valid and has one of the roles
+// that the call needs. A panic ends only the call.
 func (a *Agent) authorize(ctx context.Context, req any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (resp any, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -67,20 +68,21 @@
 	return handle(ctx, req)
 }
 
-// neededRoles returns the roles of which a request's caller must have one.
+// neededRoles returns the roles of which the caller of a request must have at least one.
 func neededRoles(req any) []authority.Role {
 	message, ok := req.(*fleetpb.SayRequest)
 	switch {
 	case !ok || rollout.MessageType(message.GetVerb()) == rollout.Query:
 		return []authority.Role{authority.RoleViewer, authority.RoleEditor, authority.RoleKeyAdmin, authority.RoleAgent}
-	case rollout.MessageType(message.GetVerb()) == rollout.Prepare: // agents complete what is open, but begin nothing
+	case rollout.MessageType(message.GetVerb()) == rollout.Prepare:
+		// Agents complete undecided changes, but start none.
 		return []authority.Role{authority.RoleEditor}
 	default:
 		return []authority.Role{authority.RoleEditor, authority.RoleAgent}
 	}
 }
 
-// Say handles a message of a change.
+// Say handles a message about a change.
 func (a *Agent) Say(ctx context.Context, req *fleetpb.SayRequest) (*fleetpb.SayReply, error) {
 	m, ok := fleetpb.ToMessage(req)
 	if !ok {
@@ -95,13 +97,13 @@
 	}
 	a.carryOut(commands)
 	if m.Type == rollout.Prepare || m.Type == rollout.Accept || m.Type == rollout.Promise || len(commands) > 0 {
-		actor, _, _ := a.caller(ctx) // authorize has checked it
+		actor, _, _ := a.caller(ctx) // authorize has verified it
 		a.audit(actor, auditedAction(m, reply))
 	}
 	return fleetpb.FromReply(reply), nil
 }
 
-// auditedVerbs are the words of the audit record, which is kept over versions.
+// auditedVerbs are the verbs in audit records, which are kept across versions.
 var auditedVerbs = map[rollout.MessageType]string{
 	rollout.Promise: "take", rollout.Prepare: "prepare", rollout.Accept: "decide", rollout.Learn: "put in force",
 }
@@ -114,7 +116,7 @@
 	return strings.TrimSpace(fmt.Sprintf("%s %s %s ok=%v %s", auditedVerbs[m.Type], id, m.Outcome, reply.OK, reply.Reason))
 }
 
-// Status tells how this agent and its directors are.
+// Status returns the state of this agent and of its directors.
 func (a *Agent) Status(ctx context.Context, _ *fleetpb.StatusRequest) (*fleetpb.StatusReply, error) {
 	out := &fleetpb.StatusReply{Name: a.entry.Name, Members: a.memberStates()}
 	a.mu.Lock()
@@ -131,14 +133,15 @@
 			director.Why = err.Error()
 		} else {
 			director.Up, director.Settings = true, report.SettingsDigest
-			director.Report, _ = json.Marshal(report) // it was just read from JSON
+			director.Report, _ = json.Marshal(report) // the report was just decoded from JSON
 		}
 		out.Directors = append(out.Directors, director)
 	}
 	return out, nil
 }
 
-// memberStates returns the state of each other agent as the failure detector sees it; it is empty where there is none.
+// memberStates returns the state of each other agent, as the failure detector sees it. The map is
+// empty if there is no failure detector.
 func (a *Agent) memberStates() map[string]string {
 	states := map[string]string{}
 	report := a.membership.Load().Report()
@@ -156,12 +159,12 @@
 	return states
 }
 
-// Probe tells that the agent is there. Agents of earlier versions call it.
+// Probe confirms that the agent is running. Agents of earlier versions call it.
 func (a *Agent) Probe(_ context.Context, req *fleetpb.ProbeRequest) (*fleetpb.ProbeReply, error) {
 	return &fleetpb.ProbeReply{Ok: req.GetOf() == "" || req.GetOf() == a.entry.Name}, nil
 }
 
-// Audit returns the audit record, or DataLoss where its chain of hashes is broken.
+// Audit returns the audit records, or a DataLoss error if their chain of hashes is broken.
 func (a *Agent) Audit(context.Context, *fleetpb.AuditRequest) (*fleetpb.AuditReply, error) {
 	records, err := a.store.Audit()
 	if err != nil {
--- a/internal/agent/store.go
+++ b/internal/agent/store.go
@@ -15,29 +15,31 @@
 	"tallyproxy/rollout"
 )
 
-// The state is one value: the CRC-32C of its JSON text, four bytes big-endian, and the text.
+// The state is stored as one value: the CRC-32C of its JSON text, four bytes big-endian, and the
+// text.
 var (
 	stateBucket = []byte("state")
 	stateKey    = []byte("agent")
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// lockTimeout is how long a file that another process has open is waited for.
+// lockTimeout is how long OpenStore waits for a file that another process has open.
 const lockTimeout = time.Second
 
-var errOtherProcess = errors.New("another agent has it open")
+var errOtherProcess = errors.New("another process has the store open")
 
-// ErrCorrupt is wrapped by the errors of a store that does not have what was written.
+// ErrCorrupt is wrapped by the errors of a store that does not contain what was written.
 var ErrCorrupt = errors.New("the record is damaged")
 
-// Store keeps an agent's state and its audit record in one bbolt file. What Save and AppendAudit have returned for is there after a
-// crash, whole. It is safe for concurrent use.
+// Store keeps an agent's state and its audit records in one bbolt file. Data for which Save or
+// AppendAudit has returned is complete after a crash. Store is safe for concurrent use.
 type Store struct{ db *bbolt.DB }
 
-// OpenStore opens the file or makes it. It fails after a second where another process has the file open, and with ErrCorrupt where the
-// file is damaged.
+// OpenStore opens the file or creates it. It fails after a second if another process has the file
+// open, and with ErrCorrupt if the file is damaged.
 func OpenStore(path string) (s *Store, err error) {
-	// bbolt maps the file into memory: what is missing of a truncated file is a fault, which must be a panic to be recovered.
+	// bbolt maps the file into memory. An access to the missing part of a truncated file is a
+	// memory fault, which must be turned into a panic to be recovered.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -57,7 +59,8 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Load returns the state that was saved last; found is false where none was. A state that is not what was saved is ErrCorrupt.
+// Load returns the state that was saved last; found is false if no state was saved. It returns
+// ErrCorrupt if the stored data is not what was saved.
 func (s *Store) Load() (state rollout.State, found bool, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -86,7 +89,7 @@
 	return state, found, err
 }
 
-// Save stores a state on disk. On an error the state before is still there.
+// Save stores a state on disk. After an error, the previous state is still stored.
 func (s *Store) Save(state rollout.State) error {
 	text, err := json.Marshal(state)
 	if err != nil {
--- a/internal/agent/store_test.go
+++ b/internal/agent/store_test.go
@@ -15,7 +15,7 @@
 	"tallyproxy/rollout"
 )
 
-// openStore opens a store that the test expects to be whole.
+// openStore opens a store that must be intact.
 func openStore(t *testing.T, path string) *Store {
 	t.Helper()
 	s, err := OpenStore(path)
@@ -32,7 +32,7 @@
 	}
 }
 
-// updateBucket changes a bucket behind the store's back.
+// updateBucket changes a bucket without the store's methods.
 func updateBucket(t *testing.T, s *Store, name []byte, change func(b *bbolt.Bucket) error) {
 	t.Helper()
 	if err := s.db.Update(func(tx *bbolt.Tx) error { return change(tx.Bucket(name)) }); err != nil {
@@ -40,11 +40,13 @@
 	}
 }
 
+// TestStore guards against a store that loses or alters a saved state, or that two agents have open
+// at the same time.
 func TestStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.db")
 	s := openStore(t, path)
 	if _, found, err := s.Load(); found || err != nil {
-		t.Errorf("a new one has something: %v", err)
+		t.Errorf("a new store contains a state: %v", err)
 	}
 	want := rollout.State{Promised: rollout.Ballot{Number: 3, Holder: "op"}, ActiveScripts: map[string]string{"n0": "log()"}}
 	for i := range 50 {
@@ -54,28 +56,30 @@
 		}
 	}
 	if _, err := OpenStore(path); err == nil {
-		t.Error("two agents have one store open")
+		t.Error("the store was opened twice at the same time")
 	}
 	closeStore(t, s)
 	if err := s.Save(want); err == nil {
-		t.Error("saved into a closed file")
+		t.Error("saved into a closed store")
 	}
 	s = openStore(t, path)
 	defer closeStore(t, s)
 	if got, found, err := s.Load(); !found || err != nil || got.Promised.Number != 49 || got.ActiveScripts["n0"] != "log()" {
 		t.Errorf("%+v, %v, %v", got, found, err)
 	}
-	updateBucket(t, s, stateBucket, func(b *bbolt.Bucket) error { // a state that is not what was saved
+	// Change the stored state.
+	updateBucket(t, s, stateBucket, func(b *bbolt.Bucket) error {
 		raw := append([]byte(nil), b.Get(stateKey)...)
 		raw[len(raw)-3] ^= 1
 		return b.Put(stateKey, raw)
 	})
 	if _, _, err := s.Load(); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("a changed record: %v", err)
+		t.Errorf("a changed state: %v", err)
 	}
 }
 
-// A store that is truncated anywhere is either whole or gives one clear error, never something else.
+// TestStoreTruncated guards against a truncated store that returns wrong data: it must be intact or
+// return ErrCorrupt.
 func TestStoreTruncated(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.db")
@@ -100,18 +104,19 @@
 		s, err := OpenStore(truncated)
 		if err != nil {
 			if !errors.Is(err, ErrCorrupt) {
-				t.Errorf("cut at %d: %v", size, err)
+				t.Errorf("truncated to %d bytes: %v", size, err)
 			}
 			continue
 		}
 		got, found, err := s.Load()
 		if err == nil && found && len(got.ActiveScripts) != 200 || err != nil && !errors.Is(err, ErrCorrupt) {
-			t.Errorf("cut at %d: %d entries, %v", size, len(got.ActiveScripts), err)
+			t.Errorf("truncated to %d bytes: %d scripts, %v", size, len(got.ActiveScripts), err)
 		}
-		_ = s.Close() // of a file that is damaged
+		_ = s.Close() // the file may be damaged
 	}
 }
 
+// TestAudit guards against a changed or missing audit record that is not detected.
 func TestAudit(t *testing.T) {
 	s := openStore(t, filepath.Join(t.TempDir(), "a.db"))
 	defer closeStore(t, s)
@@ -138,10 +143,10 @@
 		return b.Put(key, text)
 	})
 	if _, err := s.Audit(); err == nil {
-		t.Error("a changed record was not seen")
+		t.Error("a changed record was not detected")
 	}
 	updateBucket(t, s, auditBucket, func(b *bbolt.Bucket) error { return b.Delete(key) })
 	if _, err := s.Audit(); err == nil {
-		t.Error("a gap was not seen")
+		t.Error("a missing record was not detected")
 	}
 }
