--- a/internal/agent/director.go
+++ b/internal/agent/director.go
@@ -44,8 +44,8 @@
 	exited  chan struct{} // guarded by mu; closed once command has exited
 }
 
-// pid returns the process ID of the director: of the process that this agent started, or that the
-// PID file contains, or that the director's status reports.
+// pid returns the director's process ID. The sources, in this order, are a running process that this
+// agent started, the PID file if one is configured, and the director's status.
 func (d *Director) pid() (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -61,7 +61,7 @@
 	for _, director := range managed {
 		a.tasks.Go(func() { a.supervise(ctx, director) })
 	}
-	if err := a.joinMembership(); err != nil { // the agent manages its directors all the same
+	if err := a.joinMembership(); err != nil { // the agent can manage its directors without it
 		slog.Error(logevent.GossipUnavailable, "agent", a.entry.Name, "err", err)
 	}
 	slog.Info(logevent.AgentStarted, "agent", a.entry.Name, "listen", listener.Addr().String(), "directors", len(a.directors))
