--- a/rollout/history_test.go
+++ b/rollout/history_test.go
@@ -27,7 +27,7 @@
 			f.now += 30 * policy.Second
 			f.startTool(nil)
 		}},
-		{"the surviving tools", 3, func(*fleet) {}},
+		{"the tools that live", 3, func(*fleet) {}},
 		{"the agents alone", 1, func(f *fleet) { f.tools = map[int]*Coordinator{} }},
 	}
 	for _, c := range cases {
