--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,8 @@
-// Package config is the one place where configuration is read, checked and given defaults: the platform's JSON (Config), the
-// operator's Starlark script (Operator) and a fleet's inventory, a Starlark script too (Inventory). A file is taken whole or
-// refused with an error that names the faulty key, and in scripts the line. Nothing here keeps state: every function may be
-// called from any goroutine.
+// Package config reads and checks all configuration and supplies the defaults: the platform's JSON
+// file (Config), the operator's Starlark script (Operator) and the inventory of a fleet, also a
+// Starlark script (Inventory). A file with an error is rejected as a whole. The error names the
+// invalid key and, in scripts, the line. The package keeps no state, so all functions may be called
+// from any goroutine.
 package config
 
 import (
@@ -18,25 +19,34 @@
 
 // Config is the platform's configuration of one director.
 type Config struct {
-	Name        string          `json:"name"`     // of the director; $NODE_NAME where the file has none
-	Listen      string          `json:"listen"`   // address and port for clients; $NODE_LISTEN where the file has none
-	Seed        string          `json:"seed"`     // of random choices, up to 16 hex digits; empty for 0
-	Channel     string          `json:"channel"`  // address and port of the command channel
-	Bootstrap   json.RawMessage `json:"known"`    // commands of the channel that are known at the start, in its own format
-	Limits      Limits          `json:"limits"`   // of the machine
-	RawSettings json.RawMessage `json:"settings"` // the text that Site is read from
-	Site        Site            `json:"-"`        // RawSettings, parsed and checked
-	Digest      string          `json:"-"`        // of the file's bytes
+	// Name of the director; $NODE_NAME if the file has none.
+	Name string `json:"name"`
+	// Address and port for clients; $NODE_LISTEN if the file has none.
+	Listen string `json:"listen"`
+	// Seed of random choices, up to 16 hex digits; empty for 0.
+	Seed string `json:"seed"`
+	// Address and port of the command channel.
+	Channel string `json:"channel"`
+	// Channel commands known at the start, in the channel's format.
+	Bootstrap json.RawMessage `json:"known"`
+	// Resources of the machine that are granted to the director.
+	Limits Limits `json:"limits"`
+	// JSON text of Site.
+	RawSettings json.RawMessage `json:"settings"`
+	// RawSettings, parsed and checked.
+	Site Site `json:"-"`
+	// Digest of the file.
+	Digest string `json:"-"`
 }
 
-// Digest returns the SHA-256 of a file's text in hex digits.
+// Digest returns the SHA-256 digest of a file's contents in hex digits.
 func Digest(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
 }
 
-// Load reads and checks the file that the environment variable NODE_CONFIG names. Errors of the text are of type KeyError,
-// or of the JSON syntax.
+// Load reads and checks the file that the environment variable NODE_CONFIG names. Errors in the
+// file's contents are of type KeyError or JSON syntax errors.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -53,25 +63,26 @@
 	return c, c.parse(raw)
 }
 
-// Reload returns what a director that runs on c goes on with once next was read: next, but with the seed of the start. It
-// returns c and an error that wraps ErrNeedsRestart where next changes what can't change while requests are open.
+// Reload returns the configuration that a director running on c uses after a reload has read next:
+// next, but with the seed of the start. If next changes a setting that can't change while requests
+// are open, Reload returns c and an error that wraps ErrNeedsRestart.
 func (c Config) Reload(next Config) (Config, error) {
 	next.Seed, next.Site.Seed = c.Seed, c.Site.Seed
-	for _, fixed := range []struct {
+	for _, setting := range []struct {
 		key  string
 		same bool
 	}{
 		{"name", next.Name == c.Name}, {"listen", next.Listen == c.Listen},
 		{"settings", reflect.DeepEqual(next.Site, c.Site)},
 	} {
-		if !fixed.same {
-			return c, keyErrorf(fixed.key, "a change %w", ErrNeedsRestart)
+		if !setting.same {
+			return c, keyErrorf(setting.key, "a change %w", ErrNeedsRestart)
 		}
 	}
 	return next, nil
 }
 
-// parse reads a file's text over the defaults that c holds, and checks it.
+// parse decodes a file's contents into c, which holds the defaults, and checks the result.
 func (c *Config) parse(raw []byte) error {
 	if err := unmarshal(raw, c); err != nil {
 		return err
@@ -104,11 +115,11 @@
 	return nil
 }
 
-// unmarshal decodes JSON; a value of the wrong type is a KeyError.
+// unmarshal decodes JSON. It reports a value of the wrong type as a KeyError.
 func unmarshal(raw []byte, to any) error {
 	err := json.Unmarshal(raw, to)
-	if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) && wrong.Field != "" {
-		return keyErrorf(wrong.Field, "a %s can't be used here", wrong.Value)
+	if typeError := (*json.UnmarshalTypeError)(nil); errors.As(err, &typeError) && typeError.Field != "" {
+		return keyErrorf(typeError.Field, "a %s can't be used here", typeError.Value)
 	}
 	return err
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"tallyproxy/policy"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:8443","seed":"8c1f30d27a5be964","channel":"127.0.0.2:8500","new":1,
+const validConfig = `{"name":"n3","listen":"127.0.0.1:8443","seed":"8c1f30d27a5be964","channel":"127.0.0.2:8500","new":1,
  "limits":{"cores":1.5,"memory_mb":128,"sockets":512},"known":{"cursor":0,"cmds":[]},
  "settings":{"zone":1,"zones":["h","a"],"machine-types":["small","parent","origin"],
   "lanes":[{"name":"clip","aim":400,"hard-limit":5000,"repeat":"guarded","dedup-scope":"cell"}],
@@ -18,7 +18,7 @@
   "limits":{"cancel":true,"try-limit":3,"connect-timeout":400,"keepalive":30000,"max-streams":100},
   "specifics":{"origin-kind":2,"shield-kind":1,"gone-everywhere":6000,"max-age":[500]}}}`
 
-// load loads a platform's file of the text given, in an environment with a name.
+// load loads a platform's file with the given contents, in an environment with NODE_NAME set.
 func load(t *testing.T, text string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -28,9 +28,10 @@
 	return Load(func(key string) string { return map[string]string{"NODE_CONFIG": path, "NODE_NAME": "env"}[key] })
 }
 
-// A file is read with its defaults; what it lacks of name and address comes from the environment.
+// TestLoad guards against wrong defaults, and against a name that is not taken from the environment
+// if the file has none.
 func TestLoad(t *testing.T) {
-	c, err := load(t, good)
+	c, err := load(t, validConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,21 +39,22 @@
 	if c.Name != "n3" || c.Site.Seed != 0x8c1f30d27a5be964 || c.Site.ConnectTimeout != 400_000 || c.Site.MaxConcurrentStreams != 100 ||
 		clip.RetrySafety != policy.IdempotentWithKey || clip.DedupScope != policy.DedupScopeCell || clip.TTL != 500_000 ||
 		c.Site.TypeNames[0] != "clip" || c.Limits.MaxClientConnections() != 256 || c.Limits.MaxNodeConnections() != 153 {
-		t.Errorf("read as %+v", c)
+		t.Errorf("decoded as %+v", c)
 	}
-	c, err = load(t, strings.NewReplacer(`"name":"n3",`, "", `"memory_mb":128,`, "").Replace(good))
+	c, err = load(t, strings.NewReplacer(`"name":"n3",`, "", `"memory_mb":128,`, "").Replace(validConfig))
 	if err != nil || c.Name != "env" || c.Limits.MemoryMB != 192 {
 		t.Errorf("defaults: %+v, %v", c, err)
 	}
 }
 
-// What may change while a director runs is taken over; of the rest, nothing is.
+// TestReload guards against a reload that loses a permitted change, or that applies part of a file
+// with an error or a change that needs a restart.
 func TestReload(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"channel", "127.0.0.2:8500", "127.0.0.3:8500", ""},
 		{"limits and seed", `"sockets":512},"known"`, `"sockets":256},"seed":"1","known"`, ""},
 		{"not JSON", `{"name"`, `"name"`, "invalid character"},
-		{"faulty", `1.5`, `0`, "limits.cores: 0"},
+		{"invalid", `1.5`, `0`, "limits.cores: 0"},
 		{"listen", "8443", "8444", "listen: a change needs a restart"},
 		{"name", "n3", "n4", "name: a change needs a restart"},
 		{"settings", `"aim":400`, `"aim":500`, "settings: a change needs a restart"},
@@ -61,14 +63,14 @@
 		t.Run(x.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
 			getenv := func(key string) string { return map[string]string{"NODE_CONFIG": path}[key] }
-			if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+			if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			c, err := Load(getenv)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, []byte(strings.Replace(good, x.old, x.new, 1)), 0o600); err != nil {
+			if err := os.WriteFile(path, []byte(strings.Replace(validConfig, x.old, x.new, 1)), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			next, err := Load(getenv)
@@ -88,7 +90,7 @@
 	}
 }
 
-// Every error names the faulty key.
+// TestFaultsNameTheirKey guards against errors that do not name the invalid key.
 func TestFaultsNameTheirKey(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"not JSON", `{"name"`, `"name"`, "invalid character"},
@@ -119,7 +121,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := load(t, strings.Replace(good, c.old, c.new, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
+			if _, err := load(t, strings.Replace(validConfig, c.old, c.new, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
 		})
@@ -131,17 +133,18 @@
 	}
 }
 
-// TestShapes: either shape starts, with the list's sizes used in the new one alone; a mix of the two is refused
-// with the key that is out of step, and nothing of it is kept.
+// TestShapes guards against a configuration that mixes the old and the new format: it must be
+// rejected with the name of the inconsistent key. Either format alone must be accepted, and the
+// weights count as sizes only in the new one.
 func TestShapes(t *testing.T) {
 	cases := []struct {
 		name, weights, notes string
 		sized                bool
 		want                 string
 	}{
-		{"old, as before", "", "", false, ""},
-		{"old, in words", `"weights":"silent",`, `"note-level":"all",`, false, ""},
-		{"old, hits told", "", `"note-level":"hit",`, false, ""},
+		{"old, by default", "", "", false, ""},
+		{"old, set explicitly", `"weights":"silent",`, `"note-level":"all",`, false, ""},
+		{"old, hits reported", "", `"note-level":"hit",`, false, ""},
 		{"new", `"weights":"nominal",`, `"note-level":"silent",`, true, ""},
 		{"new, rough sizes", `"weights":"rough",`, `"note-level":"silent",`, true, ""},
 		{"sizes with notes", `"weights":"nominal",`, `"note-level":"all",`, false,
@@ -155,16 +158,16 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(good, `"zone":1,`, `"zone":1,`+c.weights, 1)
+			text := strings.Replace(validConfig, `"zone":1,`, `"zone":1,`+c.weights, 1)
 			text = strings.Replace(text, `"origin-kind":2,`, `"origin-kind":2,`+c.notes, 1)
 			got, err := load(t, text)
 			switch {
 			case c.want != "" && (err == nil || err.Error() != c.want):
 				t.Errorf("got %v, want %s", err, c.want)
 			case c.want == "" && err != nil:
-				t.Errorf("refused: %v", err)
+				t.Errorf("rejected: %v", err)
 			case c.want == "" && got.Site.WeightsAreSizes != c.sized:
-				t.Errorf("sized %v, want %v", got.Site.WeightsAreSizes, c.sized)
+				t.Errorf("WeightsAreSizes is %v, want %v", got.Site.WeightsAreSizes, c.sized)
 			}
 		})
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -15,7 +15,7 @@
 	"tallyproxy/policy"
 )
 
-// goldenPlatform is a platform's file with every key that is read, each with a value of its own.
+// goldenPlatform is a platform's file with every key that is read, each with a distinct value.
 const goldenPlatform = `{"name":"n3","listen":"127.0.0.1:8443","seed":"8c1f30d27a5be964","channel":"127.0.0.2:8500",
 "known":{"cursor":7,"cmds":[]},"limits":{"cores":2.5,"memory_mb":256,"sockets":512},
 "settings":{"zone":1,"zones":["h","a","z"],"machine-types":["small","parent","origin"],"weights":"nominal",
@@ -32,6 +32,7 @@
 "note-level":"silent","origin-kind":2,"shield-kind":1,"pace-kb-per-s":1006,"pipe-kb-per-s":[1,1007,3],"count-by-zone":[4,5,6],
 "parent-cold-from":0.375,"parent-fall-multiple":2.25,"parent-warms-in":1008,"shares-fills":true,"straight":true}}}`
 
+// TestPlatformGolden guards against keys of the platform's file that are lost or misread.
 func TestPlatformGolden(t *testing.T) {
 	got, err := load(t, goldenPlatform)
 	if err != nil {
@@ -72,7 +73,8 @@
 	}
 }
 
-// An old shape with the fewest keys: what the other keys default to.
+// TestPlatformDefaultsGolden guards against changed defaults: the file has the old format with the
+// minimum of keys.
 func TestPlatformDefaultsGolden(t *testing.T) {
 	got, err := load(t, `{"listen":"127.0.0.1:1","channel":"127.0.0.2:2","known":{},"settings":{"zones":["a"],"machine-types":["edge"],
 "lanes":[{"name":"l","hard-limit":1,"repeat":"free"}],"limits":{"try-limit":1,"connect-timeout":1,"keepalive":1,"max-retry-after":9},
@@ -96,6 +98,7 @@
 	}
 }
 
+// TestLimitsGolden guards against changed figures that are derived from the limits.
 func TestLimitsGolden(t *testing.T) {
 	for _, golden := range []struct {
 		limits                        Limits
@@ -116,6 +119,7 @@
 	}
 }
 
+// TestSumGolden guards against changed digests of files.
 func TestSumGolden(t *testing.T) {
 	for text, want := range map[string]string{
 		"":      "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855",
@@ -127,7 +131,7 @@
 	}
 }
 
-// goldenScript is an operator's script with every key, each with a value of its own.
+// goldenScript is an operator's script with every key, each with a distinct value.
 const goldenScript = `
 storm(mode = "guard", reach = 0.5, windows = 11, rise = 1.5, surge = 5, repeats = 0.625, cold = 0.75, promise = 0.875, clients = 4097)
 keys(marks = 10001, remember = 21, strangers = "abandon")
@@ -139,6 +143,7 @@
 log(level = "debug")
 `
 
+// TestOperatorGolden guards against keys of the operator's script that are lost or misread.
 func TestOperatorGolden(t *testing.T) {
 	keyFile := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(keyFile, []byte(" "+strings.Repeat("0f", 31)+"aB\n"), 0o600); err != nil {
@@ -159,14 +164,15 @@
 			Listen: "10.1.0.9:7946", Advertise: "10.1.0.10:7947", Seeds: []string{"10.1.0.8:7946", "10.1.0.7:7946"},
 			Fleet: "depots", Delegates: 5, KeyFile: keyFile, SharedKey: keyBytes,
 		},
-		Digest: got.Digest, // of the script, which names a temporary file
+		Digest: got.Digest, // the script contains the name of a temporary file
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%#v %#v, want\n%#v %#v", got, got.Peers, want, want.Peers)
 	}
 }
 
-// What a script says that calls nothing, and the words of the choices.
+// TestOperatorDefaultsGolden guards against changed defaults of a script that sets little, and
+// against changed words for the choices.
 func TestOperatorDefaultsGolden(t *testing.T) {
 	defaults := Operator{
 		Overload: overload.Settings{
@@ -207,7 +213,8 @@
 	}
 }
 
-// The whole lines that name what is wrong with a file: operators and their tools read them.
+// TestErrorLinesGolden guards against changes of the error lines that operators and their tools
+// read.
 func TestErrorLinesGolden(t *testing.T) {
 	operator := func(text string) error { _, err := ParseOperator("d.star", []byte(text)); return err }
 	fleet := func(text string) error { _, err := ParseInventory("f.star", []byte(text)); return err }
@@ -309,6 +316,7 @@
 director("n1", agent = "a1", config = "n1.json", settings = "n1.star", socket = "n1.sock", pidfile = "n1.pid")
 `
 
+// TestInventoryGolden guards against keys of the inventory that are lost or misread.
 func TestInventoryGolden(t *testing.T) {
 	got, err := ParseInventory("f.star", []byte(goldenInventory))
 	if err != nil {
@@ -342,6 +350,6 @@
 		t.Errorf("read as\n%#v, want\n%#v", got, want)
 	}
 	if got, err := ParseInventory("f.star", []byte(`agent("a0", address = "127.0.0.1:1")`)); err != nil || time.Duration(got.LeaseDuration)*time.Microsecond != 3*time.Second {
-		t.Errorf("the lease by default: %#v, %v", got, err)
+		t.Errorf("default lease: %#v, %v", got, err)
 	}
 }
--- a/internal/config/inventory.go
+++ b/internal/config/inventory.go
@@ -13,36 +13,43 @@
 	"tallyproxy/policy"
 )
 
-// Inventory is what a fleet is made of: agents, each on a machine, and the directors that they look after. It is a Starlark
-// script beside the operator's files, read by the tool and by every agent.
+// Inventory lists the members of a fleet: the agents, each on its own machine, and the directors
+// that they manage. It is a Starlark script beside the operator's files; the command-line tool and
+// every agent read it.
 type Inventory struct {
-	Path          string          // of the script
-	LeaseDuration policy.Micros   // fleet(lease): of the right to change the fleet
-	AuthorityDir  string          // fleet(authority): directory with the authority's certificate and the list of revoked ones
-	GossipKeyFile string          // fleet(talk_key): path of the key that agents share for gossip; empty for no gossip
-	Agents        []AgentEntry    // in the script's order; one at least
-	Directors     []DirectorEntry // in the script's order
+	// Path of the script.
+	Path string
+	// fleet(lease): lease of the right to change the fleet.
+	LeaseDuration policy.Micros
+	// fleet(authority): directory of the CA certificate and the revocation list.
+	AuthorityDir string
+	// fleet(talk_key): path of the agents' shared gossip key; empty for no gossip.
+	GossipKeyFile string
+	// In the script's order; at least one.
+	Agents []AgentEntry
+	// In the script's order.
+	Directors []DirectorEntry
 }
 
 // AgentEntry is one agent of an inventory.
 type AgentEntry struct {
 	Name             string // unique
 	Address          string // address and port for the tool and other agents
-	Depot            string // location, for the order of changes
+	Depot            string // location, which determines the order of changes
 	GossipAddress    string // IPv4 address and port, for TCP and UDP; empty for no gossip
-	AllowNonLoopback bool   // the addresses may lie beyond loopback
+	AllowNonLoopback bool   // the addresses may be outside the loopback network
 	position         syntax.Position
 }
 
 // DirectorEntry is one director of an inventory.
 type DirectorEntry struct {
 	Name         string   // unique
-	Agent        string   // name of the agent that looks after it
+	Agent        string   // name of the agent that manages it
 	PlatformFile string   // path of the platform's file
 	SettingsFile string   // path of the operator's script, which changes replace
-	StatusSocket string   // path of the socket of its status report
-	Command      []string // that starts it; empty where something else does
-	PIDFile      string   // path of the file with its process ID; needed where there is no command
+	StatusSocket string   // path of the status report's socket
+	Command      []string // starts the director; empty if it is started by other means
+	PIDFile      string   // path of the file with its process ID; required without a command
 	position     syntax.Position
 }
 
@@ -52,7 +59,7 @@
 	maxLease     = 10 * time.Minute
 )
 
-// Agent is the entry of a name; nil for none.
+// Agent returns the entry of the agent with the given name; nil if there is none.
 func (i *Inventory) Agent(name string) *AgentEntry {
 	for n := range i.Agents {
 		if i.Agents[n].Name == name {
@@ -62,7 +69,7 @@
 	return nil
 }
 
-// AgentNames are the names of all agents, in the script's order.
+// AgentNames returns the names of all agents, in the script's order.
 func (i *Inventory) AgentNames() (names []string) {
 	for _, agent := range i.Agents {
 		names = append(names, agent.Name)
@@ -70,7 +77,7 @@
 	return names
 }
 
-// DirectorsOf are the directors that an agent looks after, in the script's order.
+// DirectorsOf returns the directors that an agent manages, in the script's order.
 func (i *Inventory) DirectorsOf(agent string) (directors []DirectorEntry) {
 	for _, director := range i.Directors {
 		if director.Agent == agent {
@@ -80,7 +87,8 @@
 	return directors
 }
 
-// LoadInventory reads the script at path, whole or not at all. Errors are those of ParseInventory and of the file system.
+// LoadInventory reads the script at path. It returns the errors of ParseInventory and of the file
+// system.
 func LoadInventory(path string) (*Inventory, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -89,7 +97,8 @@
 	return ParseInventory(path, raw)
 }
 
-// ParseInventory runs a script; path is for its errors, which are of type ScriptError where they have a place in the text.
+// ParseInventory runs a script. path is used in errors, which are of type ScriptError if they have
+// a position in the script.
 func ParseInventory(path string, raw []byte) (*Inventory, error) {
 	inventory := &Inventory{Path: path, LeaseDuration: defaultLease}
 	var entries inventoryEntries
@@ -108,13 +117,13 @@
 	return inventory, nil
 }
 
-// inventoryEntries are the entries of a script that is being run, not checked yet.
+// inventoryEntries holds the unchecked entries of a script while it runs.
 type inventoryEntries struct {
 	agents    []*AgentEntry
 	directors []*DirectorEntry
 }
 
-// sections are the functions of an inventory's script.
+// sections returns the functions that an inventory script may call.
 func (e *inventoryEntries) sections(inventory *Inventory) map[string]section {
 	return map[string]section{
 		"fleet": {settings: []setting{
@@ -127,7 +136,7 @@
 	}
 }
 
-// newAgent begins an agent and gives its settings.
+// newAgent adds an agent and returns its settings.
 func (e *inventoryEntries) newAgent(name string, position syntax.Position) ([]setting, error) {
 	if slices.ContainsFunc(e.agents, func(a *AgentEntry) bool { return a.Name == name }) {
 		return nil, fmt.Errorf("agent %q: there before", name)
@@ -142,7 +151,7 @@
 	}, nil
 }
 
-// newDirector begins a director and gives its settings.
+// newDirector adds a director and returns its settings.
 func (e *inventoryEntries) newDirector(name string, position syntax.Position) ([]setting, error) {
 	if slices.ContainsFunc(e.directors, func(d *DirectorEntry) bool { return d.Name == name }) {
 		return nil, fmt.Errorf("director %q: there before", name)
@@ -159,7 +168,7 @@
 	}, nil
 }
 
-// addAgents checks agents and takes them in.
+// addAgents checks the agents and adds them to the inventory.
 func (i *Inventory) addAgents(agents []*AgentEntry) error {
 	owners := map[string]string{} // names of agents by address
 	for _, agent := range agents {
@@ -172,7 +181,8 @@
 	return nil
 }
 
-// checkAgent checks one agent; owner is the agent before it with the same address, empty for none.
+// checkAgent checks one agent. owner is the name of an earlier agent with the same address; empty
+// for none.
 func (i *Inventory) checkAgent(agent *AgentEntry, owner string) error {
 	host, _, err := net.SplitHostPort(agent.Address)
 	ip := net.ParseIP(host)
@@ -191,10 +201,11 @@
 	return nil
 }
 
-// isLoopback says whether an address with a port, which must be valid, lies on the loopback network.
+// isLoopback reports whether a valid address with a port is on the loopback network.
 func isLoopback(address string) bool { return netip.MustParseAddrPort(address).Addr().IsLoopback() }
 
-// addDirectors checks directors and takes them in. The agents must be there before.
+// addDirectors checks the directors and adds them to the inventory. The agents must have been added
+// before.
 func (i *Inventory) addDirectors(directors []*DirectorEntry) error {
 	owners := map[string]string{} // names of directors by the paths of their files
 	for _, director := range directors {
@@ -206,7 +217,7 @@
 	return nil
 }
 
-// checkDirector checks one director and books its files in owners.
+// checkDirector checks one director and records its files in owners.
 func (i *Inventory) checkDirector(director *DirectorEntry, owners map[string]string) error {
 	if director.Agent == "" {
 		return keyErrorf("director.agent", "missing for %s", director.Name)
--- a/internal/config/inventory_test.go
+++ b/internal/config/inventory_test.go
@@ -17,15 +17,16 @@
                  command = ["bin/tallyproxy"])
 `
 
-// A script is read whole; a faulty one is refused with its line and key, and nothing of it is kept.
+// TestInventory guards against entries that are lost or misread, and against an invalid script that
+// is accepted or whose error lacks the line or the key.
 func TestInventory(t *testing.T) {
-	inv, err := ParseInventory("fleet.star", []byte(inventory))
+	parsed, err := ParseInventory("fleet.star", []byte(inventory))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(inv.Agents) != 3 || len(inv.Directors) != 6 || inv.LeaseDuration != 20*policy.Second || inv.Agent("a2").Depot != "south" ||
-		len(inv.DirectorsOf("a1")) != 2 || inv.DirectorsOf("a1")[1].SettingsFile != "n11.star" || inv.Agent("x") != nil {
-		t.Errorf("%+v", inv)
+	if len(parsed.Agents) != 3 || len(parsed.Directors) != 6 || parsed.LeaseDuration != 20*policy.Second || parsed.Agent("a2").Depot != "south" ||
+		len(parsed.DirectorsOf("a1")) != 2 || parsed.DirectorsOf("a1")[1].SettingsFile != "n11.star" || parsed.Agent("x") != nil {
+		t.Errorf("%+v", parsed)
 	}
 	cases := []struct{ name, add, want string }{
 		{"an agent twice", `agent("a0", address = "127.0.0.1:1")`, `fleet.star:9: agent "a0": there before`},
@@ -38,19 +39,19 @@
 		{"no settings", `director("x", agent = "a0", config = "c")`, "fleet.star:9: director.settings: missing for x"},
 		{"a file twice", `director("x", agent = "a0", config = "n00.json", settings = "s", socket = "k", pidfile = "p")`,
 			"fleet.star:9: director.config: n00.json is that of n00 too"},
-		{"nothing that starts it", `director("x", agent = "a0", config = "c", settings = "s", socket = "k")`,
+		{"neither command nor pidfile", `director("x", agent = "a0", config = "c", settings = "s", socket = "k")`,
 			"fleet.star:9: director.command: neither it nor a pidfile for x"},
 		{"an unknown key", `agent("b", port = 5)`, "fleet.star:9: agent.port: an unknown key"},
 		{"no name", `agent(address = "127.0.0.1:1")`, "fleet.star:9: agent: its name comes first"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if inv, err := ParseInventory("fleet.star", []byte(inventory+c.add)); err == nil || inv != nil || !strings.Contains(err.Error(), c.want) {
+			if parsed, err := ParseInventory("fleet.star", []byte(inventory+c.add)); err == nil || parsed != nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
 		})
 	}
 	if _, err := ParseInventory("fleet.star", nil); err == nil {
-		t.Error("an empty one was taken")
+		t.Error("an empty inventory was accepted")
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,27 +11,39 @@
 	"tallyproxy/policy"
 )
 
-// Operator is the operator's own settings of a director: a Starlark script that calls each section's function at most once.
-// What the script does not name has its default.
+// Operator is the operator's settings of a director. They come from a Starlark script that calls
+// the function of each section at most once. Settings that the script does not name have their
+// defaults.
 type Operator struct {
-	Overload     overload.Settings // storm(...)
-	Dedup        dedup.Settings    // keys(...); MaxRecords is negative where the script has none: see DedupSettings
-	LogLevel     slog.Level        // log(level)
-	QuietPeriod  policy.Micros     // door(settle): the director ends once no client has come for so long after the signal to stop; 0 for the timeouts' figure
-	Cores        int               // machine(cores): shards asked for; 0 where not told
-	AvoidNodes   []string          // avoid(boxes): names of nodes that are treated as draining, whatever the list says
-	StatusSocket string            // state(socket): path of the socket of the status report; empty for none
-	Peers        *Peers            // peers(...): gossip with other directors; nil for none
-	Digest       string            // Digest of the script's bytes
+	// storm(...): overload control.
+	Overload overload.Settings
+	// keys(...): idempotency keys. MaxRecords is negative if the script does not set it; see
+	// DedupSettings.
+	Dedup dedup.Settings
+	// log(level): minimum level of logged events.
+	LogLevel slog.Level
+	// door(settle): after the stop signal, the director stops once no client has connected for this
+	// long; 0 for the default from the timeouts.
+	QuietPeriod policy.Micros
+	// machine(cores): requested shards; 0 if not set.
+	Cores int
+	// avoid(boxes): names of nodes to treat as draining, regardless of the endpoint list.
+	AvoidNodes []string
+	// state(socket): path of the status report's socket; empty for none.
+	StatusSocket string
+	// peers(...): gossip with other directors; nil for none.
+	Peers *Peers
+	// Digest of the script.
+	Digest string
 }
 
 const (
 	defaultRetainWindows = 20
 
-	// unknownRecords as dedup.Settings.MaxRecords says that the script does not tell the number.
-	unknownRecords    = -1
-	dedupRecordBytes  = 320 // that a record takes, about
-	dedupMemoryShare  = 16  // one part in so many of the memory is for records where the script does not tell how many
+	// unsetMaxRecords, as dedup.Settings.MaxRecords, means that the script does not set the number.
+	unsetMaxRecords   = -1
+	dedupRecordBytes  = 320 // approximate memory of one record
+	dedupMemoryShare  = 16  // 1/16 of the memory is for records if the script sets no number
 	maxDedupRecords   = 1 << 20
 	maxCores          = 256
 	minQuietPeriod    = time.Millisecond
@@ -40,16 +52,16 @@
 	maxOverloadMemory = 1 << 20
 )
 
-// DefaultOperator is what holds without a script.
+// DefaultOperator returns the settings that apply without a script.
 func DefaultOperator() Operator {
 	return Operator{
 		Overload: overload.DefaultSettings(),
-		Dedup:    dedup.Settings{MaxRecords: unknownRecords, RetainWindows: defaultRetainWindows},
+		Dedup:    dedup.Settings{MaxRecords: unsetMaxRecords, RetainWindows: defaultRetainWindows},
 	}
 }
 
-// LoadOperator reads the script at path; an empty path gives the defaults. Errors are those of ParseOperator and of the file
-// system.
+// LoadOperator reads the script at path; an empty path gives the defaults. It returns the errors of
+// ParseOperator and of the file system.
 func LoadOperator(path string) (Operator, error) {
 	o := DefaultOperator()
 	o.Digest = Digest(nil)
@@ -63,7 +75,8 @@
 	return ParseOperator(path, raw)
 }
 
-// ParseOperator runs a script; path is for its errors, which are of type ScriptError where they have a place in the text.
+// ParseOperator runs a script. path is used in errors, which are of type ScriptError if they have a
+// position in the script.
 func ParseOperator(path string, raw []byte) (Operator, error) {
 	o := DefaultOperator()
 	o.Digest = Digest(raw)
@@ -71,7 +84,7 @@
 	return o, err
 }
 
-// sections are the functions of an operator's script.
+// sections returns the functions that an operator's script may call.
 func (o *Operator) sections() map[string]section {
 	peers := Peers{Delegates: defaultDelegates}
 	return map[string]section{
@@ -103,7 +116,7 @@
 	}
 }
 
-// overloadSettings are the arguments of storm(...).
+// overloadSettings returns the arguments of storm(...).
 func overloadSettings(s *overload.Settings) []setting {
 	return []setting{
 		choiceSetting("mode", &s.Mode, map[string]overload.Mode{
@@ -120,7 +133,7 @@
 	}
 }
 
-// CheckAllowed says whether the platform lets directors do what the script asks for.
+// CheckAllowed returns an error if the platform does not permit what the script asks for.
 func (o Operator) CheckAllowed(s Site) error {
 	if o.Peers != nil && !s.AllowPeers {
 		return keyErrorf("peers", "the platform's settings don't permit talk between directors (limits.peers)")
@@ -128,23 +141,23 @@
 	return nil
 }
 
-// CheckReload says whether a director that runs on o can go on with next, under limits that were and are now. An error wraps
-// ErrNeedsRestart.
-func (o Operator) CheckReload(next Operator, was, is Limits) error {
+// CheckReload returns an error that wraps ErrNeedsRestart if a director that runs on o can't switch
+// to next. The machine's limits change from previous to current.
+func (o Operator) CheckReload(next Operator, previous, current Limits) error {
 	if o.StatusSocket != next.StatusSocket {
 		return keyErrorf("state.socket", "a change from %q to %q %w", o.StatusSocket, next.StatusSocket, ErrNeedsRestart)
 	}
 	if !reflect.DeepEqual(o.Peers, next.Peers) {
 		return keyErrorf("peers", "a change %w", ErrNeedsRestart)
 	}
-	if before, after := o.ShardCount(was), next.ShardCount(is); before != after {
+	if before, after := o.ShardCount(previous), next.ShardCount(current); before != after {
 		return keyErrorf("machine.cores", "a change from %d to %d %w", before, after, ErrNeedsRestart)
 	}
 	return nil
 }
 
-// DedupSettings is the settings of idempotency keys, with as many records as fit into their share of the memory where the
-// script does not tell how many.
+// DedupSettings returns the settings for idempotency keys. If the script does not set the number of
+// records, it is the number that fits into the records' share of the memory.
 func (o Operator) DedupSettings(l Limits) dedup.Settings {
 	settings := o.Dedup
 	if settings.MaxRecords < 0 {
@@ -153,6 +166,6 @@
 	return settings
 }
 
-// ShardCount is how many shards, each on a core, a director has: one, unless the script asks for more, and no more than the
-// platform allows.
+// ShardCount returns the number of shards of a director, each of which uses one core: one by
+// default, or as many as the script requests and the platform allows.
 func (o Operator) ShardCount(l Limits) int { return max(1, min(o.Cores, l.MaxProcs())) }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -11,7 +11,7 @@
 	"tallyproxy/overload"
 )
 
-// operator loads a script of the text given.
+// operator loads an operator's script with the given contents.
 func operator(t *testing.T, text string) (Operator, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "director.star")
@@ -21,11 +21,12 @@
 	return LoadOperator(path)
 }
 
-// A script sets what it names; the rest, and everything without a script, has its default. The delivered script says the defaults.
+// TestOperator guards against settings of a script that are lost or misread, wrong defaults, and a
+// delivered script (deploy/director.star) that differs from the defaults.
 func TestOperator(t *testing.T) {
-	plain := func(o Operator) Operator { o.Digest = ""; return o }
+	withoutDigest := func(o Operator) Operator { o.Digest = ""; return o }
 	o, err := LoadOperator("")
-	if err != nil || !reflect.DeepEqual(plain(o), DefaultOperator()) || o.Overload.Mode != overload.ModeFixed || o.DedupSettings(Limits{MemoryMB: 32}).MaxRecords != 4915 {
+	if err != nil || !reflect.DeepEqual(withoutDigest(o), DefaultOperator()) || o.Overload.Mode != overload.ModeFixed || o.DedupSettings(Limits{MemoryMB: 32}).MaxRecords != 4915 {
 		t.Errorf("without a file: %+v, %v", o, err)
 	}
 	o, err = operator(t, `
@@ -40,19 +41,20 @@
 	if err != nil || o.Overload.Mode != overload.ModeReserve || o.Overload.Windows != 20 || o.Overload.DemandThreshold != 1.5 || o.Overload.ConnectionSurge != 4 ||
 		o.Dedup.RetainWindows != 5 || !o.Dedup.FailUnknownRetries || o.Dedup.MaxRecords != 100 || o.QuietPeriod != 250_000 || o.LogLevel != slog.LevelWarn ||
 		!reflect.DeepEqual(o.AvoidNodes, []string{"box-0", "box-1"}) || o.StatusSocket != "/run/n0.sock" || len(o.Digest) != 64 {
-		t.Errorf("read as %+v, %v", o, err)
+		t.Errorf("decoded as %+v, %v", o, err)
 	}
 	if o, err = LoadOperator("../../deploy/director.star"); err != nil || o.Overload.Mode != overload.ModeReserve {
-		t.Errorf("the file that is delivered: %+v, %v", o, err)
+		t.Errorf("the delivered script: %+v, %v", o, err)
 	}
-	if o.Overload.Mode = overload.ModeFixed; !reflect.DeepEqual(plain(o), DefaultOperator()) {
-		t.Errorf("the file that is delivered says other figures than the defaults: %+v", o)
+	if o.Overload.Mode = overload.ModeFixed; !reflect.DeepEqual(withoutDigest(o), DefaultOperator()) {
+		t.Errorf("the delivered script differs from the defaults: %+v", o)
 	}
 }
 
-// Guards against a script whose two settings together would fail every retry with a key.
+// TestAbandonWithoutRecords guards against a script with two settings that together would fail
+// every retry with an idempotency key.
 func TestAbandonWithoutRecords(t *testing.T) {
-	for script, refused := range map[string]bool{
+	for script, rejected := range map[string]bool{
 		`keys(marks = 0, strangers = "abandon")`: true,
 		`keys(strangers = "abandon", marks = 0)`: true,
 		`keys(marks = 0)`:                        false,
@@ -60,22 +62,22 @@
 		`keys(strangers = "abandon")`:            false,
 	} {
 		_, err := operator(t, script)
-		if refused != (err != nil) || refused && !strings.Contains(err.Error(), "keys.strangers") {
+		if rejected != (err != nil) || rejected && !strings.Contains(err.Error(), "keys.strangers") {
 			t.Errorf("%s: %v", script, err)
 		}
 	}
 }
 
-// A director has as many shards as the script asks for and the platform allows, one at least; only a change of that number needs a
-// restart.
+// TestShardCount guards against a number of shards that is not what the script requests and the
+// platform allows (at least one), and against a reload that changes it without a restart.
 func TestShardCount(t *testing.T) {
 	for _, c := range []struct {
-		wanted  int
-		allowed float64
-		want    int
+		requested int
+		allowed   float64
+		want      int
 	}{{0, 4, 1}, {1, 4, 1}, {4, 4, 4}, {4, 3.2, 4}, {8, 2, 2}, {8, 0.3, 1}} {
-		if got := (Operator{Cores: c.wanted}).ShardCount(Limits{Cores: c.allowed}); got != c.want {
-			t.Errorf("%d wanted, %v allowed: %d, want %d", c.wanted, c.allowed, got, c.want)
+		if got := (Operator{Cores: c.requested}).ShardCount(Limits{Cores: c.allowed}); got != c.want {
+			t.Errorf("%d requested, %v allowed: %d, want %d", c.requested, c.allowed, got, c.want)
 		}
 	}
 	twoCores := Limits{Cores: 2}
@@ -83,23 +85,24 @@
 		t.Errorf("a reload that changes the cores: %v", err)
 	}
 	if err := (Operator{Cores: 2}).CheckReload(Operator{Cores: 3}, twoCores, twoCores); err != nil {
-		t.Errorf("one that does not: %v", err)
+		t.Errorf("a reload that keeps the number of shards: %v", err)
 	}
 }
 
-// The settings of gossip are refused with their key where they are faulty, and where the platform does not permit gossip.
+// TestPeers guards against gossip settings that are invalid, or that the platform does not permit,
+// and are accepted or rejected without naming their key.
 func TestPeers(t *testing.T) {
 	dir := t.TempDir()
-	good, short := filepath.Join(dir, "key"), filepath.Join(dir, "short")
-	for path, text := range map[string]string{good: strings.Repeat("0f", 32) + "\n", short: "0f0f"} {
+	validKey, shortKey := filepath.Join(dir, "key"), filepath.Join(dir, "short")
+	for path, text := range map[string]string{validKey: strings.Repeat("0f", 32) + "\n", shortKey: "0f0f"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	with := func(listen, more, key string) string {
+	script := func(listen, more, key string) string {
 		return "peers(\n listen = \"" + listen + "\",\n " + more + "\n key = \"" + key + "\")"
 	}
-	o, err := operator(t, with("127.0.0.1:7946", `seeds = ["127.0.0.2:7946", "127.0.0.3:7946"], advertise = "127.0.0.9:1", fleet = "depots",`, good))
+	o, err := operator(t, script("127.0.0.1:7946", `seeds = ["127.0.0.2:7946", "127.0.0.3:7946"], advertise = "127.0.0.9:1", fleet = "depots",`, validKey))
 	if err != nil || o.Peers == nil || o.Peers.Listen != "127.0.0.1:7946" || len(o.Peers.Seeds) != 2 || len(o.Peers.SharedKey) != 32 ||
 		o.Peers.Advertise != "127.0.0.9:1" || o.Peers.Fleet != "depots" {
 		t.Fatalf("%+v, %v", o.Peers, err)
@@ -116,18 +119,18 @@
 	next := o
 	next.Peers = &Peers{Listen: "127.0.0.1:7947"}
 	if err := o.CheckReload(next, Limits{}, Limits{}); err == nil || !strings.Contains(err.Error(), "peers: a change needs a restart") {
-		t.Errorf("followed: %v", err)
+		t.Errorf("a reload that changes the peers: %v", err)
 	}
 	for _, c := range []struct{ name, text, want string }{
-		{"no listen", "peers(key = \"" + good + "\")", "director.star:1: peers.listen: missing"},
+		{"no listen", "peers(key = \"" + validKey + "\")", "director.star:1: peers.listen: missing"},
 		{"no key", "peers(listen = \"127.0.0.1:7946\")", "director.star:1: peers.key: missing"},
-		{"IPv6", with("[::1]:7946", "", good), "director.star:2: peers.listen: \"[::1]:7946\" is no IPv4 address"},
-		{"no port", with("127.0.0.1", "", good), "director.star:2: peers.listen:"},
-		{"followers below none", with("127.0.0.1:7946", "followers = -1,", good), "director.star:3: peers.followers: -1 is not from 0 to 100"},
-		{"a name as seed", with("127.0.0.1:7946", `seeds = ["depot:7946"],`, good), "director.star:3: peers.seeds: \"depot:7946\""},
-		{"a seed twice", with("127.0.0.1:7946", `seeds = ["127.0.0.2:1", "127.0.0.2:1"],`, good), "director.star:3: peers.seeds:"},
-		{"no key file", with("127.0.0.1:7946", "", dir+"/none"), "director.star:4: peers.key: open"},
-		{"a short key", with("127.0.0.1:7946", "", short), "director.star:4: peers.key: " + short + ": not 64 hex digits"},
+		{"IPv6", script("[::1]:7946", "", validKey), "director.star:2: peers.listen: \"[::1]:7946\" is no IPv4 address"},
+		{"no port", script("127.0.0.1", "", validKey), "director.star:2: peers.listen:"},
+		{"followers below none", script("127.0.0.1:7946", "followers = -1,", validKey), "director.star:3: peers.followers: -1 is not from 0 to 100"},
+		{"a name as seed", script("127.0.0.1:7946", `seeds = ["depot:7946"],`, validKey), "director.star:3: peers.seeds: \"depot:7946\""},
+		{"a seed twice", script("127.0.0.1:7946", `seeds = ["127.0.0.2:1", "127.0.0.2:1"],`, validKey), "director.star:3: peers.seeds:"},
+		{"no key file", script("127.0.0.1:7946", "", dir+"/none"), "director.star:4: peers.key: open"},
+		{"a short key", script("127.0.0.1:7946", "", shortKey), "director.star:4: peers.key: " + shortKey + ": not 64 hex digits"},
 		{"unknown", "peers(seed = 1)", "director.star:1: peers.seed: an unknown key"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -138,7 +141,8 @@
 	}
 }
 
-// Each fault names file, line and key, and changes nothing.
+// TestOperatorFaults guards against an invalid script that is accepted, or whose error does not
+// name the file, the line and the key.
 func TestOperatorFaults(t *testing.T) {
 	cases := []struct{ name, text, want string }{
 		{"no Starlark", "storm(\n", "director.star:2: "},
@@ -152,7 +156,7 @@
 		{"no choice", "storm(mode = \"off\")", `director.star:1: storm.mode: "off" is none of fixed, guard, silent`},
 		{"a box twice", "avoid(boxes = [\"a\", \"a\"])", "director.star:1: avoid.boxes: [\"a\", \"a\"]: entry 2 is empty"},
 		{"no list", "avoid(boxes = \"a\")", `director.star:1: avoid.boxes: "a" is no list`},
-		{"no text", "state(socket = 5)", "director.star:1: state.socket: 5 is no plain text"},
+		{"no text", "state(socket = 5)", "director.star:1: state.socket: 5 is no withoutDigest text"},
 		{"no unit", "\ndoor(settle = 5)", "director.star:2: door.settle: 5 has no unit"},
 		{"too long", "door(settle = minutes(5))", "director.star:1: door.settle: 5m0s is not from"},
 		{"a unit of nothing", "door(settle = ms(\"5\"))", `director.star:1: ms: "5" can't be used here`},
@@ -170,6 +174,6 @@
 		})
 	}
 	if _, err := LoadOperator("/nowhere/director.star"); err == nil || !strings.Contains(err.Error(), "/nowhere/director.star") {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -9,13 +9,13 @@
 	"go.starlark.net/starlark"
 )
 
-// Peers is how a director gossips with other directors.
+// Peers configures gossip between directors.
 type Peers struct {
 	Listen    string   // IPv4 address and port, for TCP and UDP
-	Advertise string   // address and port at which others reach Listen; empty where that is Listen itself
-	Seeds     []string // addresses and ports of directors to join through
-	Fleet     string   // name of the fleet; directors of another fleet are ignored
-	Delegates int      // directors of a location that poll the command channel for the rest; 0: each polls for itself
+	Advertise string   // address and port at which others reach Listen; empty if the same
+	Seeds     []string // addresses and ports of directors to join at the start
+	Fleet     string   // name of the fleet; directors of other fleets are ignored
+	Delegates int      // directors per zone that poll the channel for the others; 0: each polls itself
 	KeyFile   string   // path of the file with the key that all directors share
 	SharedKey []byte   // the key: 32 bytes, for AES-256
 }
@@ -26,7 +26,7 @@
 	sharedKeyBytes   = 32
 )
 
-// settings are the arguments of peers(...).
+// settings returns the arguments of peers(...).
 func (p *Peers) settings() []setting {
 	return []setting{
 		addressSetting("listen", &p.Listen),
@@ -43,7 +43,7 @@
 	}
 }
 
-// check names the first setting that can't be left out.
+// check returns an error for the first required setting that is missing.
 func (p *Peers) check() error {
 	switch {
 	case p.Listen == "":
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// ReadKey reads a key that members of a gossip network share: a file of 64 hex digits. The error names the path.
+// ReadKey reads the key that the members of a gossip network share: a file of 64 hex digits. The
+// error names the path.
 func ReadKey(path string) ([]byte, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,71 +1,119 @@
 package config
 
-// platformSettings is the JSON of the platform's settings. Times are in milliseconds, rates in KB a second. Keys that are not
-// named here are ignored.
+// platformSettings is the JSON of the platform's settings. Times are in milliseconds, rates in KB
+// per second. Other keys are ignored.
 type platformSettings struct {
-	Contract  contractSettings `json:"contract"`      // promises between nodes and directors
-	Lanes     []laneSettings   `json:"lanes"`         // by number of the content type
-	Limits    limitSettings    `json:"limits"`        // of the protocols
-	Specifics specificSettings `json:"specifics"`     // of caches
-	Zone      int              `json:"zone"`          // the director's own, an index of Zones
-	Zones     []string         `json:"zones"`         // names
-	Kinds     []string         `json:"machine-types"` // names
-	Weights   string           `json:"weights"`       // what the list's weights tell: "silent", "nominal" or "rough"
+	// Guarantees between nodes and directors.
+	Contract contractSettings `json:"contract"`
+	// Content types, by number.
+	Lanes []laneSettings `json:"lanes"`
+	// Protocol limits.
+	Limits limitSettings `json:"limits"`
+	// Settings specific to caches.
+	Specifics specificSettings `json:"specifics"`
+	// The director's zone, an index of Zones.
+	Zone int `json:"zone"`
+	// Names of the zones.
+	Zones []string `json:"zones"`
+	// Names of the kinds of machines.
+	Kinds []string `json:"machine-types"`
+	// Meaning of the list's weights: "silent", "nominal" or "rough".
+	Weights string `json:"weights"`
 }
 
-// contractSettings is what cache nodes and directors promise each other.
+// contractSettings is what cache nodes and directors guarantee to each other.
 type contractSettings struct {
-	SlowStartDuration     float64 `json:"cold"`                // an edge cache has its full capacity after this time
-	SlowStartInitialShare float64 `json:"cold-from"`           // share of its capacity that it starts with, at least
-	OverloadWindow        float64 `json:"overload-for"`        // a cache that is overloaded for so long fails
-	OverloadFactor        float64 `json:"tip-multiple"`        // requests over capacity from which an edge cache is overloaded
-	AnswerGrace           float64 `json:"grace-to-answer"`     // a final answer still counts so long after its deadline
-	DrainPropagation      float64 `json:"stop-sending-within"` // nothing may be sent to a node that was told draining so long ago
+	// Time until an edge cache has its full capacity.
+	SlowStartDuration float64 `json:"cold"`
+	// Minimum share of the capacity that an edge cache has at the start.
+	SlowStartInitialShare float64 `json:"cold-from"`
+	// A cache that is overloaded for this long fails.
+	OverloadWindow float64 `json:"overload-for"`
+	// Load from which an edge cache is overloaded, as a multiple of its capacity.
+	OverloadFactor float64 `json:"tip-multiple"`
+	// Time after its deadline during which a final answer still counts.
+	AnswerGrace float64 `json:"grace-to-answer"`
+	// Time after the draining event by which requests to the node must cease.
+	DrainPropagation float64 `json:"stop-sending-within"`
 }
 
 // laneSettings is one content type.
 type laneSettings struct {
-	Name             string  `json:"name"`         // in the protocols
-	LatencyObjective float64 `json:"aim"`          // an answer within this time has the full weight
-	TransferFactor   float64 `json:"aim-stretch"`  // the objective grows by this multiple of the answer's transfer time
-	Timeout          float64 `json:"hard-limit"`   // what a client waits in all, over its own retries
-	RetrySafety      string  `json:"repeat"`       // a key of retrySafeties
-	DedupScope       string  `json:"dedup-scope"`  // a key of dedupScopes
-	DedupWindow      float64 `json:"dedup-window"` // nodes remember an idempotency key for so long
-	PriorityWeight   float64 `json:"value"`        // of an answer in time
-	LateWeight       float64 `json:"late-worth"`   // share of the weight for a late answer
+	// Name in the protocols.
+	Name string `json:"name"`
+	// Answers within this time have the full weight.
+	LatencyObjective float64 `json:"aim"`
+	// Multiple of the answer's transfer time that is added to the objective.
+	TransferFactor float64 `json:"aim-stretch"`
+	// Total time that a client waits, including its own retries.
+	Timeout float64 `json:"hard-limit"`
+	// Whether a request may be repeated; a key of retrySafeties.
+	RetrySafety string `json:"repeat"`
+	// Nodes that share their records of idempotency keys; a key of dedupScopes.
+	DedupScope string `json:"dedup-scope"`
+	// Time for which nodes remember an idempotency key.
+	DedupWindow float64 `json:"dedup-window"`
+	// Weight of an answer within the objective.
+	PriorityWeight float64 `json:"value"`
+	// Share of the weight that a late answer has.
+	LateWeight float64 `json:"late-worth"`
 }
 
-// limitSettings is what the protocols allow.
+// limitSettings are the limits and features of the protocols.
 type limitSettings struct {
-	CanCancel            bool    `json:"cancel"`          // nodes take word that an attempt is cancelled
-	ConcurrentAttempts   bool    `json:"second-copies"`   // two attempts of a request may be open together
-	MaxAttempts          int     `json:"try-limit"`       // of a request
-	RetryAfter           bool    `json:"retry-after"`     // whether clients are told when to come back
-	MaxRetryAfter        float64 `json:"max-retry-after"` // the longest time that clients heed
-	ConnectTimeout       float64 `json:"connect-timeout"` // of connections to nodes
-	KeepAliveTimeout     float64 `json:"keepalive"`       // nodes close connections that are idle for so long
-	MaxConcurrentStreams int     `json:"max-streams"`     // requests on one connection to a node
-	AllowPeers           bool    `json:"peers"`           // directors may talk to each other
+	// Nodes accept the cancellation of an attempt.
+	CanCancel bool `json:"cancel"`
+	// Two attempts of a request may be open at the same time.
+	ConcurrentAttempts bool `json:"second-copies"`
+	// Attempts per request.
+	MaxAttempts int `json:"try-limit"`
+	// Clients are told when to retry.
+	RetryAfter bool `json:"retry-after"`
+	// Longest retry delay that clients observe.
+	MaxRetryAfter float64 `json:"max-retry-after"`
+	// Timeout of connections to nodes.
+	ConnectTimeout float64 `json:"connect-timeout"`
+	// Idle time after which nodes close connections.
+	KeepAliveTimeout float64 `json:"keepalive"`
+	// Requests per connection to a node.
+	MaxConcurrentStreams int `json:"max-streams"`
+	// Directors may communicate with each other.
+	AllowPeers bool `json:"peers"`
 }
 
-// specificSettings is what concerns caches alone. Lists with a value a content type or a zone may be shorter than there are;
-// what they lack is zero.
+// specificSettings are the settings specific to caches. Lists with a value per content type or zone
+// may be shorter than their number; missing values are zero.
 type specificSettings struct {
-	Uncacheable          []bool    `json:"goes-through"`         // by content type
-	PurgeRetention       float64   `json:"gone-everywhere"`      // so long after a purge no older copy is left anywhere
-	PurgePropagation     float64   `json:"purge-grace"`          // so long after a purge was told no older copy may be asked for
-	TTL                  []float64 `json:"max-age"`              // by content type
-	Split                []bool    `json:"in-pieces"`            // by content type; true where it is not told
-	NoteLevel            string    `json:"note-level"`           // what answers tell of a fill: "all", "hit" or "silent"
-	OriginKind           *int      `json:"origin-kind"`          // index of the kinds; none where not told
-	ParentKind           *int      `json:"shield-kind"`          // index of the kinds; none where not told
-	TransferKBPerSecond  float64   `json:"pace-kb-per-s"`        // top rate of one answer
-	FillLinkKBPerSecond  []float64 `json:"pipe-kb-per-s"`        // by zone
-	DirectorsByZone      []int     `json:"count-by-zone"`        // number of directors
-	ParentInitialShare   float64   `json:"parent-cold-from"`     // as the contract's, of parents
-	ParentOverloadFactor float64   `json:"parent-fall-multiple"` // as the contract's, of parents
-	ParentSlowStart      float64   `json:"parent-warms-in"`      // as the contract's duration, of parents
-	CoalesceFills        bool      `json:"shares-fills"`         // a cache can join a fill that is under way
-	AllowDirect          bool      `json:"straight"`             // a request may go straight to a parent or the origin
+	// Whether objects are never cached, by content type.
+	Uncacheable []bool `json:"goes-through"`
+	// Time after a purge by which all older copies are gone.
+	PurgeRetention float64 `json:"gone-everywhere"`
+	// Time after a purge event by which requests for older copies must cease.
+	PurgePropagation float64 `json:"purge-grace"`
+	// Maximum age of a cached object, by content type.
+	TTL []float64 `json:"max-age"`
+	// Whether objects are transferred in pieces, by content type; true if missing.
+	Split []bool `json:"in-pieces"`
+	// What answers report about a fill: "all", "hit" or "silent".
+	NoteLevel string `json:"note-level"`
+	// Kind of the origin, an index of the kinds; nil for none.
+	OriginKind *int `json:"origin-kind"`
+	// Kind of the parents, an index of the kinds; nil for none.
+	ParentKind *int `json:"shield-kind"`
+	// Maximum rate of one answer.
+	TransferKBPerSecond float64 `json:"pace-kb-per-s"`
+	// Rate of the link for fills, by zone.
+	FillLinkKBPerSecond []float64 `json:"pipe-kb-per-s"`
+	// Number of directors, by zone.
+	DirectorsByZone []int `json:"count-by-zone"`
+	// Like the contract's cold-from, for parents.
+	ParentInitialShare float64 `json:"parent-cold-from"`
+	// Like the contract's tip-multiple, for parents.
+	ParentOverloadFactor float64 `json:"parent-fall-multiple"`
+	// Like the contract's cold, for parents.
+	ParentSlowStart float64 `json:"parent-warms-in"`
+	// A cache can join a fill in progress.
+	CoalesceFills bool `json:"shares-fills"`
+	// Requests may go directly to a parent or the origin.
+	AllowDirect bool `json:"straight"`
 }
--- a/internal/config/script.go
+++ b/internal/config/script.go
@@ -17,18 +17,19 @@
 	"tallyproxy/internal/logevent"
 )
 
-// Bounds of a script.
+// Limits of a script run.
 const (
 	maxScriptSteps = 1_000_000
 	maxScriptTime  = 2 * time.Second
 	maxScriptBytes = 1 << 20
 )
 
-// section is a function that a script calls with named arguments, its settings. A script calls it once at most, or, where
-// newEntry is set, any number of times, each with a name first and with settings of its own.
+// section is a function that a script calls with its settings as named arguments. A script may call
+// it once or, if newEntry is set, any number of times, each time with a name as the first argument
+// and separate settings.
 type section struct {
 	settings []setting
-	done     func() error // called after the settings of a call were taken; may be nil
+	done     func() error // called after all settings of a call are set; may be nil
 	newEntry func(name string, position syntax.Position) ([]setting, error)
 }
 
@@ -36,18 +37,19 @@
 type script struct {
 	path      string
 	sections  map[string]section
-	arguments map[argument]syntax.Position // where each named argument of a call stands
+	arguments map[argument]syntax.Position // position of each named argument of a call
 	calls     map[string]syntax.Position   // the first call of each section
 }
 
-// argument identifies a named argument by its call's opening parenthesis.
+// argument identifies a named argument by the opening parenthesis of its call.
 type argument struct {
 	line, column int32
 	name         string
 }
 
-// runScript runs a script whose calls of section functions take settings. Nothing of it lasts but what the settings' set
-// functions do, and it can't load another file. Errors are of type ScriptError, but for those that have no place in the text.
+// runScript runs a script that calls section functions to change settings. Apart from the changes
+// that the settings' set functions make, the run has no lasting effect, and the script can't load
+// another file. Errors are of type ScriptError unless they have no position in the script.
 func runScript(path string, raw []byte, sections map[string]section) error {
 	if len(raw) > maxScriptBytes {
 		return fmt.Errorf("%s: over %d bytes", path, maxScriptBytes)
@@ -67,13 +69,14 @@
 		slog.Info(logevent.SettingsPrint, "file", path, "text", text)
 	}}
 	thread.SetMaxExecutionSteps(maxScriptSteps)
-	timer := time.AfterFunc(maxScriptTime, func() { thread.Cancel(fmt.Sprintf("it runs longer than %v", maxScriptTime)) })
+	timer := time.AfterFunc(maxScriptTime, func() { thread.Cancel(fmt.Sprintf("script ran longer than %v", maxScriptTime)) })
 	defer timer.Stop()
 	_, err = program.Init(thread, environment)
 	return locate(path, err)
 }
 
-// environment is what a script may name beyond the language: the sections, the units of time and the module math.
+// environment returns the predeclared names of a script: the sections, the units of time and the
+// module math.
 func (s *script) environment() starlark.StringDict {
 	environment := starlark.StringDict{
 		"ms": unitFunction("ms", time.Millisecond), "seconds": unitFunction("seconds", time.Second),
@@ -88,7 +91,7 @@
 	return environment
 }
 
-// call takes one call of a section.
+// call handles one call of a section.
 func (s *script) call(name string, position syntax.Position, args starlark.Tuple, named []starlark.Tuple) error {
 	section := s.sections[name]
 	settings := section.settings
@@ -118,7 +121,8 @@
 	return nil
 }
 
-// entry gives the settings of an entry whose name is the call's only positional argument.
+// entry returns the settings of a new entry, whose name is the only positional argument of the
+// call.
 func (s section) entry(section string, position syntax.Position, args starlark.Tuple) ([]setting, error) {
 	name, ok := "", len(args) == 1
 	if ok {
@@ -130,7 +134,7 @@
 	return s.newEntry(name, position)
 }
 
-// set takes a named argument of a call at a position: a pair of name and value.
+// set handles a named argument of the call at the given position. pair holds its name and value.
 func (s *script) set(section string, settings []setting, call syntax.Position, pair starlark.Tuple) error {
 	name := string(pair[0].(starlark.String))
 	position := call
@@ -148,7 +152,7 @@
 	return nil
 }
 
-// settingNames lists the names of settings, in their order.
+// settingNames lists the names of the settings, in their order.
 func settingNames(settings []setting) string {
 	var names []string
 	for _, s := range settings {
@@ -157,7 +161,7 @@
 	return strings.Join(names, ", ")
 }
 
-// findArguments finds where each named argument of a file's calls stands.
+// findArguments returns the position of each named argument of the calls in a file.
 func findArguments(file *syntax.File) map[argument]syntax.Position {
 	arguments := map[argument]syntax.Position{}
 	syntax.Walk(file, func(node syntax.Node) bool {
@@ -177,7 +181,8 @@
 	return arguments
 }
 
-// locate makes an error of the language a ScriptError, where it tells its place; a ScriptError of a section comes out as it is.
+// locate converts an error of the Starlark language that has a position to a ScriptError. It
+// returns a ScriptError of a section unchanged.
 func locate(path string, err error) error {
 	var (
 		located   *ScriptError
--- a/internal/config/setting.go
+++ b/internal/config/setting.go
@@ -14,43 +14,44 @@
 	"tallyproxy/policy"
 )
 
-// setting is a named argument of a section: set takes its value or says why it can't.
+// setting is a named argument of a section. set stores its value, or returns an error if the value
+// is invalid.
 type setting struct {
 	name string
 	set  func(value starlark.Value) error
 }
 
-// numberSetting takes a number from least to most.
-func numberSetting(name string, target *float64, least, most float64) setting {
+// numberSetting accepts a number from minimum to maximum.
+func numberSetting(name string, target *float64, minimum, maximum float64) setting {
 	return setting{name, func(value starlark.Value) error {
 		number, ok := starlark.AsFloat(value)
 		if !ok {
 			return fmt.Errorf("%v is no number", value)
 		}
-		if !(number >= least && number <= most) { // false for NaN, too
-			return fmt.Errorf("%v is not from %v to %v", value, least, most)
+		if !(number >= minimum && number <= maximum) { // also rejects NaN
+			return fmt.Errorf("%v is not from %v to %v", value, minimum, maximum)
 		}
 		*target = number
 		return nil
 	}}
 }
 
-// integerSetting takes a whole number from least to most.
-func integerSetting(name string, target *int, least, most int) setting {
+// integerSetting accepts an integer from minimum to maximum.
+func integerSetting(name string, target *int, minimum, maximum int) setting {
 	return setting{name, func(value starlark.Value) error {
 		number, err := starlark.AsInt32(value)
 		if err != nil {
 			return fmt.Errorf("%v is no whole number", value)
 		}
-		if number < least || number > most {
-			return fmt.Errorf("%v is not from %d to %d", value, least, most)
+		if number < minimum || number > maximum {
+			return fmt.Errorf("%v is not from %d to %d", value, minimum, maximum)
 		}
 		*target = number
 		return nil
 	}}
 }
 
-// booleanSetting takes True or False.
+// booleanSetting accepts True or False.
 func booleanSetting(name string, target *bool) setting {
 	return setting{name, func(value starlark.Value) error {
 		boolean, ok := value.(starlark.Bool)
@@ -62,22 +63,22 @@
 	}}
 }
 
-// durationSetting takes a time with its unit, from least to most; a bare number is refused.
-func durationSetting(name string, target *policy.Micros, least, most time.Duration) setting {
+// durationSetting accepts a duration from minimum to maximum. It rejects a number without a unit.
+func durationSetting(name string, target *policy.Micros, minimum, maximum time.Duration) setting {
 	return setting{name, func(value starlark.Value) error {
 		t, ok := value.(duration)
 		if !ok {
 			return fmt.Errorf("%v has no unit: ms(), seconds() or minutes()", value)
 		}
-		if d := time.Duration(t); d < least || d > most {
-			return fmt.Errorf("%v is not from %v to %v", d, least, most)
+		if d := time.Duration(t); d < minimum || d > maximum {
+			return fmt.Errorf("%v is not from %v to %v", d, minimum, maximum)
 		}
 		*target = policy.MicrosOf(time.Duration(t))
 		return nil
 	}}
 }
 
-// choiceSetting takes one of the words that choices names, and sets what it stands for.
+// choiceSetting accepts one of the keys of choices and stores its value.
 func choiceSetting[T any](name string, target *T, choices map[string]T) setting {
 	return setting{name, func(value starlark.Value) error {
 		text, _ := starlark.AsString(value)
@@ -90,7 +91,7 @@
 	}}
 }
 
-// textSetting takes a text without control characters.
+// textSetting accepts a string without control characters.
 func textSetting(name string, target *string) setting {
 	return setting{name, func(value starlark.Value) error {
 		text, ok := starlark.AsString(value)
@@ -102,7 +103,7 @@
 	}}
 }
 
-// textListSetting takes a list of texts without control characters, none empty and none twice.
+// textListSetting accepts a list of distinct, non-empty strings without control characters.
 func textListSetting(name string, target *[]string) setting {
 	return setting{name, func(value starlark.Value) error {
 		list, ok := value.(*starlark.List)
@@ -122,7 +123,7 @@
 	}}
 }
 
-// addressSetting takes an IPv4 address with a port.
+// addressSetting accepts an IPv4 address with a port.
 func addressSetting(name string, target *string) setting {
 	return setting{name, func(value starlark.Value) error {
 		address, _ := starlark.AsString(value)
@@ -134,7 +135,7 @@
 	}}
 }
 
-// addressListSetting takes a list of IPv4 addresses with ports, none twice.
+// addressListSetting accepts a list of distinct IPv4 addresses with ports.
 func addressListSetting(name string, target *[]string) setting {
 	return setting{name, func(value starlark.Value) error {
 		if err := textListSetting(name, target).set(value); err != nil {
@@ -149,7 +150,7 @@
 	}}
 }
 
-// checkAddress says whether a text is an IPv4 address with a port.
+// checkAddress returns an error if text is not an IPv4 address with a port.
 func checkAddress(text string) error {
 	if address, err := netip.ParseAddrPort(text); err != nil || !address.Addr().Is4() || address.Port() == 0 {
 		return fmt.Errorf("%q is no IPv4 address with a port", text)
@@ -157,27 +158,27 @@
 	return nil
 }
 
-// duration is the Starlark value of a time with its unit.
+// duration is the Starlark value of a duration.
 type duration time.Duration
 
 var _ starlark.Value = duration(0)
 
-// String gives the time as Go writes it.
+// String formats the duration as Go does.
 func (d duration) String() string { return time.Duration(d).String() }
 
-// Type gives the name that a script's type() tells.
+// Type returns the result of the script function type().
 func (d duration) Type() string { return "duration" }
 
-// Freeze does nothing: durations don't change.
+// Freeze does nothing, since durations are immutable.
 func (d duration) Freeze() {}
 
-// Truth is false for no time at all.
+// Truth returns false for a zero duration.
 func (d duration) Truth() starlark.Bool { return d != 0 }
 
-// Hash allows durations as keys of dictionaries.
+// Hash allows durations as dictionary keys.
 func (d duration) Hash() (uint32, error) { return uint32(d) ^ uint32(d>>32), nil }
 
-// unitFunction makes the function of a script that gives a number its unit.
+// unitFunction returns the script function that converts a number of units to a duration.
 func unitFunction(name string, unit time.Duration) *starlark.Builtin {
 	return starlark.NewBuiltin(name, func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple,
 		named []starlark.Tuple) (starlark.Value, error) {
@@ -185,7 +186,7 @@
 			return nil, fmt.Errorf("%s: takes one number", name)
 		}
 		number, ok := starlark.AsFloat(args[0])
-		if !ok || !(number >= 0 && number*float64(unit) < 1<<62) { // false for NaN, too
+		if !ok || !(number >= 0 && number*float64(unit) < 1<<62) { // also rejects NaN
 			return nil, fmt.Errorf("%s: %v can't be used here", name, args[0])
 		}
 		return duration(number * float64(unit)), nil
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -7,34 +7,35 @@
 	"tallyproxy/policy"
 )
 
-// Site is the platform's settings of a director's location, with the names that the protocols use for content types, zones and
-// kinds of machines.
+// Site is the platform's settings for a director, with the names that the protocols use for content
+// types, zones and kinds of machines.
 type Site struct {
 	policy.Settings
-	TypeNames  []string // of content types, by their index in ContentTypes
+	TypeNames  []string // of content types, by index in ContentTypes
 	ZoneNames  []string // by number
 	KindNames  []string // of machines, by number
-	Weights    string   // the key "weights" as it was given
-	NoteLevel  string   // the key "specifics.note-level" as it was given
-	AllowPeers bool     // directors may talk to each other
+	Weights    string   // value of the key "weights"
+	NoteLevel  string   // value of the key "specifics.note-level"
+	AllowPeers bool     // directors may communicate with each other
 }
 
-// shape is the format of a deployment's endpoint lists and answers. Both must be of one shape: with half of a move to the new
-// one, a director would place objects by sizes and learn from notes that are not there, or the other way round.
+// shape is the format of a deployment's endpoint lists and answers. Both must have the same format:
+// halfway through a migration, a director would place objects by node sizes and learn from cache
+// notes that answers no longer carry, or it would use neither.
 type shape string
 
 const (
-	oldShape shape = "old" // nodes count as equal, answers tell of hits
-	newShape shape = "new" // nodes have their registered sizes, answers tell nothing
+	oldShape shape = "old" // nodes count as equal, answers report cache hits
+	newShape shape = "new" // nodes have their registered sizes, answers report nothing
 )
 
-// The shapes by the words of the two keys that tell them.
+// The shape by the value of each of the two keys that determine it.
 var (
 	weightsShapes   = map[string]shape{"": oldShape, "silent": oldShape, "nominal": newShape, "rough": newShape}
 	noteLevelShapes = map[string]shape{"": oldShape, "all": oldShape, "hit": oldShape, "silent": newShape}
 )
 
-// noteLevelAll is the note level at which answers tell how a fill went and why it failed.
+// noteLevelAll is the note level at which answers report how a fill went and why it failed.
 const noteLevelAll = "all"
 
 var retrySafeties = map[string]policy.RetrySafety{
@@ -45,11 +46,12 @@
 	"": policy.DedupScopeAll, "all": policy.DedupScopeAll, "zone": policy.DedupScopeZone, "cell": policy.DedupScopeCell,
 }
 
-// noKind is the number of a kind of machine that there is none of.
+// noKind stands for a kind of machine that the deployment does not have.
 const noKind = -1
 
-// ParseSite reads the JSON of the platform's settings: the key "settings" of a director's file, and what the simulator sends.
-// Values that only sockets need are not checked. Errors are of type KeyError, or of the JSON syntax.
+// ParseSite reads the JSON of the platform's settings, which is the value of the key "settings" of
+// a director's file and is also sent by the simulator. It does not check values that only a
+// director with sockets needs. Errors are of type KeyError or JSON syntax errors.
 func ParseSite(raw []byte) (Site, error) {
 	var p platformSettings
 	if err := unmarshal(raw, &p); err != nil {
@@ -70,7 +72,7 @@
 	return s, nil
 }
 
-// policySettings translates all but the content types.
+// policySettings converts all settings except the content types.
 func (p *platformSettings) policySettings() policy.Settings {
 	contract, limits, specifics := p.Contract, p.Limits, p.Specifics
 	s := policy.Settings{
@@ -112,7 +114,7 @@
 	return s
 }
 
-// contentType translates the content type of a number.
+// contentType converts the content type with the given number.
 func (p *platformSettings) contentType(number int) (*policy.ContentType, error) {
 	lane, specifics := p.Lanes[number], p.Specifics
 	safety, ok := retrySafeties[lane.RetrySafety]
@@ -138,7 +140,7 @@
 	}, nil
 }
 
-// check names the first key that a director with sockets can't do without.
+// check returns an error for the first key without which a director with sockets can't run.
 func (s Site) check() error {
 	if err := s.checkShape(); err != nil {
 		return err
@@ -170,7 +172,8 @@
 	return nil
 }
 
-// checkShape says whether both keys that tell a shape are known and tell the same one.
+// checkShape returns an error unless both keys that determine the shape have known values and
+// agree.
 func (s Site) checkShape() error {
 	weights, ok := weightsShapes[s.Weights]
 	if !ok {
@@ -187,7 +190,7 @@
 	return nil
 }
 
-// laneKey is the full name of a key of the content type of a number.
+// laneKey returns the full name of a key of the content type with the given number.
 func laneKey(number int, key string) string { return fmt.Sprintf("lanes[%d].%s", number, key) }
 
 // micros converts milliseconds, rounded to the nearest microsecond.
@@ -195,7 +198,7 @@
 	return policy.Micros(math.Round(milliseconds * 1000))
 }
 
-// kindOrNone is the number of a kind of machine, or noKind where the settings name none.
+// kindOrNone returns the number of a kind of machine, or noKind if the settings name none.
 func kindOrNone(kind *int) int {
 	if kind == nil {
 		return noKind
@@ -203,7 +206,7 @@
 	return *kind
 }
 
-// elementOrZero gives a list's element, or the zero value where the list is shorter.
+// elementOrZero returns the element at index i, or the zero value if the list is shorter.
 func elementOrZero[T any](list []T, i int) (value T) {
 	if i >= 0 && i < len(list) {
 		value = list[i]
--- a/internal/server/director.go
+++ b/internal/server/director.go
@@ -136,7 +136,7 @@
 	}
 	d.gossip.setOperatorAvoids(d.operator.AvoidNodes)
 	d.routers.apply(bootstrap)
-	// "tcp" would open an IPv6 socket for a wildcard address.
+	// Not "tcp", which opens an IPv6 socket for a wildcard address.
 	d.listener, err = net.Listen("tcp4", d.platform.Listen)
 	if err != nil {
 		return err
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -76,7 +76,7 @@
 	g.retention = storeSettings.Retention
 	g.store = gossip.New(g.now(), storeSettings)
 	g.monitor.StartSuspect(g.monitor.Now())
-	// Dated so that any update from a peer counts as newer.
+	// Bootstrap events are dated so that any update from a peer counts as newer.
 	g.recordEvents(bootstrap, g.now()-2*g.retention)
 	g.relay = newRelayClient(g, relays.DeriveSettings(platform.Name, peers.Delegates, len(platform.Site.ZoneNames),
 		len(platform.Site.KindNames), settings))
--- a/internal/server/relayclient.go
+++ b/internal/server/relayclient.go
@@ -40,7 +40,7 @@
 	channelList map[string]relays.Endpoint // the list according to this director's channel
 	channelSum  string                     // checksum of channelList
 	activeList  map[string]relays.Endpoint // the list in force
-	// The poll that was just answered carried an endpoint list.
+	// listChanged is true if the poll that was just answered carried an endpoint list.
 	listChanged bool
 	polling     bool // last result of shouldPoll
 	ticks       int
@@ -171,7 +171,8 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			// Before the queries: a response counts even if this goroutine was delayed.
+			// Messages come before the queries: a response counts even if this goroutine was
+			// delayed.
 			for n := len(c.pending); n > 0; n-- {
 				c.handle(network, <-c.pending)
 			}
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -123,7 +123,7 @@
 	moveTo(newChannel)
 	c := d.dial(t)
 	defer c.close(t)
-	// The time in which events of the new channel must be in force.
+	// Events of the new channel must be in force within 4 s.
 	for until := time.Now().Add(4 * time.Second); ; {
 		before := requests[0].Load()
 		for i := range 30 {
--- a/internal/server/routers.go
+++ b/internal/server/routers.go
@@ -17,7 +17,7 @@
 // created and is safe for concurrent use.
 type routerGroup struct {
 	routers []*dispatch.Router
-	// Of the router with the same index; used only within its WithPolicy.
+	// policies[i] is the policy of routers[i] and is used only within that router's WithPolicy.
 	policies []*routing.Router
 	handlers []downstream.Handler // all shards; clients are spread over them
 }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -22,7 +22,7 @@
 	d.awaitQuiet(signaledAt)
 	_ = d.listener.Close() // loses no connection: those in the listener's queue were accepted
 	d.routers.drainBy(signaledAt.Add(d.timeouts.DrainDeadline.Duration()))
-	// Returns after all requests, also late ones, are answered and the clients are told to
+	// Shutdown returns after all requests, even late ones, are answered and the clients are told to
 	// disconnect.
 	d.clients.Shutdown()
 	d.gossip.stop()
