--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -156,7 +156,7 @@
 		{"no choice", "storm(mode = \"off\")", `director.star:1: storm.mode: "off" is none of fixed, guard, silent`},
 		{"a box twice", "avoid(boxes = [\"a\", \"a\"])", "director.star:1: avoid.boxes: [\"a\", \"a\"]: entry 2 is empty"},
 		{"no list", "avoid(boxes = \"a\")", `director.star:1: avoid.boxes: "a" is no list`},
-		{"no text", "state(socket = 5)", "director.star:1: state.socket: 5 is no withoutDigest text"},
+		{"no text", "state(socket = 5)", "director.star:1: state.socket: 5 is no plain text"},
 		{"no unit", "\ndoor(settle = 5)", "director.star:2: door.settle: 5 has no unit"},
 		{"too long", "door(settle = minutes(5))", "director.star:1: door.settle: 5m0s is not from"},
 		{"a unit of nothing", "door(settle = ms(\"5\"))", `director.star:1: ms: "5" can't be used here`},
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -92,7 +92,7 @@
 	PurgePropagation float64 `json:"purge-grace"`
 	// Maximum age of a cached object, by content type.
 	TTL []float64 `json:"max-age"`
-	// Whether objects are transferred in pieces, by content type; true if missing.
+	// Whether objects are divided into parts, by content type; true if missing.
 	Split []bool `json:"in-pieces"`
 	// What answers report about a fill: "all", "hit" or "silent".
 	NoteLevel string `json:"note-level"`
--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -1,82 +1,84 @@
-// Package logevent names the events of the program's log lines, in one place. A line's "event" is one of these; what it is about follows as
-// key=value pairs. The on-call page says what each means to an operator, and the fault tests read some of them.
+// Package logevent defines the names of all log events. Each log line has one of them under the key
+// "event", followed by its details as key=value pairs. The on-call page explains each event to
+// operators, and the fault tests read some of them.
 package logevent
 
 // Events of the director's start, reload and shutdown.
 const (
-	Started             = "started"               // it listens
-	StartFailed         = "start_failed"          // the start, or the run, ended with an error
-	CoresLimited        = "cores_limited"         // fewer shards than the settings ask for
-	Stopping            = "stopping"              // a signal to stop came
+	Started             = "started"               // the director listens for clients
+	StartFailed         = "start_failed"          // the director ended with an error
+	CoresLimited        = "cores_limited"         // fewer shards than the settings request
+	Stopping            = "stopping"              // a stop signal arrived
 	Stopped             = "stopped"               // all requests were answered
 	Reloaded            = "reloaded"              // SIGHUP: the new configuration is in force
-	ReloadRejected      = "reload_rejected"       // SIGHUP: the new configuration is faulty, the old stays
-	SettingsPrint       = "settings_print"        // print() in the operator's settings
-	MemoryReleaseFailed = "memory_release_failed" // free memory was not given back to the system
+	ReloadRejected      = "reload_rejected"       // SIGHUP: invalid configuration, the old one stays
+	SettingsPrint       = "settings_print"        // output of print() in the operator's settings
+	MemoryReleaseFailed = "memory_release_failed" // unused memory was not returned to the system
 	PanicRecovered      = "panic_recovered"       // a panic ended one connection or one event
 )
 
-// Events of polls of the command channel, and what comes of them.
+// Events of the command channel's polls and their results.
 const (
 	DiscoveryPollFailed     = "discovery_poll_failed"     // the command channel can't be read
-	DiscoveryPollRecovered  = "discovery_poll_recovered"  // it can be read again
-	DiscoveryRestarted      = "discovery_restarted"       // its cursor went back
-	DiscoveryUnknownCommand = "discovery_unknown_command" // a command of an unknown kind was passed over
-	DiscoveryEvents         = "discovery_events"          // events came
-	DiscoveryUnreachable    = "discovery_unreachable"     // no director that is known hears the channel
-	DiscoveryReachable      = "discovery_reachable"       // one hears it again
+	DiscoveryPollRecovered  = "discovery_poll_recovered"  // the command channel can be read again
+	DiscoveryRestarted      = "discovery_restarted"       // the channel's cursor went back
+	DiscoveryUnknownCommand = "discovery_unknown_command" // a command of unknown kind was skipped
+	DiscoveryEvents         = "discovery_events"          // events were received
+	DiscoveryUnreachable    = "discovery_unreachable"     // no known director reaches the channel
+	DiscoveryReachable      = "discovery_reachable"       // a known director reaches the channel again
 )
 
 // Events of pauses of the whole process.
 const (
-	ClockStall         = "clock_stall"          // the process stood still
-	ClockStallResolved = "clock_stall_resolved" // its state may be trusted again
+	ClockStall         = "clock_stall"          // the process was paused
+	ClockStallResolved = "clock_stall_resolved" // the state can be trusted again after a pause
 )
 
-// Events of clients' connections.
+// Events of client connections.
 const (
-	AcceptFailed           = "accept_failed"            // a connection could not be accepted
-	BadRequest             = "bad_request"              // a request can't be used
-	UnprocessableRequest   = "unprocessable_request"    // cache nodes agree that they can't use a request
-	DownstreamMalformed    = "downstream_malformed"     // a client sent what is no message
+	AcceptFailed           = "accept_failed"            // a client connection could not be accepted
+	BadRequest             = "bad_request"              // a request is invalid
+	UnprocessableRequest   = "unprocessable_request"    // cache nodes agree that a request is invalid
+	DownstreamMalformed    = "downstream_malformed"     // a client sent a malformed message
 	DownstreamWriteStalled = "downstream_write_stalled" // a client does not read its answers
-	HalfCloseDelayed       = "half_close_delayed"       // the machine held a connection's end up: requests that crossed it are lost
+	// The machine delayed the close of a connection; requests that crossed it are lost.
+	HalfCloseDelayed = "half_close_delayed"
 )
 
-// Events of cache nodes' connections and load.
+// Events of connections to cache nodes and of load.
 const (
-	UpstreamBadResponse = "upstream_bad_response" // a cache node sent what can't be read
-	OverloadState       = "overload_state"        // the overload controller changed its state
+	UpstreamBadResponse = "upstream_bad_response" // a cache node sent a malformed response
+	OverloadState       = "overload_state"        // the overload controller's state changed
 )
 
-// Events of other directors.
+// Events of gossip with other directors.
 const (
 	GossipStarted        = "gossip_started"         // the member list listens
-	GossipReceived       = "gossip_received"        // a purge came from another director
+	GossipReceived       = "gossip_received"        // an update arrived from another director
 	PeerState            = "peer_state"             // another director joined, left, failed or is suspected
 	PeerNameConflict     = "peer_name_conflict"     // another process uses this director's name
-	PeerNameReleased     = "peer_name_released"     // it does so no more
+	PeerNameReleased     = "peer_name_released"     // the name conflict has ended
 	PeerListFailed       = "peer_list_failed"       // a list was not sent to a peer
 	PeerJoinFailed       = "peer_join_failed"       // a peer could not be joined
-	PeerMessageMalformed = "peer_message_malformed" // a peer's message can't be read
+	PeerMessageMalformed = "peer_message_malformed" // a message of a peer is malformed
 	MembershipView       = "membership_view"        // the view of the members changed
-	ViewUnconfirmed      = "view_unconfirmed"       // whether the state of this director may be out of date
-	Quota                = "quota"                  // the share of the limits that this director may use
+	ViewUnconfirmed      = "view_unconfirmed"       // whether this director's state may be out of date
+	Quota                = "quota"                  // share of the limits that this director may use
 	HintProbed           = "hint_probed"            // an endpoint was probed after a peer's hint
-	WarmStart            = "warm_start"             // endpoint states were taken from a peer at the start
-	RelayRole            = "relay_role"             // whether this director polls the command channel for others
-	EndpointListRelayed  = "endpoint_list_relayed"  // an endpoint list was taken from peers
-	Memberlist           = "memberlist"             // a line of the memberlist library
-	MemberlistErrors     = "memberlist_errors"      // a count of its error lines
+	WarmStart            = "warm_start"             // endpoint states were adopted from a peer
+	RelayRole            = "relay_role"             // whether this director polls the command channel
+	EndpointListRelayed  = "endpoint_list_relayed"  // an endpoint list was received from a peer
+	Memberlist           = "memberlist"             // a log line of the memberlist library
+	MemberlistErrors     = "memberlist_errors"      // number of memberlist's error lines
 )
 
 // Events of the agent.
 const (
 	AgentStarted        = "agent_started"         // the agent listens
-	GossipUnavailable   = "gossip_unavailable"    // the agent takes no part in gossip
+	GossipUnavailable   = "gossip_unavailable"    // the agent does not take part in gossip
 	DirectorStartFailed = "director_start_failed" // a director could not be started
-	DirectorRestarted   = "director_restarted"    // a director that ended was started again
-	AuditWriteFailed    = "audit_write_failed"    // an entry of the audit chain was not written
+	DirectorRestarted   = "director_restarted"    // a director that had ended was started again
+	AuditWriteFailed    = "audit_write_failed"    // an entry of the audit log was not written
 	StoreWriteFailed    = "store_write_failed"    // the state was not stored
-	ChangeApplied       = "change_applied"        // a change was put in force at a director
+	ChangeApplied       = "change_applied"        // a change was put in force on a director
 )
--- a/internal/status/client.go
+++ b/internal/status/client.go
@@ -11,8 +11,9 @@
 
 const maxReportBytes = 4 << 20
 
-// Read asks the director that listens on the Unix socket at path for its report. It fails where nobody listens, after
-// two seconds without the whole answer, with the HTTP status of a refusal, or if ctx ends.
+// Read requests the report of the director that listens on the Unix socket at path. It fails if
+// nobody listens, if the whole answer does not arrive within two seconds, if the server answers
+// with an HTTP status other than 200 (which the error holds), or if ctx ends.
 func Read(ctx context.Context, path string) (report Report, err error) {
 	client := http.Client{Timeout: ioTimeout, Transport: &http.Transport{
 		DisableKeepAlives: true,
@@ -29,7 +30,7 @@
 	if err != nil {
 		return report, err
 	}
-	defer func() { _ = response.Body.Close() }() // only read from
+	defer func() { _ = response.Body.Close() }() // the body is only read
 	if response.StatusCode != http.StatusOK {
 		return report, errors.New(response.Status)
 	}
--- a/internal/status/golden_test.go
+++ b/internal/status/golden_test.go
@@ -13,7 +13,7 @@
 	"tallyproxy/routing"
 )
 
-// goldenReport has every field set, each to a value of its own.
+// goldenReport returns a report with every field set to a distinct value.
 func goldenReport() Report {
 	return Report{
 		Name: "n0", PID: 1, Started: time.Date(2026, 1, 2, 3, 4, 5, 600, time.UTC), Stopping: true,
@@ -41,7 +41,7 @@
 
 const goldenZeroJSON = `{"name":"","pid":0,"started":"0001-01-01T00:00:00Z","stopping":false,"settings":"","platform":"","reloads":0,"refused":"","cores":0,"told":0,"in_force":0,"avoided":null,"clients":0,"most_clients":0,"node_connections":0,"open":0,"counts":null,"keys_held":0,"keys_full":0,"storm":{"State":0,"Asks":0,"Repeats":0,"Early":0,"Connects":0,"Demand":0,"Warm":0,"Promised":0,"Kept":0,"Part":0,"Remembers":0},"beliefs":null}`
 
-// Versions meet at the socket: a tool of another release reads this report.
+// TestReportGolden guards against changes of the report's JSON, which tools of other releases read.
 func TestReportGolden(t *testing.T) {
 	for name, golden := range map[string]struct {
 		report Report
--- a/internal/status/report.go
+++ b/internal/status/report.go
@@ -10,35 +10,59 @@
 	"tallyproxy/routing"
 )
 
-// Report is a director's status at one moment. Its JSON is read by tools and agents of other releases: a key that is
-// there keeps its name and meaning.
+// Report is a director's status at one moment. Tools and agents of other releases read its JSON, so
+// existing keys must keep their names and meanings.
 type Report struct {
-	Name     string    `json:"name"`     // of the director
-	PID      int       `json:"pid"`      // of its process
-	Started  time.Time `json:"started"`  // when the process began to serve
-	Stopping bool      `json:"stopping"` // the signal to stop has come
+	// Name of the director.
+	Name string `json:"name"`
+	// Process ID of the director.
+	PID int `json:"pid"`
+	// Time at which the process began to serve.
+	Started time.Time `json:"started"`
+	// Whether the stop signal has arrived.
+	Stopping bool `json:"stopping"`
 
-	SettingsDigest string   `json:"settings"` // config.Digest of the operator's script that is in use; of no bytes without a script
-	PlatformDigest string   `json:"platform"` // config.Digest of the platform's file that is in use
-	Reloads        int      `json:"reloads"`  // reloads that took effect
-	ReloadError    string   `json:"refused"`  // why the last reload was refused; empty if it took effect
-	Cores          int      `json:"cores"`    // shards that the director runs
-	EventsReceived int64    `json:"told"`     // number of the last event of the command channel that was received
-	EventsApplied  int64    `json:"in_force"` // number of the last event that every shard has applied
-	AvoidedNodes   []string `json:"avoided"`  // nodes that the operator's script treats as draining
+	// config.Digest of the operator's script in use; of no bytes without a script.
+	SettingsDigest string `json:"settings"`
+	// config.Digest of the platform's file in use.
+	PlatformDigest string `json:"platform"`
+	// Number of reloads that took effect.
+	Reloads int `json:"reloads"`
+	// Reason why the last reload was rejected; empty if it took effect.
+	ReloadError string `json:"refused"`
+	// Number of shards that the director runs.
+	Cores int `json:"cores"`
+	// Number of the last command channel event received.
+	EventsReceived int64 `json:"told"`
+	// Number of the last event that all shards have applied.
+	EventsApplied int64 `json:"in_force"`
+	// Nodes that the operator's script treats as draining.
+	AvoidedNodes []string `json:"avoided"`
 
-	ClientConnections    int `json:"clients"`          // open connections from clients
-	MaxClientConnections int `json:"most_clients"`     // the most that may be open together
-	NodeConnections      int `json:"node_connections"` // open connections to cache nodes
-	OpenRequests         int `json:"open"`             // requests without a final answer
+	// Number of open client connections.
+	ClientConnections int `json:"clients"`
+	// Limit of open client connections.
+	MaxClientConnections int `json:"most_clients"`
+	// Number of open connections to cache nodes.
+	NodeConnections int `json:"node_connections"`
+	// Number of requests without a final answer.
+	OpenRequests int `json:"open"`
 
-	Counters      map[string]int64 `json:"counts"`    // since the start, by name
-	DedupRecords  int              `json:"keys_held"` // idempotency keys that are remembered
-	DedupRejected int              `json:"keys_full"` // requests since the start whose key found no room
+	// Counters since the start, by name.
+	Counters map[string]int64 `json:"counts"`
+	// Number of idempotency keys that are remembered.
+	DedupRecords int `json:"keys_held"`
+	// Number of requests since the start whose key found no room.
+	DedupRejected int `json:"keys_full"`
 
-	Overload   overload.Report        `json:"storm"`            // state of the overload controller
-	NodeViews  []routing.EndpointView `json:"beliefs"`          // the routing state of every known node, by ID
-	Membership *membership.Report     `json:"peers,omitempty"`  // view of the other directors; nil without gossip
-	Relay      *relays.Report         `json:"follow,omitempty"` // role in polling the command channel; nil without gossip
-	Gossip     *gossip.Report         `json:"word,omitempty"`   // age of the newest command received; nil without gossip
+	// State of the overload controller.
+	Overload overload.Report `json:"storm"`
+	// Routing state of every known node, by ID.
+	NodeViews []routing.EndpointView `json:"beliefs"`
+	// View of the other directors; nil without gossip.
+	Membership *membership.Report `json:"peers,omitempty"`
+	// This director's role in polling the command channel; nil without gossip.
+	Relay *relays.Report `json:"follow,omitempty"`
+	// Age of the newest command received; nil without gossip.
+	Gossip *gossip.Report `json:"word,omitempty"`
 }
--- a/internal/status/server.go
+++ b/internal/status/server.go
@@ -1,6 +1,7 @@
-// Package status reports a director's condition to its own machine: its configuration, its view of nodes and other
-// directors, its counters. The report is served as JSON over HTTP on a Unix socket that only the director's user may
-// open, and only where the operator's script names one.
+// Package status reports a director's status on its own machine: its configuration, its view of
+// nodes and other directors, and its counters. The report is served as JSON over HTTP on a Unix
+// socket that only the director's user may open. There is no socket unless the operator's script
+// names one.
 package status
 
 import (
@@ -19,16 +20,17 @@
 
 // Errors of Serve, wrapped with the socket's path.
 var (
-	// ErrInUse says that a living director listens at the path.
-	ErrInUse = errors.New("another director listens there")
-	// ErrNotSocket says that the path names a file that is not a socket; it is left as it is.
-	ErrNotSocket = errors.New("something else is there")
+	// ErrInUse reports that a running director listens on the path.
+	ErrInUse = errors.New("another director listens on this socket")
+	// ErrNotSocket reports that the path names a file that is not a socket. The file is left
+	// unchanged.
+	ErrNotSocket = errors.New("the file exists and is not a socket")
 )
 
 const (
 	maxConcurrentRequests = 8
 	maxHeaderBytes        = 4 << 10
-	ioTimeout             = 2 * time.Second // for a connection to come up, and for each read, write and idle wait
+	ioTimeout             = 2 * time.Second // of dialing, and of each read, write and idle wait
 	reportPath            = "/state"
 	socketMode            = 0o600 // only the director's user may connect
 )
@@ -38,9 +40,9 @@
 	http http.Server
 }
 
-// Serve listens on a Unix socket at path and answers with what report returns; report is called from several
-// goroutines at once. A socket that a killed director left behind is replaced. Errors are ErrInUse, ErrNotSocket and
-// those of the file system.
+// Serve listens on a Unix socket at path and answers requests with the result of report, which it
+// may call from several goroutines at the same time. It replaces a socket that a killed director
+// left. It returns ErrInUse, ErrNotSocket and errors of the file system.
 func Serve(path string, report func() Report) (*Server, error) {
 	if err := removeStaleSocket(path); err != nil {
 		return nil, err
@@ -50,7 +52,7 @@
 		return nil, err
 	}
 	if err := os.Chmod(path, socketMode); err != nil {
-		_ = listener.Close() // nothing was served; the first error is the one to tell
+		_ = listener.Close() // nothing was served; return the first error
 		return nil, err
 	}
 	s := &Server{http: http.Server{
@@ -58,12 +60,12 @@
 		MaxHeaderBytes: maxHeaderBytes,
 	}}
 	go func() {
-		_ = s.http.Serve(listener) // the director goes on without its status socket
+		_ = s.http.Serve(listener) // the director keeps running without its status socket
 	}()
 	return s, nil
 }
 
-// removeStaleSocket removes a socket at path that nobody listens on.
+// removeStaleSocket removes a socket at path on which nobody listens.
 func removeStaleSocket(path string) error {
 	if conn, err := net.DialTimeout("unix", path, ioTimeout); err == nil {
 		_ = conn.Close() // nothing was sent
@@ -71,7 +73,7 @@
 	}
 	info, err := os.Lstat(path)
 	if err != nil {
-		return nil // nothing is there, or listening will fail with the better message
+		return nil // no such file, or listening fails with a clearer error
 	}
 	if info.Mode()&os.ModeSocket == 0 {
 		return fmt.Errorf("%s: %w", path, ErrNotSocket)
@@ -79,7 +81,8 @@
 	return os.Remove(path)
 }
 
-// newHandler returns the handler of the socket: GET /state and nothing else, for maxConcurrentRequests at a time.
+// newHandler returns the handler of the socket. It answers only GET /state, and at most
+// maxConcurrentRequests at the same time.
 func newHandler(report func() Report) http.Handler {
 	slots := make(chan struct{}, maxConcurrentRequests)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -96,20 +99,21 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(report()) // fails only if the reader has gone
+		_ = json.NewEncoder(w).Encode(report()) // fails only if the client has disconnected
 	})
 }
 
-// recoverPanic logs a panic of a request, which must not end the director.
+// recoverPanic logs a panic of a request instead of ending the director.
 func recoverPanic() {
 	if value := recover(); value != nil {
 		slog.Error(logevent.PanicRecovered, "component", "status", "err", value, "stack", string(debug.Stack()))
 	}
 }
 
-// Close stops serving, drops open connections and removes the socket. It does nothing on a nil Server.
+// Close stops serving, closes open connections and removes the socket. It does nothing on a nil
+// Server.
 func (s *Server) Close() {
 	if s != nil {
-		_ = s.http.Close() // an error tells of the listener, which is gone either way
+		_ = s.http.Close() // an error concerns the listener, which is closed either way
 	}
 }
--- a/internal/status/server_test.go
+++ b/internal/status/server_test.go
@@ -11,10 +11,12 @@
 	"tallyproxy/routing"
 )
 
-// The socket serves the report to its owner alone, replaces what a killed director left, and goes with the server.
+// TestServe guards against a socket that other users can open, that can't replace the socket of a
+// killed director, or that remains after the server is closed. It also guards against the
+// replacement of a live socket or of another kind of file.
 func TestServe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n0.sock")
-	stale, err := net.Listen("unix", path) // of a director that was killed
+	stale, err := net.Listen("unix", path) // the socket of a killed director
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,26 +43,27 @@
 		return net.Dial("unix", path)
 	}}}
 	if resp, err := client.Post("http://x/state", "", nil); err != nil || resp.StatusCode != http.StatusNotFound {
-		t.Errorf("a POST: %v, %v", resp, err)
+		t.Errorf("POST answered %v, %v; want 404", resp, err)
 	}
 	client.CloseIdleConnections()
 	s.Close()
 	if _, err := os.Stat(path); !os.IsNotExist(err) {
-		t.Errorf("the socket is left: %v", err)
+		t.Errorf("the socket still exists: %v", err)
 	}
 	if _, err := Read(t.Context(), path); err == nil {
-		t.Error("read where nobody listens")
+		t.Error("Read succeeded although nobody listens")
 	}
 	if err := os.WriteFile(path, []byte("mine"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Serve(path, nil); err == nil {
-		t.Error("a file that is no socket was taken away")
+		t.Error("Serve replaced a file that is not a socket")
 	}
 	(*Server)(nil).Close()
 }
 
-// A panic while the report is made fails its request and nothing else.
+// TestPanicIsAnswered guards against a panic during the creation of a report that affects more than
+// its own request.
 func TestPanicIsAnswered(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n0.sock")
 	first := true
@@ -76,9 +79,9 @@
 	}
 	defer s.Close()
 	if _, err := Read(t.Context(), path); err == nil {
-		t.Error("a panic was answered well")
+		t.Error("Read succeeded although the report panicked")
 	}
 	if r, err := Read(t.Context(), path); err != nil || r.Name != "n0" {
-		t.Errorf("after it: %+v, %v", r, err)
+		t.Errorf("after the panic: %+v, %v", r, err)
 	}
 }
