--- a/internal/gossipnet/config.go
+++ b/internal/gossipnet/config.go
@@ -12,20 +12,26 @@
 )
 
 const (
-	suspicionMaxMultiplier = 2    // the longest time in which a suspect may refute, as a multiple of the least: where nobody else suspects it
-	awarenessMaxMultiplier = 2    // by which a member that misses answers slows its own probes
-	packetBytes            = 1400 // that memberlist puts into one packet
+	// suspicionMaxMultiplier is the longest time in which a suspect may refute the suspicion, if
+	// nobody else suspects it, as a multiple of the shortest time.
+	suspicionMaxMultiplier = 2
+	// awarenessMaxMultiplier is the maximum factor by which a member that misses answers slows down
+	// its own probes.
+	awarenessMaxMultiplier = 2
+	// packetBytes is the maximum size of memberlist's packets.
+	packetBytes = 1400
 )
 
-// memberlistConfig is memberlist's configuration, with a transport that is open. Its intervals are multiples of the failure detector's.
-func (d *Driver) memberlistConfig(o config.Peers) (*memberlist.Config, error) {
-	host, port, err := splitAddress(o.Listen)
+// memberlistConfig opens the transport and returns memberlist's configuration. Its intervals are
+// multiples of the failure detector's.
+func (d *Driver) memberlistConfig(peers config.Peers) (*memberlist.Config, error) {
+	host, port, err := splitAddress(peers.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
 	advertiseHost, advertisePort := host, port
-	if o.Advertise != "" {
-		if advertiseHost, advertisePort, err = splitAddress(o.Advertise); err != nil {
+	if peers.Advertise != "" {
+		if advertiseHost, advertisePort, err = splitAddress(peers.Advertise); err != nil {
 			return nil, fmt.Errorf("peers.advertise: %w", err)
 		}
 	}
@@ -38,8 +44,8 @@
 
 	c := memberlist.DefaultLANConfig()
 	c.Name = d.settings.Name
-	c.Label = o.Fleet
-	c.SecretKey = o.SharedKey
+	c.Label = peers.Fleet
+	c.SecretKey = peers.SharedKey
 	c.Transport = transport
 	c.BindAddr, c.BindPort = host, port
 	c.AdvertiseAddr, c.AdvertisePort = advertiseHost, advertisePort
@@ -52,8 +58,9 @@
 	c.PushPullInterval = 60 * probeInterval
 	c.GossipToTheDeadTime = 60 * probeInterval
 	c.TCPTimeout = 4 * probeInterval
-	c.DeadNodeReclaimTime = probeInterval // a restarted director may come from another address
-	c.EnableCompression = false           // messages are short, and each would cost a compressor of 100 kB
+	c.DeadNodeReclaimTime = probeInterval // a restarted director may have another address
+	// Messages are short, and each would need a compressor of 100 kB.
+	c.EnableCompression = false
 	c.DNSConfigPath = ""
 	c.UDPBufferSize = packetBytes
 	c.Logger = logger
@@ -66,6 +73,7 @@
 	return c, nil
 }
 
+// splitAddress splits an address into host and port number.
 func splitAddress(text string) (host string, port int, err error) {
 	host, digits, err := net.SplitHostPort(text)
 	if err != nil {
--- a/internal/gossipnet/delegate.go
+++ b/internal/gossipnet/delegate.go
@@ -15,10 +15,10 @@
 	"tallyproxy/policy"
 )
 
-// delegate is what memberlist calls. None of its methods may block or call memberlist.
+// delegate implements memberlist's callbacks. Its methods must not block or call memberlist.
 type delegate struct{ driver *Driver }
 
-// NodeMeta gives the metadata of this director.
+// NodeMeta returns the metadata of this director.
 func (c delegate) NodeMeta(int) []byte {
 	d := c.driver
 	d.mu.Lock()
@@ -27,12 +27,13 @@
 	return raw
 }
 
-// GetBroadcasts gives the broadcasts that go along with a packet of memberlist's gossip.
+// GetBroadcasts returns the broadcasts to send in a packet of memberlist's gossip.
 func (c delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return c.driver.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState gives what goes along with a push/pull exchange: as a member joins, this director's state.
+// LocalState returns the data to send in a push/pull exchange: this director's snapshot if the
+// exchange is a join, else nil.
 func (c delegate) LocalState(join bool) []byte {
 	d := c.driver
 	if !join || d.handlers.Snapshot == nil {
@@ -44,7 +45,8 @@
 	return raw
 }
 
-// MergeRemoteState takes the other side's LocalState. Where this director goes on needing others' state, it asks the sender again.
+// MergeRemoteState merges the other side's LocalState. If this director still needs a snapshot
+// afterwards, it requests one from the sender.
 func (c delegate) MergeRemoteState(raw []byte, join bool) {
 	d := c.driver
 	if !join || d.handlers.MergeSnapshot == nil || len(raw) == 0 {
@@ -60,7 +62,7 @@
 	}
 }
 
-// NotifyMsg takes a message of another director. The bytes are memberlist's after it returns.
+// NotifyMsg handles a message from another director. memberlist reuses raw after NotifyMsg returns.
 func (c delegate) NotifyMsg(raw []byte) {
 	var m message
 	if json.Unmarshal(raw, &m) != nil {
@@ -89,7 +91,7 @@
 	}
 }
 
-// handleMembership takes a message that is the view's. The caller holds the lock.
+// handleMembership handles a message for the membership view. The caller holds the lock.
 func (d *Driver) handleMembership(now policy.Micros, view *membership.View, m message, raw []byte) map[string]message {
 	switch {
 	case m.LeaseRequest != nil:
@@ -104,7 +106,8 @@
 	return nil
 }
 
-// handleHint has a hint's node probed where that is worth it, and then sends the hint on. The caller holds the lock.
+// handleHint has the node of a hint probed if the view finds a probe useful, and then forwards the
+// hint. The caller holds the lock.
 func (d *Driver) handleHint(now policy.Micros, view *membership.View, m message, raw []byte) {
 	hint := *m.Hint
 	if !view.ShouldProbe(now, m.From, hint, d.handlers.LastAnswer(hint.Node)) {
@@ -116,16 +119,17 @@
 	}
 }
 
-// NotifyJoin takes a member that is up.
+// NotifyJoin handles a member that is up.
 func (c delegate) NotifyJoin(n *memberlist.Node) { c.driver.memberChanged(n, membership.Up) }
 
-// NotifyLeave takes a member that has failed or left.
+// NotifyLeave handles a member that has failed or left.
 func (c delegate) NotifyLeave(n *memberlist.Node) { c.driver.memberChanged(n, membership.Failed) }
 
-// NotifyUpdate takes a member whose address or metadata has changed.
+// NotifyUpdate handles a change of a member's address or metadata.
 func (c delegate) NotifyUpdate(n *memberlist.Node) { c.driver.memberChanged(n, membership.Up) }
 
-// NotifyConflict takes two members of one name, and logs it once where the name is this director's own.
+// NotifyConflict handles two members with the same name. It logs the conflict once if the name is
+// this director's.
 func (c delegate) NotifyConflict(existing, other *memberlist.Node) {
 	d := c.driver
 	if existing.Name != d.settings.Name {
@@ -141,8 +145,8 @@
 	})
 }
 
-// AckPayload gives what goes with each answer to a probe: the digest of this director's view and the age of its channel's latest answer in
-// µs, both in hexadecimal digits.
+// AckPayload returns the payload of each answer to a probe: the digest of this director's view, and
+// the age in µs of the latest answer from its command channel, both in hexadecimal digits.
 func (c delegate) AckPayload() []byte {
 	d := c.driver
 	d.mu.Lock()
@@ -154,7 +158,7 @@
 	return payload
 }
 
-// NotifyPingComplete takes the payload of a member's answer to a probe.
+// NotifyPingComplete handles the payload of a member's answer to a probe.
 func (c delegate) NotifyPingComplete(other *memberlist.Node, _ time.Duration, payload []byte) {
 	d := c.driver
 	d.mu.Lock()
--- a/internal/gossipnet/driver.go
+++ b/internal/gossipnet/driver.go
@@ -1,6 +1,6 @@
-// Package gossipnet is the driver of membership and gossip among directors: hashicorp/memberlist detects who is present and carries the
-// messages, package membership decides what follows. The driver opens the sockets, keeps the clock, and publishes the quotas that routing
-// reads.
+// Package gossipnet drives membership and gossip among directors: hashicorp/memberlist detects
+// which directors are present and carries the messages, and package membership makes the decisions.
+// The driver opens the sockets, reads the clock, and publishes the quotas that routing reads.
 package gossipnet
 
 import (
@@ -23,86 +23,112 @@
 	"tallyproxy/relays"
 )
 
-// Handlers take what other directors send, and give what they ask for. They are called from memberlist's goroutines and must not block. Any
-// may be nil, but ProbeNode needs LastAnswer, and Snapshot needs ChannelAge.
+// Handlers process what other directors send and return what they request. They are called from
+// memberlist's goroutines and must not block. Any of them may be nil, but ProbeNode requires
+// LastAnswer, and Snapshot requires ChannelAge.
 type Handlers struct {
-	// ProbeNode takes a hint that is worth a probe of its node. The driver's lock is held: it must not call the driver.
+	// ProbeNode probes the node of a hint. The driver's lock is held, so ProbeNode must not call
+	// the driver.
 	ProbeNode func(hint membership.Hint)
-	// LastAnswer gives when a node last answered this director. The driver's lock is held: it must not call the driver.
+	// LastAnswer returns the time of a node's last answer to this director. The driver's lock is
+	// held, so LastAnswer must not call the driver.
 	LastAnswer func(node string) policy.Micros
-	// Update takes an update that another director sent.
+	// Update handles an update from another director.
 	Update func(from string, update gossip.Update)
-	// Snapshot gives this director's state, and whether it is new enough for another to trust.
+	// Snapshot returns this director's state and reports whether it is recent enough for another
+	// director to rely on.
 	Snapshot func() (snapshot Snapshot, confirmed bool)
-	// MergeSnapshot takes the state that another director sent as one of the two joined: it may be old, since it may have waited in a socket.
+	// MergeSnapshot merges the state that another director sent when one of the two joined. The
+	// state may be old, since it may have waited in a socket buffer.
 	MergeSnapshot func(from string, snapshot Snapshot)
-	// NeedsSnapshot says whether this director should ask others for their state.
+	// NeedsSnapshot reports whether this director should ask others for their state.
 	NeedsSnapshot func() bool
-	// SnapshotReply takes the state that another director sent when it was asked at a time, and says whether that is enough.
+	// SnapshotReply handles the state that another director sent in reply to a request of the given
+	// time, and reports whether this state is sufficient.
 	SnapshotReply func(from string, requestedAt policy.Micros, snapshot Snapshot) bool
-	// ChannelAge gives the time since this director's command channel last answered. The driver's lock is held: it must not call the driver.
+	// ChannelAge returns the time since this director's command channel last answered. The driver's
+	// lock is held, so ChannelAge must not call the driver.
 	ChannelAge func() policy.Micros
-	// Relay takes a message of the relays of the command channel.
+	// Relay handles a message about relaying the command channel.
 	Relay func(from string, m relays.Message)
 }
 
 const (
-	outboxSize       = 1024 // messages that wait to be sent; more are dropped, and sent again by their senders' own repeats
-	maxReliableSends = 16   // messages on their way over connections; more are dropped, and asked for again
+	// outboxSize limits the messages that wait to be sent. Messages beyond it are dropped; their
+	// senders repeat them.
+	outboxSize = 1024
+	// maxReliableSends limits the messages that are being sent over connections. Messages beyond it
+	// are dropped; their receivers request them again.
+	maxReliableSends = 16
 	leaveTimeout     = 500 * time.Millisecond
-	nameConflictTime = 30 * time.Second // without another process of its name, a director has it for itself again
+	// nameConflictTime is the time after which a name conflict has ended if no other process with
+	// the director's name has been seen.
+	nameConflictTime = 30 * time.Second
 )
 
-// Driver is one director's part in the group of directors. Its methods may be called from any goroutine. Those that say so accept a nil
-// Driver, which stands for a director without peers.
+// Driver connects one director to the group of directors. Its methods may be called from any
+// goroutine. Methods that document it accept a nil Driver, which stands for a director without
+// peers.
 type Driver struct {
-	// Start sets these before the loops begin; they do not change afterwards.
-	settings   membership.Settings
-	now        func() policy.Micros
-	seeds      []string
-	handlers   Handlers
-	broadcasts memberlist.TransmitLimitedQueue // what goes along with memberlist's own gossip; it has a lock of its own
-	outbox     chan envelope                   // read by sendLoop
+	// Set by Start before the loops begin, and constant afterwards.
+	settings membership.Settings
+	now      func() policy.Micros
+	seeds    []string
+	handlers Handlers
+	// Sent with memberlist's own gossip; has its own lock.
+	broadcasts memberlist.TransmitLimitedQueue
+	outbox     chan envelope // read by sendLoop
 	logWriter  *logWriter
 	memberlist *memberlist.Memberlist
-	advertised string // the address at which others reach this director
+	advertised string // address at which others reach this director
 
-	reliableSends    chan struct{}            // a slot for each message on its way over a connection
+	reliableSends    chan struct{}            // one slot for each message being sent over a connection
 	quotas           [2]atomic.Pointer[quota] // in force, by membership.Scope
-	memberCount      atomic.Int64             // directors, this one among them
-	snapshotReceived atomic.Bool              // another's state was received that is enough
+	memberCount      atomic.Int64             // number of directors, including this one
+	snapshotReceived atomic.Bool              // a sufficient snapshot of another director was received
 
 	cancel  context.CancelFunc // ends the loops
-	running sync.WaitGroup     // the loops and what they start
-
-	mu              sync.Mutex // of all that follows; never held while memberlist is called
-	view            *membership.View
-	live            map[string]memberlist.Node // members that have not failed; copies, since memberlist goes on changing its own
-	channelAges     map[string]reportedAge     // of live members
-	suspects        map[string]policy.Micros   // members that did not answer a probe, until when they may refute that; bounded by MaxEntries
-	addresses       map[string]string          // of members that did not leave, live or not; bounded by the view
-	loggedStates    map[string]loggedState     // bounded by twice MaxEntries
-	loggedView      loggedView
-	divergentPeer   string    // address of a live member whose last received digest differed; empty for none
-	conflictAt      time.Time // when another process of this name was last seen; zero for none
-	leaving         bool
-	broadcastRounds int // rotate the peers that are chosen
+	running sync.WaitGroup     // the loops and the goroutines that they start
+
+	// mu guards the fields below. It is never held during a call of memberlist.
+	mu   sync.Mutex
+	view *membership.View
+	// live holds copies of the members that have not failed, since memberlist changes its own.
+	live        map[string]memberlist.Node
+	channelAges map[string]reportedAge // of live members
+	// suspects holds the time until which a member that did not answer a probe may refute the
+	// suspicion. Its size is limited by MaxEntries.
+	suspects map[string]policy.Micros
+	// addresses holds the addresses of members that did not leave, live or not. Its size is limited
+	// by the view.
+	addresses map[string]string
+	// loggedStates holds at most twice MaxEntries.
+	loggedStates map[string]loggedState
+	loggedView   loggedView
+	// divergentPeer is the address of a live member whose last digest differed; empty for none.
+	divergentPeer string
+	// conflictAt is the time when another process of this name was last seen; zero for none.
+	conflictAt time.Time
+	leaving    bool
+	// broadcastRounds, snapshotRounds and rejoinAttempts rotate the selected peers.
+	broadcastRounds int
 	snapshotRounds  int
 	rejoinAttempts  int
 }
 
-// Start opens the sockets and begins to look for other directors. That none is there yet is no error; an address that can't be used is. The
-// clock must be that of the router that reads Quota.
-func Start(o config.Peers, s membership.Settings, clock func() policy.Micros, handlers Handlers) (*Driver, error) {
+// Start opens the sockets and begins to look for other directors. It returns an error for an
+// address that can't be used, but not if no other director is present yet. clock must be the clock
+// of the router that reads Quota.
+func Start(peers config.Peers, s membership.Settings, clock func() policy.Micros, handlers Handlers) (*Driver, error) {
 	d := newDriver(s, clock, handlers)
-	d.seeds = o.Seeds
-	c, err := d.memberlistConfig(o)
+	d.seeds = peers.Seeds
+	c, err := d.memberlistConfig(peers)
 	if err != nil {
 		return nil, err
 	}
 	list, err := memberlist.Create(c)
 	if err != nil {
-		_ = c.Transport.Shutdown() // the error to report is the one before
+		_ = c.Transport.Shutdown() // report the first error
 		return nil, fmt.Errorf("peers.listen: %w", err)
 	}
 	advertised := net.JoinHostPort(c.AdvertiseAddr, strconv.Itoa(c.AdvertisePort))
@@ -112,11 +138,11 @@
 	d.running.Go(func() { d.tickLoop(ctx) })
 	d.running.Go(func() { d.sendLoop(ctx) })
 	d.running.Go(func() { d.joinLoop(ctx) })
-	slog.Info(logevent.GossipStarted, "listen", o.Listen, "advertise", advertised, "seeds", len(o.Seeds), "incarnation", s.Incarnation)
+	slog.Info(logevent.GossipStarted, "listen", peers.Listen, "advertise", advertised, "seeds", len(peers.Seeds), "incarnation", s.Incarnation)
 	return d, nil
 }
 
-// newDriver makes a driver without sockets, in which the fixed quotas are in force.
+// newDriver returns a driver without sockets, with the fixed quotas in force.
 func newDriver(s membership.Settings, clock func() policy.Micros, handlers Handlers) *Driver {
 	d := &Driver{
 		settings:      s,
@@ -141,10 +167,11 @@
 // Shutdown ends the driver without an announcement, as a crash does.
 func (d *Driver) Shutdown() {
 	d.stopLoops()
-	_ = d.memberlist.Shutdown() // the sockets are gone either way
+	_ = d.memberlist.Shutdown() // the sockets are closed even if it fails
 }
 
-// Leave announces to the others that this director leaves, and ends the driver. The driver may be nil.
+// Leave announces to the others that this director leaves, and ends the driver. It does nothing on
+// a nil Driver.
 func (d *Driver) Leave() {
 	if d == nil {
 		return
@@ -153,7 +180,8 @@
 	d.mu.Lock()
 	d.leaving = true
 	d.mu.Unlock()
-	// memberlist does not tell a member that leaves from one that has failed: the metadata does. Whom neither reaches in time finds a failure.
+	// memberlist does not distinguish a member that leaves from one that has failed; the metadata
+	// does. Members that neither message reaches in time detect a failure.
 	_ = d.memberlist.UpdateNode(leaveTimeout)
 	_ = d.memberlist.Leave(leaveTimeout)
 	_ = d.memberlist.Shutdown() // the sockets are gone either way
@@ -165,8 +193,9 @@
 	d.running.Wait()
 }
 
-// update makes a call of the view, sends the messages that it gives, by the name of the receiver, and publishes the quotas that follow. The
-// messages go through the outbox: many calls come from within memberlist, which must not be called back.
+// update calls a function with the view, sends the messages that it returns, which are keyed by
+// receiver, and publishes the resulting quotas. The messages go through the outbox, because many
+// calls come from memberlist's callbacks, which must not call memberlist.
 func (d *Driver) update(call func(now policy.Micros, view *membership.View) map[string]message) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -177,7 +206,8 @@
 	d.publishQuotas(now)
 }
 
-// tickLoop renews leases, brings the states of members up to date, and asks for others' state where that is needed.
+// tickLoop renews leases, updates the states of members, and requests the state of other directors
+// if this director needs it.
 func (d *Driver) tickLoop(ctx context.Context) {
 	ticker := time.NewTicker(d.settings.RenewInterval.Duration() / 4)
 	defer ticker.Stop()
--- a/internal/gossipnet/driver_test.go
+++ b/internal/gossipnet/driver_test.go
@@ -13,7 +13,7 @@
 	"tallyproxy/policy"
 )
 
-// freeAddress is an address that nobody listens at.
+// freeAddress returns an address on which nobody listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -26,7 +26,8 @@
 	return listener.Addr().String()
 }
 
-// startDriver starts director number i of a few. Its clock begins at a time.
+// startDriver starts director number i of the given number of directors. Its clock begins at
+// clockStart.
 func startDriver(t *testing.T, i, directors int, clockStart policy.Micros, o config.Peers, handlers Handlers) *Driver {
 	t.Helper()
 	started := time.Now()
@@ -42,12 +43,13 @@
 	return driver
 }
 
-// peersConfig is the configuration of a director with a key of equal bytes.
+// peersConfig returns the configuration of a director whose key consists of equal bytes.
 func peersConfig(listen string, seeds []string, key byte) config.Peers {
 	return config.Peers{Listen: listen, Seeds: seeds, Fleet: "test", SharedKey: bytes.Repeat([]byte{key}, 32)}
 }
 
-// startReporting starts director number i of three, which reports the hints and the updates that it receives.
+// startReporting starts director number i of three, which reports the hints and updates that it
+// receives.
 func startReporting(t *testing.T, i int, listen string, seeds []string, key byte, received chan membership.Hint) *Driver {
 	t.Helper()
 	return startDriver(t, i, 3, policy.Second*100, peersConfig(listen, seeds, key), Handlers{
@@ -69,7 +71,7 @@
 	})
 }
 
-// stateOf is the name of a director's state in another's view; empty where it is not known.
+// stateOf returns a director's state in the view of another; empty if it is unknown.
 func stateOf(d *Driver, name string) string {
 	if s, known := d.State(name); known {
 		return s.String()
@@ -77,6 +79,7 @@
 	return ""
 }
 
+// eventually waits until a condition holds and fails the test after 20 s.
 func eventually(t *testing.T, failure string, holds func() bool) {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -86,8 +89,10 @@
 	}
 }
 
-// Three directors find each other, a hint goes from one to both others, one that leaves has left, and one that dies without a word is
-// suspected before it has failed. memberlist tells a suspicion only in its log, which this test holds it to.
+// TestDriver guards against directors that do not find each other, hints and updates that do not
+// reach all others, and a shutdown that is not told apart from a crash. It also guards against a
+// memberlist release that changes the log line with which memberlist reports a suspicion, since
+// there is no other report of it.
 func TestDriver(t *testing.T) {
 	addresses, received := []string{freeAddress(t), freeAddress(t), freeAddress(t)}, make(chan membership.Hint, 99)
 	var drivers []*Driver
@@ -103,38 +108,39 @@
 			}
 		}
 	}
-	eventually(t, "their views differ", func() bool {
+	eventually(t, "the views of the directors differ", func() bool {
 		return drivers[0].Report().Digest == drivers[1].Report().Digest && drivers[1].Report().Digest == drivers[2].Report().Digest
 	})
 	if drivers[0].Quota(drivers[0].now(), membership.ScopeZone) != 1 {
-		t.Error("all are there, and one holds more than its quota")
+		t.Error("a director exceeds its quota although all directors are present")
 	}
 	checkBroadcasts(t, drivers, received)
-	eventually(t, "no channel's age is known", func() bool {
+	eventually(t, "the newest channel age is not between 1 s and 2 s", func() bool {
 		age := drivers[2].NewestChannelAge()
 		return age >= policy.Second && age < 2*policy.Second
 	})
 	drivers[2].Leave()
-	eventually(t, "one that left is not taken for it", func() bool {
+	eventually(t, "n2 left, but the others do not see it as left", func() bool {
 		return stateOf(drivers[0], "n2") == "left" && stateOf(drivers[1], "n2") == "left"
 	})
 	drivers[1].Shutdown()
 	suspected := false
-	eventually(t, "one that died has not failed", func() bool {
+	eventually(t, "n1 crashed, but n0 does not see it as failed", func() bool {
 		now := stateOf(drivers[0], "n1")
 		suspected = suspected || now == "suspected"
 		return now == "failed"
 	})
 	if !suspected {
-		t.Error("it was never suspected")
+		t.Error("n1 was never suspected")
 	}
 	if stateOf(drivers[0], "n3") != "" || stateOf(outsider, "n0") != "" {
-		t.Error("one with another key was taken in")
+		t.Error("a director with another key was admitted")
 	}
 	drivers[0].Leave()
 }
 
-// checkBroadcasts has three drivers broadcast a hint and an update, and checks what the others receive.
+// checkBroadcasts makes three drivers broadcast a hint and an update, and checks what the others
+// receive.
 func checkBroadcasts(t *testing.T, drivers []*Driver, received chan membership.Hint) {
 	t.Helper()
 	drivers[0].BroadcastHint(membership.Hint{Node: "box-1", Condition: membership.Overloaded})
@@ -144,7 +150,7 @@
 		}
 	}
 	drivers[1].BroadcastUpdates([]gossip.Update{{Object: "o", PurgedAt: 1}})
-	for range 4 { // to each at once, and again with the gossip
+	for range 4 { // each receives it directly and again by gossip
 		if h := <-received; h.Node != "n1 o" {
 			t.Errorf("received %+v", h)
 		}
--- a/internal/gossipnet/golden_test.go
+++ b/internal/gossipnet/golden_test.go
@@ -10,7 +10,8 @@
 	"tallyproxy/relays"
 )
 
-// The encoded forms are recorded from a version in service: other versions send and read them during a roll-out.
+// TestGoldenMessages guards against changed encodings of messages. The encodings were recorded from
+// a released version; different versions exchange them during a rollout.
 func TestGoldenMessages(t *testing.T) {
 	updates := []gossip.Update{{Object: "o", Group: 1, PurgedAt: 2, Age: 3}, {Node: "box-1", Started: 4, Removed: true, Age: 5}}
 	goldentest.JSON(t, message{From: "n0"}, `{"f":"n0"}`)
@@ -34,7 +35,8 @@
 		`{"f":"n0","r":{"q":7,"f":"n1","a":8,"w":[{"o":"o","g":1,"t":2,"a":3},{"n":"box-1","s":4,"x":true,"a":5}],"b":[{"Node":"box-2","What":"full","Age":0}]}}`)
 }
 
-// The metadata of a node, the state that goes along with a push/pull exchange, and the payload of an answer to a probe.
+// TestGoldenStates guards against changed encodings of a node's metadata, the state in a push/pull
+// exchange, and the payload of an answer to a probe.
 func TestGoldenStates(t *testing.T) {
 	goldentest.JSON(t, nodeMeta{Incarnation: 18446744073709551615, Zone: 2, Leaving: true}, `{"b":18446744073709551615,"z":2,"l":true}`)
 	goldentest.JSON(t, nodeMeta{Incarnation: 1}, `{"b":1,"z":0}`)
--- a/internal/gossipnet/join.go
+++ b/internal/gossipnet/join.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	bootstrapPeers  = 2 // directors that are joined at a time at the start
-	bootstrapRounds = 4 // and how often, until one has sent its state
-	bootstrapChecks = 8 // looks in each round whether one has
+	bootstrapPeers  = 2 // directors that are joined per round at the start
+	bootstrapRounds = 4 // maximum rounds until a director has sent its state
+	bootstrapChecks = 8 // checks per round whether a director has sent its state
 )
 
-// joinLoop joins members that are missing: seeds, and directors that were there before. memberlist itself gives up on both.
+// joinLoop joins missing members: seeds and directors that were present before. memberlist itself
+// gives up on both.
 func (d *Driver) joinLoop(ctx context.Context) {
 	d.bootstrap(ctx)
 	probeInterval := d.settings.ProbeInterval.Duration()
@@ -36,7 +37,8 @@
 	}
 }
 
-// join exchanges whole lists with the director at an address, and says whether that worked.
+// join exchanges full member lists with the director at an address and reports whether this
+// succeeded.
 func (d *Driver) join(address string) bool {
 	_, err := d.memberlist.Join([]string{address})
 	if err != nil {
@@ -45,8 +47,9 @@
 	return err == nil
 }
 
-// bootstrap joins other directors at the start, some at a time, until one has sent its state. One that starts as well knows no more, and one
-// that can't be reached takes as long as a connection may: so no join waits for another.
+// bootstrap joins other directors at the start, a few at a time, until one has sent its state. A
+// director that is starting too knows no more than this one, and joining an unreachable one takes
+// as long as the connection timeout. Therefore no join waits for another.
 func (d *Driver) bootstrap(ctx context.Context) {
 	if d.handlers.MergeSnapshot == nil {
 		return
@@ -65,7 +68,8 @@
 	}
 }
 
-// nextBootstrapAddresses are the next to join: seeds, each director beginning at another one, then members that have become known.
+// nextBootstrapAddresses returns the next addresses to join: first the seeds, beginning at a
+// different one for each director, then members that have become known.
 func (d *Driver) nextBootstrapAddresses(tried []string) (next []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,15 +90,16 @@
 	return next
 }
 
-// nextRejoinAddress is the address of a director that is missing, or of a live one whose view has differed for a while: to exchange whole
-// lists makes the two views alike. So what gossip has missed is repaired at once, while whole lists are exchanged seldom otherwise. Empty
-// where there is none.
+// nextRejoinAddress returns the address of a missing director, or of a live one whose view has
+// differed for some time; empty if there is none. The exchange of full member lists makes two views
+// equal. It repairs promptly what gossip has missed, although full lists are rarely exchanged
+// otherwise.
 func (d *Driver) nextRejoinAddress() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	missing := d.missingAddresses()
 	if peer := d.divergentPeer; peer != "" && d.view.StableFor(d.now()) > 5*d.settings.ProbeInterval {
-		d.divergentPeer = "" // it goes before the missing ones, which may be many
+		d.divergentPeer = "" // takes precedence over missing members, which may be many
 		return peer
 	}
 	if len(missing) == 0 {
@@ -104,7 +109,8 @@
 	return missing[d.rejoinAttempts%len(missing)]
 }
 
-// missingAddresses are those of seeds, and of directors that the view remembers, that are not live. The caller holds the lock.
+// missingAddresses returns the addresses of seeds, and of directors that the view remembers, that
+// are not live. The caller holds the lock.
 func (d *Driver) missingAddresses() (missing []string) {
 	live := map[string]bool{d.advertised: true}
 	for _, n := range d.live {
@@ -126,7 +132,7 @@
 	return missing
 }
 
-// sleep waits, and says whether it was for the whole time: false where the context ended.
+// sleep waits for the given duration. It returns false if ctx ends before.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/gossipnet/memberlistlog.go
+++ b/internal/gossipnet/memberlistlog.go
@@ -10,23 +10,25 @@
 	"tallyproxy/internal/logevent"
 )
 
-// errorReportInterval is the time between two log lines about memberlist's errors.
+// errorReportInterval is the minimum time between two log lines about memberlist's errors.
 const errorReportInterval = 10 * time.Second
 
-// suspectLine is the line in which memberlist reports that a member did not answer a probe. It has no callback for that.
+// suspectLine matches the log line with which memberlist reports that a member did not answer a
+// probe. memberlist has no callback for this.
 var suspectLine = regexp.MustCompile(`Suspect (\S+) has failed`)
 
-// logWriter takes memberlist's log. All lines are logged for debugging; errors are counted, and logged together now and then.
+// logWriter receives memberlist's log. It logs each line at debug level; errors are also counted
+// and reported periodically.
 type logWriter struct {
 	onSuspect func(name string) // called from memberlist's goroutines
 
 	mu         sync.Mutex
-	errors     int // since reportedAt
+	errors     int // errors since reportedAt
 	lastError  string
 	reportedAt time.Time
 }
 
-// Write takes one line.
+// Write handles one line.
 func (w *logWriter) Write(line []byte) (int, error) {
 	text := string(bytes.TrimSpace(line))
 	slog.Debug(logevent.Memberlist, "text", text)
@@ -42,7 +44,7 @@
 	return len(line), nil
 }
 
-// flush logs the number of errors and the last of them, once in errorReportInterval.
+// flush logs the number of errors and the last one, at most once per errorReportInterval.
 func (w *logWriter) flush() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/gossipnet/members.go
+++ b/internal/gossipnet/members.go
@@ -16,22 +16,23 @@
 	"tallyproxy/policy"
 )
 
-// reportedAge is how old another director's latest answer from its channel was when it said so.
+// reportedAge is the age of the latest answer from another director's channel, at the time when
+// that director reported it.
 type reportedAge struct{ age, reportedAt policy.Micros }
 
-// loggedState is a member's state as it was last logged.
+// loggedState is a member's state as last logged.
 type loggedState struct {
 	incarnation uint64
 	state       membership.State
 }
 
-// loggedView is the view as it was last logged; the zero value is before the first.
+// loggedView is the view as last logged; zero if it was never logged.
 type loggedView struct {
 	digest    uint64
 	partition membership.PartitionState
 }
 
-// memberChanged takes a change of memberlist's list: a member is up, or has failed or left.
+// memberChanged handles a change of memberlist's list: a member is up, or has failed or left.
 func (d *Driver) memberChanged(n *memberlist.Node, state membership.State) {
 	d.update(func(now policy.Micros, _ *membership.View) map[string]message {
 		if state == membership.Failed {
@@ -45,8 +46,8 @@
 	})
 }
 
-// observeLiveMembers brings the view up to date where a member has become a suspect, or is one no more, or was forgotten. The caller holds
-// the lock.
+// observeLiveMembers updates the view for each live member that has become a suspect, is no longer
+// a suspect, or was forgotten. The caller holds the lock.
 func (d *Driver) observeLiveMembers(now policy.Micros) {
 	for name, n := range d.live {
 		state := membership.Up
@@ -59,7 +60,7 @@
 	}
 }
 
-// observe passes the state of a member to the view, and logs what is new. The caller holds the lock.
+// observe passes the state of a member to the view and logs changes. The caller holds the lock.
 func (d *Driver) observe(now policy.Micros, n *memberlist.Node, state membership.State) {
 	var meta nodeMeta
 	if json.Unmarshal(n.Meta, &meta) != nil || n.Name == d.settings.Name {
@@ -82,7 +83,8 @@
 	d.logView(now)
 }
 
-// logState logs a member's state where it is new. A member that is first seen as a suspect is not logged: it has no state to change from.
+// logState logs a member's state if it changed. It does not log a member that is first seen as a
+// suspect, because there is no earlier state from which it changed.
 func (d *Driver) logState(name string, current loggedState) {
 	last, logged := d.loggedStates[name]
 	if logged && last == current || !logged && current.state == membership.Suspected {
@@ -95,7 +97,7 @@
 	slog.Info(logevent.PeerState, "name", name, "incarnation", current.incarnation, "state", current.state.String())
 }
 
-// logView logs the view where it is new.
+// logView logs the view if it changed.
 func (d *Driver) logView(now policy.Micros) {
 	current := loggedView{d.view.Digest(), d.view.PartitionState()}
 	if current == d.loggedView {
@@ -106,7 +108,7 @@
 		"zone_count", d.view.Count(now, membership.ScopeZone), "fleet_count", d.view.Count(now, membership.ScopeFleet))
 }
 
-// suspect takes the name of a member that did not answer a probe, which memberlist reports in its log alone.
+// suspect records that a member did not answer a probe, which memberlist reports only in its log.
 func (d *Driver) suspect(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,18 +117,19 @@
 	}
 }
 
-// maxSuspicion is the longest time that memberlist lets a suspect refute. A suspect that has not failed by then has refuted: memberlist does
-// not report that, and its next probe of that member may be as many probes away as there are members.
+// maxSuspicion returns the longest time in which memberlist lets a suspect refute the suspicion. A
+// suspect that has not failed by then has refuted it. memberlist does not report the refutation,
+// and its next probe of the member may be as many probes away as there are members.
 func (d *Driver) maxSuspicion() policy.Micros {
 	nodeScale := math.Max(1, math.Log10(float64(max(1, d.memberCount.Load()))))
 	interval := d.settings.ProbeInterval
 	return interval + policy.Micros(float64(interval)*float64(d.settings.SuspicionMultiplier)*nodeScale*suspicionMaxMultiplier)
 }
 
-// liveNames are the names of the live members, in order. The caller holds the lock.
+// liveNames returns the sorted names of the live members. The caller holds the lock.
 func (d *Driver) liveNames() []string { return slices.Sorted(maps.Keys(d.live)) }
 
-// Report gives the view for the state socket; nil for a nil Driver.
+// Report returns the view for the status report; nil for a nil Driver.
 func (d *Driver) Report() *membership.Report {
 	if d == nil {
 		return nil
@@ -137,21 +140,23 @@
 	return &r
 }
 
-// State is a member's state in the view; false where it is not known.
+// State returns a member's state in the view; false if the member is unknown.
 func (d *Driver) State(name string) (membership.State, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.view.State(name)
 }
 
-// ViewDigest is the digest of the view in hexadecimal digits, and the number of directors present, this one among them.
+// ViewDigest returns the digest of the view in hexadecimal digits and the number of directors
+// present, including this one.
 func (d *Driver) ViewDigest() (digest string, members int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return strconv.FormatUint(d.view.Digest(), 16), d.view.NumMembers()
 }
 
-// ZonePeers are the names of the other directors of this one's zone that are up; none for a nil Driver.
+// ZonePeers returns the names of the other directors in this director's zone that are up; none for
+// a nil Driver.
 func (d *Driver) ZonePeers() []string {
 	if d == nil {
 		return nil
@@ -161,8 +166,8 @@
 	return d.view.ZonePeers()
 }
 
-// NewestChannelAge is the time since the command channel last answered any of the live members, by their own reports; negative where none has
-// reported, and for a nil Driver.
+// NewestChannelAge returns the shortest time since the command channel last answered a live member,
+// according to the members' reports; negative if there is no report, and for a nil Driver.
 func (d *Driver) NewestChannelAge() policy.Micros {
 	if d == nil {
 		return -1
--- a/internal/gossipnet/message.go
+++ b/internal/gossipnet/message.go
@@ -7,35 +7,49 @@
 	"tallyproxy/relays"
 )
 
-// message is what one director sends to another as a user message of memberlist, as JSON. One of the fields after From is set.
+// message is what one director sends to another, as JSON in a user message of memberlist. Exactly
+// one of the fields after From is set.
 type message struct {
-	From            string                   `json:"f"`           // name of the sender
-	LeaseRequest    *membership.LeaseRequest `json:"a,omitempty"` // for the view
-	LeaseGrant      *membership.LeaseGrant   `json:"g,omitempty"` // for the view
-	Hint            *membership.Hint         `json:"h,omitempty"` // about a cache node, broadcast
-	Updates         []gossip.Update          `json:"w,omitempty"` // of the command channel, broadcast or sent
-	Relay           *relays.Message          `json:"o,omitempty"` // between relays of the channel and those that poll them
-	SnapshotRequest policy.Micros            `json:"q,omitempty"` // asks for a snapshot; the asker's time, which the reply returns
-	SnapshotReply   *snapshotReply           `json:"r,omitempty"` // over a connection
+	// Name of the sender.
+	From string `json:"f"`
+	// For the view.
+	LeaseRequest *membership.LeaseRequest `json:"a,omitempty"`
+	// For the view.
+	LeaseGrant *membership.LeaseGrant `json:"g,omitempty"`
+	// About a cache node, broadcast.
+	Hint *membership.Hint `json:"h,omitempty"`
+	// Of the command channel, broadcast or sent.
+	Updates []gossip.Update `json:"w,omitempty"`
+	// About relaying the command channel.
+	Relay *relays.Message `json:"o,omitempty"`
+	// SnapshotRequest asks for a snapshot. It is the requester's time, which the reply returns.
+	SnapshotRequest policy.Micros `json:"q,omitempty"`
+	// Sent over a connection.
+	SnapshotReply *snapshotReply `json:"r,omitempty"`
 }
 
-// snapshotReply is the sender's state after it has received a request for it.
+// snapshotReply is the sender's state at the time when it received a request for it.
 type snapshotReply struct {
-	RequestedAt policy.Micros `json:"q"` // by the asker's clock, from the request
+	RequestedAt policy.Micros `json:"q"` // from the request, on the requester's clock
 	Snapshot
 }
 
-// Snapshot is what one director knows that another which starts, or lost track, should know.
+// Snapshot is the state that a director sends to another that has just started or whose own state
+// may be out of date.
 type Snapshot struct {
-	From           string            `json:"f"`           // name of the sender, set by the Driver
-	ChannelAge     policy.Micros     `json:"a"`           // since the sender's command channel last answered
-	Updates        []gossip.Update   `json:"w"`           // in force
-	UnhealthyNodes []membership.Hint `json:"b,omitempty"` // cache nodes
+	// Name of the sender, set by the Driver.
+	From string `json:"f"`
+	// Time since the sender's command channel last answered.
+	ChannelAge policy.Micros `json:"a"`
+	// Updates in force.
+	Updates []gossip.Update `json:"w"`
+	// Hints about cache nodes.
+	UnhealthyNodes []membership.Hint `json:"b,omitempty"`
 }
 
-// nodeMeta is the metadata that each director adds to its entry in the member list, as JSON.
+// nodeMeta is the metadata of a director's entry in the member list, as JSON.
 type nodeMeta struct {
 	Incarnation uint64 `json:"b"`           // of this process
-	Zone        int    `json:"z"`           // index in the platform's settings
-	Leaving     bool   `json:"l,omitempty"` // it shuts down: its end is no failure
+	Zone        int    `json:"z"`           // index of the zone in the platform's settings
+	Leaving     bool   `json:"l,omitempty"` // the director shuts down; its end is not a failure
 }
--- a/internal/gossipnet/quota.go
+++ b/internal/gossipnet/quota.go
@@ -11,15 +11,15 @@
 	"tallyproxy/policy"
 )
 
-// quota is a multiple of the fixed quota that may be used until a time.
+// quota is a share of a limit, as a multiple of the fixed quota, that may be used until a time.
 type quota struct {
 	value float64
-	until policy.Micros // math.MaxInt64: without limit
+	until policy.Micros // math.MaxInt64: no time limit
 }
 
 var fixedQuota = quota{1, math.MaxInt64}
 
-// remaining is how long a quota holds from now on; negative for without limit.
+// remaining returns how long a quota stays valid; negative for no time limit.
 func (q quota) remaining(now policy.Micros) time.Duration {
 	if q.until == math.MaxInt64 {
 		return -1
@@ -27,7 +27,8 @@
 	return (q.until - now).Duration()
 }
 
-// Quota is what this director may use of a scope's limits now, as a multiple of the fixed quota. It takes no lock. The driver may be nil.
+// Quota returns the share of a scope's limits that this director may use now, as a multiple of the
+// fixed quota. It takes no lock. For a nil Driver it returns the fixed quota.
 func (d *Driver) Quota(now policy.Micros, scope membership.Scope) float64 {
 	if d == nil {
 		return fixedQuota.value
@@ -38,17 +39,18 @@
 	return fixedQuota.value
 }
 
-// publishQuotas puts the quotas of the view in force. A quota that falls is in force before it is logged, and one that rises is logged
-// before it is in force, so that the log never shows less than was used. The caller holds the lock.
+// publishQuotas puts the quotas of the view in force. A quota that falls takes effect before it is
+// logged, and one that rises is logged before it takes effect, so that the logged quota is never
+// lower than the quota in use. The caller holds the lock.
 func (d *Driver) publishQuotas(now policy.Micros) {
 	var quotas [2]quota
 	renewed, changed := false, false
 	for scope := range quotas {
 		value, until := d.view.Quota(now, membership.Scope(scope))
 		quotas[scope] = quota{value, until}
-		before := d.quotas[scope].Load()
-		renewed = renewed || until != before.until
-		changed = changed || value != before.value
+		previous := d.quotas[scope].Load()
+		renewed = renewed || until != previous.until
+		changed = changed || value != previous.value
 	}
 	if !renewed && !changed {
 		return
@@ -64,7 +66,8 @@
 	}
 }
 
-// logQuotas logs the quotas, and those whose lease is only renewed for debugging alone.
+// logQuotas logs the quotas. It logs at debug level if they did not change and only their leases
+// were renewed.
 func logQuotas(now policy.Micros, quotas [2]quota, changed bool) {
 	level := slog.LevelDebug
 	if changed {
--- a/internal/gossipnet/send.go
+++ b/internal/gossipnet/send.go
@@ -15,18 +15,21 @@
 )
 
 const (
-	updatesPerMessage = 12 // as many as fit into a packet
-	broadcastFanout   = 4  // members that each director sends a new update to at once; in five steps it reaches a thousand
+	updatesPerMessage = 12 // maximum that fits into a packet
+	// broadcastFanout is the number of members to which each director sends a new update directly;
+	// in five steps the update reaches a thousand directors.
+	broadcastFanout = 4
 )
 
 // envelope is a message in the outbox.
 type envelope struct {
 	to       string // name of the receiver
 	message  message
-	reliable bool // over a connection: the message may not fit into a packet
+	reliable bool // sent over a connection, since it may not fit into a packet
 }
 
-// enqueue hands a message to sendLoop. Where the outbox is full it is dropped: all messages are repeated, or asked for again.
+// enqueue passes a message to sendLoop. If the outbox is full the message is dropped; all messages
+// are repeated or requested again.
 func (d *Driver) enqueue(e envelope) {
 	e.message.From = d.settings.Name
 	select {
@@ -47,7 +50,7 @@
 	}
 }
 
-// send sends a message to a live member. What can't be sent is dropped.
+// send sends a message to a live member. It drops a message that can't be sent.
 func (d *Driver) send(e envelope) {
 	raw, err := json.Marshal(e.message)
 	if err != nil {
@@ -65,7 +68,8 @@
 	}
 }
 
-// sendReliable sends a message over a connection, without waiting for it. Where too many are on their way it is dropped.
+// sendReliable sends a message over a connection in the background. It drops the message if too
+// many are being sent.
 func (d *Driver) sendReliable(to memberlist.Node, raw []byte) {
 	select {
 	case d.reliableSends <- struct{}{}:
@@ -80,7 +84,8 @@
 	})
 }
 
-// SendRelay sends a relay's message to one director; a list of endpoints goes over a connection. It may be dropped.
+// SendRelay sends a relay message to one director; a list of endpoints is sent over a connection.
+// The message may be dropped.
 func (d *Driver) SendRelay(to string, m relays.Message) {
 	d.enqueue(envelope{to: to, message: message{Relay: &m}, reliable: m.List != nil})
 }
@@ -92,8 +97,9 @@
 	}
 }
 
-// BroadcastUpdates sends updates of the command channel to all directors: to some of them at once, others each time, and to all with
-// memberlist's own gossip. The driver may be nil.
+// BroadcastUpdates sends updates of the command channel to all directors: directly to a few,
+// different ones each time, and to all with memberlist's own gossip. It does nothing on a nil
+// Driver.
 func (d *Driver) BroadcastUpdates(updates []gossip.Update) {
 	if d == nil {
 		return
@@ -103,6 +109,7 @@
 	}
 }
 
+// broadcastChunk broadcasts updates that fit into one message.
 func (d *Driver) broadcastChunk(updates []gossip.Update) {
 	raw, err := json.Marshal(message{From: d.settings.Name, Updates: updates})
 	if err != nil {
@@ -117,12 +124,13 @@
 	}
 	d.mu.Unlock()
 	for k := range receivers {
-		_ = d.memberlist.SendBestEffort(&receivers[k], raw) // it goes with the gossip as well
+		_ = d.memberlist.SendBestEffort(&receivers[k], raw) // it is also sent by gossip
 	}
 	d.broadcasts.QueueBroadcast(updateBroadcast{raw})
 }
 
-// BroadcastHint sends a hint to all directors, with memberlist's own gossip, unless too many were sent lately. The driver may be nil.
+// BroadcastHint sends a hint to all directors with memberlist's own gossip, unless too many hints
+// were sent recently. It does nothing on a nil Driver.
 func (d *Driver) BroadcastHint(hint membership.Hint) {
 	if d == nil {
 		return
@@ -138,32 +146,32 @@
 	}
 }
 
-// updateBroadcast is a message with updates that goes with memberlist's gossip.
+// updateBroadcast is a message with updates that is sent with memberlist's gossip.
 type updateBroadcast struct{ raw []byte }
 
-// Invalidates is false: each update counts.
+// Invalidates returns false, since no update replaces another.
 func (b updateBroadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
-// Message is the encoded message.
+// Message returns the encoded message.
 func (b updateBroadcast) Message() []byte { return b.raw }
 
-// Finished does nothing: nobody waits for a broadcast.
+// Finished does nothing, since nobody waits for a broadcast.
 func (b updateBroadcast) Finished() {}
 
-// hintBroadcast is a message with a hint that goes with memberlist's gossip.
+// hintBroadcast is a message with a hint that is sent with memberlist's gossip.
 type hintBroadcast struct {
 	node string
 	raw  []byte
 }
 
-// Invalidates is true for earlier hints about the same node, whatever their condition.
+// Invalidates returns true for earlier hints about the same node, regardless of their condition.
 func (b hintBroadcast) Invalidates(other memberlist.Broadcast) bool {
 	earlier, ok := other.(hintBroadcast)
 	return ok && earlier.node == b.node
 }
 
-// Message is the encoded message.
+// Message returns the encoded message.
 func (b hintBroadcast) Message() []byte { return b.raw }
 
-// Finished does nothing: nobody waits for a broadcast.
+// Finished does nothing, since nobody waits for a broadcast.
 func (b hintBroadcast) Finished() {}
--- a/internal/gossipnet/snapshot.go
+++ b/internal/gossipnet/snapshot.go
@@ -2,15 +2,17 @@
 
 import "tallyproxy/policy"
 
-// snapshotRequests is the number of directors that are asked for their state at a time.
+// snapshotRequests is the number of directors that are asked for their state at the same time.
 const snapshotRequests = 2
 
+// needsSnapshot reports whether this director should ask others for their state.
 func (d *Driver) needsSnapshot() bool {
 	return d.handlers.NeedsSnapshot != nil && d.handlers.NeedsSnapshot()
 }
 
-// requestSnapshots asks some directors for their state, others each time, while this director needs it. The state that a director sends as
-// it joins is not enough: a connection may hold it back for as long as the two are cut off from each other.
+// requestSnapshots asks a few directors for their state, different ones each time, while this
+// director needs it. The state that a director sends when it joins is not sufficient, because it
+// may be delayed in a connection for as long as the two directors are partitioned.
 func (d *Driver) requestSnapshots() {
 	if !d.needsSnapshot() {
 		return
@@ -25,12 +27,13 @@
 	}
 }
 
+// requestSnapshot asks one director for its state.
 func (d *Driver) requestSnapshot(name string) {
 	d.enqueue(envelope{to: name, message: message{SnapshotRequest: d.now()}})
 }
 
-// replySnapshot sends this director's state to one that has asked for it, unless it is too old to be of use: while no director has a newer
-// one, many ask.
+// replySnapshot sends this director's state to one that requested it, unless the state is too old
+// to be useful: as long as no director has a newer state, many directors ask.
 func (d *Driver) replySnapshot(to string, requestedAt policy.Micros) {
 	snapshot, confirmed := d.handlers.Snapshot()
 	if !confirmed {
--- a/internal/gossipnet/snapshot_test.go
+++ b/internal/gossipnet/snapshot_test.go
@@ -12,8 +12,8 @@
 	"tallyproxy/policy"
 )
 
-// delayingRelay forwards TCP and UDP to an address, and holds all of it until it is released: the first bytes of a connection as they were
-// sent; packets are dropped.
+// delayingRelay forwards TCP and UDP to an address. Until it is released it holds back the first
+// bytes of each connection and drops packets.
 type delayingRelay struct {
 	target   string
 	listener net.Listener
@@ -21,6 +21,7 @@
 	released atomic.Bool
 }
 
+// startDelayingRelay starts a relay that is closed at the end of the test.
 func startDelayingRelay(t *testing.T, listen, target string) *delayingRelay {
 	t.Helper()
 	listener, err := net.Listen("tcp", listen)
@@ -42,6 +43,7 @@
 	return r
 }
 
+// forwardPackets forwards UDP packets after the release and drops them before.
 func (r *delayingRelay) forwardPackets() {
 	out, err := net.Dial("udp", r.target)
 	if err != nil {
@@ -59,6 +61,7 @@
 	}
 }
 
+// accept forwards each TCP connection.
 func (r *delayingRelay) accept() {
 	for {
 		in, err := r.listener.Accept()
@@ -69,6 +72,7 @@
 	}
 }
 
+// forward forwards one connection after the release.
 func (r *delayingRelay) forward(in net.Conn) {
 	defer closeQuietly(in)
 	first := make([]byte, 1<<16)
@@ -89,19 +93,20 @@
 	}
 	go func() {
 		copyQuietly(out, in)
-		_ = out.(*net.TCPConn).CloseWrite() // the other end may be gone
+		_ = out.(*net.TCPConn).CloseWrite() // the other end may have closed the connection
 	}()
 	copyQuietly(in, out)
 }
 
-// copyQuietly copies until either end is gone, which is how each connection of the relay ends.
+// copyQuietly copies until either end closes, which is the normal end of a relayed connection.
 func copyQuietly(to io.Writer, from io.Reader) { _, _ = io.Copy(to, from) }
 
-// closeQuietly closes a connection of the relay; nothing is lost that was written to it.
+// closeQuietly closes a connection of the relay. Data that was written to it is not lost.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// What a director tells of its state as it joins may wait in a connection while more is told: it is not enough, and whoever asks is told the
-// state by then. The relay before n1 holds what n0 sends it first until n0 knows more.
+// TestDelayedSnapshot guards against a director that relies on an outdated snapshot: the state sent
+// at a join may wait in a connection while newer updates arrive, so the director must request the
+// current state. The relay in front of n1 holds back what n0 sends first until n0 has an update.
 func TestDelayedSnapshot(t *testing.T) {
 	addresses, relayAddress := []string{freeAddress(t), freeAddress(t)}, freeAddress(t)
 	relay := startDelayingRelay(t, relayAddress, addresses[1])
@@ -124,7 +129,7 @@
 		NeedsSnapshot: needed.Load,
 		SnapshotReply: func(_ string, requestedAt policy.Micros, s Snapshot) bool {
 			if requestedAt <= policy.Second {
-				t.Errorf("asked at %d", requestedAt)
+				t.Errorf("reply to a request of time %d, before the start of the clock", requestedAt)
 			}
 			needed.Store(false)
 			results <- result{false, len(s.Updates)}
@@ -155,12 +160,12 @@
 				stale = stale || r.updates == 0
 				continue
 			}
-			if !stale || r.updates != 1 { // the state sent as the two joined is what was held
-				t.Errorf("told %d updates; it had been told none before: %v", r.updates, stale)
+			if !stale || r.updates != 1 { // the state sent at the join is the one held back
+				t.Errorf("reply has %d updates, want 1; an outdated snapshot came before: %v, want true", r.updates, stale)
 			}
 			return
 		case <-until:
-			t.Fatal("nobody told its state")
+			t.Fatal("no reply to the snapshot request")
 		}
 	}
 }
--- a/internal/gossipnet/transport.go
+++ b/internal/gossipnet/transport.go
@@ -8,14 +8,15 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's own, over IPv4 alone, but its connections come from the address at which the director listens: on a machine with
-// several addresses, others know the director by that one.
+// transport is memberlist's transport, restricted to IPv4. Its connections originate from the
+// address on which the director listens, because on a machine with several addresses the other
+// directors know the director by that one.
 type transport struct {
 	*memberlist.NetTransport
 	source net.IP
 }
 
-// newTransport opens the sockets at an address.
+// newTransport opens the sockets on an address.
 func newTransport(host string, port int, logger *log.Logger) (*transport, error) {
 	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger})
 	if err != nil {
@@ -33,7 +34,7 @@
 	return dialer.Dial("tcp4", address)
 }
 
-// DialAddressTimeout opens a connection to an address with a name, which this transport does not use.
+// DialAddressTimeout opens a connection to an address. It ignores the node name.
 func (t *transport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(address.Addr, timeout)
 }
