--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -114,7 +114,7 @@
 		{"origin", `"origin-kind":2`, `"origin-kind":9`, "settings: specifics.origin-kind: 9"},
 		{"connect", `"connect-timeout":400,`, ``, "settings: limits.connect-timeout"},
 		{"keepalive", `"keepalive":30000,`, ``, "settings: limits.keepalive"},
-		{"pulls", `"try-limit":3,`, ``, "settings: limits.try-limit"},
+		{"attempts", `"try-limit":3,`, ``, "settings: limits.try-limit"},
 		{"purges", `"gone-everywhere":6000,`, ``, "settings: specifics.gone-everywhere"},
 		{"weights", `"zone":1,`, `"zone":1,"weights":"live",`, `settings: weights: "live"`},
 		{"note level", `"origin-kind":2,`, `"origin-kind":2,"note-level":"some",`, `settings: specifics.note-level: "some"`},
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestDescriptorsFit guards against running out of file descriptors: with a connection to each of
-// 200 nodes and the maximum number of clients, the descriptors of clients, nodes, first connections
-// (a quarter more) and the director itself must fit the limit. Clients must get the third of the
-// descriptors that the platform promises.
+// TestDescriptorsFit guards against a director that runs out of file descriptors. The connections
+// of clients and nodes, a quarter more for the first connections to each of 200 nodes, and the
+// director's own descriptors must fit the limit. Clients must get the third of the descriptors that
+// the platform promises.
 func TestDescriptorsFit(t *testing.T) {
 	const own = 12 // 3 standard files, 4 runtime, 1 listener, 1 over the limit, 2 channel, 1 file
 	for sockets := 64; sockets <= 4096; sockets++ {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -127,7 +127,7 @@
 		{"IPv6", script("[::1]:7946", "", validKey), "director.star:2: peers.listen: \"[::1]:7946\" is no IPv4 address"},
 		{"no port", script("127.0.0.1", "", validKey), "director.star:2: peers.listen:"},
 		{"followers below none", script("127.0.0.1:7946", "followers = -1,", validKey), "director.star:3: peers.followers: -1 is not from 0 to 100"},
-		{"a name as seed", script("127.0.0.1:7946", `seeds = ["depot:7946"],`, validKey), "director.star:3: peers.seeds: \"depot:7946\""},
+		{"host name as seed", script("127.0.0.1:7946", `seeds = ["depot:7946"],`, validKey), "director.star:3: peers.seeds: \"depot:7946\""},
 		{"a seed twice", script("127.0.0.1:7946", `seeds = ["127.0.0.2:1", "127.0.0.2:1"],`, validKey), "director.star:3: peers.seeds:"},
 		{"no key file", script("127.0.0.1:7946", "", dir+"/none"), "director.star:4: peers.key: open"},
 		{"a short key", script("127.0.0.1:7946", "", shortKey), "director.star:4: peers.key: " + shortKey + ": not 64 hex digits"},
@@ -145,7 +145,7 @@
 // name the file, the line and the key.
 func TestOperatorFaults(t *testing.T) {
 	cases := []struct{ name, text, want string }{
-		{"no Starlark", "storm(\n", "director.star:2: "},
+		{"syntax error", "storm(\n", "director.star:2: "},
 		{"unknown name", "\n\nstrom()", "director.star:3: undefined: strom"},
 		{"unknown key", "storm(mode = \"guard\",\n  rises = 2)", "director.star:2: storm.rises: an unknown key"},
 		{"out of range", "storm(\n  rise = 0)", "director.star:2: storm.rise: 0 is not from 0.1 to 100"},
@@ -159,7 +159,7 @@
 		{"no text", "state(socket = 5)", "director.star:1: state.socket: 5 is no plain text"},
 		{"no unit", "\ndoor(settle = 5)", "director.star:2: door.settle: 5 has no unit"},
 		{"too long", "door(settle = minutes(5))", "director.star:1: door.settle: 5m0s is not from"},
-		{"a unit of nothing", "door(settle = ms(\"5\"))", `director.star:1: ms: "5" can't be used here`},
+		{"unit of a string", "door(settle = ms(\"5\"))", `director.star:1: ms: "5" can't be used here`},
 		{"twice", "log()\nlog()", "director.star:2: log: said before, in line 1"},
 		{"without a key", "log(\"info\")", "director.star:1: log: a value without its key"},
 		{"fails", "x = 1 // 0", "director.star:1: floored division by zero"},
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -15,7 +15,7 @@
 	Advertise string   // address and port at which others reach Listen; empty if the same
 	Seeds     []string // addresses and ports of directors to join at the start
 	Fleet     string   // name of the fleet; directors of other fleets are ignored
-	Delegates int      // directors per zone that poll the channel for the others; 0: each polls itself
+	Delegates int      // directors per zone that poll the channel for the others; 0: no delegates
 	KeyFile   string   // path of the file with the key that all directors share
 	SharedKey []byte   // the key: 32 bytes, for AES-256
 }
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -19,9 +19,9 @@
 	AllowPeers bool     // directors may communicate with each other
 }
 
-// shape is the format of a deployment's endpoint lists and answers. Both must have the same format:
-// halfway through a migration, a director would place objects by node sizes and learn from cache
-// notes that answers no longer carry, or it would use neither.
+// shape is the format of a deployment's endpoint lists and answers. Lists and answers must have the
+// same shape. Otherwise, halfway through a migration, a director would place objects by node sizes
+// and still expect cache notes that answers no longer carry, or get neither sizes nor notes.
 type shape string
 
 const (
@@ -29,7 +29,7 @@
 	newShape shape = "new" // nodes have their registered sizes, answers report nothing
 )
 
-// The shape by the value of each of the two keys that determine it.
+// The shape that each value of the two keys stands for.
 var (
 	weightsShapes   = map[string]shape{"": oldShape, "silent": oldShape, "nominal": newShape, "rough": newShape}
 	noteLevelShapes = map[string]shape{"": oldShape, "all": oldShape, "hit": oldShape, "silent": newShape}
--- a/internal/gossipnet/driver.go
+++ b/internal/gossipnet/driver.go
@@ -82,10 +82,10 @@
 	memberlist *memberlist.Memberlist
 	advertised string // address at which others reach this director
 
-	reliableSends    chan struct{}            // one slot for each message being sent over a connection
+	reliableSends    chan struct{}            // one slot for each message being sent
 	quotas           [2]atomic.Pointer[quota] // in force, by membership.Scope
 	memberCount      atomic.Int64             // number of directors, including this one
-	snapshotReceived atomic.Bool              // a sufficient snapshot of another director was received
+	snapshotReceived atomic.Bool              // another's sufficient snapshot was received
 
 	cancel  context.CancelFunc // ends the loops
 	running sync.WaitGroup     // the loops and the goroutines that they start
--- a/internal/gossipnet/driver_test.go
+++ b/internal/gossipnet/driver_test.go
@@ -90,7 +90,7 @@
 }
 
 // TestDriver guards against directors that do not find each other, hints and updates that do not
-// reach all others, and a shutdown that is not told apart from a crash. It also guards against a
+// reach all others, and an announced shutdown that looks like a crash. It also guards against a
 // memberlist release that changes the log line with which memberlist reports a suspicion, since
 // there is no other report of it.
 func TestDriver(t *testing.T) {
--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -11,7 +11,7 @@
 	Stopping            = "stopping"              // a stop signal arrived
 	Stopped             = "stopped"               // all requests were answered
 	Reloaded            = "reloaded"              // SIGHUP: the new configuration is in force
-	ReloadRejected      = "reload_rejected"       // SIGHUP: invalid configuration, the old one stays
+	ReloadRejected      = "reload_rejected"       // SIGHUP: invalid configuration, the old stays
 	SettingsPrint       = "settings_print"        // output of print() in the operator's settings
 	MemoryReleaseFailed = "memory_release_failed" // unused memory was not returned to the system
 	PanicRecovered      = "panic_recovered"       // a panic ended one connection or one event
@@ -25,7 +25,7 @@
 	DiscoveryUnknownCommand = "discovery_unknown_command" // a command of unknown kind was skipped
 	DiscoveryEvents         = "discovery_events"          // events were received
 	DiscoveryUnreachable    = "discovery_unreachable"     // no known director reaches the channel
-	DiscoveryReachable      = "discovery_reachable"       // a known director reaches the channel again
+	DiscoveryReachable      = "discovery_reachable"       // a director reaches the channel again
 )
 
 // Events of pauses of the whole process.
@@ -38,7 +38,7 @@
 const (
 	AcceptFailed           = "accept_failed"            // a client connection could not be accepted
 	BadRequest             = "bad_request"              // a request is invalid
-	UnprocessableRequest   = "unprocessable_request"    // cache nodes agree that a request is invalid
+	UnprocessableRequest   = "unprocessable_request"    // cache nodes agree: a request is invalid
 	DownstreamMalformed    = "downstream_malformed"     // a client sent a malformed message
 	DownstreamWriteStalled = "downstream_write_stalled" // a client does not read its answers
 	// The machine delayed the close of a connection; requests that crossed it are lost.
@@ -55,18 +55,18 @@
 const (
 	GossipStarted        = "gossip_started"         // the member list listens
 	GossipReceived       = "gossip_received"        // an update arrived from another director
-	PeerState            = "peer_state"             // another director joined, left, failed or is suspected
+	PeerState            = "peer_state"             // another director's state changed
 	PeerNameConflict     = "peer_name_conflict"     // another process uses this director's name
 	PeerNameReleased     = "peer_name_released"     // the name conflict has ended
 	PeerListFailed       = "peer_list_failed"       // a list was not sent to a peer
 	PeerJoinFailed       = "peer_join_failed"       // a peer could not be joined
 	PeerMessageMalformed = "peer_message_malformed" // a message of a peer is malformed
 	MembershipView       = "membership_view"        // the view of the members changed
-	ViewUnconfirmed      = "view_unconfirmed"       // whether this director's state may be out of date
-	Quota                = "quota"                  // share of the limits that this director may use
+	ViewUnconfirmed      = "view_unconfirmed"       // whether the state may be out of date
+	Quota                = "quota"                  // usable share of the limits
 	HintProbed           = "hint_probed"            // an endpoint was probed after a peer's hint
 	WarmStart            = "warm_start"             // endpoint states were adopted from a peer
-	RelayRole            = "relay_role"             // whether this director polls the command channel
+	RelayRole            = "relay_role"             // whether it polls the command channel
 	EndpointListRelayed  = "endpoint_list_relayed"  // an endpoint list was received from a peer
 	Memberlist           = "memberlist"             // a log line of the memberlist library
 	MemberlistErrors     = "memberlist_errors"      // number of memberlist's error lines
--- a/internal/server/director_test.go
+++ b/internal/server/director_test.go
@@ -45,7 +45,7 @@
 	c.close(t)
 	d.stopAndWait(t)
 	for _, x := range []struct{ name, settings, want string }{
-		{"sizes, notes told", settingsWith("nominal", "all"),
+		{"sizes, notes reported", settingsWith("nominal", "all"),
 			`settings: specifics.note-level: "all" is of the old shape, but weights "nominal" of the new one`},
 		{"no sizes, silent notes", settingsWith("silent", "silent"),
 			`settings: specifics.note-level: "silent" is of the new shape, but weights "silent" of the old one`},
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -47,7 +47,7 @@
 	// and the others are zero.
 	relay           *relayClient
 	store           *gossip.Store // guarded by mu
-	retention       policy.Micros // without news from the channel for so long, it is unreachable
+	retention       policy.Micros // time without answers after which the channel is unreachable
 	observeInterval time.Duration
 	pending         chan receivedUpdate  // read by receiveUpdates
 	hints           chan membership.Hint // read by probeHinted
--- a/internal/server/gossip_snapshot.go
+++ b/internal/server/gossip_snapshot.go
@@ -43,8 +43,8 @@
 	return confirmed && g.applySnapshot(from, snapshot) && g.enqueue(receivedUpdate{from: from, snapshotEnd: true})
 }
 
-// applySnapshot queues the updates of a snapshot, which only restrict what the director may do and
-// are therefore applied whether or not the snapshot confirms its state. It returns false if the
+// applySnapshot queues the updates of a snapshot. They only restrict what this director does, so
+// they apply whether or not the snapshot confirms its state. applySnapshot returns false if the
 // queue had no room for all of them.
 func (g *gossipDriver) applySnapshot(from string, snapshot gossipnet.Snapshot) (complete bool) {
 	complete = true
--- a/internal/server/gossip_updates.go
+++ b/internal/server/gossip_updates.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// applyUpdate applies an update from another director if it is a restriction that is not in force
-// yet, and reports whether to forward it.
+// applyUpdate applies an update from another director if the store accepts it, and reports whether
+// to forward it.
 func (g *gossipDriver) applyUpdate(received receivedUpdate) (forward bool) {
 	g.mu.Lock()
 	apply, forward := g.store.Received(g.now(), received.from, received.Update)
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -59,7 +59,7 @@
 }
 
 // TestSIGTERMWhileANodeHangs guards against a process that is killed with unanswered requests:
-// requests at an unresponsive node must be answered before the process results, even if their own
+// requests at an unresponsive node must be answered before the process ends, even if their own
 // deadline is later.
 func TestSIGTERMWhileANodeHangs(t *testing.T) {
 	// Not retried, so the director waits for the node until the end.
