--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Statuses of answers that clients look at.
+// Answer statuses that clients evaluate.
 const (
 	statusOK       = "200"
 	statusRejected = "503"
@@ -17,37 +17,38 @@
 
 const (
 	clientDialTimeout = 3 * time.Second
-	redialPause       = 50 * time.Millisecond  // before the next director is tried
-	answerSlack       = 100 * time.Millisecond // for which a client waits beyond its time
-	minimumAttempt    = 10 * time.Millisecond  // no attempt begins with less time left
-	earlySlack        = 5 * time.Millisecond   // by which a retry may come before its time
-	idleFor           = 2 * time.Second        // of a connection that says nothing
+	redialPause       = 50 * time.Millisecond  // before connecting to the next director
+	answerWaitSlack   = 100 * time.Millisecond // extra wait for an answer
+	minAttemptTime    = 10 * time.Millisecond  // no attempt starts with less time left
+	earlyRetrySlack   = 5 * time.Millisecond   // how early a retry may be sent
+	idleDuration      = 2 * time.Second        // how long an idle connection stays open
 )
 
-var errAnswerOwed = errors.New("an answer was owed")
+var errNoAnswer = errors.New("no answer in time")
 
-// Client requests objects of one director, and goes to another when that one is gone. One goroutine uses it.
+// Client requests objects from one director and switches to another if it cannot connect. It must
+// be used by one goroutine only.
 type Client struct {
-	Cluster          *Cluster      // whose statistics it adds to
-	Targets          []*Target     // the directors that it knows
-	Current          int           // index of the director that it uses
-	LocalAddress     string        // its own address, on loopback; empty for any
-	IgnoreRetryAfter bool          // it comes back after RetryPause, whatever it was told
-	UnmarkedRetries  bool          // it does not mark its retries
-	MaxRetries       int           // of one request
-	RetryPause       time.Duration // before a retry that was not told another time
-	FreshConnections bool          // it opens a connection for every attempt
-	Rand             *rand.Rand    // of its own
-	Zipf             *Zipf         // popularity of the objects that it requests
+	Cluster          *Cluster      // its Clients statistics are updated
+	Targets          []*Target     // directors it may connect to
+	Current          int           // index of the current director in Targets
+	LocalAddress     string        // local address on loopback; empty for any
+	IgnoreRetryAfter bool          // retries after RetryPause and ignores retry-after times
+	UnmarkedRetries  bool          // does not mark its retries as such
+	MaxRetries       int           // retries per request, at most
+	RetryPause       time.Duration // before a retry without a retry-after time
+	FreshConnections bool          // opens a new connection for every attempt
+	Rand             *rand.Rand    // not shared with other goroutines
+	Zipf             *Zipf         // popularity of the requested objects
 
 	conn      net.Conn
 	answers   answerReader
-	tag       int       // of the last attempt
-	used      bool      // the connection has carried an attempt
-	notBefore time.Time // the time that it was last told to come back at
+	tag       int       // tag of the last attempt
+	used      bool      // an attempt was sent on the connection
+	notBefore time.Time // earliest time of the next retry, from the last retry-after
 }
 
-// Close ends its connection.
+// Close closes the connection, if there is one.
 func (c *Client) Close() {
 	if c.conn != nil {
 		closeQuietly(c.conn)
@@ -55,7 +56,8 @@
 	}
 }
 
-// Connect opens a connection where there is none, to the next director that accepts one. It fails only where the context ends.
+// Connect opens a connection if there is none, trying directors until one accepts. It fails only
+// when the context ends.
 func (c *Client) Connect(ctx context.Context) error {
 	for c.conn == nil {
 		dialer := net.Dialer{Timeout: clientDialTimeout}
@@ -71,7 +73,8 @@
 		if ctx.Err() != nil {
 			return err
 		}
-		// Any other director: the next one in order would have the clients of seven that were killed all come to the eighth.
+		// The next director is drawn at random: if clients took the next one in order, all clients
+		// of seven killed directors would move to the eighth.
 		c.Current = (c.Current + 1 + c.Rand.IntN(max(1, len(c.Targets)-1))) % len(c.Targets)
 		if !Sleep(ctx, redialPause) {
 			return ctx.Err()
@@ -80,8 +83,8 @@
 	return nil
 }
 
-// Attempt makes one attempt, which has a time at the most, and returns the answer's status, the time that it tells to stay away, and the
-// body. The key is empty where the content type needs none.
+// Attempt makes one attempt with the given timeout and returns the status of the answer, its
+// retry-after time and its body. The key is empty if the content type needs none.
 func (c *Client) Attempt(ctx context.Context, o Object, timeout time.Duration, isRetry bool, key string) (status string,
 	retryAfter time.Duration, body string, err error) {
 	for resent := false; ; resent = true {
@@ -98,15 +101,16 @@
 		target := c.Targets[c.Current]
 		killed, paused := target.isKilled(), target.pausedAt(sentAt+timeout)
 		c.Close()
-		if reused && !resent && !killed && !errors.Is(err, errAnswerOwed) {
-			continue // it crossed the end of a resting connection, and is sent once more
+		if reused && !resent && !killed && !errors.Is(err, errNoAnswer) {
+			continue // the director closed the idle connection meanwhile; resend the request once
 		}
 		c.recordLoss(ctx, err, killed, paused, reused)
 		return "", 0, "", err
 	}
 }
 
-// roundTrip sends a request and waits for its answer.
+// roundTrip sends a request and waits for its answer. sentAt is the time just before the request
+// was written.
 func (c *Client) roundTrip(o Object, timeout time.Duration, isRetry bool, key string) (answer clientAnswer, sentAt time.Duration,
 	err error) {
 	c.tag++
@@ -114,12 +118,13 @@
 	sentAt = c.Cluster.Now()
 	c.Cluster.Clients.WithLock(func(s *ClientStats) { count(&s.AttemptSeries, sentAt) })
 	if _, err = c.conn.Write(message); err == nil {
-		answer, err = c.readAnswer(c.tag, timeout+answerSlack)
+		answer, err = c.readAnswer(c.tag, timeout+answerWaitSlack)
 	}
 	return answer, sentAt, err
 }
 
-// recordAnswer counts a client's answer to a request that it sent at a time, and what is wrong with its bytes.
+// recordAnswer counts an answer to a request sent at sentAt, and checks the body for a wrong or
+// stale object.
 func (c *Cluster) recordAnswer(o Object, sentAt time.Duration, answer clientAnswer) {
 	c.Clients.WithLock(func(s *ClientStats) {
 		s.AnswersByStatus[answer.status]++
@@ -135,19 +140,20 @@
 			s.WrongBodies++
 			return
 		}
-		if at := c.bindingPurge(o.ID, o.Group, sentAt); at > 0 && born < c.startedAt.Add(at).UnixMilli() {
+		if at := c.latestEnforceablePurge(o.ID, o.Group, sentAt); at > 0 && born < c.startedAt.Add(at).UnixMilli() {
 			s.StaleCopies++
 		}
 	})
 }
 
-// recordLoss counts an attempt that has no answer. One whose client gave up is owed none.
+// recordLoss counts an attempt without an answer. No answer is owed if the context of the client
+// has ended.
 func (c *Client) recordLoss(ctx context.Context, err error, killed, paused, reused bool) {
 	c.Cluster.Clients.WithLock(func(s *ClientStats) {
 		switch {
 		case killed:
 			s.LostToKills++
-		case paused && errors.Is(err, errAnswerOwed):
+		case paused && errors.Is(err, errNoAnswer):
 			s.LostToPauses++
 		case ctx.Err() == nil:
 			s.Lost++
@@ -156,7 +162,8 @@
 	})
 }
 
-// Request asks for an object, and again where it is rejected or fails, until it has it, its time is up or its retries are used.
+// Request requests an object and retries rejected or failed attempts until one succeeds, the
+// timeout of the content type expires, or MaxRetries is used up.
 func (c *Client) Request(ctx context.Context, o Object) ClientRequest {
 	request := ClientRequest{
 		ContentType:       o.Type,
@@ -169,15 +176,15 @@
 		key = fmt.Sprintf("%016x%016x", c.Rand.Uint64(), c.Rand.Uint64())
 	}
 	for {
-		left := o.Type.Timeout - (c.Cluster.Now() - request.StartedAt)
-		if left <= minimumAttempt || request.Attempts > c.MaxRetries || ctx.Err() != nil {
+		remaining := o.Type.Timeout - (c.Cluster.Now() - request.StartedAt)
+		if remaining <= minAttemptTime || request.Attempts > c.MaxRetries || ctx.Err() != nil {
 			break
 		}
-		retryAfter := c.attemptOf(ctx, &request, o, left, key)
+		retryAfter := c.nextAttempt(ctx, &request, o, remaining, key)
 		if request.Succeeded {
 			break
 		}
-		if pause := c.pauseBefore(retryAfter); pause > 0 && !Sleep(ctx, pause) {
+		if pause := c.retryDelay(retryAfter); pause > 0 && !Sleep(ctx, pause) {
 			break
 		}
 	}
@@ -187,14 +194,15 @@
 	return request
 }
 
-// attemptOf makes the next attempt of a request, and returns the time that it was told to stay away; 0 for none.
-func (c *Client) attemptOf(ctx context.Context, request *ClientRequest, o Object, left time.Duration, key string) time.Duration {
+// nextAttempt makes the next attempt of a request and returns the retry-after time of its answer; 0
+// for none.
+func (c *Client) nextAttempt(ctx context.Context, request *ClientRequest, o Object, remaining time.Duration, key string) time.Duration {
 	request.Attempts++
 	isRetry := request.Attempts > 1
-	if isRetry && time.Until(c.notBefore) > earlySlack {
+	if isRetry && time.Until(c.notBefore) > earlyRetrySlack {
 		c.Cluster.Clients.WithLock(func(s *ClientStats) { s.EarlyRetries++ })
 	}
-	status, retryAfter, _, err := c.Attempt(ctx, o, left, isRetry, key)
+	status, retryAfter, _, err := c.Attempt(ctx, o, remaining, isRetry, key)
 	request.LastStatus = status
 	if err == nil && !isRetry {
 		c.Cluster.Clients.WithLock(func(s *ClientStats) { s.FirstAnswered++ })
@@ -206,8 +214,9 @@
 	return retryAfter
 }
 
-// pauseBefore is how long the client waits before a retry, given the time that it was told to stay away; 0 for none.
-func (c *Client) pauseBefore(retryAfter time.Duration) time.Duration {
+// retryDelay returns how long the client waits before a retry, given the retry-after time of the
+// last answer; 0 for none.
+func (c *Client) retryDelay(retryAfter time.Duration) time.Duration {
 	c.notBefore = time.Time{}
 	if retryAfter <= 0 {
 		return c.RetryPause
@@ -221,8 +230,8 @@
 	return retryAfter
 }
 
-// Run requests one object after another until the context ends, from a time since the cluster's start on, with a pause of meanPause on
-// average between them.
+// Run requests one object after another, from the given time since the start of the cluster until
+// the context ends. The pauses between requests average meanPause.
 func (c *Client) Run(ctx context.Context, from, meanPause time.Duration) {
 	defer c.Close()
 	if !Sleep(ctx, from-c.Cluster.Now()) {
@@ -236,21 +245,21 @@
 	}
 }
 
-// Idle connects and says nothing, again and again, until the context ends.
+// Idle opens connections one after another and sends nothing on them, until the context ends.
 func (c *Client) Idle(ctx context.Context) {
 	defer c.Close()
 	for ctx.Err() == nil {
 		if c.Connect(ctx) != nil {
 			return
 		}
-		if err := c.conn.SetReadDeadline(time.Now().Add(idleFor)); err == nil {
-			_, _ = c.conn.Read(c.answers.buffer[:]) // however it ends, the next connection follows
+		if err := c.conn.SetReadDeadline(time.Now().Add(idleDuration)); err == nil {
+			_, _ = c.conn.Read(c.answers.buffer[:]) // ignored: the next connection follows
 		}
 		c.Close()
 	}
 }
 
-// Sleep waits; it returns false when the context has ended.
+// Sleep waits for d. It returns false if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/fakes/client_protocol.go
+++ b/internal/fakes/client_protocol.go
@@ -12,29 +12,29 @@
 	"github.com/tidwall/redcon"
 )
 
-// Ends of a connection before the answer.
+// Errors of a connection that ended before an answer.
 var (
 	errConnectionClosed = errors.New("closed")
 	errConnectionReset  = errors.New("reset")
-	errMalformedAnswer  = errors.New("answer that can't be read")
+	errMalformedAnswer  = errors.New("malformed answer")
 )
 
-const answerWords = 4 // tag, status, fields, body
+const answerParts = 4 // tag, status, fields, body
 
-// clientAnswer is a director's answer.
+// clientAnswer is an answer of a director to a client.
 type clientAnswer struct {
 	status     string
-	retryAfter time.Duration // the time to stay away; 0 where it tells none
+	retryAfter time.Duration // retry-after time; 0 if none is given
 	body       string
 }
 
-// requestParameters are what a request's message says, but for its object.
+// requestParameters holds the parameters of a request message, apart from its object.
 type requestParameters struct {
 	tag           int
-	transactionID string // 16 hexadecimal digits, new with every attempt
+	transactionID string // 16 hexadecimal digits, new for every attempt
 	timeout       time.Duration
 	isRetry       bool
-	key           string // empty where the content type needs none
+	key           string // idempotency key; empty if the content type needs none
 }
 
 // requestMessage returns the message that requests an object.
@@ -46,36 +46,37 @@
 	if p.key != "" {
 		fields += ",unique=" + p.key
 	}
-	return messageOf("ASK", strconv.Itoa(p.tag), o.Type.Name, fields)
+	return encodeMessage("ASK", strconv.Itoa(p.tag), o.Type.Name, fields)
 }
 
-// cancelMessage returns the message that says that the client no longer waits for a tag's answer.
-func cancelMessage(tag int) []byte { return messageOf("NEVERMIND", strconv.Itoa(tag)) }
+// cancelMessage returns the message by which a client cancels the request with the given tag.
+func cancelMessage(tag int) []byte { return encodeMessage("NEVERMIND", strconv.Itoa(tag)) }
 
-func messageOf(words ...string) []byte {
-	message := redcon.AppendArray(nil, len(words))
-	for _, word := range words {
-		message = redcon.AppendBulkString(message, word)
+func encodeMessage(parts ...string) []byte {
+	message := redcon.AppendArray(nil, len(parts))
+	for _, part := range parts {
+		message = redcon.AppendBulkString(message, part)
 	}
 	return message
 }
 
-// answerReader reads a director's answers. One goroutine uses it.
+// answerReader reads answers of a director. It must be used by one goroutine only.
 type answerReader struct {
 	conn   net.Conn
-	unread []byte // input that is not parsed yet
+	unread []byte // input not parsed yet
 	buffer [4096]byte
 }
 
-// next waits for the next answer, until the connection's read deadline at the most; errAnswerOwed then.
+// next waits for the next answer. It returns errNoAnswer when the read deadline of the connection
+// expires.
 func (r *answerReader) next() (tag int, answer clientAnswer, err error) {
 	for {
-		complete, words, _, rest, err := redcon.ReadNextCommand(r.unread, nil)
+		complete, parts, _, rest, err := redcon.ReadNextCommand(r.unread, nil)
 		if err != nil {
 			return 0, clientAnswer{}, err
 		}
 		if complete {
-			return r.take(words, rest)
+			return r.consume(parts, rest)
 		}
 		if err := r.readMore(); err != nil {
 			return 0, clientAnswer{}, err
@@ -83,18 +84,18 @@
 	}
 }
 
-// take reads a complete answer, and keeps what follows it.
-func (r *answerReader) take(words [][]byte, rest []byte) (tag int, answer clientAnswer, err error) {
-	if len(words) != answerWords {
+// consume decodes a complete answer and keeps the input that follows it.
+func (r *answerReader) consume(parts [][]byte, rest []byte) (tag int, answer clientAnswer, err error) {
+	if len(parts) != answerParts {
 		return 0, answer, errMalformedAnswer
 	}
-	tag, _ = strconv.Atoi(string(words[0])) // what is no number is the answer to no tag
-	answer = parseAnswer(string(words[1]), string(words[2]), string(words[3]))
+	tag, _ = strconv.Atoi(string(parts[0])) // an invalid tag reads as 0, which no request has
+	answer = parseAnswer(string(parts[1]), string(parts[2]), string(parts[3]))
 	r.unread = append([]byte(nil), rest...)
 	return tag, answer, nil
 }
 
-// readMore reads once from the connection.
+// readMore reads once from the connection and maps its errors to those of this package.
 func (r *answerReader) readMore() error {
 	n, err := r.conn.Read(r.buffer[:])
 	if n > 0 {
@@ -104,7 +105,7 @@
 	var netErr net.Error
 	switch {
 	case errors.As(err, &netErr) && netErr.Timeout():
-		return errAnswerOwed
+		return errNoAnswer
 	case errors.Is(err, io.EOF):
 		return errConnectionClosed
 	case err != nil:
@@ -113,9 +114,10 @@
 	return nil
 }
 
-// readAnswer waits for the answer to a tag. Answers to other tags are counted as duplicates.
-func (c *Client) readAnswer(tag int, atMost time.Duration) (clientAnswer, error) {
-	if err := c.conn.SetReadDeadline(time.Now().Add(atMost)); err != nil {
+// readAnswer waits for the answer with the given tag. Answers with other tags are counted as
+// duplicates.
+func (c *Client) readAnswer(tag int, timeout time.Duration) (clientAnswer, error) {
+	if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return clientAnswer{}, errConnectionClosed
 	}
 	for {
@@ -127,17 +129,19 @@
 	}
 }
 
-// parseAnswer reads an answer's words. The field "later" is the time to stay away, in milliseconds.
+// parseAnswer decodes the parts of an answer. The field "later" is the retry-after time in
+// milliseconds.
 func parseAnswer(status, fields, body string) clientAnswer {
 	answer := clientAnswer{status: status, body: body}
 	if text, ok := strings.CutPrefix(fields, "later="); ok {
-		ms, _ := strconv.Atoi(text) // what is no number tells no time
+		ms, _ := strconv.Atoi(text) // an invalid number means no retry-after time
 		answer.retryAfter = time.Duration(ms) * time.Millisecond
 	}
 	return answer
 }
 
-// parseBody reads what a node's body tells: the object's id, and when the origin gave the copy out, in milliseconds of Unix time.
+// parseBody parses the body of a node's answer: the object's ID, and when the origin issued the
+// copy, in milliseconds of Unix time.
 func parseBody(body string) (id string, born int64, ok bool) {
 	id, rest, _ := strings.Cut(body, "/0 born ")
 	_, err := fmt.Sscan(rest, &born)
--- a/internal/fakes/copies.go
+++ b/internal/fakes/copies.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// cachedCopy is a copy of an object's part that a node holds.
+// cachedCopy is a copy of one part of an object that a node holds.
 type cachedCopy struct {
 	key  string    // object and part
-	born time.Time // when the origin gave it out
+	born time.Time // when the origin issued it
 }
 
-// fillDone takes the end of a fill: when the copy was given out by the origin, zero where the fill failed, and a note.
-type fillDone func(born time.Time, note string)
+// fillCallback is called at the end of a fill with the time at which the origin issued the copy,
+// zero if the fill failed, and a note for the answer.
+type fillCallback func(born time.Time, note string)
 
-// pendingFill is a fill that is under way.
+// pendingFill is a fill in progress.
 type pendingFill struct {
-	waiters []fillDone // of requests that have joined it
+	waiters []fillCallback // callbacks of requests that joined the fill
 }
 
-// connectTimeout is after how long a node gives up a source that does not answer.
+// connectTimeout is how long a node waits for a source that does not answer.
 const connectTimeout = 300 * time.Millisecond
 
-// fill fetches a copy from a source, over the zone's link, and calls done at its end, under the lock. The caller holds the lock.
-func (n *Node) fill(source *Node, key string, work float64, onlyIfCached bool, isFresh func(time.Time) bool, done fillDone) {
+// fill fetches a copy from a source over the zone's link. It calls done at the end of the fill,
+// with the lock held. The caller holds the lock.
+func (n *Node) fill(source *Node, key string, work float64, onlyIfCached bool, isFresh func(time.Time) bool, done fillCallback) {
 	c := n.cluster
 	if source.listener == nil || source.fault == FaultNoAnswer {
 		time.AfterFunc(connectTimeout, func() {
@@ -34,11 +36,12 @@
 		return
 	}
 	source.recordWork(work / c.FillSpeedup)
-	if source.listener == nil { // that was too much for it
+	if source.listener == nil { // recordWork took the source down for overload
 		done(time.Time{}, noteCutOff)
 		return
 	}
-	born, note, partsLeft := source.lookup(key), noteFilled, 2 // the source's transfer and the link's
+	// Two parts: the transfer at the source and the transfer on the link.
+	born, note, partsLeft := source.lookup(key), noteFilled, 2
 	partDone := func() {
 		if partsLeft--; partsLeft == 0 {
 			done(born, note)
@@ -63,7 +66,8 @@
 	c.links[c.ZoneOf(n.Name)].add(work, partDone)
 }
 
-// fillFromOrigin has a parent fetch its own copy, and calls done under the lock with the time at which the origin gave it out.
+// fillFromOrigin makes a parent fetch its copy from the origin. It calls done, with the lock held,
+// with the time at which the origin issued the copy.
 func (n *Node) fillFromOrigin(key string, work float64, done func(born time.Time)) {
 	c := n.cluster
 	time.AfterFunc(c.OriginLatency, func() {
@@ -78,14 +82,15 @@
 	})
 }
 
-// lookup returns when the copy that is held was given out by the origin; zero for none.
+// lookup returns when the origin issued the copy that the node holds, or the zero time if it holds
+// none. It drops a copy that was purged.
 func (n *Node) lookup(key string) time.Time {
 	e := n.copies[key]
 	if e == nil || n.Kind == Origin {
 		return time.Time{}
 	}
 	object, _, _ := strings.Cut(key, "/")
-	if born := e.Value.(*cachedCopy).born; n.cluster.mayKeep(object, born) {
+	if born := e.Value.(*cachedCopy).born; n.cluster.mayHoldCopy(object, born) {
 		n.copyOrder.MoveToFront(e)
 		return born
 	}
@@ -94,7 +99,8 @@
 	return time.Time{}
 }
 
-// store keeps a copy, and drops the one that was least recently used where there are too many. The caller holds the lock.
+// store keeps a copy, and evicts the least recently used copy if there are more than CacheEntries.
+// The caller holds the lock.
 func (n *Node) store(key string, born time.Time) {
 	if e := n.copies[key]; e != nil {
 		e.Value.(*cachedCopy).born = born
@@ -109,7 +115,7 @@
 	}
 }
 
-// Prefill gives a node copies of objects, as if they had been requested long ago.
+// Prefill stores current copies of the objects at a node, as if they had been requested earlier.
 func (n *Node) Prefill(objects ...Object) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -118,10 +124,12 @@
 	}
 }
 
-// popularObjects are held by every cache after a calm day.
+// popularObjects is the number of the most popular objects per content type that PrefillCaches
+// stores in every cache.
 const popularObjects = 64
 
-// PrefillCaches gives the caches and parents what they would hold after a long calm day.
+// PrefillCaches fills the caches and parents with the copies that they would hold after a long
+// period of normal traffic.
 func (c *Cluster) PrefillCaches() {
 	for i, n := range c.Nodes {
 		if n.Kind == Origin {
--- a/internal/fakes/effects.go
+++ b/internal/fakes/effects.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// maxKeyEvents is how many events of a key are kept.
+// maxKeyEvents is the number of recorded events per key.
 const maxKeyEvents = 32
 
-// effect is what requests with one key have done.
+// effect records the effects of requests with one idempotency key.
 type effect struct {
-	first  time.Duration // when the attempt arrived that last did it anew
+	first  time.Duration // arrival of the latest attempt that was not a duplicate
 	times  int
-	events []string // what clients and nodes did with the key, with times
+	events []string // actions of clients and nodes on the key, with times
 }
 
-// recordKeyEvent keeps what was done with a key, to be told where it has its effect twice. The caller holds the lock.
+// recordKeyEvent records an event of a key, for the report on keys that took effect twice. The
+// caller holds the lock.
 func (c *Cluster) recordKeyEvent(key, format string, args ...any) {
 	e := c.effects[key]
 	if key == "" || len(e.events) >= maxKeyEvents {
@@ -28,8 +29,8 @@
 	c.effects[key] = e
 }
 
-// noteKey is recordKeyEvent for clients, which do not hold the lock.
-func (c *Cluster) noteKey(key, format string, args ...any) {
+// recordClientKeyEvent is recordKeyEvent for clients, which do not hold the lock.
+func (c *Cluster) recordClientKeyEvent(key, format string, args ...any) {
 	if key == "" {
 		return
 	}
@@ -38,7 +39,8 @@
 	c.recordKeyEvent(key, format, args...)
 }
 
-// RepeatedEffectEvents returns what was done with the keys that had their effect twice, a line each.
+// RepeatedEffectEvents returns the recorded events of all keys that took effect twice, one line
+// each.
 func (c *Cluster) RepeatedEffectEvents() (events []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,8 +52,9 @@
 	return events
 }
 
-// recordEffect counts the effect of an attempt that arrived at a time. One that arrived within the window after the first is dropped as
-// a repeat, whenever its turn comes. The caller holds the lock.
+// recordEffect counts the effect of an attempt that arrived at arrivedAt. An attempt that arrived
+// within the dedup window after the last counted one is dropped as a duplicate, no matter when it
+// is processed. The caller holds the lock.
 func (c *Cluster) recordEffect(key string, t *ContentType, arrivedAt time.Duration) {
 	if key == "" {
 		return
@@ -65,17 +68,18 @@
 	c.effects[key] = e
 }
 
-// EffectCount returns how often a key had its effect.
+// EffectCount returns how often the request with a key took effect.
 func (c *Cluster) EffectCount(key string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.effects[key].times
 }
 
-// effectStripes divide the locks of instantEffects, so that they stay out of the way of measurements.
+// effectStripes is the number of separately locked stripes of instantEffects. They keep lock
+// contention out of measurements.
 const effectStripes = 64
 
-// instantEffects counts effects of keys at nodes that answer at once.
+// instantEffects counts the effects per key at nodes that answer instantly.
 type instantEffects struct {
 	stripes [effectStripes]struct {
 		sync.Mutex
@@ -83,7 +87,7 @@
 	}
 }
 
-// add counts an effect. The key is not empty.
+// add counts an effect. The key must not be empty.
 func (e *instantEffects) add(key string) {
 	s := &e.stripes[key[len(key)-1]%effectStripes]
 	s.Lock()
@@ -94,7 +98,8 @@
 	s.times[key]++
 }
 
-// RepeatedInstantEffects returns how many keys had their effect more than once at nodes that answer at once.
+// RepeatedInstantEffects returns the number of keys that took effect more than once at nodes that
+// answer instantly.
 func (c *Cluster) RepeatedInstantEffects() (n int) {
 	for i := range c.instantEffects.stripes {
 		n += c.instantEffects.repeatedIn(i)
--- a/internal/fakes/effects_test.go
+++ b/internal/fakes/effects_test.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-// Guards against judging a director by when an attempt has its turn at the origin: the window runs from arrival to arrival.
+// TestDedupWindowRunsFromArrivals guards against measuring the dedup window by when the origin
+// processes an attempt: the window runs from the arrival of one attempt to the arrival of the
+// other.
 func TestDedupWindowRunsFromArrivals(t *testing.T) {
 	contentType := &ContentType{DedupWindow: 3 * time.Second}
 	for _, c := range []struct {
--- a/internal/fakes/moments.go
+++ b/internal/fakes/moments.go
@@ -5,18 +5,20 @@
 	"sync"
 )
 
-// Moment is something that a client or a harness has just done or seen. Others act upon it, so that their actions meet it.
+// Moment is a kind of event in a client or test harness. Subscribers time their own actions to
+// coincide with such events.
 type Moment int
 
-// The moments.
+// The kinds of events.
 const (
-	RequestSent     Moment = iota // a request's last byte is written
-	AnswerReceived                // an answer has come
-	ConnectionEnded               // a director has ended a connection
-	SignalSent                    // a director was sent a signal
+	RequestSent     Moment = iota // the last byte of a request was written
+	AnswerReceived                // an answer was received
+	ConnectionEnded               // a director closed a connection
+	SignalSent                    // a signal was sent to a director
 )
 
-// Moments tells subscribers of moments. The zero value has no subscribers; any goroutine may use it.
+// Moments distributes events to subscribers. The zero value has no subscribers. It is safe for
+// concurrent use.
 type Moments struct {
 	mu            sync.Mutex
 	subscriptions []*subscription
@@ -24,10 +26,11 @@
 
 type subscription struct {
 	moments []Moment
-	notify  chan struct{} // of one element
+	notify  chan struct{} // capacity 1
 }
 
-// Subscribe returns a channel that gets an element after moments of some kinds, until cancel is called.
+// Subscribe returns a channel that receives an element after events of the given kinds, until
+// cancel is called. Events are merged while an element is unread.
 func (m *Moments) Subscribe(moments ...Moment) (notify <-chan struct{}, cancel func()) {
 	s := &subscription{moments, make(chan struct{}, 1)}
 	m.mu.Lock()
@@ -40,7 +43,7 @@
 	}
 }
 
-// Publish tells those who have subscribed to a moment. It does not wait for them.
+// Publish notifies the subscribers of an event without waiting for them.
 func (m *Moments) Publish(moment Moment) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fakes/pipelined.go
+++ b/internal/fakes/pipelined.go
@@ -13,62 +13,69 @@
 )
 
 const (
-	maxOpenRequests = 32                     // on one connection, by the protocol
-	lateAnswerLimit = 550 * time.Millisecond // after a request's time: 0.5 s, and the protocol's slack
-	sweepInterval   = 50 * time.Millisecond  // at which overdue requests are looked for
-	momentSpan      = time.Millisecond       // within which an aimed client acts upon a moment
-	slowWritePieces = 3                      // that a slow writer cuts a message into
-	slowWritePause  = 20 * time.Millisecond  // between two pieces of a message, at the most
-	cancelSpan      = 60 * time.Millisecond  // in which a client that cancels does so
-	redialPauses    = 2                      // of redialPause at the most, before the next connection
+	maxOpenRequests = 32 // protocol limit per connection
+	// 0.5 s after the timeout of a request, plus the slack of the protocol.
+	lateAnswerLimit = 550 * time.Millisecond
+	sweepInterval   = 50 * time.Millisecond // interval of the search for overdue requests
+	maxAimedDelay   = time.Millisecond      // maximum delay of an aimed client after an event
+	slowWritePieces = 3                     // pieces of a message written slowly
+	slowWritePause  = 20 * time.Millisecond // maximum pause between two pieces
+	maxCancelDelay  = 60 * time.Millisecond // longest delay of a cancellation
+	maxRedialPauses = 2                     // longest pause, in redialPause
 )
 
-// Times of repeats of requests with a key.
+// Delays of repeated requests with an idempotency key.
 const (
-	repeatSoonAfter = 100 * time.Millisecond // of a repeat within the dedup window, after the first attempt
-	repeatLateAfter = 50 * time.Millisecond  // of a repeat beyond the dedup window, after its end
-	repeatLateSpan  = 500 * time.Millisecond // in which late repeats are sent
-	maxRepeats      = 64                     // that wait to be sent
+	repeatInWindowDelay = 100 * time.Millisecond // after the first attempt
+	lateRepeatDelay     = 50 * time.Millisecond  // after the dedup window, for a late repeat
+	lateRepeatSpread    = 500 * time.Millisecond // maximum random delay added to late repeats
+	maxRepeats          = 64                     // scheduled repeats, at most
 )
 
-// Behavior says how a PipelinedClient uses its connections. Shares are from 0 to 1.
+// Behavior configures how a PipelinedClient uses its connections. Shares range from 0 to 1. A
+// leaving client drops its open requests, repeats are sent within the dedup window or soon after
+// it, and an aimed client acts within a millisecond of an event.
 type Behavior struct {
-	MaxOpen     int           // requests open at a time; maxOpenRequests at the most
-	MaxBurst    int           // requests that are sent together
-	MeanPause   time.Duration // between two bursts
-	SlowShare   float64       // of requests whose message is written in pieces
-	CancelShare float64       // of requests that are cancelled
-	LeaveShare  float64       // of bursts after which the client closes its connection, and leaves what is open
-	RepeatShare float64       // of requests with a key that are sent once more, within the dedup window or soon after it
-	Aimed       bool          // it also sends within a millisecond of a signal, or of the end of another client's connection
+	MaxOpen     int           // requests open at a time; at most maxOpenRequests
+	MaxBurst    int           // maximum requests per burst
+	MeanPause   time.Duration // mean pause between bursts
+	SlowShare   float64       // share of requests written in pieces
+	CancelShare float64       // share of requests that are cancelled
+	LeaveShare  float64       // share of bursts after which the client disconnects
+	RepeatShare float64       // share of requests with a key that are sent again
+	Aimed       bool          // also send within 1 ms of a signal or a closed connection
 }
 
-// PipelinedClient has several requests open on a connection, and checks each answer by itself. Run uses it in a goroutine of its own.
+// PipelinedClient keeps several requests open on a connection and checks each answer separately.
+// Run must be called in a goroutine of its own.
 type PipelinedClient struct {
-	Cluster      *Cluster   // whose statistics it adds to
-	Targets      []*Target  // the directors that it knows
-	Current      int        // index of the director that it uses
-	LocalAddress string     // its own address, on loopback
-	Behavior     Behavior   // how it uses its connections
-	Moments      *Moments   // that it acts upon, and tells
-	Rand         *rand.Rand // of its own
-	Zipf         *Zipf      // popularity of the objects that it requests
+	Cluster      *Cluster   // its Clients statistics are updated
+	Targets      []*Target  // directors it may connect to
+	Current      int        // index of the current director in Targets
+	LocalAddress string     // local address on loopback
+	Behavior     Behavior   // use of its connections
+	Moments      *Moments   // events it publishes and, if aimed, subscribes to
+	Rand         *rand.Rand // not shared with other goroutines
+	Zipf         *Zipf      // popularity of the requested objects
 
 	repeats []repeat
 }
 
-// repeat is a request with a key that is to be sent once more. Clients do so within the dedup window. A repeat that comes later is only
-// sent on the first attempt's connection, to the director that knows of it: others and later processes can't tell.
+// repeat is a request with an idempotency key that will be sent again. Clients repeat requests
+// within the dedup window. A late repeat, after the window, is sent only on the connection of the
+// first attempt, to the director that knows of that attempt: other directors, and the same one
+// after a restart, cannot tell that it is a repeat.
 type repeat struct {
 	object  Object
 	key     string
 	firstAt time.Duration // when the first attempt was sent
 	due     time.Duration
-	session *session // of the first attempt
-	late    bool     // it is due after the dedup window
+	session *session // session of the first attempt
+	late    bool     // due after the dedup window
 }
 
-// timeout is how long the client waits for a repeat's answer: what is left of the request's time, where that has not passed.
+// timeout returns how long the client waits for the answer to a repeat. A late repeat has the full
+// timeout of its content type, other repeats have what remains of the timeout of the first attempt.
 func (r *repeat) timeout(now time.Duration) time.Duration {
 	if r.late {
 		return r.object.Type.Timeout
@@ -76,7 +83,7 @@
 	return r.firstAt + r.object.Type.Timeout - now
 }
 
-// Run sends requests until the context ends, over one connection after another.
+// Run sends requests over one connection after another until the context ends.
 func (c *PipelinedClient) Run(ctx context.Context) {
 	notify, cancel := c.Moments.Subscribe(SignalSent, ConnectionEnded)
 	defer cancel()
@@ -90,31 +97,33 @@
 		}
 		s := newSession(c, conn)
 		go s.read()
-		c.use(ctx, s, notify)
-		s.leave()
+		c.sendBursts(ctx, s, notify)
+		s.close()
 		<-s.ended
 	}
 }
 
-// connect opens a connection to the present director; nil where it does not accept one, and then the next director is tried.
+// connect connects to the current director. If the director does not accept, connect selects the
+// next one, pauses and returns nil.
 func (c *PipelinedClient) connect(ctx context.Context) net.Conn {
-	if target := c.Targets[c.Current]; target.takesClients(c.Cluster.Now()) {
+	if target := c.Targets[c.Current]; target.clientsMayConnect(c.Cluster.Now()) {
 		dialer := net.Dialer{Timeout: clientDialTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(c.LocalAddress)}}
 		conn, err := dialer.DialContext(ctx, "tcp", target.Addr)
 		if err == nil {
 			return conn
 		}
-		if errors.Is(err, syscall.ECONNREFUSED) && target.owesAccept(c.Cluster.Now()) {
+		if errors.Is(err, syscall.ECONNREFUSED) && target.mustAccept(c.Cluster.Now()) {
 			c.Cluster.Clients.WithLock(func(s *ClientStats) { s.EarlyRefusals++ })
 		}
 	}
 	c.Current = (c.Current + 1) % len(c.Targets)
-	Sleep(ctx, time.Duration(c.Rand.Float64()*redialPauses*float64(redialPause)))
+	Sleep(ctx, time.Duration(c.Rand.Float64()*maxRedialPauses*float64(redialPause)))
 	return nil
 }
 
-// use sends requests over a session until it ends, the client leaves, or the context ends.
-func (c *PipelinedClient) use(ctx context.Context, s *session, notify <-chan struct{}) {
+// sendBursts sends bursts of requests over a session until the session ends, the client leaves, or
+// the context ends.
+func (c *PipelinedClient) sendBursts(ctx context.Context, s *session, notify <-chan struct{}) {
 	for {
 		pause := time.Duration(c.Rand.ExpFloat64() * float64(c.Behavior.MeanPause))
 		select {
@@ -123,7 +132,7 @@
 		case <-s.ended:
 			return
 		case <-notify:
-			time.Sleep(time.Duration(c.Rand.Int64N(int64(momentSpan))))
+			time.Sleep(time.Duration(c.Rand.Int64N(int64(maxAimedDelay))))
 		case <-time.After(pause):
 		}
 		for range 1 + c.Rand.IntN(c.Behavior.MaxBurst) {
@@ -137,7 +146,8 @@
 	}
 }
 
-// sendNext sends the next request: a repeat that is due, or a new one. False where the connection has ended.
+// sendNext sends the next request: a repeat that is due, or a new request. It returns false if the
+// connection has ended.
 func (c *PipelinedClient) sendNext(s *session) bool {
 	r := c.nextRequest(s)
 	pieces := 1
@@ -150,7 +160,7 @@
 	}
 	c.Moments.Publish(RequestSent)
 	if c.Rand.Float64() < c.Behavior.CancelShare {
-		time.AfterFunc(time.Duration(c.Rand.Int64N(int64(cancelSpan))), func() { s.cancel(tag) })
+		time.AfterFunc(time.Duration(c.Rand.Int64N(int64(maxCancelDelay))), func() { s.cancel(tag) })
 	}
 	return true
 }
@@ -161,7 +171,7 @@
 	for now := c.Cluster.Now(); len(c.repeats) > 0 && now >= c.repeats[0].due; {
 		next := c.repeats[0]
 		c.repeats = c.repeats[1:]
-		if r.timeout = next.timeout(now); r.timeout > minimumAttempt && (next.session == s || !next.late) {
+		if r.timeout = next.timeout(now); r.timeout > minAttemptTime && (next.session == s || !next.late) {
 			r.object, r.key, r.isRepeat = next.object, next.key, true
 			return r
 		}
@@ -170,20 +180,20 @@
 	r.timeout = r.object.Type.Timeout
 	if r.object.Type.IdempotentWithKey {
 		r.key = fmt.Sprintf("%016x%016x", c.Rand.Uint64(), c.Rand.Uint64())
-		c.planRepeat(s, r)
+		c.scheduleRepeat(s, r)
 	}
 	return r
 }
 
-// planRepeat has a request with a key sent once more, for RepeatShare of them.
-func (c *PipelinedClient) planRepeat(s *session, r *openRequest) {
+// scheduleRepeat schedules a repeat for a RepeatShare of the requests with an idempotency key.
+func (c *PipelinedClient) scheduleRepeat(s *session, r *openRequest) {
 	if c.Rand.Float64() >= c.Behavior.RepeatShare || len(c.repeats) >= maxRepeats {
 		return
 	}
 	now := c.Cluster.Now()
-	next := repeat{r.object, r.key, now, now + repeatSoonAfter, s, c.Rand.IntN(2) == 0}
+	next := repeat{r.object, r.key, now, now + repeatInWindowDelay, s, c.Rand.IntN(2) == 0}
 	if next.late {
-		next.due = now + r.object.Type.DedupWindow + repeatLateAfter + time.Duration(c.Rand.Int64N(int64(repeatLateSpan)))
+		next.due = now + r.object.Type.DedupWindow + lateRepeatDelay + time.Duration(c.Rand.Int64N(int64(lateRepeatSpread)))
 	}
 	c.repeats = append(c.repeats, next)
 	slices.SortFunc(c.repeats, func(a, b repeat) int { return cmp.Compare(a.due, b.due) })
--- a/internal/fakes/pipelined_test.go
+++ b/internal/fakes/pipelined_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// A request counts as lost where the director had it before it ended the connection, and answered nothing; not where it was killed.
+// TestPipelinedClientCountsLosses guards against miscounted losses: a request is lost if a director
+// received it and ended the connection without an answer, but not if the director was killed.
 func TestPipelinedClientCountsLosses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -42,7 +43,7 @@
 			client.Run(ctx)
 			cluster.Clients.WithLock(func(s *ClientStats) {
 				if lost := s.Lost+len(s.LostAtEnds) > 0; lost != c.lost || c.killed && s.LostToKills == 0 {
-					t.Errorf("%d lost, %d to kills", s.Lost+len(s.LostAtEnds), s.LostToKills)
+					t.Errorf("%d lost, %d lost to kills", s.Lost+len(s.LostAtEnds), s.LostToKills)
 				}
 			})
 		})
--- a/internal/fakes/purge.go
+++ b/internal/fakes/purge.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Purge voids the copies of an object, or where it is empty those of a group, and publishes that.
+// Purge invalidates the copies of an object, or of all objects of a group if object is empty, and
+// publishes the purge.
 func (c *Cluster) Purge(object string, group int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,10 +27,11 @@
 
 func groupKey(group int) string { return fmt.Sprint("group ", group) }
 
-// mayKeep says whether a node may still hold a copy. Nodes drop what was purged longer than purgeRetention ago, which is what directors
-// are told of them. The caller holds the lock.
-func (c *Cluster) mayKeep(object string, born time.Time) bool {
-	number, _ := strconv.ParseUint(object, 16, 64) // an object that is no number is of group 0
+// mayHoldCopy reports whether a node may still hold a copy issued by the origin at born. Nodes drop
+// copies that were purged more than purgeRetention ago; the settings of directors state this time.
+// The caller holds the lock.
+func (c *Cluster) mayHoldCopy(object string, born time.Time) bool {
+	number, _ := strconv.ParseUint(object, 16, 64) // an invalid object ID belongs to group 0
 	for _, key := range []string{objectKey(object), groupKey(groupOf(number))} {
 		if at := c.purgedAt[key]; at > 0 && c.now() > at+purgeRetention && born.Before(c.startedAt.Add(at)) {
 			return false
@@ -38,13 +40,14 @@
 	return true
 }
 
-// bindingPurge returns when copies of an object were last purged of which directors had to know at a time; 0 for never.
-func (c *Cluster) bindingPurge(object string, group int, asked time.Duration) time.Duration {
+// latestEnforceablePurge returns the time of the last purge of an object that a director must
+// observe for a request sent at requestedAt; 0 if there is none.
+func (c *Cluster) latestEnforceablePurge(object string, group int, requestedAt time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	latest := time.Duration(0)
 	for _, key := range []string{objectKey(object), groupKey(group)} {
-		if at := c.purgedAt[key]; at > 0 && c.channelState.knownFrom(at)+purgeDeadline <= asked {
+		if at := c.purgedAt[key]; at > 0 && c.channelState.knownFrom(at)+purgeDeadline <= requestedAt {
 			latest = max(latest, at)
 		}
 	}
--- a/internal/fakes/stats.go
+++ b/internal/fakes/stats.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// SeriesInterval is the length of a bucket of the time series.
+// SeriesInterval is the length of one interval of the time series.
 const SeriesInterval = 100 * time.Millisecond
 
-// ClientRequest is how one request of a client went, over its attempts. Times are since the cluster's start.
+// ClientRequest is the result of one request of a client, over all its attempts. Times are relative
+// to the start of the cluster.
 type ClientRequest struct {
-	ContentType       *ContentType  // of the object
-	StartedAt         time.Duration // of the first attempt
-	Duration          time.Duration // until its end
-	Attempts          int           // that were made
-	TransferMicros    float64       // transfer time at full pace, µs
+	ContentType       *ContentType  // content type of the object
+	StartedAt         time.Duration // start of the first attempt
+	Duration          time.Duration // time until the request ended
+	Attempts          int           // number of attempts
+	TransferMicros    float64       // transfer time at full rate, in µs
 	Succeeded         bool          // an attempt was answered with the object
-	IgnoresRetryAfter bool          // as its client does
-	LastStatus        string        // status of the last answer; empty where there was none
+	IgnoresRetryAfter bool          // whether its client ignores retry-after times
+	LastStatus        string        // status of the last answer; empty if there was none
 }
 
-// LostAtEnd is a request without an answer whose connection was ended by its director.
+// LostAtEnd is an unanswered request whose connection was closed by the director.
 type LostAtEnd struct {
-	Client string    // address of the client's end of the connection
-	SentAt time.Time // when its last byte was written
-	Reason string    // what is known of it
+	Client string    // local address of the connection of the client
+	SentAt time.Time // when the last byte was written
+	Reason string    // description of the request and its connection
 }
 
-// ClientStats is what clients have seen. Its lock guards it; WithLock takes it.
+// ClientStats holds the statistics of clients. WithLock gives access to it under its lock.
 type ClientStats struct {
 	mu               sync.Mutex
-	Requests         []ClientRequest // that have ended
-	AnswersByStatus  map[string]int  // of all attempts
+	Requests         []ClientRequest // completed requests
+	AnswersByStatus  map[string]int  // answers to all attempts, by status
 	FirstAnswered    int             // requests whose first attempt was answered
-	Lost             int             // attempts that were owed an answer and had none
-	LostReasons      map[string]int  // by the error
-	LostAtEnds       []LostAtEnd     // requests that a director had, by the client's knowledge, as it ended their connection
-	Duplicates       int             // answers beyond the one
-	WrongBodies      int             // answers with another object's bytes
-	StaleCopies      int             // copies older than a purge of which the director had to know
-	LostToKills      int             // attempts that ended with a director that was killed
-	LostToPauses     int             // attempts whose time ended while their director was stopped
-	EarlyRetries     int             // attempts before the time that was told
-	LateAnswers      int             // answers later than lateAnswerLimit after the request's time
-	CrossedEnds      int             // requests that crossed the end of a connection on which none was open
-	EarlyRefusals    int             // connections refused by a director that owed to accept them
-	AttemptSeries    []int           // attempts, by SeriesInterval
-	RetryAfterSeries []int           // the times that clients were told to come back at
-	SuccessSeries    []int           // answers with the object
-	RejectSeries     []int           // answers that reject
+	Lost             int             // unanswered attempts that were owed an answer
+	LostReasons      map[string]int  // lost attempts, by error
+	LostAtEnds       []LostAtEnd     // received by a director that then closed the connection
+	Duplicates       int             // answers to a tag without an open request
+	WrongBodies      int             // answers with the wrong object
+	StaleCopies      int             // copies older than a purge that the director had to know
+	LostToKills      int             // attempts lost when their director was killed
+	LostToPauses     int             // attempts that timed out while their director was stopped
+	EarlyRetries     int             // attempts before their retry-after time
+	LateAnswers      int             // answers later than lateAnswerLimit after the timeout
+	CrossedEnds      int             // requests sent while the connection was being closed
+	EarlyRefusals    int             // connections refused by a director that had to accept them
+	AttemptSeries    []int           // attempts per SeriesInterval
+	RetryAfterSeries []int           // retry times given to clients, per SeriesInterval
+	SuccessSeries    []int           // successful answers per SeriesInterval
+	RejectSeries     []int           // rejections per SeriesInterval
 }
 
-// count adds an event to a time series.
+// count adds one to the interval of a time series that contains the given time.
 func count(series *[]int, at time.Duration) {
 	i := int(max(0, at) / SeriesInterval)
 	for len(*series) <= i {
@@ -60,7 +61,7 @@
 	(*series)[i]++
 }
 
-// WithLock calls a function that reads or changes the statistics, under their lock.
+// WithLock calls access, which may read or change the statistics, with the lock held.
 func (s *ClientStats) WithLock(access func(*ClientStats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fakes/target.go
+++ b/internal/fakes/target.go
@@ -6,75 +6,81 @@
 	"time"
 )
 
-// Target is a director as clients see it. It may be used by any goroutine.
+// Target is a director from the view of its clients. It is safe for concurrent use.
 type Target struct {
 	Addr string // host and port
 
-	mu           sync.Mutex
-	killed       bool
-	terminatedAt time.Duration // when it was asked to end, since the cluster's start; 0 for not
-	crowded      bool          // idle clients fill its descriptors: it may shut new connections unread
-	pauses       []pause       // the last may not have ended
+	mu              sync.Mutex
+	killed          bool
+	terminatedAt    time.Duration // SIGTERM, since the start of the cluster; 0 if not sent
+	descriptorsFull bool          // idle clients use them up; see SetCrowded
+	pauses          []pause       // the last one may still be open
 }
 
-// The protocol has connections come for 0.2 to 0.4 s after SIGTERM.
+// By the protocol, clients may still connect for 0.2 to 0.4 s after SIGTERM.
 const (
-	acceptAfterTerminate  = 200 * time.Millisecond // a director has to accept for so long
-	connectAfterTerminate = 400 * time.Millisecond // clients connect for so long
+	acceptAfterTerminate  = 200 * time.Millisecond // how long a director must accept
+	connectAfterTerminate = 400 * time.Millisecond // how long clients try to connect
 )
 
-// pause is a time, since the cluster's start, in which a director was stopped.
+// pause is a period, relative to the start of the cluster, in which a director was stopped.
 type pause struct{ from, until time.Duration }
 
-// SetKilled says whether the director was killed: what it held is no longer owed. One that is not was started, and owes to accept.
+// SetKilled records that the director was killed, after which it owes no answers, or that it was
+// started and must accept connections.
 func (t *Target) SetKilled(killed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.killed, t.terminatedAt = killed, 0
 }
 
-// SetTerminated says that the director is asked to end at a time since the cluster's start. What it holds is owed all the same.
+// SetTerminated records that SIGTERM was sent to the director at a time since the start of the
+// cluster. The director still owes answers to the requests that it has.
 func (t *Target) SetTerminated(at time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.terminatedAt = at
 }
 
-// SetCrowded says whether idle clients fill the director's descriptors.
-func (t *Target) SetCrowded(crowded bool) {
+// SetCrowded records whether idle clients use up the file descriptors of the director. It may then
+// close new connections without reading from them.
+func (t *Target) SetCrowded(descriptorsFull bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.crowded = crowded
+	t.descriptorsFull = descriptorsFull
 }
 
-func (t *Target) isCrowded() bool {
+func (t *Target) hasFullDescriptors() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.crowded
+	return t.descriptorsFull
 }
 
-// takesClients says whether clients still connect to the director at a time: they cease to some time after it was asked to end.
-func (t *Target) takesClients(at time.Duration) bool {
+// clientsMayConnect reports whether clients still connect to the director at the given time. They
+// stop connectAfterTerminate after SIGTERM.
+func (t *Target) clientsMayConnect(at time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.terminatedAt == 0 || at < t.terminatedAt+connectAfterTerminate
 }
 
-// terminated is when the director was asked to end, since the cluster's start; 0 for not.
-func (t *Target) terminated() time.Duration {
+// terminationTime returns when SIGTERM was sent, since the start of the cluster; 0 if it was not
+// sent.
+func (t *Target) terminationTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.terminatedAt
 }
 
-// owesAccept says whether the director has to accept a connection at a time.
-func (t *Target) owesAccept(at time.Duration) bool {
+// mustAccept reports whether the director must accept a connection at the given time.
+func (t *Target) mustAccept(at time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.killed && (t.terminatedAt == 0 || at < t.terminatedAt+acceptAfterTerminate)
 }
 
-// SetPaused says that the director was stopped, or goes on, at a time since the cluster's start.
+// SetPaused records that the director was stopped (SIGSTOP) or continued (SIGCONT) at a time since
+// the start of the cluster.
 func (t *Target) SetPaused(stopped bool, at time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,10 +92,12 @@
 	}
 }
 
-// resumeDelay is how long a director that goes on may take to answer what waited: it polls the command channel first.
+// resumeDelay is how long a continued director may take to answer waiting requests: it polls the
+// command channel first.
 const resumeDelay = 100 * time.Millisecond
 
-// pausedAt says whether the director was stopped at a time, or had only just gone on.
+// pausedAt reports whether the director was stopped at the given time, or had been continued no
+// more than resumeDelay before.
 func (t *Target) pausedAt(at time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
