--- a/internal/fakes/abandoned.go
+++ b/internal/fakes/abandoned.go
@@ -6,13 +6,15 @@
 )
 
 const (
-	// abandonedLimit is how long after its client has left an attempt may still begin: 0.1 s, and the protocol's slack.
+	// abandonedLimit is how long after a client abandoned a request an attempt may still arrive:
+	// 0.1 s plus the slack that the protocol allows.
 	abandonedLimit = 150 * time.Millisecond
-	maxAbandoned   = 10_000 // requests that are remembered; all are forgotten beyond
-	maxLateEvents  = 32     // attempts of them that are told
+	maxAbandoned   = 10_000 // remembered requests; all are forgotten when the limit is reached
+	maxLateEvents  = 32     // recorded lines
 )
 
-// recordAbandoned notes that a client has given up a request, by cancelling it or by closing its connection.
+// recordAbandoned records that a client cancelled a request or closed its connection while the
+// request was open.
 func (c *Cluster) recordAbandoned(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -22,8 +24,8 @@
 	c.abandonedAt[id] = c.now()
 }
 
-// checkAbandoned counts an attempt of a request that came later than abandonedLimit after its client gave it up. The caller holds the
-// lock.
+// checkAbandoned counts an attempt that arrived more than abandonedLimit after its client abandoned
+// the request. The caller holds the lock.
 func (c *Cluster) checkAbandoned(r *request) {
 	at, abandoned := c.abandonedAt[r.id]
 	if !abandoned || r.arrivedAt <= at+abandonedLimit {
@@ -31,12 +33,13 @@
 	}
 	c.violations.SentAfterLeave++
 	if len(c.lateEvents) < maxLateEvents {
-		c.lateEvents = append(c.lateEvents, fmt.Sprintf("%s attempt %s (%s) at %s by %v arrived %v after its client had left, was handled %v after",
+		c.lateEvents = append(c.lateEvents, fmt.Sprintf("%s attempt %s (%s) at %s by %v arrived %v after its client left and was handled %v after",
 			c.clockTime(), r.id, r.fields["sort"], r.node.Name, r.connection.conn.RemoteAddr(), r.arrivedAt-at, c.now()-at))
 	}
 }
 
-// SentAfterLeaveEvents tells of the attempts that Violations.SentAfterLeave counts, a line each.
+// SentAfterLeaveEvents returns one line for each attempt counted in Violations.SentAfterLeave, at
+// most maxLateEvents lines.
 func (c *Cluster) SentAfterLeaveEvents() (events []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/arrival.go
+++ b/internal/fakes/arrival.go
@@ -11,15 +11,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// arrivalReader reads a connection and tells when the bytes that it read last came to this machine, by the kernel's clock. What it
-// tells is never earlier than the arrival, and does not depend on when a busy machine lets it read.
+// arrivalReader reads from a connection and reports how long the bytes of the last read were in the
+// socket's receive buffer, by the kernel's time stamp. The arrival time computed from it is never
+// earlier than the real one and does not depend on when a busy machine schedules the reader.
 type arrivalReader struct {
-	raw     syscall.RawConn
-	control []byte        // buffer for the kernel's time stamp
-	waited  time.Duration // how long the bytes read last had lain in the socket; 0 where the kernel does not say
+	raw         syscall.RawConn
+	control     []byte        // buffer for control messages with the kernel's time stamp
+	bufferedFor time.Duration // buffering time of the last read; 0 without a time stamp
 }
 
-// newArrivalReader makes a reader of a TCP connection.
+// newArrivalReader enables receive time stamps on a TCP connection and returns a reader for it.
 func newArrivalReader(conn net.Conn) (*arrivalReader, error) {
 	system, ok := conn.(syscall.Conn)
 	if !ok {
@@ -37,7 +38,7 @@
 	return &arrivalReader{raw: raw, control: control}, errors.Join(err, optionErr)
 }
 
-// Read is io.Reader's.
+// Read implements io.Reader.
 func (r *arrivalReader) Read(buffer []byte) (n int, err error) {
 	var controlSize int
 	var readErr error
@@ -51,14 +52,14 @@
 	if n == 0 {
 		return 0, io.EOF
 	}
-	r.waited = 0
+	r.bufferedFor = 0
 	if stamp, ok := arrivalStamp(r.control[:controlSize]); ok {
-		r.waited = max(0, time.Since(stamp))
+		r.bufferedFor = max(0, time.Since(stamp))
 	}
 	return n, nil
 }
 
-// arrivalStamp returns the time stamp in a control message, and whether there is one.
+// arrivalStamp returns the time stamp in a socket control message; ok is false if there is none.
 func arrivalStamp(control []byte) (stamp time.Time, ok bool) {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
--- a/internal/fakes/arrival_test.go
+++ b/internal/fakes/arrival_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Guards against judging a director by when a busy machine lets the node read: what has lain in the socket is as old as that.
+// TestArrivalReader guards against measuring a director's delay by when a busy machine lets the
+// node read. The time that bytes spend in the socket buffer must be part of their age.
 func TestArrivalReader(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,9 +28,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(5 * time.Second); reader.waited == 0; { // the kernel begins to stamp a little after it is asked to
+	// The kernel starts to time-stamp shortly after the option is set.
+	for until := time.Now().Add(5 * time.Second); reader.bufferedFor == 0; {
 		if time.Now().After(until) {
-			t.Fatal("the kernel gives no time stamps")
+			t.Fatal("the kernel provides no receive time stamps")
 		}
 		before := time.Now()
 		if _, err := sender.Write([]byte("text")); err != nil {
@@ -41,9 +43,9 @@
 		if err != nil || string(buffer[:n]) != "text" {
 			t.Fatalf("read %q, %v", buffer[:n], err)
 		}
-		begun := time.Since(before)
-		if reader.waited > begun || reader.waited > 0 && reader.waited < 50*time.Millisecond {
-			t.Errorf("it had waited %v, and was begun %v ago", reader.waited, begun)
+		elapsed := time.Since(before)
+		if reader.bufferedFor > elapsed || reader.bufferedFor > 0 && reader.bufferedFor < 50*time.Millisecond {
+			t.Errorf("buffered for %v, want at least 50 ms and at most %v, the time since sending", reader.bufferedFor, elapsed)
 		}
 	}
 }
--- a/internal/fakes/channel.go
+++ b/internal/fakes/channel.go
@@ -14,23 +14,25 @@
 	"time"
 )
 
-// channelState is how the command channel behaves, and who has called it. The cluster's lock guards it.
+// channelState is the behavior of the command channel and a record of its calls. The lock of the
+// cluster guards it.
 type channelState struct {
 	mode       ChannelMode
-	retryAfter int // Retry-After, in seconds; 0 for none
+	retryAfter int // Retry-After in seconds; 0 for none
 	calls      []ChannelCall
 	capacity   ChannelCapacity
-	busyUntil  time.Duration // when the answers that were accepted so far are done
+	busyUntil  time.Duration // when all accepted answers are complete
 	outages    []outage
 }
 
-// outage is a time in which the channel did not serve; one that goes on has no end yet.
+// outage is a period in which the channel did not serve; until is noEnd while it lasts.
 type outage struct{ from, until time.Duration }
 
 const noEnd = time.Duration(math.MaxInt64)
 
-// knownFrom is when something that was published at a time counts as known to directors: during an outage nobody can know, and for
-// repollWithin after it they may not have polled, whether it was published before the outage's end or then.
+// knownFrom returns when directors count as knowing something published at a given time. During an
+// outage no director can learn it, and after the outage directors have repollWithin to poll again.
+// The same delay applies to what is published within repollWithin after the outage.
 func (s *channelState) knownFrom(at time.Duration) time.Duration {
 	for _, o := range s.outages {
 		if polled := min(o.until, noEnd-2*repollWithin) + repollWithin; at >= o.from && at < polled {
@@ -40,38 +42,40 @@
 	return at
 }
 
-// ChannelCapacity is what a command channel can do; the zero value has no limit.
+// ChannelCapacity is the capacity of the command channel. The zero value has no limit.
 type ChannelCapacity struct {
 	PerCall  time.Duration // service time of a call
-	PerEvent time.Duration // and of each event in its answer
+	PerEvent time.Duration // service time of each event in the answer
 	MaxWait  time.Duration // a call whose answer would take longer is refused
 }
 
-// SetChannelCapacity says what the command channel can do from now on.
+// SetChannelCapacity sets the capacity of the command channel for later calls.
 func (c *Cluster) SetChannelCapacity(capacity ChannelCapacity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.channelState.capacity = capacity
 }
 
-// refusalCost is the part of a call's service time that refusing it takes.
+// refusalCost is the divisor that gives the cost of refusing a call from its service time.
 const refusalCost = 8
 
-// schedule accepts an answer with a number of events, and returns how long it takes; false where that is too long. The caller holds the
-// lock.
+// schedule reserves channel capacity for an answer with the given number of events and returns the
+// delay until the answer is complete. It returns false if the delay exceeds MaxWait. The caller
+// holds the lock.
 func (s *channelState) schedule(now time.Duration, events int) (time.Duration, bool) {
-	takes := s.capacity.PerCall + time.Duration(events)*s.capacity.PerEvent
-	if from := max(now, s.busyUntil); takes > 0 {
-		if from+takes-now > s.capacity.MaxWait {
+	serviceTime := s.capacity.PerCall + time.Duration(events)*s.capacity.PerEvent
+	if from := max(now, s.busyUntil); serviceTime > 0 {
+		if from+serviceTime-now > s.capacity.MaxWait {
 			s.busyUntil = from + s.capacity.PerCall/refusalCost
 			return 0, false
 		}
-		s.busyUntil = from + takes
+		s.busyUntil = from + serviceTime
 	}
 	return max(0, s.busyUntil-now), true
 }
 
-// RollBackChannel loses the last events of the command channel, as a service does that is restored from a backup.
+// RollBackChannel drops the last events of the command channel, like a service restored from a
+// backup.
 func (c *Cluster) RollBackChannel(events int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,33 +83,34 @@
 	c.wakePolls()
 }
 
-// wakePolls has polls that wait look again. The caller holds the lock.
+// wakePolls makes waiting polls check the channel again. The caller holds the lock.
 func (c *Cluster) wakePolls() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// ChannelMode is how the command channel behaves.
+// ChannelMode is a behavior of the command channel.
 type ChannelMode int
 
 // The modes of the command channel.
 const (
-	ChannelServing     ChannelMode = iota // it answers
-	ChannelUnavailable                    // it answers 503
-	ChannelHanging                        // it accepts calls and does not answer
-	ChannelTruncating                     // it breaks its answers off
+	ChannelServing     ChannelMode = iota // answers normally
+	ChannelUnavailable                    // answers 503
+	ChannelHanging                        // accepts calls and never answers
+	ChannelTruncating                     // truncates its answers
 )
 
-// ChannelCall is a call of the command channel.
+// ChannelCall describes one call of the command channel.
 type ChannelCall struct {
-	At       time.Duration // since the cluster's start
-	Answered bool          // with events, or with none at the end of its wait
-	Refused  bool          // it was answered with an error, or not at all
-	Events   int           // in its answer
+	At       time.Duration // since the start of the cluster
+	Answered bool          // with events, or with none when its wait expired
+	Refused  bool          // answered with an error or not at all
+	Events   int           // number of events in the answer
 }
 
-// SetChannelMode changes how the command channel behaves. retryAfter is the Retry-After of a channel that is unavailable, in seconds, 0
-// for none. Calls that wait are answered at once, as by a service that restarts.
+// SetChannelMode changes the behavior of the command channel. retryAfter is the Retry-After value
+// in seconds that ChannelUnavailable sends, 0 for none. Waiting calls are answered at once, as by a
+// service that restarts.
 func (c *Cluster) SetChannelMode(mode ChannelMode, retryAfter int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,14 +125,15 @@
 	c.wakePolls()
 }
 
-// ChannelCalls returns every call so far, in the order of their beginnings.
+// ChannelCalls returns all calls so far, in order of arrival.
 func (c *Cluster) ChannelCalls() []ChannelCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.channelState.calls)
 }
 
-// CutSecondPath closes or opens the way by which directors with odd numbers reach the channel. Calls that wait there are cut off.
+// CutSecondPath closes or reopens the second address of the channel, which directors with odd
+// numbers use. Closing it disconnects the calls that wait there.
 func (c *Cluster) CutSecondPath(cut bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,7 +153,8 @@
 	return nil
 }
 
-// MoveChannel has the command channel listen at another address, which new configurations name; the old one closes a while later.
+// MoveChannel makes the command channel listen at a new address, which new configurations name. The
+// old address closes after channelMoveOverlap.
 func (c *Cluster) MoveChannel() error {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -162,61 +169,64 @@
 	return nil
 }
 
-// channelMoveOverlap is how long the old address of a channel that has moved still answers.
+// channelMoveOverlap is how long the old address of a moved channel still answers.
 const channelMoveOverlap = 1500 * time.Millisecond
 
 // serveHTTP serves until the server is closed.
 func serveHTTP(server *http.Server, l net.Listener) {
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		slog.Error("command channel ended", "err", err)
+		slog.Error("command channel server failed", "err", err)
 	}
 }
 
-// publish puts an event on the command channel. The caller holds the lock.
+// publish appends an event to the command channel. The caller holds the lock.
 func (c *Cluster) publish(event map[string]any) {
 	event["cursor"] = len(c.events) + 1
 	c.events = append(c.events, event)
 	c.wakePolls()
 }
 
-// servePoll answers a poll once there are events after the caller's cursor ("resume"), or after "block" milliseconds.
+// servePoll answers a poll as soon as there are events after the cursor of the caller ("resume"),
+// or after "block" milliseconds.
 func (c *Cluster) servePoll(out http.ResponseWriter, r *http.Request) {
-	cursor, _ := strconv.Atoi(r.FormValue("resume")) // what is no number reads as 0: all events, at once
+	// An invalid number reads as 0: all events at once.
+	cursor, _ := strconv.Atoi(r.FormValue("resume"))
 	block, _ := strconv.Atoi(r.FormValue("block"))
 	c.mu.Lock()
-	number := len(c.channelState.calls)
+	index := len(c.channelState.calls)
 	c.channelState.calls = append(c.channelState.calls, ChannelCall{At: c.now()})
 	if !c.awaitEvents(r.Context(), cursor, time.Duration(block)*time.Millisecond) {
 		c.mu.Unlock()
 		return
 	}
-	answer, takes := c.pollAnswer(cursor)
-	call := &c.channelState.calls[number]
+	answer, serviceTime := c.pollAnswer(cursor)
+	call := &c.channelState.calls[index]
 	call.Answered, call.Refused = answer.mode == ChannelServing, answer.mode != ChannelServing
 	call.Events = len(answer.events)
 	c.mu.Unlock()
-	if Sleep(r.Context(), takes) {
+	if Sleep(r.Context(), serviceTime) {
 		answer.write(out, r)
 	}
 }
 
-// awaitEvents waits, for a time at the most, until there are events after a cursor or the channel does not serve; false where the caller
-// has left. The caller holds the lock, which is given up while waiting.
-func (c *Cluster) awaitEvents(ctx context.Context, cursor int, atMost time.Duration) bool {
-	timer := time.NewTimer(atMost)
+// awaitEvents waits until there are events after the cursor, the channel stops serving, or the
+// timeout expires. It returns false if the caller has disconnected. The caller holds the lock,
+// which is released while waiting.
+func (c *Cluster) awaitEvents(ctx context.Context, cursor int, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for len(c.events) == cursor && c.channelState.mode == ChannelServing {
-		changed, expired, left := c.changed, false, false
+		changed, expired, disconnected := c.changed, false, false
 		c.mu.Unlock()
 		select {
 		case <-changed:
 		case <-timer.C:
 			expired = true
 		case <-ctx.Done():
-			left = true
+			disconnected = true
 		}
 		c.mu.Lock()
-		if left {
+		if disconnected {
 			return false
 		}
 		if expired {
@@ -229,13 +239,14 @@
 // pollAnswer is the answer to a poll.
 type pollAnswer struct {
 	mode       ChannelMode
-	last       int // the last event's cursor
+	last       int // cursor of the last event
 	events     []map[string]any
 	retryAfter int
 }
 
-// pollAnswer makes the answer to a poll, and says how long it takes. The caller holds the lock.
-func (c *Cluster) pollAnswer(cursor int) (answer pollAnswer, takes time.Duration) {
+// pollAnswer returns the answer to a poll and the time that serving it takes. The caller holds the
+// lock.
+func (c *Cluster) pollAnswer(cursor int) (answer pollAnswer, serviceTime time.Duration) {
 	state := &c.channelState
 	answer = pollAnswer{
 		mode:       state.mode,
@@ -245,11 +256,11 @@
 	}
 	if answer.mode == ChannelServing {
 		var accepted bool
-		if takes, accepted = state.schedule(c.now(), len(answer.events)); !accepted {
+		if serviceTime, accepted = state.schedule(c.now(), len(answer.events)); !accepted {
 			answer.mode = ChannelUnavailable
 		}
 	}
-	return answer, takes
+	return answer, serviceTime
 }
 
 func (a *pollAnswer) write(out http.ResponseWriter, r *http.Request) {
@@ -269,11 +280,12 @@
 		_, err = fmt.Fprintf(out, `{"cursor":%d,"cmds":[{"cur`, a.last)
 	}
 	if err != nil {
-		slog.Debug("poll not answered", "err", err) // the director has left
+		slog.Debug("writing the answer to a poll failed", "err", err) // the director disconnected
 	}
 }
 
-// channelAddress is the address at which a director of a name reaches the channel. The caller holds the lock.
+// channelAddress returns the address at which the named director reaches the channel. The caller
+// holds the lock.
 func (c *Cluster) channelAddress(name string) string {
 	if trailingNumber(name)%2 == 1 && c.SecondPath {
 		return c.secondListener.Addr().String()
--- a/internal/fakes/cluster.go
+++ b/internal/fakes/cluster.go
@@ -1,9 +1,11 @@
-// Package fakes plays what a director talks to: cache nodes, parents, the origin, the command channel and clients, each on 127.0.0.1 and
-// a port of its own. Nodes have a capacity and a slow start, keep copies, and are pushed over by overload; all of them record what reached
-// them, so that the rules can be checked from outside. Tests, fault tests and tallybench use it.
+// Package fakes simulates the peers of a director: cache nodes, parents, the origin, the command
+// channel and clients, all on 127.0.0.1 with a port each. Nodes have a capacity and a slow start,
+// hold copies of objects, and fail under overload. All of them record what they receive, so that
+// the rules of the protocol can be checked from outside. Tests, fault tests and tallybench use the
+// package.
 //
-// One lock, the cluster's, guards all nodes and the channel; clients are goroutines of their users, and their statistics have a lock of
-// their own.
+// The lock of the cluster guards all nodes and the channel. Clients run in goroutines of their
+// callers, and their statistics have a separate lock.
 package fakes
 
 import (
@@ -14,50 +16,51 @@
 	"time"
 )
 
-// Cluster is all that directors talk to. Its lock guards everything below it, the nodes and the channel.
+// Cluster holds all peers of the directors. Its lock guards its unexported fields, the nodes and
+// the channel.
 type Cluster struct {
 	Spec
 	Nodes      []*Node       // caches, parents, then the origin
-	Clients    ClientStats   // what all clients have seen
-	ChannelMux http.ServeMux // of the command channel; users may add handlers of their own before directors start
+	Clients    ClientStats   // statistics of all clients
+	ChannelMux http.ServeMux // handlers of the command channel; add more before directors start
 
 	mu               sync.Mutex
 	startedAt        time.Time
-	links            []*sharedCapacity // for fills, by zone
-	events           []map[string]any  // of the command channel, the first with cursor 1
-	changed          chan struct{}     // closed, and made anew, with every change that polls wait for
+	links            []*sharedCapacity // links for fills, by zone
+	events           []map[string]any  // events of the command channel; the first has cursor 1
+	changed          chan struct{}     // closed and replaced on every change that polls wait for
 	channel          net.Listener
 	server           *http.Server
-	secondListener   net.Listener // the channel's address for directors with odd numbers, which can be cut
+	secondListener   net.Listener // second channel address, for directors with odd numbers
 	secondServer     *http.Server
 	channelState     channelState
-	attemptsInFlight map[string]int           // by request id, over all nodes
+	attemptsInFlight map[string]int           // by request ID, over all nodes
 	effects          map[string]effect        // by idempotency key
 	purgedAt         map[string]time.Duration // by purge key
-	abandonedAt      map[string]time.Duration // when clients gave requests up, by request id; bounded by maxAbandoned
-	lateEvents       []string                 // of violations.SentAfterLeave, maxLateEvents at the most
+	abandonedAt      map[string]time.Duration // by request ID; maxAbandoned at most
+	lateEvents       []string                 // of violations.SentAfterLeave; maxLateEvents at most
 	violations       Violations
 	instantEffects   instantEffects
 }
 
-// Violations counts what broke a rule, as the nodes see it.
+// Violations counts violations of the protocol rules, as observed by the nodes.
 type Violations struct {
-	DrainedUses        int // requests or fills at a node later than drainDeadline after it was told to drain
+	DrainedUses        int // requests or fills at a node later than drainDeadline after its drain
 	ConcurrentAttempts int // attempts of one request in flight at two nodes
-	SentAfterLeave     int // attempts that began later than abandonedLimit after their client had left
-	RepeatedEffects    int // keys whose request had its effect twice
-	OverloadedNodes    int // nodes that were pushed over
+	SentAfterLeave     int // attempts that arrived over abandonedLimit after the client left
+	RepeatedEffects    int // keys whose request took effect twice
+	OverloadedNodes    int // nodes that failed under overload
 }
 
 const (
-	drainDeadline  = 1050 * time.Millisecond // after a drain was published, with the rule's slack
-	purgeDeadline  = 550 * time.Millisecond  // after a purge was published, with the rule's slack
-	purgeRetention = 6 * time.Second         // after it nodes hold no purged copies
-	repollWithin   = purgeRetention / 3      // directors poll again within this after an outage
-	cancelDelay    = 50 * time.Millisecond   // for which a cancelled attempt may still count as in flight
+	drainDeadline  = 1050 * time.Millisecond // after a drain, with the slack of the rule
+	purgeDeadline  = 550 * time.Millisecond  // after a purge, with the slack of the rule
+	purgeRetention = 6 * time.Second         // after this time nodes hold no purged copies
+	repollWithin   = purgeRetention / 3      // for directors to poll again after an outage
+	cancelDelay    = 50 * time.Millisecond   // a cancelled attempt may still be in flight
 )
 
-// New starts a cluster; Close ends it.
+// New starts a cluster. Close stops it.
 func New(spec Spec) (*Cluster, error) {
 	c := &Cluster{
 		Spec:             spec,
@@ -86,7 +89,8 @@
 	return c, c.CutSecondPath(false)
 }
 
-// addNodes starts the nodes of the spec. Directors hash their names, so these stay as they are.
+// addNodes starts the nodes of the spec. Directors hash the names of nodes, so the names must not
+// change.
 func (c *Cluster) addNodes() error {
 	for i := range c.CacheNodes {
 		if _, err := c.AddNode(Edge, fmt.Sprint("box-", i), c.ColdEdges); err != nil {
@@ -102,7 +106,7 @@
 	return err
 }
 
-// Close ends the channel and all nodes.
+// Close stops the channel and all nodes.
 func (c *Cluster) Close() {
 	closeQuietly(c.server)
 	closeQuietly(c.secondServer)
@@ -111,7 +115,7 @@
 	}
 }
 
-// address is where something of a name listens.
+// address returns the address at which the node or channel of the given name listens.
 func (c *Cluster) address(name string) string {
 	if addr := c.Addresses[name]; addr != "" {
 		return addr
@@ -119,14 +123,14 @@
 	return "127.0.0.1:0"
 }
 
-// Node returns the node of a name; nil for none.
+// Node returns the node with the given name, or nil if there is none.
 func (c *Cluster) Node(name string) *Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodeByName(name)
 }
 
-// nodeByName is as Node. The caller holds the lock.
+// nodeByName is Node for callers that hold the lock.
 func (c *Cluster) nodeByName(name string) *Node {
 	for _, n := range c.Nodes {
 		if n.Name == name {
@@ -140,28 +144,28 @@
 
 func (c *Cluster) origin() *Node { return c.nodeByName(originName) }
 
-// Now returns the time since the cluster's start, by which all of its records go.
+// Now returns the time since the start of the cluster. All recorded times are relative to it.
 func (c *Cluster) Now() time.Duration { return c.now() }
 
 func (c *Cluster) now() time.Duration { return time.Since(c.startedAt) }
 
-// clockTime is the present seconds by the machine's clock, as directors log them.
+// clockTime returns the seconds of the current wall-clock time in the format of director logs.
 func (c *Cluster) clockTime() string { return time.Now().UTC().Format("05.000000") }
 
-// Violations returns what broke a rule so far.
+// Violations returns the violations counted so far.
 func (c *Cluster) Violations() Violations {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	seen := c.violations
+	violations := c.violations
 	for _, n := range c.Nodes {
 		if n.overloaded {
-			seen.OverloadedNodes++
+			violations.OverloadedNodes++
 		}
 	}
 	for _, e := range c.effects {
 		if e.times > 1 {
-			seen.RepeatedEffects++
+			violations.RepeatedEffects++
 		}
 	}
-	return seen
+	return violations
 }
--- a/internal/fakes/config.go
+++ b/internal/fakes/config.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// zoneName is the name of zone number i. Directors hash names, so these stay as they are.
+// zoneName returns the name of zone i. Directors hash zone names, so the names must not change.
 func zoneName(i int) string {
 	if i == 0 {
 		return "town"
@@ -15,19 +15,22 @@
 	return fmt.Sprint("town-", i)
 }
 
-// trailingNumber is the number at a name's end; 0 where there is none.
+// trailingNumber returns the number at the end of a name, or 0 if there is none.
 func trailingNumber(name string) int {
 	n, _ := strconv.Atoi(name[len(strings.TrimRight(name, "0123456789")):])
 	return n
 }
 
-// ZoneOf is the zone of the cache node or director of a name, by the number at its end.
+// ZoneOf returns the zone of the named cache node or director, which follows from the number at the
+// end of the name.
 func (c *Cluster) ZoneOf(name string) int { return trailingNumber(name) % len(c.links) }
 
-// transferKBPerSecond is the full pace of a transfer in the settings that directors get; capacities are in transfers at that pace.
+// transferKBPerSecond is the full rate of one transfer in the settings of directors. Capacities are
+// counted in transfers at this rate.
 const transferKBPerSecond = 2000.0
 
-// Config is the platform's JSON file for a director of a name, which listens at an address.
+// Config returns the platform's JSON configuration for the named director, which listens at the
+// given address.
 func (c *Cluster) Config(name, listen string, sockets, memoryMB int, cores float64) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,7 +41,7 @@
 		"settings": c.settings(name),
 	})
 	if err != nil {
-		panic(err) // all of it is made here, of what JSON can hold
+		panic(err) // cannot happen: all values are encodable as JSON
 	}
 	return text
 }
@@ -73,7 +76,7 @@
 	}
 }
 
-// lane is a content type as the settings have it.
+// lane returns the settings of a content type.
 func (t *ContentType) lane() map[string]any {
 	lane := map[string]any{
 		"name": t.Name, "aim": t.LatencyObjective.Milliseconds(), "aim-stretch": t.TransferFactor,
--- a/internal/fakes/connection.go
+++ b/internal/fakes/connection.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	outgoingAnswers = 4096            // that may wait for a director to read; more are dropped
-	writeDeadline   = 5 * time.Second // for one answer
+	maxOutgoingAnswers = 4096            // queued answers per connection; more are dropped
+	writeDeadline      = 5 * time.Second // for writing one answer
 )
 
-// connection is a director's connection to a node. One goroutine reads it, another writes; the cluster's lock guards inHand.
+// connection is a director's connection to a node. One goroutine reads from it and another writes
+// to it. The lock of the cluster guards inFlight.
 type connection struct {
 	node     *Node
 	conn     net.Conn
 	outgoing chan []byte
-	inHand   map[string]*request // by the request's id; taken out when it is answered or cancelled
+	inFlight map[string]*request // by request ID; removed when answered or cancelled
 }
 
-// serve answers a connection until it ends.
+// serve handles a connection until it ends.
 func (n *Node) serve(conn net.Conn) {
 	if n.cluster.Instant {
 		n.serveInstantly(conn)
@@ -32,7 +33,7 @@
 		n.cluster.mu.Unlock()
 		return
 	}
-	c := &connection{node: n, conn: conn, outgoing: make(chan []byte, outgoingAnswers), inHand: map[string]*request{}}
+	c := &connection{node: n, conn: conn, outgoing: make(chan []byte, maxOutgoingAnswers), inFlight: map[string]*request{}}
 	n.cluster.mu.Lock()
 	if _, listed := n.conns[conn]; listed {
 		n.conns[conn] = c
@@ -40,17 +41,18 @@
 	n.cluster.mu.Unlock()
 	defer c.close()
 	go c.write()
-	if reader, err := newArrivalReader(conn); err == nil { // else the director has reset the connection
+	// newArrivalReader fails if the director has reset the connection.
+	if reader, err := newArrivalReader(conn); err == nil {
 		c.read(reader)
 	}
 }
 
-// close ends the connection, and the requests that came on it.
+// close closes the connection and ends its requests.
 func (c *connection) close() {
 	closeQuietly(c.conn)
 	c.node.cluster.mu.Lock()
 	delete(c.node.conns, c.conn)
-	for _, r := range c.inHand {
+	for _, r := range c.inFlight {
 		r.end()
 	}
 	c.node.cluster.mu.Unlock()
@@ -64,12 +66,12 @@
 			_, err = c.conn.Write(text)
 		}
 		if err != nil {
-			closeQuietly(c.conn) // the reader ends with it
+			closeQuietly(c.conn) // this also ends the reader
 		}
 	}
 }
 
-// read takes messages until the connection ends or breaks.
+// read handles messages until the connection ends or fails.
 func (c *connection) read(reader *arrivalReader) {
 	for in := bufio.NewReader(reader); ; {
 		line, err := in.ReadString('\n')
@@ -78,35 +80,36 @@
 		}
 		parts := strings.Fields(line)
 		if len(parts) == 4 && parts[0] == "want" {
-			size, _ := strconv.Atoi(parts[3]) // no number: no body
+			size, _ := strconv.Atoi(parts[3]) // an invalid size means no body
 			if _, err := io.CopyN(io.Discard, in, int64(size)+2); err != nil {
 				return
 			}
 		}
-		c.handle(parts, c.node.cluster.now()-reader.waited)
+		c.handle(parts, c.node.cluster.now()-reader.bufferedFor)
 	}
 }
 
-// handle takes one message, cut into parts, which arrived at a time since the cluster's start. What is not known is passed over.
+// handle processes one message, split into parts. arrivedAt is its arrival time since the start of
+// the cluster. Unknown messages are ignored.
 func (c *connection) handle(parts []string, arrivedAt time.Duration) {
 	c.node.cluster.mu.Lock()
 	defer c.node.cluster.mu.Unlock()
 	switch {
 	case len(parts) == 2 && parts[0] == "never_mind":
-		if r := c.inHand[parts[1]]; r != nil {
-			delete(c.inHand, parts[1])
+		if r := c.inFlight[parts[1]]; r != nil {
+			delete(c.inFlight, parts[1])
 			r.end()
 		}
 	case len(parts) == 2 && (parts[0] == "there" || parts[0] == "busy") && c.node.fault != FaultNoAnswer:
 		c.send(fmt.Sprintf("%s well - 0\r\n\r\n", parts[1]))
 	case len(parts) == 4 && parts[0] == "want":
 		r := &request{node: c.node, connection: c, id: parts[1], fields: parseFields(parts[2]), arrivedAt: arrivedAt}
-		c.inHand[r.id] = r
+		c.inFlight[r.id] = r
 		r.handle()
 	}
 }
 
-// parseFields reads "name=value,name=value".
+// parseFields parses "name=value,name=value".
 func parseFields(text string) map[string]string {
 	fields := map[string]string{}
 	for field := range strings.SplitSeq(text, ",") {
@@ -116,7 +119,8 @@
 	return fields
 }
 
-// send never waits: a director that reads nothing gets nothing.
+// send queues an answer without blocking. The answer is dropped if the director does not read and
+// the queue is full.
 func (c *connection) send(text string) {
 	select {
 	case c.outgoing <- []byte(text):
@@ -124,13 +128,13 @@
 	}
 }
 
-// reset ends a connection with a reset in place of an orderly end.
+// reset closes a connection with a TCP reset instead of an orderly close.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails where the connection has ended already
+		_ = tcp.SetLinger(0) // fails if the connection has already ended
 	}
 	closeQuietly(conn)
 }
 
-// closeQuietly closes what has nothing to lose: fakes hold no data that a failed close could drop.
+// closeQuietly closes c and ignores the error: fakes hold no data that a failed close could lose.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/fakes/load.go
+++ b/internal/fakes/load.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-const loadSlots = 30 // into which the overload window is divided
+const loadSlots = 30 // slots of the overload window
 
-// loadWindow is the work that was sent to a node in the overload window, against what it could do.
+// loadWindow records the work sent to a node during the overload window and the capacity of the
+// node in that time.
 type loadWindow struct {
-	sent, capacity [loadSlots]float64 // µs of transfers at full pace, by slot
-	slot           int64              // the latest, counted from the cluster's start
-	peak           float64            // the most that was sent, over what pushes the node over
+	sent, capacity [loadSlots]float64 // µs of transfers at full rate, by slot
+	slot           int64              // latest slot, counted from the start of the cluster
+	peak           float64            // highest load, as a multiple of the overload limit
 }
 
-// slowStartShare is the share of its capacity that the node has at a time.
+// slowStartShare returns the share of its warm capacity that the node has at the given time.
 func (n *Node) slowStartShare(at time.Duration) float64 {
 	initial, duration := n.cluster.EdgeInitialShare, n.cluster.EdgeSlowStart
 	if n.Kind == Parent {
@@ -23,14 +24,14 @@
 	return 1
 }
 
-// capacity is how many transfers at full pace the node can do at a time.
+// capacity returns the number of transfers at full rate that the node can run at the given time.
 func (n *Node) capacity(at time.Duration) float64 {
 	warm := [...]float64{n.cluster.CacheCapacity, n.cluster.ParentCapacity, n.cluster.OriginCapacity}[n.Kind]
 	return warm * n.slowStartShare(at) / n.slowdown
 }
 
-// recordWork counts work that was sent to the node, in µs, and takes the node down where that was too much for too long. The caller holds
-// the lock.
+// recordWork records work sent to the node, in µs of transfers at full rate. It takes a cold node
+// down if the work of the overload window exceeds the overload limit. The caller holds the lock.
 func (n *Node) recordWork(work float64) {
 	now := n.cluster.now()
 	window := &n.loadWindow
@@ -50,7 +51,8 @@
 			capacity += window.capacity[i]
 		}
 	}
-	capacity = max(capacity, n.capacity(now)*float64(n.cluster.OverloadWindow.Microseconds())) // a window that has only begun
+	// While the window is not full yet, the capacity counts as that of a full window.
+	capacity = max(capacity, n.capacity(now)*float64(n.cluster.OverloadWindow.Microseconds()))
 	load := sent / (factor * capacity)
 	window.peak = max(window.peak, load)
 	if load > 1 {
@@ -59,7 +61,8 @@
 	}
 }
 
-// advanceLoadWindow clears the slots since the last work, and returns the present one.
+// advanceLoadWindow clears the slots that have passed since the last call, and returns the current
+// slot.
 func (n *Node) advanceLoadWindow(now time.Duration) int64 {
 	window, length := &n.loadWindow, n.cluster.OverloadWindow/loadSlots
 	slot := int64(now / length)
@@ -71,14 +74,16 @@
 	return slot
 }
 
-// PeakLoad returns the most that a cache or parent was sent, over what pushes it over, and whether it was pushed over.
+// PeakLoad returns the highest load of a cache or parent as a multiple of its overload limit, and
+// whether the node failed under overload.
 func (n *Node) PeakLoad() (peak float64, overloaded bool) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.loadWindow.peak, n.overloaded
 }
 
-// EdgeWork returns the work that the caches could have done between two times, in µs of transfers at full pace.
+// EdgeWork returns the work that the running caches can do between two times, in µs of transfers at
+// full rate.
 func (c *Cluster) EdgeWork(from, to time.Duration) (work float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/node.go
+++ b/internal/fakes/node.go
@@ -18,48 +18,48 @@
 
 var kindNames = [...]string{"edge", "parent", "origin"}
 
-// Fault is a way in which a node misbehaves.
+// Fault is a kind of misbehavior of a node.
 type Fault int
 
 // The faults of nodes.
 const (
 	FaultNone      Fault = iota
-	FaultNoAnswer        // reads all and never answers
-	FaultMalformed       // answers with what can't be read
-	FaultReset           // resets the connection under a request
+	FaultNoAnswer        // reads requests and never answers
+	FaultMalformed       // sends answers that cannot be parsed
+	FaultReset           // resets the connection when a request arrives
 	FaultError           // answers with an error that names no cause
 )
 
-// Words of the command channel.
+// Values on the command channel.
 const (
 	statusUp = "up"
-	hubZone  = "hub" // of parents and the origin
+	hubZone  = "hub" // zone of parents and the origin
 )
 
-// Node is a cache, a parent or the origin. The cluster's lock guards it.
+// Node is a cache, a parent or the origin. The lock of the cluster guards it.
 type Node struct {
-	Kind Kind   // role
-	Name string // as the command channel has it
+	Kind Kind
+	Name string // as on the command channel
 
 	cluster      *Cluster
 	addr         string
 	listener     net.Listener             // nil while the node is down
-	conns        map[net.Conn]*connection // nil until it is served
-	startedAt    time.Duration            // since the cluster's start; negative for long ago
+	conns        map[net.Conn]*connection // value is nil until the connection is served
+	startedAt    time.Duration            // relative to the cluster; negative if long running
 	transfers    *sharedCapacity
-	copies       map[string]*list.Element // by object and part; bounded by CacheEntries
-	copyOrder    *list.List               // of *cachedCopy, the latest used first
+	copies       map[string]*list.Element // by object and part; at most CacheEntries
+	copyOrder    *list.List               // of *cachedCopy, most recently used first
 	fills        map[string]*pendingFill  // by object and part
-	inHand       int                      // requests that are not answered
-	slowdown     float64                  // its capacity is divided by this
+	inFlight     int                      // requests without an answer
+	slowdown     float64                  // divisor of the capacity
 	fault        Fault
-	drainedAt    time.Duration // when the channel said that it drains or was removed; 0 for not
-	overloaded   bool          // it was pushed over, and stays down
+	drainedAt    time.Duration // when draining or removal was published; 0 if neither was
+	overloaded   bool          // failed under overload; stays down
 	loadWindow   loadWindow
 	requestCount int
 }
 
-// AddNode starts a new node and publishes it. One that is not cold counts as started long ago.
+// AddNode starts a new node and publishes it. A node that is not cold counts as long running.
 func (c *Cluster) AddNode(kind Kind, name string, cold bool) (*Node, error) {
 	n := &Node{cluster: c, Kind: kind, Name: name, slowdown: 1}
 	c.mu.Lock()
@@ -76,7 +76,7 @@
 	return n, nil
 }
 
-// publishNode publishes a node's state. The caller holds the lock.
+// publishNode publishes a node's status. The caller holds the lock.
 func (c *Cluster) publishNode(n *Node, status string) {
 	zone, since := zoneName(c.ZoneOf(n.Name)), int64(0)
 	if n.Kind != Edge {
@@ -93,7 +93,7 @@
 	}
 }
 
-// start begins to listen with empty state. The caller holds the lock.
+// start starts the listener of the node, with empty state. The caller holds the lock.
 func (n *Node) start(cold bool) error {
 	addr := n.addr
 	if addr == "" {
@@ -105,7 +105,7 @@
 	}
 	n.listener, n.addr, n.conns = listener, listener.Addr().String(), map[net.Conn]*connection{}
 	n.copies, n.copyOrder = map[string]*list.Element{}, list.New()
-	n.fills, n.inHand = map[string]*pendingFill{}, 0
+	n.fills, n.inFlight = map[string]*pendingFill{}, 0
 	n.loadWindow = loadWindow{peak: n.loadWindow.peak}
 	n.startedAt = -time.Hour
 	if cold {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// accept serves connections until the listener is closed.
+// accept serves new connections until the listener is closed.
 func (n *Node) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -136,21 +136,21 @@
 	}
 }
 
-// RequestCount returns how many requests reached it.
+// RequestCount returns the number of requests that reached the node.
 func (n *Node) RequestCount() int {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.requestCount
 }
 
-// Kill ends it as the death of a process does; nothing is published.
+// Kill stops the node as a crash of its process does. It publishes nothing.
 func (n *Node) Kill() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.kill()
 }
 
-// kill ends it: its connections are reset and its fills fail. The caller holds the lock.
+// kill stops the node: its connections are reset and its fills fail. The caller holds the lock.
 func (n *Node) kill() {
 	if n.listener == nil {
 		return
@@ -163,13 +163,14 @@
 	n.transfers.clear()
 	for key, f := range n.fills {
 		delete(n.fills, key)
-		for _, then := range f.waiters {
-			then(time.Time{}, noteCutOff)
+		for _, waiter := range f.waiters {
+			waiter(time.Time{}, noteCutOff)
 		}
 	}
 }
 
-// Restart brings a node back that is down, cold, at its address, and publishes it. One that was pushed over stays down.
+// Restart starts a stopped node again, cold and at its old address, and publishes it. A node that
+// failed under overload stays down.
 func (n *Node) Restart() error {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -183,26 +184,28 @@
 	return nil
 }
 
-// Announce publishes its state on the command channel: "up", "draining" or "removed".
+// Announce publishes a status of the node on the command channel: "up", "draining" or "removed".
 func (n *Node) Announce(status string) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.cluster.publishNode(n, status)
 }
 
-// SetFault has it misbehave from now on, and divides its capacity by slowdown, 1 at the least.
+// SetFault sets the fault of the node, and divides its capacity by slowdown, which is raised to 1
+// if lower.
 func (n *Node) SetFault(fault Fault, slowdown float64) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.fault, n.slowdown = fault, max(1, slowdown)
 }
 
-// CloseIdle ends the connections on which no request is in hand, as a node does after the time that the settings name.
+// CloseIdle closes the connections without requests in flight, as nodes do after the keepalive time
+// of the settings.
 func (n *Node) CloseIdle() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	for conn, c := range n.conns {
-		if c != nil && len(c.inHand) == 0 {
+		if c != nil && len(c.inFlight) == 0 {
 			closeQuietly(conn)
 		}
 	}
--- a/internal/fakes/node_test.go
+++ b/internal/fakes/node_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// testDirector speaks to a node as a director does.
+// testDirector is a client of a node that uses the protocol of directors.
 type testDirector struct {
 	net.Conn
 	in *bufio.Reader
@@ -35,7 +35,7 @@
 	}
 }
 
-// answer reads an answer's status, fields and body.
+// answer reads the status, fields and body of an answer.
 func (d testDirector) answer(t *testing.T) (status, fields, body string) {
 	t.Helper()
 	line, err := d.in.ReadString('\n')
@@ -71,6 +71,8 @@
 	return c
 }
 
+// TestNodes guards against nodes that answer with a wrong status or note: for copies they hold,
+// fills, uncacheable requests, dead sources and faults.
 func TestNodes(t *testing.T) {
 	cluster := newTestCluster(t, func(*Spec) {})
 	cache, parent := cluster.Node("box-0"), cluster.Node("parent-0")
@@ -99,7 +101,7 @@
 	parent.Kill()
 	director.request(t, "dead", "sort=thumbnail,asset=0000000000000009,slice=0,from=parent-0")
 	if status, fields, _ := director.answer(t); status != "failed" || fields != "n=cut_off" {
-		t.Errorf("with its source dead: %s %s", status, fields)
+		t.Errorf("with its source down: %s %s", status, fields)
 	}
 	for fault, want := range map[Fault]string{FaultError: "failed", FaultMalformed: "", FaultReset: ""} {
 		cache.SetFault(fault, 1)
--- a/internal/fakes/request.go
+++ b/internal/fakes/request.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Notes of answers: how a node came by what it answers with, or why it can't answer.
+// Notes in answers: how the node got the copy that it answers with, or why it has none.
 const (
 	noteHit       = "local"
 	noteFilled    = "pulled"
@@ -17,27 +17,27 @@
 	noteMissing   = "not_there"
 )
 
-// request is an attempt of a director at a node. The cluster's lock guards it.
+// request is an attempt that a director sent to a node. The lock of the cluster guards it.
 type request struct {
 	node        *Node
 	connection  *connection
 	id          string
 	fields      map[string]string
-	arrivedAt   time.Duration // at the node's machine, since the cluster's start
+	arrivedAt   time.Duration // at the machine of the node, since the start of the cluster
 	contentType *ContentType
 	transfers   []*transfer
-	ended       bool // answered, cancelled, or its connection has ended
-	partsLeft   int  // parts that are not done: the transfer to the director, and a fill
+	ended       bool // answered, cancelled, or its connection ended
+	partsLeft   int  // unfinished parts: the transfer to the director and a fill
 	born        time.Time
 	note        string
 }
 
-// handle does what a request asks for: at once, or as its transfers end.
+// handle processes a request. It is answered at once, or when its transfers end.
 func (r *request) handle() {
 	n, c := r.node, r.node.cluster
 	r.record()
 	c.checkAbandoned(r)
-	c.recordKeyEvent(r.fields["op"], "attempt %s at %s from %s, patience %s ms, by %v, arrived %v before", r.id, n.Name, r.fields["from"],
+	c.recordKeyEvent(r.fields["op"], "attempt %s at %s, source %s, patience %s ms, sent by %v, arrived %v earlier", r.id, n.Name, r.fields["from"],
 		r.fields["patience"], r.connection.conn.RemoteAddr(), c.now()-r.arrivedAt)
 	source := c.nodeByName(r.fields["from"])
 	c.checkDrained(n, source)
@@ -47,14 +47,14 @@
 	}
 	work := c.transferMicros(r.contentType, r.fields["asset"])
 	if n.fault != FaultNone {
-		r.misbehave(n.fault)
+		r.applyFault(n.fault)
 		return
 	}
 	n.recordWork(work)
-	if n.listener == nil { // that was too much for it
+	if n.listener == nil { // recordWork took the node down for overload
 		return
 	}
-	if float64(n.inHand) > n.capacity(c.now())*c.MaxQueueFactor+1 {
+	if float64(n.inFlight) > n.capacity(c.now())*c.MaxQueueFactor+1 {
 		r.answer(r.id + " full - 0\r\n\r\n")
 		return
 	}
@@ -65,16 +65,16 @@
 	r.serveCopy(source, work)
 }
 
-// record counts the request at its node, and among the attempts of its id that are in flight anywhere.
+// record counts the request at its node, and among the attempts with its ID in flight at all nodes.
 func (r *request) record() {
 	c := r.node.cluster
 	r.node.requestCount++
-	r.node.inHand++
+	r.node.inFlight++
 	c.attemptsInFlight[r.id]++
 	if c.attemptsInFlight[r.id] < 2 {
 		return
 	}
-	time.AfterFunc(cancelDelay, func() { // the other's cancelling may still be on its way
+	time.AfterFunc(cancelDelay, func() { // the cancellation of the other attempt may still arrive
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if !r.ended && c.attemptsInFlight[r.id] > 1 {
@@ -83,7 +83,8 @@
 	})
 }
 
-// checkDrained counts uses of nodes that were told to drain longer ago than directors may take to hear of it.
+// checkDrained counts uses of nodes whose drain was published so long ago that all directors must
+// know.
 func (c *Cluster) checkDrained(used ...*Node) {
 	for _, n := range used {
 		if n != nil && n.drainedAt > 0 && c.now() > c.channelState.knownFrom(n.drainedAt)+drainDeadline {
@@ -92,7 +93,7 @@
 	}
 }
 
-// contentTypeNamed is nil for a name that is not known.
+// contentTypeNamed returns the content type with the given name, or nil if there is none.
 func (c *Cluster) contentTypeNamed(name string) *ContentType {
 	for i := range c.ContentTypes {
 		if c.ContentTypes[i].Name == name {
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// misbehave does what a node with a fault does with a request.
-func (r *request) misbehave(fault Fault) {
+// applyFault handles a request as a node with the given fault does.
+func (r *request) applyFault(fault Fault) {
 	switch fault {
 	case FaultMalformed:
 		r.answer("\x00\x01 rubbish\r\n")
@@ -114,7 +115,8 @@
 	}
 }
 
-// runAtOrigin has the origin do what no cache keeps. It runs, whether its director still waits or not.
+// runAtOrigin executes an uncacheable request at the origin. It runs to its end even if the
+// director no longer waits.
 func (r *request) runAtOrigin(source *Node, work float64) {
 	c := r.node.cluster
 	if source == nil || source.Kind != Origin && r.node.Kind != Origin {
@@ -132,7 +134,7 @@
 	})
 }
 
-// serveCopy answers from the copy that is held, or fills one from the source.
+// serveCopy answers with the copy that the node holds, or fills one from the source.
 func (r *request) serveCopy(source *Node, work float64) {
 	n := r.node
 	key := r.fields["asset"] + "/" + r.fields["slice"]
@@ -154,13 +156,13 @@
 	mode := "+" + r.fields["mode"] + "+"
 	onlyIfCached := strings.Contains(mode, "+held+")
 	if pending := n.fills[key]; pending != nil && strings.Contains(mode, "+join+") && !onlyIfCached {
-		pending.waiters = append(pending.waiters, r.coalesced)
+		pending.waiters = append(pending.waiters, r.finishJoinedFill)
 		return
 	}
 	r.startFill(source, key, work, onlyIfCached)
 }
 
-// startFill fills a copy for this request and for those that join it.
+// startFill starts a fill for this request and for others that join it.
 func (r *request) startFill(source *Node, key string, work float64, onlyIfCached bool) {
 	n, pending := r.node, &pendingFill{}
 	n.fills[key] = pending
@@ -171,26 +173,26 @@
 		if !born.IsZero() && n.listener != nil {
 			n.store(key, born)
 		}
-		r.filled(born, note)
+		r.finishFill(born, note)
 		for _, waiter := range pending.waiters {
 			waiter(born, note)
 		}
 	})
 }
 
-// coalesced takes the end of another request's fill that this one has joined.
-func (r *request) coalesced(born time.Time, note string) {
+// finishJoinedFill handles the end of a fill that another request started and this one joined.
+func (r *request) finishJoinedFill(born time.Time, note string) {
 	if note == noteFilled || note == noteOrigin {
 		note = noteCoalesced
 	}
 	if !born.IsZero() && !r.isFresh(born) {
 		born, note = time.Time{}, noteCutOff
 	}
-	r.filled(born, note)
+	r.finishFill(born, note)
 }
 
-// filled takes the end of a fill; born is zero where it failed.
-func (r *request) filled(born time.Time, note string) {
+// finishFill handles the end of a fill. born is zero if the fill failed.
+func (r *request) finishFill(born time.Time, note string) {
 	r.born, r.note = born, note
 	switch {
 	case born.IsZero() && note == noteMissing:
@@ -202,20 +204,21 @@
 	}
 }
 
-// isFresh says whether a copy is young enough for what the request asks; one of the zero time is none.
+// isFresh reports whether the copy is young enough for the maximum age in the request. It returns
+// false for the zero time, which stands for no copy.
 func (r *request) isFresh(born time.Time) bool {
-	maxAge, _ := strconv.Atoi(r.fields["oldest"]) // milliseconds; 0 where not given
+	maxAge, _ := strconv.Atoi(r.fields["oldest"]) // milliseconds; 0 if not given
 	return !born.IsZero() && (maxAge == 0 || time.Since(born) <= time.Duration(maxAge)*time.Millisecond)
 }
 
-// partDone marks a part of a request as done, and answers after the last.
+// partDone marks one part of the request as done, and answers after the last one.
 func (r *request) partDone() {
 	if r.partsLeft--; r.partsLeft <= 0 {
 		r.answerBody()
 	}
 }
 
-// answerBody answers with the bytes, which tell what they are.
+// answerBody sends the body, which names the object, its part and when the origin issued the copy.
 func (r *request) answerBody() {
 	body := fmt.Sprintf("%s/%s born %d", r.fields["asset"], r.fields["slice"], r.born.UnixMilli())
 	r.answer(fmt.Sprintf("%s data n=%s,ver=%016x,born=%d %d\r\n%s\r\n", r.id, r.note, r.born.UnixMilli(), r.born.UnixMilli(),
@@ -226,12 +229,12 @@
 	r.answer(r.id + " absent n=" + noteMissing + " 0\r\n\r\n")
 }
 
-// answer sends a final answer, unless the request has ended.
+// answer sends the final answer, unless the request has ended.
 func (r *request) answer(text string) {
 	if r.ended {
 		return
 	}
-	delete(r.connection.inHand, r.id)
+	delete(r.connection.inFlight, r.id)
 	r.node.cluster.recordKeyEvent(r.fields["op"], "attempt %s answered: %.40q", r.id, text)
 	r.end()
 	r.connection.send(text)
@@ -240,14 +243,14 @@
 	}
 }
 
-// end takes a request off the counts, and cancels its transfers.
+// end removes the request from the counts and cancels its transfers.
 func (r *request) end() {
 	if r.ended {
 		return
 	}
 	r.ended = true
 	n, c := r.node, r.node.cluster
-	n.inHand--
+	n.inFlight--
 	if c.attemptsInFlight[r.id]--; c.attemptsInFlight[r.id] == 0 {
 		delete(c.attemptsInFlight, r.id)
 	}
