--- a/internal/fakes/instant.go
+++ b/internal/fakes/instant.go
@@ -8,9 +8,10 @@
 	"strconv"
 )
 
-const instantBuffer = 64 << 10 // bytes, of the reader and of the writer
+const instantBuffer = 64 << 10 // bytes of the read buffer and of the write buffer
 
-// instantConnection is a connection to a node that answers at once, whatever is asked, so that directors can be measured.
+// instantConnection is a connection to a node that answers every request at once, for benchmarks of
+// directors.
 type instantConnection struct {
 	node   *Node
 	in     *bufio.Reader
@@ -18,7 +19,8 @@
 	bodies map[string][]byte // by content type
 }
 
-// serveInstantly answers a connection until it ends. Answers to what has come together go out together.
+// serveInstantly handles a connection until it ends. Answers to messages that arrived together are
+// sent together.
 func (n *Node) serveInstantly(conn net.Conn) {
 	defer closeQuietly(conn)
 	c := &instantConnection{
@@ -29,7 +31,8 @@
 	}
 	for i := range n.cluster.ContentTypes {
 		t := &n.cluster.ContentTypes[i]
-		size := max(1, int(t.MeanTransfer.Microseconds())/16) // in lines of 16 bytes: a byte a µs
+		// In units of 16 bytes: one byte per µs of transfer.
+		size := max(1, int(t.MeanTransfer.Microseconds())/16)
 		c.bodies[t.Name] = bytes.Repeat([]byte("0123456789abcdef"), size)
 	}
 	for {
@@ -39,8 +42,9 @@
 	}
 }
 
-// serveOne answers one message. What is not known is passed over. An error of writing shows at the next Flush alone: what came together
-// is read whole and its effects count, as at a node that works on while its director's connection has ended.
+// serveOne handles one message and ignores unknown ones. A write error is reported by the next
+// Flush only: messages that arrived together are all read and take effect, as at a node that
+// continues to work after the connection of its director has ended.
 func (c *instantConnection) serveOne() error {
 	if c.in.Buffered() == 0 {
 		if err := c.out.Flush(); err != nil {
@@ -61,7 +65,7 @@
 	return nil
 }
 
-// answer answers "ID FIELDS SIZE", and reads the request's body of that size.
+// answer handles the request "ID FIELDS SIZE" and reads its body of SIZE bytes.
 func (c *instantConnection) answer(parts []byte) error {
 	id, rest, _ := bytes.Cut(parts, []byte(" "))
 	fields, sizeText, _ := bytes.Cut(rest, []byte(" "))
@@ -83,12 +87,12 @@
 	if len(key) > 0 {
 		c.node.cluster.instantEffects.add(string(key))
 	}
-	requestSize, _ := strconv.Atoi(string(sizeText)) // no number: no body
+	requestSize, _ := strconv.Atoi(string(sizeText)) // an invalid size means no body
 	_, err := io.CopyN(io.Discard, c.in, int64(requestSize)+2)
 	return err
 }
 
-// write writes an answer in parts. The writer keeps its first error, and Flush returns it.
+// write writes the parts of an answer. The writer keeps its first error, which Flush returns.
 func (c *instantConnection) write(parts ...[]byte) {
 	for _, part := range parts {
 		_, _ = c.out.Write(part)
--- a/internal/fakes/instant_test.go
+++ b/internal/fakes/instant_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// endedConn is a connection whose other end has sent all that it had and is gone.
+// endedConn is a connection whose other end has sent all its data and has closed.
 type endedConn struct {
 	net.Conn
 	sent *strings.Reader
@@ -20,7 +20,8 @@
 
 func (c endedConn) Close() error { return nil }
 
-// What came together has its effects, also where the connection has ended before the answers.
+// TestInstantEffectsOfEndedConnections guards against lost effects: requests that arrived together
+// must take effect even if the connection ends before they are answered.
 func TestInstantEffectsOfEndedConnections(t *testing.T) {
 	c := newTestCluster(t, func(s *Spec) { s.Instant = true })
 	const requests = 200
--- a/internal/fakes/spec.go
+++ b/internal/fakes/spec.go
@@ -2,58 +2,60 @@
 
 import "time"
 
-// ContentType is a content type of the cluster.
+// ContentType describes a content type of the cluster.
 type ContentType struct {
-	Name              string        // in settings and requests
-	LatencyObjective  time.Duration // answers within this time, and TransferFactor times the transfer, are on time
-	TransferFactor    float64       // see LatencyObjective
-	Timeout           time.Duration // what a client waits in all, over its retries
-	PriorityWeight    float64       // worth of an answer on time
-	MeanTransfer      time.Duration // mean transfer time at full pace
-	Sigma             float64       // standard deviation of the transfer time's logarithm
-	IdempotentWithKey bool          // a request carries a key by which repeats are dropped
-	DedupWindow       time.Duration // for so long
-	Uncacheable       bool          // it runs at the origin
-	RequestShare      float64       // of all requests
+	Name              string        // as in settings and requests
+	LatencyObjective  time.Duration // an answer is on time within this, see TransferFactor
+	TransferFactor    float64       // plus this multiple of the transfer time
+	Timeout           time.Duration // total wait of a client, over its retries
+	PriorityWeight    float64       // value of an answer on time
+	MeanTransfer      time.Duration // mean transfer time at full rate
+	Sigma             float64       // standard deviation of the logarithm of the transfer time
+	IdempotentWithKey bool          // requests carry a key that identifies duplicates
+	DedupWindow       time.Duration // period in which duplicates are dropped
+	Uncacheable       bool          // runs at the origin
+	RequestShare      float64       // share of all requests
 }
 
-// Spec says what a cluster is made of. Capacities are in transfers at full pace.
+// Spec describes a cluster. Capacities are in transfers at full rate. A node or channel without an
+// entry in Addresses listens on a free port of 127.0.0.1.
 type Spec struct {
-	Seed                 uint64            // of directors and of clients
-	CacheNodes           int               // edge caches, over all zones
-	Parents              int               // parent caches, in the hub
-	Zones                int               // each has its caches, directors and link, dealt out in turn; 0 is one
-	SecondPath           bool              // directors with odd numbers reach the channel at a second address, which can be cut
-	CacheCapacity        float64           // of a warm cache
-	LinkCapacity         float64           // of a zone's link for fills
-	ParentCapacity       float64           // of a warm parent
-	OriginCapacity       float64           // of the origin
-	FillSpeedup          float64           // a fill may run so many times faster than a transfer to a client
-	OriginLatency        time.Duration     // before a transfer of the origin begins
-	EdgeInitialShare     float64           // share of its capacity that a cold cache starts with
-	EdgeSlowStart        time.Duration     // after which it is warm
-	EdgeOverloadFactor   float64           // a cold cache is pushed over by more than this multiple of what it can do
-	ParentInitialShare   float64           // as EdgeInitialShare, for parents
-	ParentSlowStart      time.Duration     // as EdgeSlowStart, for parents
-	ParentOverloadFactor float64           // as EdgeOverloadFactor, for parents
-	OverloadWindow       time.Duration     // in which overload is counted
-	CacheEntries         int               // that a node holds at most
-	MaxQueueFactor       float64           // a node with more requests in hand than this multiple of its capacity rejects
-	ColdEdges            bool              // caches start with the cluster
-	ColdParents          bool              // parents too
-	Directors            int               // over all zones
-	MaxRetryAfter        time.Duration     // that clients heed
-	ContentTypes         []ContentType     // by which clients draw requests
-	Objects              int               // of each content type
-	ZipfExponent         float64           // of the objects' popularity
-	Addresses            map[string]string // fixed addresses, by node's name or "channel"; else a free port of 127.0.0.1
-	Instant              bool              // nodes answer at once, whatever is asked, and record only effects of keys
+	Seed                 uint64            // for directors and clients
+	CacheNodes           int               // edge caches in all zones
+	Parents              int               // parent caches in the hub
+	Zones                int               // zones take caches and directors in turn; 0 means 1
+	SecondPath           bool              // second channel address for directors with odd numbers
+	CacheCapacity        float64           // capacity of a warm cache
+	LinkCapacity         float64           // capacity of a zone's link for fills
+	ParentCapacity       float64           // capacity of a warm parent
+	OriginCapacity       float64           // capacity of the origin
+	FillSpeedup          float64           // maximum fill rate, as a multiple of the full rate
+	OriginLatency        time.Duration     // delay before a transfer of the origin begins
+	EdgeInitialShare     float64           // initial share of the capacity of a cold cache
+	EdgeSlowStart        time.Duration     // time until a cold cache is warm
+	EdgeOverloadFactor   float64           // overload limit of a cold cache, as a capacity multiple
+	ParentInitialShare   float64           // like EdgeInitialShare, for parents
+	ParentSlowStart      time.Duration     // like EdgeSlowStart, for parents
+	ParentOverloadFactor float64           // like EdgeOverloadFactor, for parents
+	OverloadWindow       time.Duration     // period over which overload is measured
+	CacheEntries         int               // copies per node, at most
+	MaxQueueFactor       float64           // limit of requests in flight, as a capacity multiple
+	ColdEdges            bool              // caches are cold at the start
+	ColdParents          bool              // parents are cold at the start
+	Directors            int               // directors in all zones
+	MaxRetryAfter        time.Duration     // longest retry-after time that clients obey
+	ContentTypes         []ContentType     // content types that clients request
+	Objects              int               // objects per content type
+	ZipfExponent         float64           // exponent of the popularity of objects
+	Addresses            map[string]string // fixed address by node name or "channel"; see above
+	Instant              bool              // nodes answer at once and count only key effects
 
-	// OnAnswer is called with each answer of a node, under the cluster's lock, where it is set.
+	// OnAnswer, if set, is called with each answer of a node, with the lock of the cluster held.
 	OnAnswer func(node string, fields map[string]string, answer string)
 }
 
-// DefaultSpec is a zone of a few caches after a power loss, in the figures of a usual deployment.
+// DefaultSpec returns the spec of one zone with a few caches that are all cold after a power loss,
+// with the parameters of a typical deployment.
 func DefaultSpec(cacheNodes, directors int) Spec {
 	const cacheCapacity = 8.0
 	zoneCapacity := cacheCapacity * float64(cacheNodes)
--- a/internal/fakes/transfers.go
+++ b/internal/fakes/transfers.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// sharedCapacity is a capacity that transfers divide equally among themselves (processor sharing): each runs at maxRate at most, and all
-// together at the capacity of the moment. The cluster's lock guards it.
+// sharedCapacity is a capacity shared equally by all running transfers (processor sharing). Each
+// transfer runs at maxRate at most, and all together at the current capacity. The lock of the
+// cluster guards it.
 type sharedCapacity struct {
 	cluster   *Cluster
-	capacity  func(at time.Duration) float64 // in transfers at a client's full pace
-	maxRate   float64                        // of one transfer, over that pace
-	transfers transferHeap                   // those that are under way, the first to end on top
-	served    float64                        // µs of work that each transfer has been given since the beginning
-	last      time.Duration                  // until when served counts
-	timer     *time.Timer                    // wakes for the next end
+	capacity  func(at time.Duration) float64 // in transfers at full rate to a client
+	maxRate   float64                        // maximum rate of one transfer, over the full rate
+	transfers transferHeap                   // running transfers, the next to end first
+	served    float64                        // µs of work completed per transfer since the start
+	last      time.Duration                  // time up to which served is computed
+	timer     *time.Timer                    // fires at the next end
 }
 
-// transfer is a piece of work.
+// transfer is an amount of work that uses a shared capacity.
 type transfer struct {
-	end   float64 // the value of served at which it ends
-	index int     // in the heap; -1 once it has ended
+	end   float64 // value of served at which the transfer ends
+	index int     // in the heap; -1 after the end
 	done  func()
 }
 
 const (
-	replanInterval = 20 * time.Millisecond // after which a changed capacity is seen at the latest
-	minimumWait    = 50 * time.Microsecond
-	minimumRate    = 1e-6
+	capacityCheckInterval = 20 * time.Millisecond // longest delay until a new capacity applies
+	minTimerWait          = 50 * time.Microsecond
+	minRate               = 1e-6
 )
 
-// add starts a transfer of a number of µs at full pace, and calls done at its end. The caller holds the lock, and done is called under it.
+// add starts a transfer of work µs at full rate and calls done at its end. The caller holds the
+// lock, and done is called with the lock held.
 func (s *sharedCapacity) add(work float64, done func()) *transfer {
 	s.advance()
 	t := &transfer{end: s.served + work, done: done}
 	heap.Push(&s.transfers, t)
-	s.plan()
+	s.resetTimer()
 	return t
 }
 
-// cancel ends a transfer early, without calling done. The caller holds the lock.
+// cancel ends a transfer early without calling done. The caller holds the lock.
 func (s *sharedCapacity) cancel(t *transfer) {
 	if t == nil || t.index < 0 {
 		return
@@ -48,35 +50,35 @@
 	if t.index >= 0 {
 		heap.Remove(&s.transfers, t.index)
 	}
-	s.plan()
+	s.resetTimer()
 }
 
-// rate is the work that each transfer is given in a µs.
+// rate returns the work that each transfer completes per µs.
 func (s *sharedCapacity) rate(now time.Duration) float64 {
-	return min(s.maxRate, max(minimumRate, s.capacity(now))/float64(max(1, len(s.transfers))))
+	return min(s.maxRate, max(minRate, s.capacity(now))/float64(max(1, len(s.transfers))))
 }
 
-// advance ends the transfers that are done by now, in their order.
+// advance completes the transfers that are done by now, in order of their ends.
 func (s *sharedCapacity) advance() {
 	now := s.cluster.now()
 	for len(s.transfers) > 0 {
-		left := max(0, float64(now-s.last)/1000)
+		available := max(0, float64(now-s.last)/1000)
 		rate := s.rate(now)
-		need := (s.transfers[0].end - s.served) / rate
-		if need > left {
-			s.served += left * rate
+		needed := (s.transfers[0].end - s.served) / rate
+		if needed > available {
+			s.served += available * rate
 			break
 		}
 		s.served = s.transfers[0].end
-		s.last += time.Duration(need * 1000)
+		s.last += time.Duration(needed * 1000)
 		t := heap.Pop(&s.transfers).(*transfer)
 		t.done()
 	}
 	s.last = max(s.last, now)
 }
 
-// plan sets the timer for the next end, or for a look at a changed capacity.
-func (s *sharedCapacity) plan() {
+// resetTimer sets the timer for the next end of a transfer, or for the next check of the capacity.
+func (s *sharedCapacity) resetTimer() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
@@ -84,11 +86,11 @@
 		return
 	}
 	wait := time.Duration((s.transfers[0].end - s.served) / s.rate(s.cluster.now()) * 1000)
-	s.timer = time.AfterFunc(min(max(wait, minimumWait), replanInterval), func() {
+	s.timer = time.AfterFunc(min(max(wait, minTimerWait), capacityCheckInterval), func() {
 		s.cluster.mu.Lock()
 		defer s.cluster.mu.Unlock()
 		s.advance()
-		s.plan()
+		s.resetTimer()
 	})
 }
 
@@ -103,26 +105,26 @@
 // transferHeap implements heap.Interface.
 type transferHeap []*transfer
 
-// Len is called by package heap.
+// Len implements heap.Interface.
 func (h transferHeap) Len() int { return len(h) }
 
-// Less is called by package heap.
+// Less implements heap.Interface.
 func (h transferHeap) Less(a, b int) bool { return h[a].end < h[b].end }
 
-// Swap is called by package heap.
+// Swap implements heap.Interface.
 func (h transferHeap) Swap(a, b int) {
 	h[a], h[b] = h[b], h[a]
 	h[a].index, h[b].index = a, b
 }
 
-// Push is called by package heap.
+// Push implements heap.Interface.
 func (h *transferHeap) Push(x any) {
 	t := x.(*transfer)
 	t.index = len(*h)
 	*h = append(*h, t)
 }
 
-// Pop is called by package heap.
+// Pop implements heap.Interface.
 func (h *transferHeap) Pop() any {
 	last := len(*h) - 1
 	t := (*h)[last]
--- a/internal/fakes/unresponsive.go
+++ b/internal/fakes/unresponsive.go
@@ -8,22 +8,24 @@
 	"time"
 )
 
-// UnresponsiveListener is an address on loopback where connections neither come up nor are refused, as at a machine that went silent,
-// until what is in its queue is accepted.
+// UnresponsiveListener is a loopback address at which connection attempts are neither accepted nor
+// refused, as at an unresponsive machine. It becomes responsive when the connections that fill its
+// accept queue are accepted.
 type UnresponsiveListener struct {
 	net.Listener
-	queued map[string]net.Conn // the connections that fill the queue, by their own address
+	queued map[string]net.Conn // connections that fill the accept queue, by local address
 }
 
 const (
-	maxQueued   = 64                     // connections that are tried until one does not come up
-	dialTimeout = 100 * time.Millisecond // after which one has not come up
+	maxQueued   = 64                     // connections opened, at most, to fill the queue
+	dialTimeout = 100 * time.Millisecond // to connect; a timeout means that the queue is full
 )
 
-// ErrQueueNotFull is returned where the system accepts more connections than are tried.
-var ErrQueueNotFull = errors.New("all connections come up")
+// ErrQueueNotFull is returned if the accept queue holds more connections than ListenUnresponsive
+// opens.
+var ErrQueueNotFull = errors.New("accept queue is not full: all connections were established")
 
-// ListenUnresponsive opens an address and fills its queue.
+// ListenUnresponsive opens a listener and fills its accept queue.
 func ListenUnresponsive() (*UnresponsiveListener, error) {
 	listener, err := listenWithoutBacklog()
 	if err != nil {
@@ -40,7 +42,8 @@
 	return nil, errors.Join(ErrQueueNotFull, l.Close())
 }
 
-// listenWithoutBacklog listens on a free port of 127.0.0.1 with the smallest queue that the system has.
+// listenWithoutBacklog listens on a free port of 127.0.0.1 with the shortest accept queue of the
+// system.
 func listenWithoutBacklog() (net.Listener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -54,15 +57,15 @@
 	if err := syscall.Listen(fd, 0); err != nil {
 		return nil, err
 	}
-	return net.FileListener(file) // of a copy of the descriptor
+	return net.FileListener(file) // duplicates the descriptor
 }
 
-// HoldsQueue says whether an accepted connection is one of those that filled the queue.
+// HoldsQueue reports whether an accepted connection is one of those that filled the accept queue.
 func (l *UnresponsiveListener) HoldsQueue(conn net.Conn) bool {
 	return l.queued[conn.RemoteAddr().String()] != nil
 }
 
-// Close closes the address, and the connections that filled its queue.
+// Close closes the listener and the connections that filled its queue.
 func (l *UnresponsiveListener) Close() error {
 	for _, conn := range l.queued {
 		closeQuietly(conn)
