--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -24,7 +24,7 @@
 	idleDuration      = 2 * time.Second        // how long an idle connection stays open
 )
 
-var errNoAnswer = errors.New("no answer in time")
+var errNoAnswer = errors.New("an answer was owed")
 
 // Client requests objects from one director and switches to another if it cannot connect. It must
 // be used by one goroutine only.
--- a/internal/fakes/client_protocol.go
+++ b/internal/fakes/client_protocol.go
@@ -16,7 +16,7 @@
 var (
 	errConnectionClosed = errors.New("closed")
 	errConnectionReset  = errors.New("reset")
-	errMalformedAnswer  = errors.New("malformed answer")
+	errMalformedAnswer  = errors.New("answer that can't be read")
 )
 
 const answerParts = 4 // tag, status, fields, body
