--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -69,7 +69,7 @@
 	{ChannelRollback, func(r faultRun) fault { return channelRollback{r} }},
 	{PlannedRestart, func(r faultRun) fault { return plannedRestart{r} }},
 	{Reloads, func(r faultRun) fault { return reloads{r} }},
-	{Crowd, func(r faultRun) fault { return crowd{r} }},
+	{IdleClients, func(r faultRun) fault { return crowd{r} }},
 	{HangingNode, func(r faultRun) fault { return faultyNodes{r, fakes.FaultNoAnswer} }},
 	{ResettingNode, func(r faultRun) fault { return faultyNodes{r, fakes.FaultReset} }},
 	{CrashedNode, func(r faultRun) fault { return crashedNodes{r, false} }},
--- a/internal/faulttest/soak_schedule_test.go
+++ b/internal/faulttest/soak_schedule_test.go
@@ -38,7 +38,7 @@
 	s.Faults = slices.Concat(d.restarts(), d.reloads(), d.nodeTroubles(), d.channelTroubles(), d.peerTroubles())
 	if random.IntN(3) == 0 {
 		at := random.IntN(soakFirstMS + soakRestartSpan)
-		s.Faults = append(s.Faults, Fault{Kind: Crowd, AtMS: at, ForMS: 3000 + random.IntN(4000), Targets: []int{random.IntN(directors)}, Rate: soakCrowd})
+		s.Faults = append(s.Faults, Fault{Kind: IdleClients, AtMS: at, ForMS: 3000 + random.IntN(4000), Targets: []int{random.IntN(directors)}, Rate: soakCrowd})
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return a.AtMS - b.AtMS })
 	return s
