--- a/internal/faulttest/check_membership.go
+++ b/internal/faulttest/check_membership.go
@@ -31,7 +31,7 @@
 		d.apply(e)
 		took = append(took, d.takeDetected(e.At)...)
 	}
-	return took, len(d.open)
+	return took, len(d.undetected)
 }
 
 // death is a director's, as others come to know of it.
@@ -39,7 +39,7 @@
 	at       time.Time
 	director int
 	knows    map[int]bool // by director that lived then and still does: whether it knows
-	spoiled  bool         // it says nothing of the failure detector
+	excluded bool         // it says nothing of the failure detector
 }
 
 // isDetected says whether all know.
@@ -58,7 +58,7 @@
 	upSince      map[int]time.Time // of directors that live
 	incarnations map[string]string // that others have seen of a director, by name
 	disruptions  int               // that go on
-	open         []*death          // that not all know of
+	undetected   []*death          // that not all know of
 }
 
 // apply takes an entry.
@@ -66,54 +66,54 @@
 	switch {
 	case e.Event == logevent.Started:
 		t.upSince[e.Director] = e.At
-		t.spoil(func(d *death) bool { return d.director == e.Director })
+		t.exclude(func(d *death) bool { return d.director == e.Director })
 	case e.isAction(actionKill, actionTerminate):
-		t.died(e)
+		t.recordDeath(e)
 	case e.isDisruption(disruptionOn):
 		t.disruptions++
-		t.spoil(func(*death) bool { return true })
+		t.exclude(func(*death) bool { return true })
 	case e.isDisruption(disruptionOff):
 		t.disruptions--
 	case e.Event == logevent.PeerState:
-		t.observed(e)
+		t.recordState(e)
 	}
 }
 
 // spoil marks those of the open deaths that no longer say anything.
-func (t *deathTracker) spoil(which func(*death) bool) {
-	for _, d := range t.open {
-		d.spoiled = d.spoiled || which(d)
+func (t *deathTracker) exclude(which func(*death) bool) {
+	for _, d := range t.undetected {
+		d.excluded = d.excluded || which(d)
 	}
 }
 
 // died takes the end of a director: nobody waits for it any more, and if it was killed and ever seen, others are to know.
-func (t *deathTracker) died(e Entry) {
+func (t *deathTracker) recordDeath(e Entry) {
 	delete(t.upSince, e.Director)
-	for _, d := range t.open {
+	for _, d := range t.undetected {
 		delete(d.knows, e.Director)
 	}
 	if !e.isAction(actionKill) || e.Director >= len(t.names) || t.incarnations[t.names[e.Director]] == "" {
 		return
 	}
-	d := &death{at: e.At, director: e.Director, knows: map[int]bool{}, spoiled: t.disruptions > 0}
+	d := &death{at: e.At, director: e.Director, knows: map[int]bool{}, excluded: t.disruptions > 0}
 	for director, since := range t.upSince {
 		if director < len(t.names) && since.Before(e.At.Add(-minUptime)) {
 			d.knows[director] = false
 		}
 	}
 	if len(d.knows) > 0 {
-		t.open = append(t.open, d)
+		t.undetected = append(t.undetected, d)
 	}
 }
 
 // observed takes what a director says of another's state.
-func (t *deathTracker) observed(e Entry) {
+func (t *deathTracker) recordState(e Entry) {
 	name := e.Attributes["name"]
 	switch e.Attributes["state"] {
 	case stateUp:
 		t.incarnations[name] = e.Attributes["incarnation"]
 	case stateFailed, stateLeft:
-		for _, d := range t.open {
+		for _, d := range t.undetected {
 			if _, awaited := d.knows[e.Director]; awaited && t.names[d.director] == name {
 				d.knows[e.Director] = true
 			}
@@ -123,8 +123,8 @@
 
 // takeDetected removes the deaths that all know of, and those that are spoiled, and returns how long the former took.
 func (t *deathTracker) takeDetected(now time.Time) (took []time.Duration) {
-	t.open = slices.DeleteFunc(t.open, func(d *death) bool {
-		if d.spoiled {
+	t.undetected = slices.DeleteFunc(t.undetected, func(d *death) bool {
+		if d.excluded {
 			return true
 		}
 		if !d.isDetected() {
@@ -154,7 +154,7 @@
 
 // FalsePositives counts directors, by their names, that others took for failed, or suspected, while they were up and not paused, and for
 // longer than minCalm there had been no disruption of links.
-func FalsePositives(entries []Entry, names []string, minCalm time.Duration) (failed, suspected int) {
+func FalsePositives(entries []Entry, names []string, minSettled time.Duration) (failed, suspected int) {
 	up, clearSince, disruptions := map[string]bool{}, time.Time{}, 0
 	for _, e := range entries {
 		named := e.Director >= 0 && e.Director < len(names)
@@ -168,7 +168,7 @@
 		case e.isDisruption(disruptionOff):
 			disruptions--
 			clearSince = e.At
-		case e.Event == logevent.PeerState && up[e.Attributes["name"]] && disruptions == 0 && e.At.Sub(clearSince) > minCalm:
+		case e.Event == logevent.PeerState && up[e.Attributes["name"]] && disruptions == 0 && e.At.Sub(clearSince) > minSettled:
 			failed += boolean.Int(e.Attributes["state"] == stateFailed)
 			suspected += boolean.Int(e.Attributes["state"] == stateSuspected)
 		}
@@ -190,14 +190,14 @@
 		case e.Event == logevent.Stopping, e.isAction(actionKill, actionTerminate):
 			delete(digests, e.Director)
 		case e.Event == logevent.MembershipView:
-			if _, lives := digests[e.Director]; lives {
+			if _, live := digests[e.Director]; live {
 				digests[e.Director] = e.Attributes["digest"]
 			}
 		default:
 			continue
 		}
 		switch {
-		case !haveOneView(digests):
+		case !viewsAgree(digests):
 			since = time.Time{}
 		case since.IsZero():
 			since = e.At
@@ -210,13 +210,13 @@
 }
 
 // haveOneView says whether there are views, and all of them are the same and not empty.
-func haveOneView(digests map[int]string) bool {
-	one := ""
+func viewsAgree(digests map[int]string) bool {
+	common := ""
 	for _, digest := range digests {
-		if digest == "" || one != "" && digest != one {
+		if digest == "" || common != "" && digest != common {
 			return false
 		}
-		one = digest
+		common = digest
 	}
-	return one != ""
+	return common != ""
 }
--- a/internal/faulttest/check_test.go
+++ b/internal/faulttest/check_test.go
@@ -13,17 +13,17 @@
 // TestCheckers shows that the checkers find violations in made-up histories, and nothing else.
 func TestCheckers(t *testing.T) {
 	at := time.Now()
-	entry := func(ms, who int, event string, of ...string) Entry {
-		e := Entry{at.Add(time.Duration(ms) * time.Millisecond), who, event, map[string]string{}}
-		for i := 0; i < len(of); i += 2 {
-			e.Attributes[of[i]] = of[i+1]
+	entry := func(ms, director int, event string, attributes ...string) Entry {
+		e := Entry{at.Add(time.Duration(ms) * time.Millisecond), director, event, map[string]string{}}
+		for i := 0; i < len(attributes); i += 2 {
+			e.Attributes[attributes[i]] = attributes[i+1]
 		}
 		return e
 	}
 	names := []string{"n0", "n1", "n2"}
 	started := []Entry{entry(0, 0, logevent.Started), entry(0, 1, logevent.Started), entry(0, 2, logevent.Started)}
-	part := func(ms, who int, value, left string) Entry {
-		return entry(ms, who, logevent.Quota, "zone", value, "zone_for", left)
+	quota := func(ms, director int, value, left string) Entry {
+		return entry(ms, director, logevent.Quota, "zone", value, "zone_for", left)
 	}
 	for _, c := range []struct {
 		name    string
@@ -32,29 +32,31 @@
 		over    int
 	}{
 		{"fixed", nil, 1, 0},
-		{"above", []Entry{part(10, 0, "2", "1s"), part(20, 1, "2", "1s"), part(30, 2, "2.5", "1s")}, 6.5 / 3, 1},
-		{"run out", []Entry{part(10, 0, "2", "5ms"), part(20, 1, "2", "5ms"), part(30, 2, "2.5", "1s")}, 4.5 / 3, 0},
-		{"dead", []Entry{part(10, 0, "2", "1s"), part(20, 1, "2", "1s"), entry(25, 0, harnessEvent, actionAttribute, actionKill), part(30, 2, "2.5", "1s")}, 5.0 / 3, 0},
+		{"above", []Entry{quota(10, 0, "2", "1s"), quota(20, 1, "2", "1s"), quota(30, 2, "2.5", "1s")}, 6.5 / 3, 1},
+		{"run out", []Entry{quota(10, 0, "2", "5ms"), quota(20, 1, "2", "5ms"), quota(30, 2, "2.5", "1s")}, 4.5 / 3, 0},
+		{"dead", []Entry{quota(10, 0, "2", "1s"), quota(20, 1, "2", "1s"), entry(25, 0, harnessEvent, actionAttribute, actionKill), quota(30, 2, "2.5", "1s")}, 5.0 / 3, 0},
 	} {
 		if peak, over := QuotaSums(append(slices.Clone(started), c.entries...), 3, "zone", 2); peak < c.peak-1e-9 || peak > c.peak+1e-9 || over != c.over {
 			t.Errorf("%s: peak %v, %d over", c.name, peak, over)
 		}
 	}
-	up := func(ms, who int, name, state string) Entry {
-		return entry(ms, who, logevent.PeerState, "name", name, "incarnation", "1", "state", state)
+	peerState := func(ms, director int, name, state string) Entry {
+		return entry(ms, director, logevent.PeerState, "name", name, "incarnation", "1", "state", state)
 	}
-	history := append(slices.Clone(started), up(10, 0, "n2", "up"), up(11, 1, "n2", "up"), entry(5000, 2, harnessEvent, actionAttribute, actionKill),
-		up(6000, 0, "n2", "failed"), up(6500, 1, "n2", "failed"))
+	history := append(slices.Clone(started), peerState(10, 0, "n2", "up"), peerState(11, 1, "n2", "up"), entry(5000, 2, harnessEvent, actionAttribute, actionKill),
+		peerState(6000, 0, "n2", "failed"), peerState(6500, 1, "n2", "failed"))
 	if took, unknown := DetectionTimes(history, names); len(took) != 1 || took[0] != 1500*time.Millisecond || unknown != 0 {
 		t.Errorf("known after %v, %d unknown", took, unknown)
 	}
 	if _, unknown := DetectionTimes(history[:len(history)-1], names); unknown != 1 {
 		t.Errorf("%d unknown", unknown)
 	}
-	if failed, suspected := FalsePositives(append(slices.Clone(started), up(20000, 0, "n1", "failed"), up(20001, 2, "n1", "suspected")), names, time.Second); failed != 1 || suspected != 1 {
+	if failed, suspected := FalsePositives(append(slices.Clone(started), peerState(20000, 0, "n1", "failed"), peerState(20001, 2, "n1", "suspected")), names, time.Second); failed != 1 || suspected != 1 {
 		t.Errorf("%d failed, %d suspected", failed, suspected)
 	}
-	view := func(ms, who int, sum string) Entry { return entry(ms, who, logevent.MembershipView, "digest", sum) }
+	view := func(ms, director int, digest string) Entry {
+		return entry(ms, director, logevent.MembershipView, "digest", digest)
+	}
 	views := append(slices.Clone(started), view(10, 0, "a"), view(20, 1, "a"), view(30, 2, "a"), view(50, 1, "b"), view(90, 1, "a"))
 	if got := ConvergenceTime(views, at.Add(40*time.Millisecond)); got != 50*time.Millisecond {
 		t.Errorf("one view after %v", got)
--- a/internal/faulttest/clients.go
+++ b/internal/faulttest/clients.go
@@ -63,7 +63,7 @@
 }
 
 // runClients has clients connect and say nothing until the context ends.
-func (h *Harness) runClients(ctx context.Context, clients []*fakes.Client) {
+func (h *Harness) runIdleClients(ctx context.Context, clients []*fakes.Client) {
 	var running sync.WaitGroup
 	for _, client := range clients {
 		running.Go(func() { client.Idle(ctx) })
--- a/internal/faulttest/delegates_test.go
+++ b/internal/faulttest/delegates_test.go
@@ -36,7 +36,7 @@
 		before   func(*Harness)
 		faults   []Fault
 		maxCalls float64 // a second that the channel may see; 0 for any
-		also     func(t *testing.T, o Outcome)
+		check    func(t *testing.T, o Outcome)
 	}{
 		{"all start cold under load", true, nil, []Fault{{Kind: Purge, AtMS: 1000}}, 40, nil},
 		{"all start cold, and the channel is there four seconds later", true, withChannel(fakes.ChannelUnavailable), []Fault{{Kind: ChannelOutage, AtMS: 0, ForMS: 4000, Rate: 1}},
@@ -74,8 +74,8 @@
 				LoadAfter: time.Second, BeforeStart: c.before, EarlyClients: c.cold}
 			o, err := Run(t.Context(), spec, testSchedule(3, directors, c.faults), nil)
 			checkOutcome(t, o, err)
-			if c.also != nil && err == nil {
-				c.also(t, o)
+			if c.check != nil && err == nil {
+				c.check(t, o)
 			}
 			if c.maxCalls > 0 && o.CallsPerSecond > c.maxCalls {
 				t.Errorf("%v calls a second", o.CallsPerSecond)
--- a/internal/faulttest/descriptors_test.go
+++ b/internal/faulttest/descriptors_test.go
@@ -17,17 +17,17 @@
 // than it may hold, while the channel hangs: clients are served, each node is reached, and once the channel is back a drain is in force in time.
 func TestDescriptorsDuringChannelOutage(t *testing.T) {
 	parallel(t)
-	s := fakes.DefaultSpec(200, 1)
-	s.ColdEdges, s.CacheCapacity, s.LinkCapacity, s.ParentCapacity, s.OriginCapacity, s.OriginLatency = false, 1000, 1e5, 1e5, 1e5, time.Millisecond
-	s.ContentTypes[0].MeanTransfer = time.Millisecond
-	w, err := fakes.New(s)
+	spec := fakes.DefaultSpec(200, 1)
+	spec.ColdEdges, spec.CacheCapacity, spec.LinkCapacity, spec.ParentCapacity, spec.OriginCapacity, spec.OriginLatency = false, 1000, 1e5, 1e5, 1e5, time.Millisecond
+	spec.ContentTypes[0].MeanTransfer = time.Millisecond
+	cluster, err := fakes.New(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
+	defer cluster.Close()
 	var log lockedBuffer
 	argv := append([]string{"/bin/sh", "-c", `ulimit -n 64 && exec "$0"`}, buildProgram(t)...)
-	d, err := NewDirector(w, t.TempDir(), "n0", argv, "", Limits{Sockets: 64, MemoryMB: 64, Cores: 1}, &log)
+	d, err := NewDirector(cluster, t.TempDir(), "n0", argv, "", Limits{Sockets: 64, MemoryMB: 64, Cores: 1}, &log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	defer d.Kill()
-	w.SetChannelMode(fakes.ChannelHanging, 0)
+	cluster.SetChannelMode(fakes.ChannelHanging, 0)
 	for range 100 { // idle clients
 		conn, err := net.Dial("tcp4", d.Addr)
 		if err != nil {
@@ -43,13 +43,13 @@
 		}
 		t.Cleanup(func() { closeQuietly(conn) })
 	}
-	c := &fakes.Client{Cluster: w, Targets: []*fakes.Target{&d.Target}, Rand: rand.New(rand.NewPCG(1, 2))}
-	defer c.Close()
+	client := &fakes.Client{Cluster: cluster, Targets: []*fakes.Target{&d.Target}, Rand: rand.New(rand.NewPCG(1, 2))}
+	defer client.Close()
 	number := 0
 	request := func(times int) (served int) {
 		for range times {
 			number++
-			status, _, _, err := c.Attempt(t.Context(), w.Object(&w.ContentTypes[0], number), 3*time.Second, false, "")
+			status, _, _, err := client.Attempt(t.Context(), cluster.Object(&cluster.ContentTypes[0], number), 3*time.Second, false, "")
 			if err == nil && status == "200" {
 				served++
 			}
@@ -60,7 +60,7 @@
 		t.Errorf("%d of 600 were served", n)
 	}
 	reached := 0
-	for _, n := range w.Nodes {
+	for _, n := range cluster.Nodes {
 		if strings.HasPrefix(n.Name, "box") && n.RequestCount() > 0 {
 			reached++
 		}
@@ -68,15 +68,15 @@
 	if reached < 180 { // of 200 by 600 objects
 		t.Errorf("%d nodes were reached", reached)
 	}
-	calls := len(w.ChannelCalls())
-	w.SetChannelMode(fakes.ChannelServing, 0)
+	calls := len(cluster.ChannelCalls())
+	cluster.SetChannelMode(fakes.ChannelServing, 0)
 	restored := time.Now()
-	draining := w.Node("box-7")
+	draining := cluster.Node("box-7")
 	draining.Announce("draining")
-	for len(w.ChannelCalls()) < calls+2 { // one that brought the drain, and the next
+	for len(cluster.ChannelCalls()) < calls+2 { // one that brought the drain, and the next
 		request(1)
 		if time.Since(restored) > 3*time.Second {
-			t.Fatalf("%d calls in 3 s", len(w.ChannelCalls())-calls)
+			t.Fatalf("%d calls in 3 s", len(cluster.ChannelCalls())-calls)
 		}
 	}
 	before := draining.RequestCount()
--- a/internal/faulttest/director.go
+++ b/internal/faulttest/director.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	for begun := time.Now(); time.Since(begun) < startTimeout && ctx.Err() == nil; time.Sleep(servingPollInterval) {
+	for startedAt := time.Now(); time.Since(startedAt) < startTimeout && ctx.Err() == nil; time.Sleep(servingPollInterval) {
 		if d.serving() {
 			d.SetKilled(false)
 			return nil
@@ -217,9 +217,9 @@
 }
 
 // endedWithin waits for the end of the process for a time at the most, and says whether it has ended.
-func (d *Director) endedWithin(atMost time.Duration) bool {
+func (d *Director) endedWithin(timeout time.Duration) bool {
 	exited := d.lastExited()
-	timer := time.NewTimer(max(0, atMost))
+	timer := time.NewTimer(max(0, timeout))
 	defer timer.Stop()
 	select {
 	case err := <-exited:
--- a/internal/faulttest/fault_channel.go
+++ b/internal/faulttest/fault_channel.go
@@ -12,10 +12,10 @@
 // channelUnreachable cuts the directors with odd numbers off from the command channel.
 type channelUnreachable struct{ faultRun }
 
-func (f channelUnreachable) apply(context.Context) { f.cut(true) }
-func (f channelUnreachable) undo(context.Context)  { f.cut(false) }
+func (f channelUnreachable) apply(context.Context) { f.setCut(true) }
+func (f channelUnreachable) undo(context.Context)  { f.setCut(false) }
 
-func (f channelUnreachable) cut(cut bool) {
+func (f channelUnreachable) setCut(cut bool) {
 	f.harness.recordError("change of the second path", f.harness.Cluster.CutSecondPath(cut))
 }
 
--- a/internal/faulttest/fault_members.go
+++ b/internal/faulttest/fault_members.go
@@ -36,7 +36,7 @@
 }
 
 func (f *falseHints) apply(ctx context.Context) {
-	begun := time.Now()
+	startedAt := time.Now()
 	f.driver = f.harness.joinMember(faultyMemberName, gossipnet.Handlers{}, func(s *membership.Settings) {
 		s.HintsPerInterval, s.HintInterval = 1<<20, 1 // it keeps to no limits
 	})
@@ -44,7 +44,7 @@
 		return
 	}
 	f.harness.clients.Go(func() {
-		for round := 0; time.Now().Before(begun.Add(f.duration)) && ctx.Err() == nil && f.harness.clientsCtx.Err() == nil; round++ {
+		for round := 0; time.Now().Before(startedAt.Add(f.duration)) && ctx.Err() == nil && f.harness.clientsCtx.Err() == nil; round++ {
 			f.broadcast(round)
 			fakes.Sleep(ctx, falseHintInterval)
 		}
@@ -137,10 +137,10 @@
 		h.recordError("join of "+name, err)
 		return nil
 	}
-	begun := time.Now()
-	s := membership.Derive(name, uint64(begun.UnixMicro()), settings)
+	startedAt := time.Now()
+	s := membership.Derive(name, uint64(startedAt.UnixMicro()), settings)
 	change(&s)
-	clock := func() policy.Micros { return policy.Micros(time.Since(begun)/time.Microsecond) + 1 }
+	clock := func() policy.Micros { return policy.Micros(time.Since(startedAt)/time.Microsecond) + 1 }
 	driver, err := gossipnet.Start(peers, s, clock, handlers)
 	if err != nil {
 		h.recordError("join of "+name, err)
--- a/internal/faulttest/fault_nodes.go
+++ b/internal/faulttest/fault_nodes.go
@@ -68,9 +68,9 @@
 }
 
 // crowd has idle clients connect to directors until its end.
-type crowd struct{ faultRun }
+type idleClients struct{ faultRun }
 
-func (f crowd) apply(ctx context.Context) {
+func (f idleClients) apply(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, f.duration)
 	defer cancel()
 	var clients []*fakes.Client
@@ -83,5 +83,5 @@
 			})
 		}
 	}
-	f.harness.runClients(ctx, clients)
+	f.harness.runIdleClients(ctx, clients)
 }
--- a/internal/faulttest/fault_restarts.go
+++ b/internal/faulttest/fault_restarts.go
@@ -16,24 +16,24 @@
 
 // Times of a planned restart, after SIGTERM.
 const (
-	longestTimeoutCounted = 3 * time.Second                   // the protocol counts longer ones as 3 s
-	killSlack             = 700 * time.Millisecond            // and SIGKILL comes at least so much later
-	earliestKill          = longestTimeoutCounted + killSlack // of a cluster with a content type of 3 s or more
-	lastReloadMargin      = 200 * time.Millisecond            // before the kill, within which no signal is drawn
-	signalSpan            = earliestKill - lastReloadMargin   // in which further signals come
-	simultaneous          = time.Millisecond                  // within which a signal meets what is being carried out
-	awaitMoment           = 300 * time.Millisecond            // for a request or an answer that a signal is to meet
-	reloadPause           = 40 * time.Millisecond             // between two reloads of a series, at the most
-	midKillShare          = 0.15                              // of planned restarts in which the process is killed before its time
-	brokenFileShare       = 0.2                               // of reloads that find a file cut off
-	meetMoments           = 0.7                               // share of signals that wait for a request or an answer
+	maxCountedTimeout  = 3 * time.Second                 // the protocol counts longer ones as 3 s
+	killSlack          = 700 * time.Millisecond          // and SIGKILL comes at least so much later
+	earliestKill       = maxCountedTimeout + killSlack   // of a cluster with a content type of 3 s or more
+	lastReloadMargin   = 200 * time.Millisecond          // before the kill, within which no signal is drawn
+	signalSpan         = earliestKill - lastReloadMargin // in which further signals come
+	simultaneousSpan   = time.Millisecond                // within which a signal meets what is being carried out
+	momentTimeout      = 300 * time.Millisecond          // for a request or an answer that a signal is to meet
+	reloadPause        = 40 * time.Millisecond           // between two reloads of a series, at the most
+	earlyKillShare     = 0.15                            // of planned restarts in which the process is killed before its time
+	truncatedFileShare = 0.2                             // of reloads that find a file cut off
+	momentShare        = 0.7                             // share of signals that wait for a request or an answer
 )
 
 // plannedRestart ends directors by signals in series and starts them again, one after another.
 type plannedRestart struct{ faultRun }
 
 func (f plannedRestart) apply(ctx context.Context) {
-	f.forTargetsWithRandom(func(p *Process, random *rand.Rand) { f.harness.planned(ctx, p, random) })
+	f.forTargetsWithRandom(func(p *Process, random *rand.Rand) { f.harness.restartPlanned(ctx, p, random) })
 }
 
 // forTargetsWithRandom is forTargets with random numbers for each target alone.
@@ -61,7 +61,7 @@
 	for range random.IntN(4) {
 		s := lateSignal{time.Duration(random.Int64N(int64(signalSpan))), syscall.SIGTERM}
 		if random.IntN(2) == 0 {
-			s.after = time.Duration(random.Int64N(int64(simultaneous)))
+			s.after = time.Duration(random.Int64N(int64(simultaneousSpan)))
 		}
 		if random.IntN(2) == 0 {
 			s.signal = syscall.SIGHUP
@@ -73,7 +73,7 @@
 }
 
 // planned ends a process that is up as the platform plans it, and starts it again. The caller does not share random.
-func (h *Harness) planned(ctx context.Context, p *Process, random *rand.Rand) {
+func (h *Harness) restartPlanned(ctx context.Context, p *Process, random *rand.Rand) {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
 	for range random.IntN(3) {
@@ -82,25 +82,25 @@
 	if !h.markDown(p) {
 		return
 	}
-	h.meetMoment(ctx, random)
+	h.awaitMoment(ctx, random)
 	h.History.Record(p.number, actionTerminate, nil)
 	p.SetTerminated(h.Cluster.Now())
-	begun := time.Now()
+	startedAt := time.Now()
 	p.Signal(syscall.SIGTERM)
 	h.Moments.Publish(fakes.SignalSent)
-	killAfter, midKill := earliestKill, random.Float64() < midKillShare
-	if midKill {
+	killAfter, earlyKill := earliestKill, random.Float64() < earlyKillShare
+	if earlyKill {
 		killAfter = time.Duration(random.Int64N(int64(earliestKill)))
 	}
 	for _, s := range drawSignals(random) {
-		if s.after < killAfter && !p.endedWithin(time.Until(begun.Add(s.after))) {
-			h.signalLate(p, s.signal, random)
+		if s.after < killAfter && !p.endedWithin(time.Until(startedAt.Add(s.after))) {
+			h.sendLateSignal(p, s.signal, random)
 		}
 	}
 	switch {
-	case p.endedWithin(time.Until(begun.Add(killAfter))):
+	case p.endedWithin(time.Until(startedAt.Add(killAfter))):
 		h.recordExit(p)
-	case midKill:
+	case earlyKill:
 		h.History.Record(p.number, actionKill, nil)
 		p.Kill()
 	default: // what it has not answered by now is lost
@@ -117,7 +117,7 @@
 }
 
 // signalLate sends a signal to a process that was asked to end. SIGHUP follows a new file.
-func (h *Harness) signalLate(p *Process, signal syscall.Signal, random *rand.Rand) {
+func (h *Harness) sendLateSignal(p *Process, signal syscall.Signal, random *rand.Rand) {
 	if signal == syscall.SIGHUP {
 		h.recordError("configuration", h.replaceFiles(p, random))
 	}
@@ -126,18 +126,18 @@
 }
 
 // meetMoment waits, mostly, until a client has sent a request or has an answer, and then for less than a millisecond.
-func (h *Harness) meetMoment(ctx context.Context, random *rand.Rand) {
-	if random.Float64() >= meetMoments {
+func (h *Harness) awaitMoment(ctx context.Context, random *rand.Rand) {
+	if random.Float64() >= momentShare {
 		return
 	}
 	notify, cancel := h.Moments.Subscribe(fakes.RequestSent, fakes.AnswerReceived, fakes.ConnectionEnded)
 	defer cancel()
 	select {
 	case <-notify:
-	case <-time.After(awaitMoment):
+	case <-time.After(momentTimeout):
 	case <-ctx.Done():
 	}
-	time.Sleep(time.Duration(random.Int64N(int64(simultaneous))))
+	time.Sleep(time.Duration(random.Int64N(int64(simultaneousSpan))))
 }
 
 // reloads replaces files of directors and sends them SIGHUP, several times.
@@ -178,13 +178,13 @@
 
 // reload replaces a director's files and sends it SIGHUP; some find a file that is cut off, and are followed by one that is whole.
 func (h *Harness) reload(ctx context.Context, p *Process, random *rand.Rand) {
-	if random.Float64() < brokenFileShare {
-		h.recordError("configuration", cutFile(p.configPath))
+	if random.Float64() < truncatedFileShare {
+		h.recordError("configuration", truncateFile(p.configPath))
 		p.Signal(syscall.SIGHUP)
-		time.Sleep(time.Duration(random.Int64N(int64(simultaneous))))
+		time.Sleep(time.Duration(random.Int64N(int64(simultaneousSpan))))
 	}
 	h.recordError("configuration", h.replaceFiles(p, random))
-	h.meetMoment(ctx, random)
+	h.awaitMoment(ctx, random)
 	p.Signal(syscall.SIGHUP)
 	h.Moments.Publish(fakes.SignalSent)
 	time.Sleep(time.Duration(random.Int64N(int64(reloadPause))))
@@ -198,7 +198,7 @@
 }
 
 // cutFile replaces a file by its first half.
-func cutFile(path string) error {
+func truncateFile(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -19,7 +19,7 @@
 		name      string
 		directors int
 		faults    []Fault
-		also      func(t *testing.T, o Outcome)
+		check     func(t *testing.T, o Outcome)
 	}{
 		{"A hears B, B does not hear A", 5, []Fault{{Kind: CutLinks, AtMS: 500, ForMS: duration, Targets: []int{1}, Peers: []int{0}}}, nil},
 		{"halves", 6, []Fault{{Kind: Partition, AtMS: 500, ForMS: duration, Groups: [][]int{{0, 1, 2}, {3, 4, 5}}}, {Kind: Purge, AtMS: 2000}}, nil},
@@ -101,8 +101,8 @@
 			}
 			o, err := Run(t.Context(), testSpec(t), testSchedule(1, c.directors, c.faults), nil)
 			checkOutcome(t, o, err)
-			if c.also != nil && o.History != nil {
-				c.also(t, o)
+			if c.check != nil && o.History != nil {
+				c.check(t, o)
 			}
 		})
 	}
--- a/internal/faulttest/foreign_test.go
+++ b/internal/faulttest/foreign_test.go
@@ -19,13 +19,13 @@
 		if err := os.WriteFile(key, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 			t.Error(err)
 		}
-		for _, x := range []struct{ name, key, fleet, seeds string }{
+		for _, foreign := range []struct{ name, key, fleet, seeds string }{
 			{"x0", key, fleetName, ""}, {"x1", h.keyPath, "other", ""}, {"x2", h.keyPath, fleetName, `seeds = ["127.0.0.1:9", "127.0.0.1:10"]`},
 		} {
-			p, err := h.AddDirector(x.name, x.key, x.fleet)
-			if err == nil && x.seeds != "" {
+			p, err := h.AddDirector(foreign.name, foreign.key, foreign.fleet)
+			if err == nil && foreign.seeds != "" {
 				path := h.scriptPath(p.number)
-				text := regexp.MustCompile(`seeds = \[[^]]*\]`).ReplaceAllString(h.script(p, x.key, x.fleet), x.seeds)
+				text := regexp.MustCompile(`seeds = \[[^]]*\]`).ReplaceAllString(h.script(p, foreign.key, foreign.fleet), foreign.seeds)
 				err = os.WriteFile(path, []byte(text), 0o600)
 			}
 			if err == nil {
@@ -35,7 +35,7 @@
 			if err != nil {
 				t.Error(err)
 			} else if !p.serving() {
-				t.Errorf("%s does not serve", x.name)
+				t.Errorf("%s does not serve", foreign.name)
 			}
 		}
 	})
--- a/internal/faulttest/harness.go
+++ b/internal/faulttest/harness.go
@@ -227,7 +227,7 @@
 
 // StartProcess starts one director and waits until it serves.
 func (h *Harness) StartProcess(ctx context.Context, p *Process) error {
-	begun := time.Now()
+	startedAt := time.Now()
 	h.mu.Lock()
 	p.starting = true
 	h.mu.Unlock()
@@ -236,7 +236,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p.up, p.starting, p.startFDs = err == nil, false, descriptors
-	h.startTimes = append(h.startTimes, time.Since(begun))
+	h.startTimes = append(h.startTimes, time.Since(startedAt))
 	return err
 }
 
@@ -320,7 +320,7 @@
 // recordError records that something that the harness does failed, where it did.
 func (h *Harness) recordError(action string, err error) {
 	if err != nil {
-		h.History.Record(harnessItself, action+" failed: "+err.Error(), nil)
+		h.History.Record(noDirector, action+" failed: "+err.Error(), nil)
 	}
 }
 
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -11,7 +11,7 @@
 )
 
 // harnessItself is the director of entries about none of them.
-const harnessItself = -1
+const noDirector = -1
 
 // Entries of what the harness does have this event; attribute "what" says what it did.
 const (
--- a/internal/faulttest/main_test.go
+++ b/internal/faulttest/main_test.go
@@ -80,9 +80,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if broken := o.Violations(); len(broken) > 0 {
+	if violations := o.Violations(); len(violations) > 0 {
 		history := o.History.String()
-		t.Errorf("the end of the history:\n%s\n%s\nlost: %s\nbroken: %v", history[max(0, len(history)-3000):], o.CrashDetail, o.LostReasons, broken)
+		t.Errorf("the end of the history:\n%s\n%s\nlost: %s\nbroken: %v", history[max(0, len(history)-3000):], o.CrashDetail, o.LostReasons, violations)
 	}
 	if o.Requests < 50 || o.SuccessRate < 0.5 {
 		t.Errorf("%d requests, %v succeeded", o.Requests, o.SuccessRate)
--- a/internal/faulttest/network.go
+++ b/internal/faulttest/network.go
@@ -20,7 +20,7 @@
 const (
 	retransmitDelay   = 200 * time.Millisecond // of a part of a stream that was lost
 	cutPollInterval   = 50 * time.Millisecond  // after which a stream tries a cut link again
-	maxPacketsFlying  = 4096                   // delayed packets over a relay; more are lost
+	maxDelayedPackets = 4096                   // delayed packets over a relay; more are lost
 	streamBufferBytes = 32 << 10
 	packetBufferBytes = 64 << 10
 	listenAttempts    = 5
@@ -67,7 +67,7 @@
 	n.relays = append(n.relays, r)
 	n.indexOf[host] = r.receiver
 	n.mu.Unlock()
-	n.goroutines.Go(r.carryPackets)
+	n.goroutines.Go(r.forwardPackets)
 	n.goroutines.Go(r.acceptStreams)
 	return r.tcp.Addr().String(), nil
 }
--- a/internal/faulttest/outcome.go
+++ b/internal/faulttest/outcome.go
@@ -68,7 +68,7 @@
 }
 
 // Violations returns all that was broken, by the JSON key of its count and the count.
-func (o Outcome) Violations() (broken []string) {
+func (o Outcome) Violations() (violations []string) {
 	for _, rule := range []struct {
 		key   string
 		count int
@@ -80,10 +80,10 @@
 		{"slow_start", boolean.Int(!o.startedInTime())},
 	} {
 		if rule.count > 0 {
-			broken = append(broken, fmt.Sprintf("%s %d", rule.key, rule.count))
+			violations = append(violations, fmt.Sprintf("%s %d", rule.key, rule.count))
 		}
 	}
-	return broken
+	return violations
 }
 
 // Readiness that the operators' gate asks for.
@@ -195,31 +195,31 @@
 )
 
 // successSeries counts requests and those that succeeded, by intervals of fakes.SeriesInterval.
-type successSeries struct{ begun, succeeded []int }
+type successSeries struct{ started, succeeded []int }
 
 // add takes a request that began after a time.
 func (s *successSeries) add(after time.Duration, succeeded bool) {
 	i := int(after / fakes.SeriesInterval)
-	for len(s.begun) <= i {
-		s.begun, s.succeeded = append(s.begun, 0), append(s.succeeded, 0)
+	for len(s.started) <= i {
+		s.started, s.succeeded = append(s.started, 0), append(s.succeeded, 0)
 	}
-	s.begun[i]++
+	s.started[i]++
 	s.succeeded[i] += boolean.Int(succeeded)
 }
 
 // window returns the sums over the window that begins at an interval.
-func (s *successSeries) window(from int) (begun, succeeded float64) {
+func (s *successSeries) window(from int) (started, succeeded float64) {
 	for i := from; i < from+recoveryWindow; i++ {
-		begun, succeeded = begun+float64(s.begun[i]), succeeded+float64(s.succeeded[i])
+		started, succeeded = started+float64(s.started[i]), succeeded+float64(s.succeeded[i])
 	}
-	return begun, succeeded
+	return started, succeeded
 }
 
 // rates returns the success rate of each half window's window, without those in which no request began.
 func (s *successSeries) rates() (rates []float64) {
-	for i := 0; i+recoveryWindow <= len(s.begun); i += recoveryWindow / 2 {
-		if begun, succeeded := s.window(i); begun > 0 {
-			rates = append(rates, roundTo(succeeded/begun, 100))
+	for i := 0; i+recoveryWindow <= len(s.started); i += recoveryWindow / 2 {
+		if started, succeeded := s.window(i); started > 0 {
+			rates = append(rates, roundTo(succeeded/started, 100))
 		}
 	}
 	return rates
@@ -228,12 +228,12 @@
 // recovery returns the begin of the first window from which on all have recoveredRate; false where the last has not.
 func (s *successSeries) recovery() (time.Duration, bool) {
 	lastBelow := -1
-	for i := 0; i+recoveryWindow <= len(s.begun); i++ {
-		if begun, succeeded := s.window(i); succeeded < recoveredRate*begun {
+	for i := 0; i+recoveryWindow <= len(s.started); i++ {
+		if started, succeeded := s.window(i); succeeded < recoveredRate*started {
 			lastBelow = i
 		}
 	}
-	if lastBelow+recoveryWindow >= len(s.begun) {
+	if lastBelow+recoveryWindow >= len(s.started) {
 		return 0, false
 	}
 	return time.Duration(lastBelow+1) * fakes.SeriesInterval, true
@@ -243,6 +243,6 @@
 func roundTo(value, parts float64) float64 { return math.Round(value*parts) / parts }
 
 // until returns the entries up to a time, and later ones of recovered panics.
-func until(entries []Entry, end time.Time) []Entry {
+func entriesUntil(entries []Entry, end time.Time) []Entry {
 	return slices.DeleteFunc(entries, func(e Entry) bool { return e.At.After(end) && e.Event != logevent.PanicRecovered })
 }
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -69,7 +69,7 @@
 	{ChannelRollback, func(r faultRun) fault { return channelRollback{r} }},
 	{PlannedRestart, func(r faultRun) fault { return plannedRestart{r} }},
 	{Reloads, func(r faultRun) fault { return reloads{r} }},
-	{IdleClients, func(r faultRun) fault { return crowd{r} }},
+	{IdleClients, func(r faultRun) fault { return idleClients{r} }},
 	{HangingNode, func(r faultRun) fault { return faultyNodes{r, fakes.FaultNoAnswer} }},
 	{ResettingNode, func(r faultRun) fault { return faultyNodes{r, fakes.FaultReset} }},
 	{CrashedNode, func(r faultRun) fault { return crashedNodes{r, false} }},
@@ -108,11 +108,11 @@
 
 // runSteps takes each step at its time, and waits until all have returned.
 func runSteps(ctx context.Context, steps []step) {
-	begun := time.Now()
+	startedAt := time.Now()
 	var running sync.WaitGroup
 	for _, step := range steps {
 		running.Go(func() { // each by itself: a start takes its time
-			fakes.Sleep(ctx, time.Until(begun.Add(millis(step.atMS))))
+			fakes.Sleep(ctx, time.Until(startedAt.Add(millis(step.atMS))))
 			step.do(ctx)
 		})
 	}
@@ -172,5 +172,5 @@
 
 // recordDisruption records that from now on, or no longer, checkers can't expect directors to see one another.
 func (r faultRun) recordDisruption(state string) {
-	r.harness.History.Record(harnessItself, string(r.Kind), map[string]string{disruptionAttribute: state})
+	r.harness.History.Record(noDirector, string(r.Kind), map[string]string{disruptionAttribute: state})
 }
--- a/internal/faulttest/random.go
+++ b/internal/faulttest/random.go
@@ -14,7 +14,7 @@
 	d := drawer{rand: rand.New(rand.NewPCG(seed, uint64(number))), directors: directors, lengthMS: lengthMS}
 	s := Schedule{Seed: seed, Number: number, Directors: directors, LengthMS: lengthMS}
 	for range 1 + d.rand.IntN(4) {
-		s.Faults = append(s.Faults, d.fault())
+		s.Faults = append(s.Faults, d.drawFault())
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return a.AtMS - b.AtMS })
 	return s
@@ -27,13 +27,13 @@
 }
 
 // some draws one to so many directors, but never all.
-func (d drawer) some(most int) []int {
+func (d drawer) drawDirectors(maxCount int) []int {
 	all := d.rand.Perm(d.directors)
-	return slices.Sorted(slices.Values(all[:1+d.rand.IntN(max(1, min(most, d.directors-1)))]))
+	return slices.Sorted(slices.Values(all[:1+d.rand.IntN(max(1, min(maxCount, d.directors-1)))]))
 }
 
 // groups deals all directors out to two or three groups.
-func (d drawer) groups() [][]int {
+func (d drawer) drawGroups() [][]int {
 	groups := make([][]int, 2+d.rand.IntN(2))
 	for i, director := range d.rand.Perm(d.directors) {
 		groups[i%len(groups)] = append(groups[i%len(groups)], director)
@@ -42,18 +42,18 @@
 }
 
 // fault draws one fault. Begin, duration and targets are drawn for each kind, also where it uses others.
-func (d drawer) fault() Fault {
+func (d drawer) drawFault() Fault {
 	at := d.rand.IntN(max(1, d.lengthMS/2))
-	f := Fault{AtMS: at, ForMS: minDrawnMS + d.rand.IntN(max(1, d.lengthMS-at-minDrawnMS)), Targets: d.some(d.directors / 2)}
+	f := Fault{AtMS: at, ForMS: minDrawnMS + d.rand.IntN(max(1, d.lengthMS-at-minDrawnMS)), Targets: d.drawDirectors(d.directors / 2)}
 	switch d.rand.IntN(9) {
 	case 0, 1:
-		f.Kind, f.Peers, f.Both = CutLinks, d.some(d.directors-1), d.rand.IntN(2) == 0
+		f.Kind, f.Peers, f.Both = CutLinks, d.drawDirectors(d.directors-1), d.rand.IntN(2) == 0
 	case 2:
-		f.Kind, f.Targets, f.Groups = Partition, nil, d.groups()
+		f.Kind, f.Targets, f.Groups = Partition, nil, d.drawGroups()
 	case 3:
 		f.Kind, f.Targets, f.Rate = LossyLinks, nil, 0.01+0.1*d.rand.Float64()
 	case 4:
-		f.Kind, f.Targets = Kill, d.some(d.directors*7/10)
+		f.Kind, f.Targets = Kill, d.drawDirectors(d.directors*7/10)
 	case 5:
 		f.Kind = Pause
 	case 6:
@@ -61,7 +61,7 @@
 	case 7:
 		f.Kind, f.Targets = ColdCaches, []int{0, 1, 2}
 	case 8:
-		f.Kind, f.Peers = FlappingLinks, d.some(d.directors-1)
+		f.Kind, f.Peers = FlappingLinks, d.drawDirectors(d.directors-1)
 	}
 	return f
 }
--- a/internal/faulttest/recorder.go
+++ b/internal/faulttest/recorder.go
@@ -14,9 +14,9 @@
 const timeLayout = "2006-01-02T15:04:05.000000Z"
 
 const (
-	maxTailLines = 40
-	maxRaceLines = 60
-	raceMark     = "DATA RACE" // in the first line of the race detector's report
+	maxTailLines     = 40
+	maxRaceLines     = 60
+	raceReportMarker = "DATA RACE" // in the first line of the race detector's report
 )
 
 // recorder takes the output of one director, and adds its log lines to the history.
@@ -47,7 +47,7 @@
 
 // addLine takes one line. The caller holds the lock.
 func (r *recorder) addLine(text string) {
-	if len(r.raceLines) > 0 && len(r.raceLines) < maxRaceLines || strings.Contains(text, raceMark) {
+	if len(r.raceLines) > 0 && len(r.raceLines) < maxRaceLines || strings.Contains(text, raceReportMarker) {
 		r.raceLines = append(r.raceLines, text)
 	}
 	entry := parseLine(text)
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -18,7 +18,7 @@
 	udp      *net.UDPConn
 	tcp      net.Listener
 
-	flying          atomic.Int64 // packets that are delayed
+	delayed         atomic.Int64 // packets that are delayed
 	packets, octets atomic.Int64 // that came to the process
 }
 
@@ -44,7 +44,7 @@
 }
 
 // carryPackets passes packets on until the network is closed.
-func (r *relay) carryPackets() {
+func (r *relay) forwardPackets() {
 	target, err := net.ResolveUDPAddr("udp4", r.target)
 	if err != nil {
 		return
@@ -61,24 +61,24 @@
 		for _, delay := range delays {
 			r.packets.Add(1)
 			r.octets.Add(int64(size))
-			r.passPacket(buffer[:size], target, delay)
+			r.forwardPacket(buffer[:size], target, delay)
 		}
 	}
 }
 
 // passPacket sends a packet after a delay. One that can't be sent is lost, as packets may be.
-func (r *relay) passPacket(packet []byte, target *net.UDPAddr, delay time.Duration) {
+func (r *relay) forwardPacket(packet []byte, target *net.UDPAddr, delay time.Duration) {
 	if delay == 0 {
 		_, _ = r.udp.WriteToUDP(packet, target)
 		return
 	}
-	if r.flying.Add(1) > maxPacketsFlying {
-		r.flying.Add(-1)
+	if r.delayed.Add(1) > maxDelayedPackets {
+		r.delayed.Add(-1)
 		return
 	}
 	packet = append([]byte(nil), packet...) // the buffer takes the next one meanwhile
 	time.AfterFunc(delay, func() {
-		defer r.flying.Add(-1)
+		defer r.delayed.Add(-1)
 		if r.network.ctx.Err() == nil {
 			_, _ = r.udp.WriteToUDP(packet, target)
 		}
@@ -92,16 +92,16 @@
 		if err != nil {
 			return
 		}
-		r.network.goroutines.Go(func() { r.carryStream(in) })
+		r.network.goroutines.Go(func() { r.forwardStream(in) })
 	}
 }
 
 // carryStream carries a connection both ways until both have ended. While a way is cut its bytes wait, as they do where packets are lost.
-func (r *relay) carryStream(in net.Conn) {
+func (r *relay) forwardStream(in net.Conn) {
 	defer closeQuietly(in)
 	senderHost := hostOf(in.RemoteAddr().String())
 	sender, known := r.network.indexAt(senderHost)
-	if !known || !r.awaitPassage(senderHost, r.receiver) {
+	if !known || !r.awaitLink(senderHost, r.receiver) {
 		return
 	}
 	out, err := net.DialTimeout("tcp4", r.target, time.Second)
@@ -128,7 +128,7 @@
 	for buffer := make([]byte, streamBufferBytes); ; {
 		size, err := from.Read(buffer)
 		if size > 0 {
-			if !r.awaitPassage(senderHost, receiver) {
+			if !r.awaitLink(senderHost, receiver) {
 				return
 			}
 			octets.Add(int64(size))
@@ -143,7 +143,7 @@
 }
 
 // awaitPassage holds bytes of a stream back for as long as their link has them wait; false when the network is closed.
-func (r *relay) awaitPassage(senderHost string, receiver int) bool {
+func (r *relay) awaitLink(senderHost string, receiver int) bool {
 	ctx := r.network.ctx
 	for ctx.Err() == nil {
 		delays, cut := r.network.transmit(senderHost, receiver)
--- a/internal/faulttest/restart_test.go
+++ b/internal/faulttest/restart_test.go
@@ -15,36 +15,36 @@
 func TestReadinessAfterRestart(t *testing.T) {
 	parallel(t)
 	argv := buildProgram(t)
-	for _, x := range []struct {
-		name string
-		how  func(*fakes.Cluster)
+	for _, c := range []struct {
+		name       string
+		setChannel func(*fakes.Cluster)
 	}{
 		{"up", func(*fakes.Cluster) {}},
-		{"slow", func(w *fakes.Cluster) {
-			w.SetChannelCapacity(fakes.ChannelCapacity{PerCall: 2 * time.Second, MaxWait: time.Hour})
+		{"slow", func(cluster *fakes.Cluster) {
+			cluster.SetChannelCapacity(fakes.ChannelCapacity{PerCall: 2 * time.Second, MaxWait: time.Hour})
 		}},
-		{"short", func(w *fakes.Cluster) { w.SetChannelMode(fakes.ChannelUnavailable, 5) }},
-		{"hanging", func(w *fakes.Cluster) { w.SetChannelMode(fakes.ChannelHanging, 0) }},
-		{"breaking off", func(w *fakes.Cluster) { w.SetChannelMode(fakes.ChannelTruncating, 0) }},
-		{"gone", func(w *fakes.Cluster) {
-			if err := w.CutSecondPath(true); err != nil {
+		{"short", func(cluster *fakes.Cluster) { cluster.SetChannelMode(fakes.ChannelUnavailable, 5) }},
+		{"hanging", func(cluster *fakes.Cluster) { cluster.SetChannelMode(fakes.ChannelHanging, 0) }},
+		{"breaking off", func(cluster *fakes.Cluster) { cluster.SetChannelMode(fakes.ChannelTruncating, 0) }},
+		{"gone", func(cluster *fakes.Cluster) {
+			if err := cluster.CutSecondPath(true); err != nil {
 				t.Error(err)
 			}
 		}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			s := fakes.DefaultSpec(4, 10)
-			s.SecondPath = true
-			w, err := fakes.New(s)
+		t.Run(c.name, func(t *testing.T) {
+			spec := fakes.DefaultSpec(4, 10)
+			spec.SecondPath = true
+			cluster, err := fakes.New(spec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer w.Close()
+			defer cluster.Close()
 			folder, took := t.TempDir(), make([]time.Duration, 10)
 			var all sync.WaitGroup
 			var directors []*Director
 			for i := range took {
-				d, err := NewDirector(w, folder, fmt.Sprint("n", 2*i+1), argv, "", Limits{Sockets: 256, MemoryMB: 64, Cores: 1}, io.Discard)
+				d, err := NewDirector(cluster, folder, fmt.Sprint("n", 2*i+1), argv, "", Limits{Sockets: 256, MemoryMB: 64, Cores: 1}, io.Discard)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -53,17 +53,17 @@
 				}
 				directors = append(directors, d)
 			}
-			x.how(w)
+			c.setChannel(cluster)
 			for i, d := range directors {
 				all.Go(func() {
 					if err := d.Stop(); err != nil {
 						t.Error(err)
 					}
-					begun := time.Now()
+					startedAt := time.Now()
 					if err := d.Start(t.Context()); err != nil {
 						t.Error(err)
 					}
-					took[i] = time.Since(begun)
+					took[i] = time.Since(startedAt)
 				})
 			}
 			all.Wait()
--- a/internal/faulttest/run.go
+++ b/internal/faulttest/run.go
@@ -43,10 +43,10 @@
 	harness  *Harness
 	outcome  *Outcome
 
-	begun       traffic       // when all directors had one view
-	lastFault   time.Duration // when the last fault begins, by the cluster's clock
-	healedAt    time.Time     // when all faults were over
-	convergedAt time.Time     // when all directors had one view again
+	initialTraffic traffic       // when all directors had one view
+	lastFault      time.Duration // when the last fault begins, by the cluster's clock
+	healedAt       time.Time     // when all faults were over
+	convergedAt    time.Time     // when all directors had one view again
 }
 
 // traffic is what all directors together had received, and asked of the command channel, at a time.
@@ -78,7 +78,7 @@
 // play goes through load, faults, and load after them.
 func (r *run) play(ctx context.Context, underLoad func(*Harness)) {
 	r.awaitConvergence(ctx)
-	r.begun = r.harness.traffic()
+	r.initialTraffic = r.harness.traffic()
 	if !r.spec.EarlyClients {
 		r.harness.StartClients()
 	}
@@ -108,11 +108,11 @@
 // measure takes what has to be taken while the directors run.
 func (r *run) measure() {
 	o, now := r.outcome, r.harness.traffic()
-	seconds := now.at.Sub(r.begun.at).Seconds()
+	seconds := now.at.Sub(r.initialTraffic.at).Seconds()
 	directors := float64(r.schedule.Directors)
-	o.PacketsPerSecond = roundTo(float64(now.packets-r.begun.packets)/seconds/directors, 1)
-	o.BytesPerSecond = roundTo(float64(now.octets-r.begun.octets)/seconds/directors, 1)
-	o.CallsPerSecond = roundTo(float64(now.calls-r.begun.calls)/seconds, 10)
+	o.PacketsPerSecond = roundTo(float64(now.packets-r.initialTraffic.packets)/seconds/directors, 1)
+	o.BytesPerSecond = roundTo(float64(now.octets-r.initialTraffic.octets)/seconds/directors, 1)
+	o.CallsPerSecond = roundTo(float64(now.calls-r.initialTraffic.calls)/seconds, 10)
 	o.DirectorHours = seconds / 3600 * directors
 	o.MemoryMB = roundTo(r.harness.PeakMemoryMB(), 10)
 }
@@ -127,7 +127,7 @@
 	o.addClusterStats(r.harness.Cluster, r.lastFault)
 	entries := r.harness.History.Entries()
 	o.countEvents(entries)
-	entries = until(entries, r.convergedAt)
+	entries = entriesUntil(entries, r.convergedAt)
 	o.check(entries, r.directorNames())
 	if !r.spec.NoPeers {
 		o.ConvergenceMS = float64(ConvergenceTime(entries, r.healedAt).Milliseconds())
--- a/internal/faulttest/schedule.go
+++ b/internal/faulttest/schedule.go
@@ -51,7 +51,7 @@
 const (
 	PlannedRestart Kind = "planned" // Targets get signals in series, SIGTERM among them, SIGKILL at the earliest, and are started again
 	Reloads        Kind = "reloads" // Targets get SIGHUP several times, with files that are replaced; with Rate 1 the channel moves first
-	IdleClients          Kind = "crowd"   // as many idle clients as Rate connect to each of Targets
+	IdleClients    Kind = "crowd"   // as many idle clients as Rate connect to each of Targets
 	HangingNode    Kind = "hang"    // the nodes Targets take requests and do not answer
 	ResettingNode  Kind = "reset"   // the nodes Targets reset connections under requests
 	CrashedNode    Kind = "crash"   // the nodes Targets are killed, and start cold at the end
--- a/internal/faulttest/schedule_test.go
+++ b/internal/faulttest/schedule_test.go
@@ -15,12 +15,12 @@
 			t.Errorf("%v: %v", s, s.Validate())
 		}
 	}
-	for _, bad := range []Schedule{
+	for _, invalid := range []Schedule{
 		{Directors: 0, LengthMS: 1}, {Directors: 2, LengthMS: 10, Faults: []Fault{{Kind: "x"}}},
 		{Directors: 2, LengthMS: 10, Faults: []Fault{{Kind: Kill, AtMS: 11}}}, {Directors: 2, LengthMS: 10, Faults: []Fault{{Kind: Kill, Targets: []int{2}}}},
 	} {
-		if bad.Validate() == nil {
-			t.Errorf("%v was taken", bad)
+		if invalid.Validate() == nil {
+			t.Errorf("%v was taken", invalid)
 		}
 	}
 	s := Schedule{Directors: 5, LengthMS: 9000}
@@ -31,7 +31,7 @@
 		return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == CutLinks }) &&
 			slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == Pause && f.ForMS >= 1000 })
 	}
-	if less := Shrink(s, 100, fails); len(less.Faults) != 2 || !fails(less) || less.Faults[0].ForMS+less.Faults[1].ForMS > 2000 {
-		t.Errorf("made shorter: %v", less)
+	if shrunk := Shrink(s, 100, fails); len(shrunk.Faults) != 2 || !fails(shrunk) || shrunk.Faults[0].ForMS+shrunk.Faults[1].ForMS > 2000 {
+		t.Errorf("made shorter: %v", shrunk)
 	}
 }
--- a/internal/faulttest/slow_start_test.go
+++ b/internal/faulttest/slow_start_test.go
@@ -107,8 +107,8 @@
 // TestColdCacheUnder24Directors asks 24 directors, which know nothing of one another and have one seed, all at once for more than a cold
 // cache bears. In every window it gets no more than that and what chance adds.
 func TestColdCacheUnder24Directors(t *testing.T) {
-	const directors, bears = 24, 10.0 // requests in a window at its start: 2.5 x 2 transfers x 0.2 x 2 s, 0.2 s of work each
-	const window, warm = 2 * time.Second, 30 * time.Second
+	const directors, capacity = 24, 10.0 // requests in a window at its start: 2.5 x 2 transfers x 0.2 x 2 s, 0.2 s of work each
+	const window, warmUp = 2 * time.Second, 30 * time.Second
 	parallel(t)
 	argv := buildProgram(t)
 	channel := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -119,13 +119,13 @@
 		_, _ = fmt.Fprint(w, `{"cursor":1,"cmds":[]}`) // a director that hung up asks again
 	}))
 	defer channel.Close()
-	began := time.Now()
+	startedAt := time.Now()
 	cold := startCountingNode(t)
-	rows := []string{fmt.Sprintf(`{"name":"e9","address":%q,"zone":"town","type":"edge","status":"up","since_ms":%d}`, cold.Addr(), began.UnixMilli()),
+	endpoints := []string{fmt.Sprintf(`{"name":"e9","address":%q,"zone":"town","type":"edge","status":"up","since_ms":%d}`, cold.Addr(), startedAt.UnixMilli()),
 		fmt.Sprintf(`{"name":"p0","address":%q,"zone":"hub","type":"parent","status":"up"}`, startCountingNode(t).Addr()),
 		fmt.Sprintf(`{"name":"o","address":%q,"zone":"hub","type":"origin","status":"up"}`, startCountingNode(t).Addr())}
 	for i := range 3 {
-		rows = append(rows, fmt.Sprintf(`{"name":"e%d","address":%q,"zone":"town","type":"edge","status":"up"}`, i, startCountingNode(t).Addr()))
+		endpoints = append(endpoints, fmt.Sprintf(`{"name":"e%d","address":%q,"zone":"town","type":"edge","status":"up"}`, i, startCountingNode(t).Addr()))
 	}
 	folder, all := t.TempDir(), []*Director{}
 	for i := range directors {
@@ -142,11 +142,11 @@
 			"limits":{"cancel":true,"try-limit":6,"connect-timeout":400,"keepalive":30000,"max-streams":100},
 			"specifics":{"origin-kind":2,"shield-kind":1,"gone-everywhere":6000,"note-level":"all","max-age":[0],"pace-kb-per-s":1000,
 			"pipe-kb-per-s":[0,4000],"count-by-zone":[0,%d]}}}`,
-			i, addr, strings.TrimPrefix(channel.URL, "http://"), strings.Join(rows, ","), warm.Milliseconds(), window.Milliseconds(), directors)
+			i, addr, strings.TrimPrefix(channel.URL, "http://"), strings.Join(endpoints, ","), warmUp.Milliseconds(), window.Milliseconds(), directors)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d := &Director{argv: argv, log: io.Discard, now: func() time.Duration { return time.Since(began) }, env: append(os.Environ(), "NODE_CONFIG="+path)}
+		d := &Director{argv: argv, log: io.Discard, now: func() time.Duration { return time.Since(startedAt) }, env: append(os.Environ(), "NODE_CONFIG="+path)}
 		d.Addr = addr
 		all = append(all, d)
 	}
@@ -180,7 +180,7 @@
 	peak := 0.0
 	for i, at := range cold.arrivals {
 		last, _ := slices.BinarySearchFunc(cold.arrivals, at.Add(window), time.Time.Compare)
-		n := bears * (1 + 4*float64(at.Sub(began))/float64(warm)) // from 0.2 of its capacity on a straight line
+		n := capacity * (1 + 4*float64(at.Sub(startedAt))/float64(warmUp)) // from 0.2 of its capacity on a straight line
 		peak = max(peak, float64(last-i)/(n+2*math.Sqrt(n)+2))
 	}
 	t.Logf("%d came, at the most %.2f of what it bears", len(cold.arrivals), peak)
--- a/internal/faulttest/soak_schedule_test.go
+++ b/internal/faulttest/soak_schedule_test.go
@@ -18,12 +18,12 @@
 	soakFirstMS     = 700  // when the first planned restart begins, at the earliest
 	soakSecondMS    = 5200 // and the second
 	soakRestartSpan = 800  // in which a restart begins, ms
-	soakTroubleSpan = 2500 // longest fault of a node, ms
-	soakCrowd       = 220  // idle clients of a crowd: more than a director may hold
+	soakMaxFaultMS  = 2500 // longest fault of a node, ms
+	soakIdleClients = 220  // idle clients of a crowd: more than a director may hold
 )
 
 // soakNodeTroubles are the faults of nodes that a soak draws from.
-var soakNodeTroubles = []Kind{HangingNode, HangingNode, ResettingNode, CrashedNode, LateNode, IdleCloses, ColdCaches}
+var soakNodeFaults = []Kind{HangingNode, HangingNode, ResettingNode, CrashedNode, LateNode, IdleCloses, ColdCaches}
 
 // soakSchedule draws a schedule from a seed: planned restarts, reloads and what may happen around them, on one director or a few. The
 // same seed gives the same schedule.
@@ -35,10 +35,10 @@
 	}
 	d := soakDrawer{random, directors}
 	s := Schedule{Seed: seed, Directors: directors, LengthMS: soakLengthMS}
-	s.Faults = slices.Concat(d.restarts(), d.reloads(), d.nodeTroubles(), d.channelTroubles(), d.peerTroubles())
+	s.Faults = slices.Concat(d.restarts(), d.reloads(), d.nodeFaults(), d.channelFaults(), d.linkFaults())
 	if random.IntN(3) == 0 {
 		at := random.IntN(soakFirstMS + soakRestartSpan)
-		s.Faults = append(s.Faults, Fault{Kind: IdleClients, AtMS: at, ForMS: 3000 + random.IntN(4000), Targets: []int{random.IntN(directors)}, Rate: soakCrowd})
+		s.Faults = append(s.Faults, Fault{Kind: IdleClients, AtMS: at, ForMS: 3000 + random.IntN(4000), Targets: []int{random.IntN(directors)}, Rate: soakIdleClients})
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return a.AtMS - b.AtMS })
 	return s
@@ -51,9 +51,9 @@
 }
 
 // span draws the begin and the duration of a fault of a longest duration, in ms.
-func (d soakDrawer) span(longest int) (at, duration int) {
-	at = d.random.IntN(soakLengthMS - longest)
-	return at, minDrawnMS + d.random.IntN(longest-minDrawnMS)
+func (d soakDrawer) span(maxMS int) (at, duration int) {
+	at = d.random.IntN(soakLengthMS - maxMS)
+	return at, minDrawnMS + d.random.IntN(maxMS-minDrawnMS)
 }
 
 func (d soakDrawer) restarts() (faults []Fault) {
@@ -73,19 +73,19 @@
 	return faults
 }
 
-func (d soakDrawer) nodeTroubles() (faults []Fault) {
+func (d soakDrawer) nodeFaults() (faults []Fault) {
 	for range 2 + d.random.IntN(3) {
-		f := Fault{Kind: soakNodeTroubles[d.random.IntN(len(soakNodeTroubles))], Targets: d.random.Perm(soakCacheNodes)[:1+d.random.IntN(2)]}
-		f.AtMS, f.ForMS = d.span(soakTroubleSpan)
+		f := Fault{Kind: soakNodeFaults[d.random.IntN(len(soakNodeFaults))], Targets: d.random.Perm(soakCacheNodes)[:1+d.random.IntN(2)]}
+		f.AtMS, f.ForMS = d.span(soakMaxFaultMS)
 		faults = append(faults, f)
 	}
 	return faults
 }
 
-func (d soakDrawer) channelTroubles() (faults []Fault) {
+func (d soakDrawer) channelFaults() (faults []Fault) {
 	if d.random.IntN(2) == 0 {
 		f := Fault{Kind: ChannelOutage, Rate: float64(1 + d.random.IntN(3))}
-		f.AtMS, f.ForMS = d.span(soakTroubleSpan)
+		f.AtMS, f.ForMS = d.span(soakMaxFaultMS)
 		faults = append(faults, f)
 	}
 	if d.random.IntN(2) == 0 {
@@ -99,10 +99,10 @@
 	return faults
 }
 
-func (d soakDrawer) peerTroubles() (faults []Fault) {
+func (d soakDrawer) linkFaults() (faults []Fault) {
 	if d.directors > 1 && d.random.IntN(2) == 0 {
 		f := Fault{Kind: CutLinks, Targets: []int{0}, Peers: []int{1}, Both: d.random.IntN(2) == 0}
-		f.AtMS, f.ForMS = d.span(soakTroubleSpan)
+		f.AtMS, f.ForMS = d.span(soakMaxFaultMS)
 		faults = append(faults, f)
 	}
 	return faults
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	restTime        = 4 * time.Second // after which a director without clients holds no connection to nodes any more: they rest for 1.9 s
-	restDescriptors = 8               // more than at its start, at rest: the channel, other directors
+	idleWait            = 4 * time.Second // after which a director without clients holds no connection to nodes any more: they rest for 1.9 s
+	maxExtraDescriptors = 8               // more than at its start, at rest: the channel, other directors
 )
 
 // soakSeeds are the first and the last seed to play: CI's, or those that TALLYPROXY_SOAK_SEEDS names, as 17-17.
@@ -58,18 +58,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	broken := o.Violations()
+	violations := o.Violations()
 	if len(leaks) > 0 {
-		broken = append(broken, leaks...)
+		violations = append(violations, leaks...)
 	}
 	if seed%2 == 0 && o.MemoryMB > minMemoryMB {
-		broken = append(broken, fmt.Sprintf("memory %v MB", o.MemoryMB))
+		violations = append(violations, fmt.Sprintf("memory %v MB", o.MemoryMB))
 	}
 	t.Logf("%d requests, %v succeeded, %d crossed an end, starts %v, %v MB; ends held up: %v", o.Requests, o.SuccessRate, o.CrossedEnds, o.StartTimes, o.MemoryMB,
 		o.DelayedEnds)
-	if len(broken) > 0 || o.Requests < 500 {
+	if len(violations) > 0 || o.Requests < 500 {
 		history := o.History.String()
-		t.Errorf("broken: %v\nlost: %s\n%s\n%s\nthe end of the history:\n%s\nschedule: %v", broken, o.LostReasons,
+		t.Errorf("broken: %v\nlost: %s\n%s\n%s\nthe end of the history:\n%s\nschedule: %v", violations, o.LostReasons,
 			strings.Join(o.ViolationEvents, "\n"), o.CrashDetail,
 			history[max(0, len(history)-6000):], schedule)
 	}
@@ -77,9 +77,9 @@
 
 // descriptorLeaks waits until directors without clients are at rest, and says which then hold more descriptors than at their start.
 func (h *Harness) descriptorLeaks() (leaks []string) {
-	time.Sleep(restTime)
+	time.Sleep(idleWait)
 	for _, p := range h.Processes() {
-		if now := p.DescriptorCount(); h.isUp(p) && now > p.startFDs+restDescriptors {
+		if now := p.DescriptorCount(); h.isUp(p) && now > p.startFDs+maxExtraDescriptors {
 			leaks = append(leaks, fmt.Sprintf("%s holds %d descriptors at rest, %d at its start", p.Name, now, p.startFDs))
 		}
 	}
