--- a/internal/faulttest/fault_caches.go
+++ b/internal/faulttest/fault_caches.go
@@ -9,13 +9,14 @@
 	"tallyproxy/internal/fakes"
 )
 
-// cacheNodeName returns the name of an edge cache of the fake cluster, numbered from 0.
+// cacheNodeName returns the name of an edge cache in the fake cluster, numbered from 0.
 func cacheNodeName(number int) string { return fmt.Sprint("box-", number) }
 
-// purgedGroups is how many groups are purged: each second one of fakes' 256.
+// purgedGroups is the number of groups to purge: every second one of the 256 groups of the fakes.
 const purgedGroups = 128
 
-// zoneLoss kills the directors and caches of zones, and starts them again at its end, the caches cold.
+// zoneLoss kills the directors and caches of zones. At its end it starts them again, with cold
+// caches.
 type zoneLoss struct {
 	faultRun // Targets are the zones' directors
 	zones    []int
@@ -32,7 +33,7 @@
 	return f
 }
 
-// caches returns the caches of the zones.
+// caches returns the edge caches of the zones.
 func (f zoneLoss) caches() (nodes []*fakes.Node) {
 	for _, n := range f.harness.Cluster.Nodes {
 		if n.Kind == fakes.Edge && slices.Contains(f.zones, f.harness.Cluster.ZoneOf(n.Name)) {
@@ -66,7 +67,8 @@
 	}
 }
 
-// replaceCaches has half of the caches go, each once a new one has come in its place.
+// replaceCaches replaces half of the caches, one after another. An old cache is removed only after
+// its replacement has been added.
 type replaceCaches struct{ faultRun }
 
 func (f replaceCaches) apply(ctx context.Context) {
@@ -78,7 +80,8 @@
 	fakes.Sleep(ctx, f.duration/2+100*time.Millisecond)
 }
 
-// replace adds a new cache, drains an old one, and removes it after half of the fault's time.
+// replace adds a new cache, drains an old one, and removes the old one after half of the fault's
+// duration.
 func (f replaceCaches) replace(number int) {
 	old := f.harness.Cluster.Node(cacheNodeName(number))
 	_, err := f.harness.Cluster.AddNode(fakes.Edge, fmt.Sprint("new-", number), true)
--- a/internal/faulttest/fault_channel.go
+++ b/internal/faulttest/fault_channel.go
@@ -9,17 +9,17 @@
 	"tallyproxy/internal/fakes"
 )
 
-// channelUnreachable cuts the directors with odd numbers off from the command channel.
+// channelUnreachable disconnects the directors with odd numbers from the command channel.
 type channelUnreachable struct{ faultRun }
 
 func (f channelUnreachable) apply(context.Context) { f.setCut(true) }
 func (f channelUnreachable) undo(context.Context)  { f.setCut(false) }
 
 func (f channelUnreachable) setCut(cut bool) {
-	f.harness.recordError("change of the second path", f.harness.Cluster.CutSecondPath(cut))
+	f.harness.recordError("change of the second path to the channel", f.harness.Cluster.CutSecondPath(cut))
 }
 
-// channelOutage has the command channel misbehave in the mode that Rate says.
+// channelOutage sets the command channel to the faulty mode that Rate selects.
 type channelOutage struct{ faultRun }
 
 func (f channelOutage) apply(context.Context) {
@@ -35,7 +35,8 @@
 
 func (f channelRollback) apply(context.Context) { f.harness.Cluster.RollBackChannel(1) }
 
-// channelMove has the command channel listen at a new address too, which all directors reload within a second.
+// channelMove adds a new address to the command channel. All directors reload their configuration
+// with this address, each within a second.
 type channelMove struct{ faultRun }
 
 func (f channelMove) apply(ctx context.Context) {
--- a/internal/faulttest/fault_links.go
+++ b/internal/faulttest/fault_links.go
@@ -8,10 +8,10 @@
 	"tallyproxy/internal/fakes"
 )
 
-// flapInterval is how long a flapping link is cut, and how long it is sound.
+// flapInterval is how long a flapping link is down, and then up again.
 const flapInterval = 300 * time.Millisecond
 
-// AffectsLink says whether a fault of links strikes the directed link from one director to another.
+// AffectsLink reports whether a link fault affects the directed link from one director to another.
 func AffectsLink(f Fault, from, to int) bool {
 	switch f.Kind {
 	case Partition:
@@ -26,17 +26,18 @@
 	return f.receives(to, from) || bothWays && f.receives(from, to)
 }
 
-// groupOf returns the group of a partition that a director is in; -1 for none.
+// groupOf returns the index of the partition group that contains a director, or -1 if none does.
 func groupOf(f Fault, director int) int {
 	return slices.IndexFunc(f.Groups, func(group []int) bool { return slices.Contains(group, director) })
 }
 
-// receives says whether one director is a target that receives from another as its peer.
+// receives reports whether the fault affects what receiver, as a target, receives from sender, as a
+// peer.
 func (f Fault) receives(receiver, sender int) bool {
 	return slices.Contains(f.Targets, receiver) && slices.Contains(f.Peers, sender)
 }
 
-// setLinks sets all links that the fault strikes.
+// setLinks sets the state of all links that the fault affects.
 func (r faultRun) setLinks(link Link) {
 	for from := range r.processes {
 		for to := range r.processes {
@@ -47,7 +48,7 @@
 	}
 }
 
-// cutLinks cuts links one way or both ways, or between the groups of a partition.
+// cutLinks cuts links in one or both directions, or between the groups of a partition.
 type cutLinks struct{ faultRun }
 
 func (f cutLinks) apply(context.Context) {
@@ -60,7 +61,7 @@
 	f.recordDisruption(disruptionOff)
 }
 
-// lossyLinks has all links lose, duplicate and delay packets.
+// lossyLinks makes all links lose, duplicate and delay packets.
 type lossyLinks struct{ faultRun }
 
 func (f lossyLinks) apply(context.Context) {
@@ -69,7 +70,7 @@
 
 func (f lossyLinks) undo(context.Context) { f.setLinks(Link{}) }
 
-// flappingLinks cuts links and heals them in turn.
+// flappingLinks alternately cuts and restores links.
 type flappingLinks struct{ faultRun }
 
 func (f flappingLinks) apply(ctx context.Context) {
--- a/internal/faulttest/fault_members.go
+++ b/internal/faulttest/fault_members.go
@@ -19,26 +19,27 @@
 	"tallyproxy/relays"
 )
 
-// faultyMemberName is the name of the member that sends false hints, and that under which settings are read for faulty members.
+// faultyMemberName is the name of the member that sends false hints, and the name under which
+// settings for faulty members are parsed.
 const faultyMemberName = "liar"
 
-// errNoPeers is the error of a faulty member that is to join directors without peers.
-var errNoPeers = errors.New("directors have no peers")
+// errNoPeers is returned when a faulty member is to join directors that have no peers.
+var errNoPeers = errors.New("directors are configured without peers")
 
 // falseHintInterval is the time between two false hints about a cache.
 const falseHintInterval = 100 * time.Millisecond
 
-// falseHints joins the directors as one of them, and tells of all caches again and again that they are unreachable, restarted and
-// overloaded.
+// falseHints joins the directors as a member, and repeatedly reports all caches as unreachable,
+// restarted and overloaded.
 type falseHints struct {
 	faultRun
-	driver *gossipnet.Driver // nil before apply, and where it could not join
+	driver *gossipnet.Driver // nil before apply, or if the join failed
 }
 
 func (f *falseHints) apply(ctx context.Context) {
 	startedAt := time.Now()
 	f.driver = f.harness.joinMember(faultyMemberName, gossipnet.Handlers{}, func(s *membership.Settings) {
-		s.HintsPerInterval, s.HintInterval = 1<<20, 1 // it keeps to no limits
+		s.HintsPerInterval, s.HintInterval = 1<<20, 1 // no limit on hints
 	})
 	if f.driver == nil {
 		return
@@ -51,7 +52,7 @@
 	})
 }
 
-// broadcast sends a false hint about each cache, of another condition each round.
+// broadcast sends one false hint about each cache, with a different condition in each round.
 func (f *falseHints) broadcast(round int) {
 	conditions := []membership.Condition{membership.Unreachable, membership.Restarted, membership.Overloaded}
 	for i := range f.harness.spec.CacheNodes {
@@ -61,15 +62,16 @@
 
 func (f *falseHints) undo(context.Context) { leaveMember(f.driver) }
 
-// malformedRelay joins the directors under a name that ranks first among delegates. It answers all with malformed messages, and with a
-// list that never was the channel's, in which all caches are elsewhere.
+// malformedRelay joins the directors under a name that ranks first among the relay delegates. It
+// answers all messages with malformed ones, and with an endpoint list that the channel never
+// published and that gives false addresses for all caches.
 type malformedRelay struct {
 	faultRun
-	driver *gossipnet.Driver // nil before apply, and where it could not join
+	driver *gossipnet.Driver // nil before apply, or if the join failed
 }
 
 func (f *malformedRelay) apply(context.Context) {
-	var driver atomic.Pointer[gossipnet.Driver] // handlers may be called before the join returns
+	var driver atomic.Pointer[gossipnet.Driver] // handlers may be called before joinMember returns
 	list := f.falseList()
 	handlers := gossipnet.Handlers{
 		Relay: func(from string, m relays.Message) {
@@ -86,7 +88,7 @@
 
 func (f *malformedRelay) undo(context.Context) { leaveMember(f.driver) }
 
-// firstRankingName returns a name that is before those of all directors in the order of relay delegates.
+// firstRankingName returns a name that ranks before all directors in the order of relay delegates.
 func (f *malformedRelay) firstRankingName() string {
 	for i := 0; ; i++ {
 		name, preceded := fmt.Sprint(faultyMemberName, "-", i), false
@@ -99,7 +101,7 @@
 	}
 }
 
-// falseList is an endpoint list of all caches at addresses where nothing listens.
+// falseList returns an endpoint list with all caches at an address where nothing listens.
 func (f *malformedRelay) falseList() []relays.Endpoint {
 	list := []relays.Endpoint{}
 	for i := range f.harness.spec.CacheNodes {
@@ -108,7 +110,7 @@
 	return list
 }
 
-// answerMalformed answers a message of the relays with what no director would send.
+// answerMalformed answers a relay message with messages that no director would send.
 func answerMalformed(driver *gossipnet.Driver, from string, m relays.Message, list []relays.Endpoint) {
 	switch {
 	case m.Query != nil:
@@ -122,15 +124,15 @@
 	}
 }
 
-// leaveMember has a faulty member leave, where it joined.
+// leaveMember makes a faulty member leave, if it joined.
 func leaveMember(driver *gossipnet.Driver) {
 	if driver != nil {
 		driver.Leave()
 	}
 }
 
-// joinMember has a member in this process join the directors under a name, with its settings changed; nil where it can't, which is
-// recorded.
+// joinMember joins the directors with a member that runs in this process, under the given name and
+// with its settings modified by change. On failure it records the error and returns nil.
 func (h *Harness) joinMember(name string, handlers gossipnet.Handlers, change func(*membership.Settings)) *gossipnet.Driver {
 	peers, settings, err := h.memberSettings(name)
 	if err != nil {
@@ -149,7 +151,8 @@
 	return driver
 }
 
-// memberSettings returns the first director's gossip settings with an address of the member's own, and the platform's settings.
+// memberSettings returns the first director's gossip settings, with the member's own address, and
+// the platform's settings.
 func (h *Harness) memberSettings(name string) (peers config.Peers, settings policy.Settings, err error) {
 	listen, err := FreeAddress()
 	if err != nil {
--- a/internal/faulttest/fault_nodes.go
+++ b/internal/faulttest/fault_nodes.go
@@ -7,7 +7,7 @@
 	"tallyproxy/internal/fakes"
 )
 
-// nodes returns the cache nodes of a fault's Targets.
+// nodes returns the cache nodes that Targets selects.
 func (r faultRun) nodes() (nodes []*fakes.Node) {
 	for _, i := range r.Targets {
 		if n := r.harness.Cluster.Node(cacheNodeName(i)); n != nil {
@@ -17,7 +17,7 @@
 	return nodes
 }
 
-// faultyNodes has nodes misbehave until its end.
+// faultyNodes makes nodes misbehave until the fault ends.
 type faultyNodes struct {
 	faultRun
 	fault fakes.Fault
@@ -32,10 +32,10 @@
 	}
 }
 
-// crashedNodes kills nodes, and starts them again, cold, at its end.
+// crashedNodes kills nodes. At its end it starts them again, with cold caches.
 type crashedNodes struct {
 	faultRun
-	announced bool // as up, from its begin on
+	announced bool // announce the killed nodes as up
 }
 
 func (f crashedNodes) apply(context.Context) {
@@ -53,10 +53,10 @@
 	}
 }
 
-// idleCloseInterval is the time between two looks for idle connections.
+// idleCloseInterval is the time between two rounds of closing idle connections.
 const idleCloseInterval = 50 * time.Millisecond
 
-// idleCloses has nodes end idle connections early until its end.
+// idleCloses makes nodes close idle connections early until the fault ends.
 type idleCloses struct{ faultRun }
 
 func (f idleCloses) apply(ctx context.Context) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// crowd has idle clients connect to directors until its end.
+// idleClients connects idle clients to directors until the fault ends.
 type idleClients struct{ faultRun }
 
 func (f idleClients) apply(ctx context.Context) {
--- a/internal/faulttest/fault_processes.go
+++ b/internal/faulttest/fault_processes.go
@@ -18,7 +18,7 @@
 func (f killProcesses) apply(context.Context)    { f.forTargets(f.harness.kill) }
 func (f killProcesses) undo(ctx context.Context) { f.restartTargets(ctx) }
 
-// pauseProcesses stops directors where they stand, and has them go on at its end.
+// pauseProcesses suspends directors, and resumes them at its end.
 type pauseProcesses struct{ faultRun }
 
 func (f pauseProcesses) apply(context.Context) {
@@ -31,7 +31,7 @@
 	f.recordDisruption(disruptionOff)
 }
 
-// terminateProcesses asks directors to end, and starts them again at its end.
+// terminateProcesses sends SIGTERM to directors, and starts them again at its end.
 type terminateProcesses struct{ faultRun }
 
 func (f terminateProcesses) apply(context.Context)    { f.forTargets(f.harness.terminate) }
@@ -47,7 +47,7 @@
 	})
 }
 
-// rollingRestart ends and starts all directors, a tenth at a time.
+// rollingRestart terminates and restarts all directors, a tenth at a time.
 type rollingRestart struct{ faultRun }
 
 func (f rollingRestart) apply(ctx context.Context) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// killDelegates kills all relay delegates while purges pass through them, and starts them again at its end.
+// killDelegates kills all relay delegates while they relay purges, and starts them again at its
+// end.
 type killDelegates struct{ faultRun }
 
 func (f *killDelegates) apply(ctx context.Context) {
@@ -79,7 +80,8 @@
 
 func (f *killDelegates) undo(ctx context.Context) { f.restartTargets(ctx) }
 
-// delegates returns the numbers of the directors that say that they poll the command channel for others.
+// delegates returns the numbers of the directors that report that they poll the command channel for
+// others.
 func (h *Harness) delegates(ctx context.Context) (numbers []int) {
 	for i, p := range h.Processes() {
 		if report, err := status.Read(ctx, p.Socket); err == nil && report.Relay != nil && report.Relay.Delegate {
@@ -92,7 +94,7 @@
 // duplicateInstance runs another process under the name of a director.
 type duplicateInstance struct {
 	faultRun
-	duplicate *Process // nil before apply, and where it could not be prepared
+	duplicate *Process // nil before apply, or if it could not be prepared
 }
 
 func (f *duplicateInstance) apply(ctx context.Context) {
@@ -101,18 +103,19 @@
 	if f.duplicate, err = f.harness.AddDirector(f.processes[f.Targets[0]].Name, f.harness.keyPath, fleetName); err == nil {
 		err = f.harness.StartProcess(ctx, f.duplicate)
 	}
-	f.harness.recordError("duplicate instance", err)
+	f.harness.recordError("start of the duplicate instance", err)
 }
 
 func (f *duplicateInstance) undo(context.Context) {
 	if f.duplicate != nil && f.harness.markDown(f.duplicate) {
-		_ = f.duplicate.Stop() // however it ends, it is over
+		_ = f.duplicate.Stop() // the exit status does not matter
 	}
 	f.recordDisruption(disruptionOff)
 }
 
-// busyCores keeps the processors busy with other processes. Loops in this process would take turns from the relays, and what is to be
-// shown is that directors bear the loss of processors, not of the network.
+// busyCores keeps the processor cores busy with other processes. Busy loops in this process would
+// slow down the relays as well; the fault is meant to show that directors cope with a loss of
+// processor time, not of the network.
 type busyCores struct{ faultRun }
 
 func (f busyCores) apply(ctx context.Context) {
@@ -120,23 +123,24 @@
 	defer cancel()
 	var running sync.WaitGroup
 	for range int(f.Rate) {
-		running.Go(func() { _ = exec.CommandContext(ctx, "sh", "-c", "while :; do :; done").Run() }) // it ends by being killed
+		// Returns an error when the context kills it.
+		running.Go(func() { _ = exec.CommandContext(ctx, "sh", "-c", "while :; do :; done").Run() })
 	}
 	running.Wait()
 }
 
-// kill ends a process that is up with SIGKILL.
+// kill ends a running process with SIGKILL.
 func (h *Harness) kill(p *Process) {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
 	if h.markDown(p) {
 		h.History.Record(p.number, actionKill, nil)
-		p.Pause(false) // one that is stopped would not be reaped
+		p.Pause(false) // a suspended process would not be reaped
 		p.Kill()
 	}
 }
 
-// terminate sends SIGTERM to a process that is up, and does not wait for its end.
+// terminate sends SIGTERM to a running process and does not wait for its exit.
 func (h *Harness) terminate(p *Process) {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -146,7 +150,7 @@
 	}
 }
 
-// restart starts a process that is down, once it has ended.
+// restart starts a process that is down, after its previous run has exited.
 func (h *Harness) restart(ctx context.Context, p *Process) {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -154,7 +158,7 @@
 		return
 	}
 	if p.PID() != 0 {
-		_ = p.Wait() // however it ended
+		_ = p.Wait() // the exit status does not matter
 	}
 	if err := h.StartProcess(ctx, p); err != nil {
 		h.History.Record(p.number, "failed to start: "+err.Error(), nil)
--- a/internal/faulttest/fault_restarts.go
+++ b/internal/faulttest/fault_restarts.go
@@ -14,29 +14,41 @@
 	"tallyproxy/internal/fakes"
 )
 
-// Times of a planned restart, after SIGTERM.
+// Times and probabilities of planned restarts and reloads; times count from the first SIGTERM.
 const (
-	maxCountedTimeout  = 3 * time.Second                 // the protocol counts longer ones as 3 s
-	killSlack          = 700 * time.Millisecond          // and SIGKILL comes at least so much later
-	earliestKill       = maxCountedTimeout + killSlack   // of a cluster with a content type of 3 s or more
-	lastReloadMargin   = 200 * time.Millisecond          // before the kill, within which no signal is drawn
-	signalSpan         = earliestKill - lastReloadMargin // in which further signals come
-	simultaneousSpan   = time.Millisecond                // within which a signal meets what is being carried out
-	momentTimeout      = 300 * time.Millisecond          // for a request or an answer that a signal is to meet
-	reloadPause        = 40 * time.Millisecond           // between two reloads of a series, at the most
-	earlyKillShare     = 0.15                            // of planned restarts in which the process is killed before its time
-	truncatedFileShare = 0.2                             // of reloads that find a file cut off
-	momentShare        = 0.7                             // share of signals that wait for a request or an answer
+	// maxCountedTimeout is the longest timeout that counts: the protocol treats longer ones as 3 s.
+	maxCountedTimeout = 3 * time.Second
+	// killSlack is the shortest time between maxCountedTimeout and SIGKILL.
+	killSlack = 700 * time.Millisecond
+	// earliestKill is the earliest SIGKILL in a cluster with a content type of 3 s or more.
+	earliestKill = maxCountedTimeout + killSlack
+	// lastReloadMargin is the time before the kill in which no further signal is sent.
+	lastReloadMargin = 200 * time.Millisecond
+	// signalSpan is the time in which further signals are sent.
+	signalSpan = earliestKill - lastReloadMargin
+	// simultaneousSpan is the longest delay of a signal that must arrive during an operation.
+	simultaneousSpan = time.Millisecond
+	// momentTimeout is how long a signal waits for a request or an answer at most.
+	momentTimeout = 300 * time.Millisecond
+	// reloadPause is the longest pause between two reloads of a series.
+	reloadPause = 40 * time.Millisecond
+	// earlyKillShare is the share of planned restarts in which SIGKILL comes before earliestKill.
+	earlyKillShare = 0.15
+	// truncatedFileShare is the share of reloads that find a truncated file.
+	truncatedFileShare = 0.2
+	// momentShare is the share of SIGTERM and reload signals that wait for a request or an answer.
+	momentShare = 0.7
 )
 
-// plannedRestart ends directors by signals in series and starts them again, one after another.
+// plannedRestart ends directors with series of signals and starts them again, all targets in
+// parallel.
 type plannedRestart struct{ faultRun }
 
 func (f plannedRestart) apply(ctx context.Context) {
 	f.forTargetsWithRandom(func(p *Process, random *rand.Rand) { f.harness.restartPlanned(ctx, p, random) })
 }
 
-// forTargetsWithRandom is forTargets with random numbers for each target alone.
+// forTargetsWithRandom is like forTargets and gives each target its own random number stream.
 func (r faultRun) forTargetsWithRandom(do func(*Process, *rand.Rand)) {
 	streams := map[*Process]*rand.Rand{}
 	for _, i := range r.Targets {
@@ -45,18 +57,20 @@
 	r.forTargets(func(p *Process) { do(p, streams[p]) })
 }
 
-// newStream returns random numbers of their own, drawn from others; goroutines may then draw side by side.
+// newStream returns an independent random number stream seeded from another one, so that goroutines
+// can draw concurrently.
 func newStream(random *rand.Rand) *rand.Rand {
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
 
-// lateSignal is a signal after the first SIGTERM.
+// lateSignal is a signal sent after the first SIGTERM.
 type lateSignal struct {
-	after  time.Duration // the first SIGTERM
+	after  time.Duration // time since the first SIGTERM
 	signal syscall.Signal
 }
 
-// drawSignals draws the signals that follow the first SIGTERM, some at once, by time.
+// drawSignals draws the signals that follow the first SIGTERM, sorted by time. Some of them follow
+// almost at once.
 func drawSignals(random *rand.Rand) (signals []lateSignal) {
 	for range random.IntN(4) {
 		s := lateSignal{time.Duration(random.Int64N(int64(signalSpan))), syscall.SIGTERM}
@@ -72,7 +86,8 @@
 	return signals
 }
 
-// planned ends a process that is up as the platform plans it, and starts it again. The caller does not share random.
+// restartPlanned ends a running process in the way the platform does for a planned restart, and
+// starts it again. The caller must not share random with other goroutines.
 func (h *Harness) restartPlanned(ctx context.Context, p *Process, random *rand.Rand) {
 	p.lifecycle.Lock()
 	defer p.lifecycle.Unlock()
@@ -103,10 +118,10 @@
 	case earlyKill:
 		h.History.Record(p.number, actionKill, nil)
 		p.Kill()
-	default: // what it has not answered by now is lost
-		h.History.Record(p.number, "killed at the earliest", nil)
+	default: // requests without an answer by now are lost
+		h.History.Record(p.number, "killed at the earliest allowed time", nil)
 		p.Signal(syscall.SIGKILL)
-		_ = p.Wait() // "signal: killed"
+		_ = p.Wait() // always "signal: killed"
 	}
 	if err := p.writeConfig(h.Cluster, p.Name, h.limits()); err != nil {
 		h.recordError("configuration", err)
@@ -116,7 +131,8 @@
 	}
 }
 
-// signalLate sends a signal to a process that was asked to end. SIGHUP follows a new file.
+// sendLateSignal sends a signal to a process that is already terminating. It replaces the files
+// before it sends SIGHUP.
 func (h *Harness) sendLateSignal(p *Process, signal syscall.Signal, random *rand.Rand) {
 	if signal == syscall.SIGHUP {
 		h.recordError("configuration", h.replaceFiles(p, random))
@@ -125,7 +141,8 @@
 	h.Moments.Publish(fakes.SignalSent)
 }
 
-// meetMoment waits, mostly, until a client has sent a request or has an answer, and then for less than a millisecond.
+// awaitMoment waits, in most cases, until a client sends a request, receives an answer or loses its
+// connection, and then for less than a millisecond.
 func (h *Harness) awaitMoment(ctx context.Context, random *rand.Rand) {
 	if random.Float64() >= momentShare {
 		return
@@ -140,7 +157,7 @@
 	time.Sleep(time.Duration(random.Int64N(int64(simultaneousSpan))))
 }
 
-// reloads replaces files of directors and sends them SIGHUP, several times.
+// reloads replaces the files of directors and sends them SIGHUP, several times.
 type reloads struct{ faultRun }
 
 func (f reloads) apply(ctx context.Context) {
@@ -149,7 +166,7 @@
 			f.harness.recordError("move of the channel", err)
 			return
 		}
-		f.Targets = nil // all have to be told
+		f.Targets = nil // all directors need the new address
 		for i := range f.processes {
 			f.Targets = append(f.Targets, i)
 		}
@@ -157,8 +174,8 @@
 	f.forTargetsWithRandom(func(p *Process, random *rand.Rand) { f.harness.reloadSeries(ctx, p, random) })
 }
 
-// reloadSeries reloads a director several times. One that is being restarted is signalled at once, unless it is just starting, and once
-// more when it is back.
+// reloadSeries reloads a director several times. If the director is being restarted, it gets a
+// signal at once, unless its process is just starting, and further ones after the restart.
 func (h *Harness) reloadSeries(ctx context.Context, p *Process, random *rand.Rand) {
 	if !p.lifecycle.TryLock() {
 		h.recordError("configuration", h.replaceFiles(p, random))
@@ -176,7 +193,8 @@
 	}
 }
 
-// reload replaces a director's files and sends it SIGHUP; some find a file that is cut off, and are followed by one that is whole.
+// reload replaces a director's files and sends it SIGHUP. Some reloads first send a SIGHUP with a
+// truncated file and then restore the complete one.
 func (h *Harness) reload(ctx context.Context, p *Process, random *rand.Rand) {
 	if random.Float64() < truncatedFileShare {
 		h.recordError("configuration", truncateFile(p.configPath))
@@ -190,14 +208,15 @@
 	time.Sleep(time.Duration(random.Int64N(int64(reloadPause))))
 }
 
-// replaceFiles puts new files in the place of a director's: the channel's address as it is now, and other limits.
+// replaceFiles replaces a director's configuration file with one that has the channel's present
+// address and different limits.
 func (h *Harness) replaceFiles(p *Process, random *rand.Rand) error {
 	limits := h.limits()
 	limits.Sockets -= random.IntN(limits.Sockets / 8)
 	return replaceFile(p.configPath, h.Cluster.Config(p.Name, p.Addr, limits.Sockets, limits.MemoryMB, limits.Cores))
 }
 
-// cutFile replaces a file by its first half.
+// truncateFile replaces a file by its first half.
 func truncateFile(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -206,7 +225,7 @@
 	return replaceFile(path, text[:len(text)/2])
 }
 
-// replaceFile puts a new file in the place of another, so that a reader finds the one or the other.
+// replaceFile replaces a file atomically: a reader finds either the old or the new content.
 func replaceFile(path string, text []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -10,39 +10,43 @@
 	"tallyproxy/internal/fakes"
 )
 
-// faultStream is the second seed of the first fault's random numbers; each further fault has the next.
+// faultStream is the second seed of the first fault's random number stream; each further fault has
+// the next number.
 const faultStream = 900
 
-// fault is a fault of a schedule as it is played. Apply and undo, where there is one, run in goroutines of their own: undo at the end
-// of the fault's time, or once apply has returned where that is later.
+// fault is a fault of a schedule while it is played. apply, and undo if the type has it, run in
+// goroutines of their own. undo runs at the end of the fault's time, or after apply has returned if
+// that is later.
 type fault interface {
-	// apply does what goes wrong. It may take its time, and does not wait for undo; the schedule is over only when it has returned.
+	// apply causes the fault. It may block, but does not wait for undo. The schedule ends only
+	// after apply has returned.
 	apply(ctx context.Context)
 }
 
-// revertible is a fault that has to be undone at its end.
+// revertible is a fault that must be undone at its end.
 type revertible interface {
 	fault
-	// undo ends what apply began.
+	// undo reverts what apply did.
 	undo(ctx context.Context)
 }
 
-// faultRun is what the types of faults share: the fault, and what it is played on.
+// faultRun contains what all fault types share: the fault and the harness on which it is played.
 type faultRun struct {
 	Fault
 	harness   *Harness
-	processes []*Process    // those that were there when play began; numbers of directors index them
-	rand      *rand.Rand    // of this fault alone
-	duration  time.Duration // from its begin to its end
+	processes []*Process    // directors present when play began, indexed by number
+	rand      *rand.Rand    // stream of this fault alone
+	duration  time.Duration // from its start to its end
 }
 
-// faultType is a kind of fault with what makes one to be played. The constructors are called before any fault begins.
+// faultType associates a kind of fault with its constructor. All constructors are called before any
+// fault starts.
 type faultType struct {
 	kind Kind
 	new  func(faultRun) fault
 }
 
-// faultTypes are all kinds of faults.
+// faultTypes lists all kinds of faults.
 var faultTypes = []faultType{
 	{CutLinks, func(r faultRun) fault { return cutLinks{r} }},
 	{Partition, func(r faultRun) fault { return cutLinks{r} }},
@@ -77,7 +81,7 @@
 	{IdleCloses, func(r faultRun) fault { return idleCloses{r} }},
 }
 
-// kinds are those of faultTypes, in their order.
+// kinds are the kinds of faultTypes, in the same order.
 var kinds = kindsOf(faultTypes)
 
 func kindsOf(types []faultType) (all []Kind) {
@@ -87,31 +91,31 @@
 	return all
 }
 
-// step is a thing to do at a time of a schedule.
+// step is an action at a time of a schedule.
 type step struct {
 	atMS int
 	do   func(context.Context)
 }
 
-// Play plays the faults of a schedule, each at its time, and undoes them. When it returns all links are sound, and no director is paused
-// or down unless it could not be started. It takes no longer than the schedule's length and what it takes to start a process. The
-// schedule must be valid.
+// Play applies the faults of a schedule, each at its time, and undoes them. When it returns, all
+// links are without faults, and no director is paused, or down unless it could not be started. It
+// takes at most the schedule's length plus the time to start a process. The schedule must be valid.
 func (h *Harness) Play(ctx context.Context, s Schedule) {
 	runSteps(ctx, h.steps(s))
 	h.Network.Heal()
-	for _, p := range h.Processes() { // two faults of one process may have left it down
+	for _, p := range h.Processes() { // two faults of the same process may have left it down
 		if !h.isUp(p) && !p.duplicate {
 			h.restart(ctx, p)
 		}
 	}
 }
 
-// runSteps takes each step at its time, and waits until all have returned.
+// runSteps runs each step at its time and waits until all steps have returned.
 func runSteps(ctx context.Context, steps []step) {
 	startedAt := time.Now()
 	var running sync.WaitGroup
 	for _, step := range steps {
-		running.Go(func() { // each by itself: a start takes its time
+		running.Go(func() { // in a goroutine, since starting a process takes time
 			fakes.Sleep(ctx, time.Until(startedAt.Add(millis(step.atMS))))
 			step.do(ctx)
 		})
@@ -119,7 +123,7 @@
 	running.Wait()
 }
 
-// steps returns the begins and ends of a schedule's faults, by time.
+// steps returns the starts and ends of a schedule's faults, sorted by time.
 func (h *Harness) steps(s Schedule) (steps []step) {
 	for i, f := range s.Faults {
 		end := s.endMS(f)
@@ -130,7 +134,8 @@
 	return steps
 }
 
-// faultSteps returns a fault's begin and, where it is to be undone, its end, which waits until the begin has returned.
+// faultSteps returns a step for the start of a fault and, if the fault is revertible, one for its
+// end, which waits until the first step has returned.
 func faultSteps(f fault, atMS, endMS int) []step {
 	undoable, ok := f.(revertible)
 	if !ok {
@@ -149,14 +154,14 @@
 	}
 }
 
-// newFault makes a fault to be played; its kind must be known.
+// newFault returns a fault that is ready to be played. Its kind must be known.
 func (h *Harness) newFault(f Fault, random *rand.Rand, duration time.Duration) fault {
 	run := faultRun{Fault: f, harness: h, processes: h.Processes(), rand: random, duration: duration}
 	i := slices.Index(kinds, f.Kind)
 	return faultTypes[i].new(run)
 }
 
-// forTargets does something to all target directors at once, and waits until it is done.
+// forTargets calls do for all target directors concurrently and waits for all calls.
 func (r faultRun) forTargets(do func(*Process)) {
 	var running sync.WaitGroup
 	for _, i := range r.Targets {
@@ -170,7 +175,8 @@
 	r.forTargets(func(p *Process) { r.harness.restart(ctx, p) })
 }
 
-// recordDisruption records that from now on, or no longer, checkers can't expect directors to see one another.
+// recordDisruption records the start or the end of a time in which checkers can't expect directors
+// to see each other.
 func (r faultRun) recordDisruption(state string) {
 	r.harness.History.Record(noDirector, string(r.Kind), map[string]string{disruptionAttribute: state})
 }
--- a/internal/faulttest/random.go
+++ b/internal/faulttest/random.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// minDrawnMS is the shortest duration of a fault that is drawn.
+// minDrawnMS is the shortest duration of a random fault, in ms.
 const minDrawnMS = 200
 
-// RandomSchedule draws a schedule from a seed and its number: one to four faults in so many milliseconds, of kinds that processes can't
-// help. The same arguments give the same schedule in every version.
+// RandomSchedule draws a schedule from a seed and a number. It has one to four faults within
+// lengthMS milliseconds, all of kinds that the processes themselves can't prevent. The same
+// arguments give the same schedule in every version.
 func RandomSchedule(seed uint64, number, directors, lengthMS int) Schedule {
 	d := drawer{rand: rand.New(rand.NewPCG(seed, uint64(number))), directors: directors, lengthMS: lengthMS}
 	s := Schedule{Seed: seed, Number: number, Directors: directors, LengthMS: lengthMS}
@@ -20,19 +21,19 @@
 	return s
 }
 
-// drawer draws faults. The order of its draws decides all schedules of a seed.
+// drawer draws random faults. The order of its draws determines all schedules of a seed.
 type drawer struct {
 	rand                *rand.Rand
 	directors, lengthMS int
 }
 
-// some draws one to so many directors, but never all.
+// drawDirectors draws between one and most directors, but never all.
 func (d drawer) drawDirectors(maxCount int) []int {
 	all := d.rand.Perm(d.directors)
 	return slices.Sorted(slices.Values(all[:1+d.rand.IntN(max(1, min(maxCount, d.directors-1)))]))
 }
 
-// groups deals all directors out to two or three groups.
+// drawGroups divides all directors into two or three groups.
 func (d drawer) drawGroups() [][]int {
 	groups := make([][]int, 2+d.rand.IntN(2))
 	for i, director := range d.rand.Perm(d.directors) {
@@ -41,7 +42,8 @@
 	return groups
 }
 
-// fault draws one fault. Begin, duration and targets are drawn for each kind, also where it uses others.
+// drawFault draws one fault. It draws start, duration and targets for every kind, even if the kind
+// replaces them by others.
 func (d drawer) drawFault() Fault {
 	at := d.rand.IntN(max(1, d.lengthMS/2))
 	f := Fault{AtMS: at, ForMS: minDrawnMS + d.rand.IntN(max(1, d.lengthMS-at-minDrawnMS)), Targets: d.drawDirectors(d.directors / 2)}
--- a/internal/faulttest/run.go
+++ b/internal/faulttest/run.go
@@ -8,12 +8,13 @@
 	"tallyproxy/internal/fakes"
 )
 
-// convergenceTimeout is how long the directors have to come to one view.
+// convergenceTimeout is the time limit for the directors to reach a common view.
 const convergenceTimeout = 20 * time.Second
 
-// Run plays a schedule from its begin to its end: directors that have one view, load, faults, load for a while longer, one view again.
-// The callback underLoad, where it is not nil, is called before the faults begin. Run ends in a bounded time; a director that fails is
-// in the outcome, an error is one of the schedule, the start or the fakes.
+// Run plays a schedule: it waits for a common view, starts the load, applies the faults, keeps up
+// the load for a while and waits for a common view again. underLoad, if not nil, is called before
+// the first fault. Run returns in a bounded time. Failures of directors are reported in the
+// outcome; an error concerns the schedule, the start or the fakes.
 func Run(ctx context.Context, spec Spec, s Schedule, underLoad func(*Harness)) (Outcome, error) {
 	outcome := Outcome{}
 	if err := s.Validate(); err != nil {
@@ -36,20 +37,21 @@
 	return outcome, nil
 }
 
-// run is a schedule as it is played, by one goroutine.
+// run is a schedule while one goroutine plays it.
 type run struct {
 	spec     Spec
 	schedule Schedule
 	harness  *Harness
 	outcome  *Outcome
 
-	initialTraffic traffic       // when all directors had one view
-	lastFault      time.Duration // when the last fault begins, by the cluster's clock
-	healedAt       time.Time     // when all faults were over
-	convergedAt    time.Time     // when all directors had one view again
+	initialTraffic traffic       // when all directors had a common view
+	lastFault      time.Duration // start of the last fault by the cluster's clock
+	healedAt       time.Time     // when all faults had ended
+	convergedAt    time.Time     // when all directors had a common view again
 }
 
-// traffic is what all directors together had received, and asked of the command channel, at a time.
+// traffic is what all directors together had received, and how often they had polled the command
+// channel, up to a time.
 type traffic struct {
 	at              time.Time
 	packets, octets int64 // received from other directors
@@ -69,13 +71,13 @@
 		h.StartClients()
 	}
 	if err := h.Start(ctx); err != nil {
-		_ = h.Close() // what did not start says why
+		_ = h.Close() // the error of Start is reported instead
 		return nil, err
 	}
 	return &run{spec: spec, schedule: s, harness: h}, nil
 }
 
-// play goes through load, faults, and load after them.
+// play runs the load, the faults, and the load after them.
 func (r *run) play(ctx context.Context, underLoad func(*Harness)) {
 	r.awaitConvergence(ctx)
 	r.initialTraffic = r.harness.traffic()
@@ -98,14 +100,14 @@
 	r.harness.StopClients()
 }
 
-// awaitConvergence waits until all directors have one view, where they know each other.
+// awaitConvergence waits until all directors have the same view, if they know each other.
 func (r *run) awaitConvergence(ctx context.Context) {
 	if !r.spec.NoPeers && !r.harness.AwaitConvergence(ctx, convergenceTimeout) {
 		r.outcome.Incomplete = true
 	}
 }
 
-// measure takes what has to be taken while the directors run.
+// measure takes the measurements that need running directors.
 func (r *run) measure() {
 	o, now := r.outcome, r.harness.traffic()
 	seconds := now.at.Sub(r.initialTraffic.at).Seconds()
@@ -117,7 +119,7 @@
 	o.MemoryMB = roundTo(r.harness.PeakMemoryMB(), 10)
 }
 
-// finish ends the directors and checks what they did.
+// finish stops the directors and runs the checkers.
 func (r *run) finish() {
 	o := r.outcome
 	if err := r.harness.Close(); err != nil {
@@ -134,7 +136,7 @@
 	}
 }
 
-// directorNames returns the names of the schedule's directors, without those that were added later.
+// directorNames returns the names of the schedule's directors, without directors added later.
 func (r *run) directorNames() (names []string) {
 	for _, p := range r.harness.Processes()[:r.schedule.Directors] {
 		names = append(names, p.Name)
--- a/internal/faulttest/shrink.go
+++ b/internal/faulttest/shrink.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// minShrunkMS is the shortest duration of a fault that Shrink halves.
+// minShrunkMS is the shortest duration of a fault, in ms, that Shrink still halves.
 const minShrunkMS = 400
 
-// Shrink makes a schedule that fails shorter while it still does: first without one fault, then with one half as long, again and again.
-// It calls fails no more than tries times.
+// Shrink returns a shorter schedule that still fails. It repeatedly tries to remove single faults
+// and to halve their durations. It calls fails at most tries times.
 func Shrink(s Schedule, tries int, fails func(Schedule) bool) Schedule {
 	smaller := shrinker{schedule: s, tries: tries, fails: fails}
 	for progress := true; progress && smaller.tries > 0; {
@@ -16,14 +16,14 @@
 	return smaller.schedule
 }
 
-// shrinker is a schedule that fails, and the tries that are left to make it shorter.
+// shrinker holds a failing schedule and the number of remaining attempts to shorten it.
 type shrinker struct {
 	schedule Schedule
 	tries    int
 	fails    func(Schedule) bool
 }
 
-// attempt takes a shorter schedule in place of the present one if it fails too.
+// attempt replaces the present schedule by a shorter one if the shorter one fails too.
 func (s *shrinker) attempt(shorter Schedule) bool {
 	s.tries--
 	if !s.fails(shorter) {
@@ -33,20 +33,20 @@
 	return true
 }
 
-// dropFaults tries to leave out each fault, and says whether one could be.
+// dropFaults tries to remove each fault and reports whether it removed any.
 func (s *shrinker) dropFaults() (progress bool) {
 	for i := 0; i < len(s.schedule.Faults) && s.tries > 0; i++ {
 		shorter := s.schedule
 		shorter.Faults = slices.Delete(slices.Clone(shorter.Faults), i, i+1)
 		if s.attempt(shorter) {
 			progress = true
-			i-- // the next fault has taken its place
+			i-- // the next fault now has this index
 		}
 	}
 	return progress
 }
 
-// halveFaults tries to make each fault half as long, and says whether one could be.
+// halveFaults tries to halve the duration of each fault and reports whether it halved any.
 func (s *shrinker) halveFaults() (progress bool) {
 	for i := 0; i < len(s.schedule.Faults) && s.tries > 0; i++ {
 		if s.schedule.Faults[i].ForMS < minShrunkMS {
