--- a/internal/faulttest/address.go
+++ b/internal/faulttest/address.go
@@ -9,14 +9,15 @@
 	"sync/atomic"
 )
 
-// addressCount is how many addresses FreeAddress has given out in this process.
+// addressCount counts the addresses that FreeAddress has returned in this process.
 var addressCount atomic.Int64
 
-// FreeAddress returns a host and port at which nothing listens. Each has a loopback address of its own, from which no outgoing connection
-// can take the port before it is listened at. It may be called by any goroutine.
+// FreeAddress returns a host and port on which nothing listens. Each result has its own loopback
+// address, so that no outgoing connection can take the port before the caller listens on it. It is
+// safe for concurrent use.
 func FreeAddress() (string, error) {
 	n := addressCount.Add(1)
-	offset := int64(os.Getpid()) // test programs that run side by side count each for itself
+	offset := int64(os.Getpid()) // keeps concurrent test programs on separate addresses
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 2+(offset+n/62500)%250, n/250%250, 1+n%250))
 	if err != nil {
 		return "", err
@@ -25,11 +26,12 @@
 	return listener.Addr().String(), nil
 }
 
-// hostOf returns the host of a host and port.
+// hostOf returns the host part of a "host:port" address.
 func hostOf(address string) string {
 	host, _, _ := strings.Cut(address, ":")
 	return host
 }
 
-// closeQuietly closes a connection or listener whose end loses no data that anyone waits for; the error would change nothing.
+// closeQuietly closes a connection or listener and ignores the error. It is used where closing
+// can't lose data that anyone waits for, so that the error would have no consequence.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/faulttest/clients.go
+++ b/internal/faulttest/clients.go
@@ -10,19 +10,19 @@
 	"tallyproxy/internal/fakes"
 )
 
-// Second seeds of clients' random numbers.
+// Second seeds of the clients' random number streams.
 const (
-	clientStartStream = 31  // of the times at which clients begin
-	clientStream      = 100 // of the first client; each further one has the next
+	clientStartStream = 31  // start times of clients
+	clientStream      = 100 // first client; each further client has the next number
 )
 
 const (
 	clientMaxRetries = 12
 	clientRetryPause = 100 * time.Millisecond
-	clientStartSpan  = time.Second // in which clients begin
+	clientStartSpan  = time.Second // all clients start within this time
 )
 
-// targets returns the directors as their clients see them.
+// targets returns the directors in the form that clients use.
 func (h *Harness) targets() (targets []*fakes.Target) {
 	for _, p := range h.Processes() {
 		targets = append(targets, &p.Target)
@@ -30,7 +30,7 @@
 	return targets
 }
 
-// StartClients starts the clients. It is called once.
+// StartClients starts the clients. It may be called only once.
 func (h *Harness) StartClients() {
 	targets := h.targets()
 	pause := h.meanPause()
@@ -46,9 +46,10 @@
 	}
 }
 
-// meanPause returns the mean time between a client's requests at which all clients ask for LoadFactor of what warm caches can serve.
+// meanPause returns the mean time between two requests of a client at which the load of all clients
+// is LoadFactor times what warm caches can serve.
 func (h *Harness) meanPause() time.Duration {
-	work := 0.0 // of a mean request
+	work := 0.0 // seconds of transfer for a mean request
 	for _, t := range h.Cluster.ContentTypes {
 		work += t.RequestShare * t.MeanTransfer.Seconds()
 	}
@@ -56,13 +57,13 @@
 	return time.Duration(float64(h.spec.Clients) / rate * float64(time.Second))
 }
 
-// StopClients ends the load and waits until all clients have stopped.
+// StopClients stops the load and waits until all clients have stopped.
 func (h *Harness) StopClients() {
 	h.cancelClients()
 	h.clients.Wait()
 }
 
-// runClients has clients connect and say nothing until the context ends.
+// runIdleClients connects clients that send nothing, until the context ends.
 func (h *Harness) runIdleClients(ctx context.Context, clients []*fakes.Client) {
 	var running sync.WaitGroup
 	for _, client := range clients {
@@ -71,7 +72,8 @@
 	running.Wait()
 }
 
-// StartPipelined starts clients that use their connections in a way; they stop as those of StartClients do.
+// StartPipelined starts clients that use their connections as behavior describes. They stop
+// together with those of StartClients.
 func (h *Harness) StartPipelined(count int, behavior fakes.Behavior, random *rand.Rand) {
 	targets := h.targets()
 	for i := range count {
--- a/internal/faulttest/director.go
+++ b/internal/faulttest/director.go
@@ -20,43 +20,45 @@
 )
 
 const (
-	startTimeout        = 10 * time.Second // until a started director has to serve
+	startTimeout        = 10 * time.Second // for a started director until it serves
 	servingPollInterval = 5 * time.Millisecond
-	statusTimeout       = time.Second      // for a director's answer whether it serves
-	stopTimeout         = 15 * time.Second // until a director has to end after SIGTERM
+	statusTimeout       = time.Second      // for a director's answer to STATUS
+	stopTimeout         = 15 * time.Second // for a director to exit after SIGTERM
 )
 
 // Errors of a director's process.
 var (
-	errNotServing = errors.New("director does not serve in time")
-	errNotStopped = errors.New("director did not end on SIGTERM")
+	errNotServing = errors.New("director did not serve in time")
+	errNotStopped = errors.New("director did not exit in time after SIGTERM")
 )
 
-// Director is a director as a process. Its methods may be called by any goroutine; Start not while the process runs.
+// Director is a director that runs as a process. Its methods are safe for concurrent use, except
+// that Start must not be called while the process runs.
 type Director struct {
-	fakes.Target // as clients see it
+	fakes.Target // the director in the form that clients use
 
-	argv       []string             // the command line
-	env        []string             // of the process
-	configPath string               // of the platform's configuration
-	log        io.Writer            // gets the process's standard output and error
-	now        func() time.Duration // the fake cluster's clock
+	argv       []string             // command line
+	env        []string             // environment of the process
+	configPath string               // file with the platform's configuration
+	log        io.Writer            // receives standard output and standard error of the process
+	now        func() time.Duration // clock of the fake cluster
 
 	mu     sync.Mutex
-	cmd    *exec.Cmd  // the process that was started last; nil before the first
-	exited chan error // holds the exit status of that process once it has ended; each reader puts it back
+	cmd    *exec.Cmd  // process started last; nil before the first start
+	exited chan error // holds the exit status of cmd once it has exited; each reader puts it back
 	peakKB int        // see PeakMemoryMB
 }
 
-// Limits are those of a director's machine, as its configuration states them.
+// Limits are the limits of a director's machine, as given in its configuration.
 type Limits struct {
-	Sockets  int     // descriptors that it may use
-	MemoryMB int     // memory that it may use, in MB
-	Cores    float64 // processor cores that it may use
+	Sockets  int     // descriptors
+	MemoryMB int     // memory in MB
+	Cores    float64 // processor cores
 }
 
-// NewDirector writes a director's configuration, and the operator's settings where script is not empty, into a folder under its name.
-// Argv is the command line without the settings' flag. Start starts the process.
+// NewDirector writes the configuration of a director to a folder, under the director's name,
+// together with the operator's settings if script is not empty. argv is the command line without
+// the flag for the settings. The process is started by Start.
 func NewDirector(cluster *fakes.Cluster, folder, name string, argv []string, script string, limits Limits, log io.Writer) (*Director, error) {
 	address, err := FreeAddress()
 	if err != nil {
@@ -78,13 +80,14 @@
 	return d, nil
 }
 
-// writeConfig writes the platform's configuration for a director of a name.
+// writeConfig writes the platform's configuration for a director with the given name.
 func (d *Director) writeConfig(cluster *fakes.Cluster, name string, limits Limits) error {
 	return replaceFile(d.configPath, cluster.Config(name, d.Addr, limits.Sockets, limits.MemoryMB, limits.Cores))
 }
 
-// Start starts the process and waits until it serves. The process inherits the processors of the calling goroutine's thread. A process
-// that ended, or does not serve in time, is an error; it is not left running.
+// Start starts the process and waits until it serves. The process inherits the processor affinity
+// of the calling goroutine's thread. Start returns an error if the process exits or does not serve
+// in time; in that case it leaves no process running.
 func (d *Director) Start(ctx context.Context) error {
 	exited, err := d.startProcess()
 	if err != nil {
@@ -98,15 +101,15 @@
 		select {
 		case err := <-exited:
 			exited <- err
-			return fmt.Errorf("director at %s ended while it started: %w", d.Addr, exitError(err))
+			return fmt.Errorf("director at %s exited during its start: %w", d.Addr, exitError(err))
 		default:
 		}
 	}
-	d.Signal(syscall.SIGKILL) // nobody waits for it any more
+	d.Signal(syscall.SIGKILL) // the caller gets an error and does not wait for the process
 	return fmt.Errorf("director at %s: %w", d.Addr, errNotServing)
 }
 
-// exitError makes a process's end an error also where its exit status is 0.
+// exitError returns an error for the end of a process even if its exit status is 0.
 func exitError(err error) error {
 	if err == nil {
 		return errors.New("exit status 0")
@@ -114,7 +117,7 @@
 	return err
 }
 
-// startProcess starts the process and returns the channel on which its end is reported.
+// startProcess starts the process and returns the channel that receives its exit status.
 func (d *Director) startProcess() (exited chan error, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,14 +126,14 @@
 	exited = make(chan error, 1)
 	d.cmd, d.exited = cmd, exited
 	if err := cmd.Start(); err != nil {
-		exited <- err // nobody is to wait for a process that there is not
+		exited <- err // lets Wait return although there is no process
 		return nil, err
 	}
 	go func() { exited <- cmd.Wait() }()
 	return exited, nil
 }
 
-// serving says whether the director answers STATUS with "serving".
+// serving reports whether the director answers STATUS with "serving".
 func (d *Director) serving() bool {
 	conn, err := net.Dial("tcp", d.Addr)
 	if err != nil {
@@ -156,16 +159,17 @@
 	return false
 }
 
-// Signal sends the process a signal, where it was started.
+// Signal sends a signal to the process, if one has been started.
 func (d *Director) Signal(s os.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if process := d.process(); process != nil {
-		_ = process.Signal(s) // it may have ended by itself, which Wait tells
+		_ = process.Signal(s) // the process may have exited, which Wait reports
 	}
 }
 
-// process returns the process that was started last, nil before the first. The caller holds the lock.
+// process returns the process that was started last, or nil before the first start. The caller
+// holds the lock.
 func (d *Director) process() *os.Process {
 	if d.cmd == nil {
 		return nil
@@ -173,7 +177,7 @@
 	return d.cmd.Process
 }
 
-// Pause stops the process where it stands, as a pause of its machine does, or has it go on.
+// Pause suspends the process, as a pause of its machine would, or resumes it.
 func (d *Director) Pause(stop bool) {
 	if stop {
 		d.SetPaused(true, d.now())
@@ -184,31 +188,33 @@
 	d.SetPaused(false, d.now())
 }
 
-// Kill ends the process with SIGKILL and waits for its end. Clients no longer count on what it held.
+// Kill ends the process with SIGKILL and waits for its exit. Clients no longer expect answers to
+// the requests that it held.
 func (d *Director) Kill() {
 	d.SetKilled(true)
-	d.PeakMemoryMB() // while it can be read
+	d.PeakMemoryMB() // before /proc loses the process
 	d.Signal(syscall.SIGKILL)
-	_ = d.Wait() // "signal: killed"
+	_ = d.Wait() // always "signal: killed"
 }
 
-// Restart waits for the process's end and starts it again, unless the context is done. A director that does not come back is seen by
-// the clients that it loses.
+// Restart waits for the exit of the process and starts it again, unless the context is done. If the
+// start fails, the clients notice by their lost requests.
 func (d *Director) Restart(ctx context.Context) {
-	_ = d.Wait() // however it ended
+	_ = d.Wait() // the exit status does not matter
 	if ctx.Err() == nil {
 		_ = d.Start(context.WithoutCancel(ctx))
 	}
 }
 
-// lastExited returns the channel on which the end of the process that was started last is reported.
+// lastExited returns the channel that receives the exit status of the process started last.
 func (d *Director) lastExited() chan error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.exited
 }
 
-// Wait waits for the end of the process and returns its exit status; nil where that is 0. The process must have been started.
+// Wait waits for the exit of the process and returns its exit status, or nil if that is 0. The
+// process must have been started.
 func (d *Director) Wait() error {
 	exited := d.lastExited()
 	err := <-exited
@@ -216,7 +222,8 @@
 	return err
 }
 
-// endedWithin waits for the end of the process for a time at the most, and says whether it has ended.
+// endedWithin waits for the exit of the process for at most the given time, and reports whether it
+// has exited.
 func (d *Director) endedWithin(timeout time.Duration) bool {
 	exited := d.lastExited()
 	timer := time.NewTimer(max(0, timeout))
@@ -230,10 +237,10 @@
 	}
 }
 
-// Stop ends the process with SIGTERM and returns its exit status, nil where that is 0. One that does not end in time is killed, and
-// that is an error.
+// Stop ends the process with SIGTERM and returns its exit status, or nil if that is 0. If the
+// process does not exit in time, Stop kills it and returns an error.
 func (d *Director) Stop() error {
-	d.PeakMemoryMB() // while it can be read
+	d.PeakMemoryMB() // before /proc loses the process
 	d.Signal(syscall.SIGTERM)
 	exited := d.lastExited()
 	select {
@@ -242,12 +249,12 @@
 		return err
 	case <-time.After(stopTimeout):
 		d.Signal(syscall.SIGKILL)
-		_ = d.Wait() // "signal: killed"
+		_ = d.Wait() // always "signal: killed"
 		return fmt.Errorf("director at %s: %w", d.Addr, errNotStopped)
 	}
 }
 
-// PID returns the process's number; 0 before it was started.
+// PID returns the process ID, or 0 before the first start.
 func (d *Director) PID() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -257,14 +264,16 @@
 	return 0
 }
 
-// DescriptorCount returns how many descriptors the process holds, by Linux's /proc; 0 where that does not tell.
+// DescriptorCount returns the number of descriptors that the process holds, read from /proc on
+// Linux. It returns 0 if /proc has no information.
 func (d *Director) DescriptorCount() int {
-	names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.PID())) // none for a process that has ended
+	names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.PID())) // empty if the process has exited
 	return len(names)
 }
 
-// PeakMemoryMB returns the most resident memory, in MB, that any of the director's processes was seen to hold so far. It reads Linux's
-// /proc, where a process that has ended no longer stands: Kill and Stop call it before they end one.
+// PeakMemoryMB returns the largest resident memory, in MB, observed so far over all processes of
+// the director. It reads /proc on Linux, which has no entry for a process that has exited; Kill and
+// Stop therefore call it before they end the process.
 func (d *Director) PeakMemoryMB() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -272,7 +281,8 @@
 	if process == nil {
 		return 0
 	}
-	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.Pid)) // empty for one that has ended
+	// Empty if the process has exited.
+	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.Pid))
 	for line := range strings.SplitSeq(string(text), "\n") {
 		if fields := strings.Fields(line); len(fields) == 3 && fields[0] == "VmHWM:" {
 			kb, _ := strconv.Atoi(fields[1])
--- a/internal/faulttest/harness.go
+++ b/internal/faulttest/harness.go
@@ -19,76 +19,79 @@
 	"tallyproxy/internal/status"
 )
 
-// fleetName is the directors' fleet, as their gossip names it. Its length counts in BytesPerSecond.
+// fleetName is the name of the directors' fleet in gossip messages. Its length affects
+// BytesPerSecond.
 const fleetName = "rig"
 
 const (
 	directorSockets     = 512 // descriptors that a director may use
 	minMemoryMB         = 64
-	seedDirectors       = 3  // all directors seed their gossip with the first of them
-	maxParallelStarts   = 32 // processes
+	seedDirectors       = 3  // directors that all others use as gossip seeds
+	maxParallelStarts   = 32 // processes started concurrently
 	convergenceInterval = 100 * time.Millisecond
 )
 
-// Spec says what a harness is made of and how a schedule is run on it.
+// Spec describes a harness and how a schedule is run on it.
 type Spec struct {
 	Argv          []string          // command line of a director
-	NoPeers       bool              // directors don't know each other: fixed quotas
-	CacheNodes    int               // edge caches, over all zones
-	Clients       int               // with one request at a time each
-	LoadFactor    float64           // what clients ask for, over what warm caches can serve
+	NoPeers       bool              // directors don't know each other and use fixed quotas
+	CacheNodes    int               // number of edge caches over all zones
+	Clients       int               // number of clients, with one request at a time each
+	LoadFactor    float64           // requested load, as a share of what warm caches can serve
 	WarmCaches    bool              // caches hold many of the objects at the start
-	LoadBefore    time.Duration     // of load before the first fault
-	LoadAfter     time.Duration     // of load once the faults are over
-	MemoryMB      int               // that a director may use; 64 at the least
-	Log           io.Writer         // gets the logs of all directors too; may be nil
-	ChangeCluster func(*fakes.Spec) // changes the fake cluster before it is made; may be nil
-	BeforeStart   func(*Harness)    // is called once all is there but the directors; may be nil
-	EarlyClients  bool              // clients come before the directors are there
-	AfterLoad     func(*Harness)    // is called once clients have stopped, while directors still run; may be nil
+	LoadBefore    time.Duration     // load before the first fault
+	LoadAfter     time.Duration     // load after the last fault has ended
+	MemoryMB      int               // memory limit of a director, 64 at least
+	Log           io.Writer         // also receives the logs of all directors; may be nil
+	ChangeCluster func(*fakes.Spec) // modifies the fake cluster's spec; may be nil
+	BeforeStart   func(*Harness)    // called when everything but the directors runs; may be nil
+	EarlyClients  bool              // clients start before the directors
+	AfterLoad     func(*Harness)    // called after clients stop, while directors run; may be nil
 }
 
 // Process is a director of a harness.
 type Process struct {
 	*Director
-	Name      string // as other directors know it
-	Listen    string // address at which it listens for other directors
-	Advertise string // address at which other directors reach it, a relay's
+	Name      string // name by which other directors know it
+	Listen    string // address on which it listens for other directors
+	Advertise string // address of the relay through which others reach it
 	Socket    string // path of its status socket
 
-	number    int        // by the order of AddDirector
-	duplicate bool       // it runs under another's name, or is a stranger: not of the view that is waited for
-	recorder  *recorder  // of its log
-	lifecycle sync.Mutex // held while it is killed or started: two faults may want both at once
-	up        bool       // it was started and neither killed nor asked to end since; under the harness's lock
-	starting  bool       // StartProcess has not returned; under the harness's lock
-	startFDs  int        // descriptors that it held when it first served; under the harness's lock
+	number    int        // index in the order of AddDirector
+	duplicate bool       // duplicate or foreign instance, which converged ignores
+	recorder  *recorder  // receives its log
+	lifecycle sync.Mutex // held during a kill or a start: two faults may attempt both
+	up        bool       // started, neither killed nor terminated since; guarded by Harness.mu
+	starting  bool       // StartProcess has not returned; guarded by Harness.mu
+	startFDs  int        // descriptors held when it first served; guarded by Harness.mu
 }
 
-// Harness is a fleet of directors as processes, with relays between them and fakes of all else that they talk to. Its methods may be
-// called by any goroutine, unless they say otherwise.
+// Harness is a fleet of directors that run as processes, with relays between them and fakes of
+// everything else that they communicate with. Its methods are safe for concurrent use unless
+// documented otherwise.
 type Harness struct {
-	Cluster *fakes.Cluster // caches, origin, command channel and clients' statistics
-	Network *Network       // between the directors
-	History *History       // of all that happens
-	Moments fakes.Moments  // of clients and signals
+	Cluster *fakes.Cluster // caches, origin, command channel and client statistics
+	Network *Network       // links between the directors
+	History *History       // log entries and harness actions
+	Moments fakes.Moments  // events of clients and signals
 
 	spec    Spec
-	dir     string // of all files; removed by Close
-	keyPath string // of the gossip key
+	dir     string // directory of all files; removed by Close
+	keyPath string // path of the gossip key
 
 	mu         sync.Mutex
 	processes  []*Process
-	startTimes []time.Duration // that processes took until they served
-	exitErrors []error         // of processes that did not end, or start, as they should
+	startTimes []time.Duration // time from each start until the process served
+	exitErrors []error         // of processes that failed to exit or start properly
 
-	popularity    *fakes.Zipf     // of objects
-	clientsCtx    context.Context // done once clients are to stop
+	popularity    *fakes.Zipf     // popularity distribution of objects
+	clientsCtx    context.Context // done when clients must stop
 	cancelClients context.CancelFunc
-	clients       sync.WaitGroup // of clients, and of faulty members that go on as long
+	clients       sync.WaitGroup // clients, and faulty members, which run as long
 }
 
-// New prepares a harness with the directors of a schedule; Start starts them. The caller closes it.
+// New prepares a harness with the directors of a schedule; Start starts them. The caller must close
+// the harness.
 func New(spec Spec, schedule Schedule) (*Harness, error) {
 	clusterSpec := fakes.DefaultSpec(spec.CacheNodes, schedule.Directors)
 	clusterSpec.Zones = schedule.Zones()
@@ -115,7 +118,7 @@
 	return h, nil
 }
 
-// addDirectors prepares the gossip key and so many directors.
+// addDirectors prepares the gossip key and the given number of directors.
 func (h *Harness) addDirectors(count int) (err error) {
 	if h.dir, err = os.MkdirTemp("", "faulttest"); err != nil {
 		return err
@@ -133,13 +136,13 @@
 	return h.writeScripts()
 }
 
-// limits are those of all directors.
+// limits returns the limits that apply to all directors.
 func (h *Harness) limits() Limits {
 	return Limits{Sockets: directorSockets, MemoryMB: max(minMemoryMB, h.spec.MemoryMB), Cores: 1}
 }
 
-// AddDirector prepares a director of a name, with the file of its gossip key and its fleet; StartProcess starts it. A name that is there
-// already makes a duplicate instance.
+// AddDirector prepares a director with the given name, gossip key file and fleet; StartProcess
+// starts it. A name that is already in use creates a duplicate instance.
 func (h *Harness) AddDirector(name, keyPath, fleet string) (*Process, error) {
 	listen, err := FreeAddress()
 	if err != nil {
@@ -164,11 +167,12 @@
 	if err != nil {
 		return p, err
 	}
-	return p, p.writeConfig(h.Cluster, name, h.limits()) // the file is named by the number, the director in it by its name
+	// The file is named by the number; the director in it has its own name.
+	return p, p.writeConfig(h.Cluster, name, h.limits())
 }
 
-// script returns the operator's settings of a director. Its seeds are the first directors and the one before it, at their relays. The
-// caller holds the lock, or is alone.
+// script returns the operator's settings of a director. Its seeds are the first directors and its
+// predecessor, at the addresses of their relays. The caller holds the lock or has exclusive access.
 func (h *Harness) script(p *Process, keyPath, fleet string) string {
 	text := fmt.Sprintf("storm(mode = \"fixed\")\nlog(level = \"debug\")\nstate(socket = %q)\n", p.Socket)
 	if h.spec.NoPeers {
@@ -184,12 +188,12 @@
 		strings.Join(seeds, ", "), keyPath, fleet)
 }
 
-// scriptPath returns the path of a director's settings.
+// scriptPath returns the path of a director's settings file.
 func (h *Harness) scriptPath(number int) string {
 	return filepath.Join(h.dir, fmt.Sprint(number, ".star"))
 }
 
-// writeScripts writes all settings anew, once all addresses are known.
+// writeScripts rewrites all settings files once all addresses are known.
 func (h *Harness) writeScripts() error {
 	for _, p := range h.processes {
 		if err := os.WriteFile(h.scriptPath(p.number), []byte(h.script(p, h.keyPath, fleetName)), 0o600); err != nil {
@@ -199,14 +203,15 @@
 	return nil
 }
 
-// Processes returns all directors, in the order in which they were added.
+// Processes returns all directors in the order in which they were added.
 func (h *Harness) Processes() []*Process {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.processes)
 }
 
-// Start starts all directors at once and waits until they serve. The error has the ends of the logs of those that don't.
+// Start starts all directors concurrently and waits until they serve. The error contains the end of
+// the log of each director that does not serve.
 func (h *Harness) Start(ctx context.Context) error {
 	var starting sync.WaitGroup
 	processes := h.Processes()
@@ -225,7 +230,7 @@
 	return errors.Join(failed...)
 }
 
-// StartProcess starts one director and waits until it serves.
+// StartProcess starts a director and waits until it serves.
 func (h *Harness) StartProcess(ctx context.Context, p *Process) error {
 	startedAt := time.Now()
 	h.mu.Lock()
@@ -240,14 +245,15 @@
 	return err
 }
 
-// sortedStartTimes returns how long all starts so far took.
+// sortedStartTimes returns the durations of all starts so far, sorted.
 func (h *Harness) sortedStartTimes() []time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Sorted(slices.Values(h.startTimes))
 }
 
-// recordExit notes the end of a process that was asked to end, where its exit status is not 0.
+// recordExit waits for the exit of a process that was asked to exit, and records an error if its
+// exit status is not 0.
 func (h *Harness) recordExit(p *Process) {
 	if err := p.Wait(); err != nil {
 		h.recordExitError(p, err)
@@ -260,21 +266,21 @@
 	h.exitErrors = append(h.exitErrors, fmt.Errorf("%s: %w\n%s", p.Name, err, p.recorder.tail()))
 }
 
-// isStarting says whether a process was started and does not serve yet.
+// isStarting reports whether a process has been started but does not serve yet.
 func (h *Harness) isStarting(p *Process) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return p.starting
 }
 
-// isUp says whether a process was started, and neither killed nor asked to end since.
+// isUp reports whether a process has been started, and neither killed nor terminated since.
 func (h *Harness) isUp(p *Process) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return p.up
 }
 
-// markDown notes that a process is no longer up; false where it was not.
+// markDown marks a process as down. It returns false if the process was not up.
 func (h *Harness) markDown(p *Process) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -283,7 +289,8 @@
 	return wasUp
 }
 
-// AwaitConvergence waits until all directors that are up have one view, of all of them; false where they don't in time.
+// AwaitConvergence waits until all directors that are up have the same view, which contains all of
+// them. It returns false on timeout.
 func (h *Harness) AwaitConvergence(ctx context.Context, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -296,7 +303,8 @@
 	return false
 }
 
-// converged says whether all directors that are up report one view, of all of them.
+// converged reports whether all directors that are up report the same view, which contains all of
+// them.
 func (h *Harness) converged(ctx context.Context) bool {
 	up := slices.DeleteFunc(h.Processes(), func(p *Process) bool { return !h.isUp(p) || p.duplicate })
 	digest := ""
@@ -317,14 +325,14 @@
 	return true
 }
 
-// recordError records that something that the harness does failed, where it did.
+// recordError records the failure of a harness action, if err is not nil.
 func (h *Harness) recordError(action string, err error) {
 	if err != nil {
 		h.History.Record(noDirector, action+" failed: "+err.Error(), nil)
 	}
 }
 
-// PeakMemoryMB returns the most memory, in MB, that a director has held.
+// PeakMemoryMB returns the peak memory, in MB, over all directors.
 func (h *Harness) PeakMemoryMB() (peak float64) {
 	for _, p := range h.Processes() {
 		peak = max(peak, p.PeakMemoryMB())
@@ -332,7 +340,8 @@
 	return peak
 }
 
-// Close ends clients, directors and fakes. The error has the directors that did not end with exit status 0, a line and its log's end each.
+// Close stops clients, directors and fakes. The error lists each director that did not exit with
+// status 0, with the end of its log.
 func (h *Harness) Close() error {
 	h.StopClients()
 	var stopping sync.WaitGroup
@@ -352,7 +361,7 @@
 	stopping.Wait()
 	h.Network.Close()
 	h.Cluster.Close()
-	_ = os.RemoveAll(h.dir) // files of a test under the system's temporary folder
+	_ = os.RemoveAll(h.dir) // temporary files; an error would not matter
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return errors.Join(append(failed, h.exitErrors...)...)
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -10,57 +10,59 @@
 	"tallyproxy/internal/logevent"
 )
 
-// harnessItself is the director of entries about none of them.
+// noDirector is the director number of entries that concern no director.
 const noDirector = -1
 
-// Entries of what the harness does have this event; attribute "what" says what it did.
+// Entries for harness actions have this event; the attribute "what" names the action.
 const (
 	harnessEvent    = "do"
 	actionAttribute = "what"
 )
 
-// Actions of the harness on a director that checkers look at.
+// Harness actions on a director that checkers evaluate.
 const (
 	actionKill      = string(Kill)
 	actionTerminate = string(Terminate)
 )
 
-// An entry with this attribute says that from now on, or no longer, directors can't see each other well.
+// An entry with this attribute marks the start or the end of a time in which directors can't
+// reliably see each other.
 const (
 	disruptionAttribute = "disruption"
 	disruptionOn        = "on"
 	disruptionOff       = "off"
 )
 
-// Entry is one line that a director logged, or one thing that the harness did.
+// Entry is a line that a director logged or an action of the harness.
 type Entry struct {
-	At         time.Time         // by the clock of the machine
-	Director   int               // its number; -1 where it is about none of them
-	Event      string            // of the log line; "do" for what the harness did
-	Attributes map[string]string // of the log line, as text; "what" for what the harness did
+	At         time.Time         // by the machine's clock
+	Director   int               // number of the director; -1 for none
+	Event      string            // event of the log line; "do" for a harness action
+	Attributes map[string]string // attributes of the log line; "what" names a harness action
 }
 
-// isAction says whether an entry is of an action of the harness.
+// isAction reports whether the entry is one of the given harness actions.
 func (e Entry) isAction(actions ...string) bool {
 	return e.Event == harnessEvent && slices.Contains(actions, e.Attributes[actionAttribute])
 }
 
-// isDisruption says whether an entry tells the begin of a disruption, or its end.
+// isDisruption reports whether the entry marks the start or the end of a disruption, as selected by
+// state.
 func (e Entry) isDisruption(state string) bool {
 	return e.Event == harnessEvent && e.Attributes[disruptionAttribute] == state
 }
 
-// History keeps what every director logged and what was done to it, with times: of log lines those that checkers need. It may be used by
-// any goroutine.
+// History collects, with times, the log lines of all directors that checkers need and the actions
+// of the harness on them. It is safe for concurrent use.
 type History struct {
 	mu      sync.Mutex
-	entries []Entry // in the order of their arrival, maxEntries at the most
+	entries []Entry // in the order of arrival, maxEntries at most
 }
 
-// maxEntries bounds a history; what comes beyond is dropped.
+// maxEntries limits the size of a history; further entries are dropped.
 const maxEntries = 2_000_000
 
-// checkedEvents are the directors' events that checkers look at.
+// checkedEvents are the log events that the history keeps for checkers.
 var checkedEvents = map[string]bool{
 	logevent.PeerState:            true,
 	logevent.MembershipView:       true,
@@ -87,7 +89,7 @@
 	logevent.HalfCloseDelayed:     true,
 }
 
-// add appends an entry, as long as there is room.
+// add appends an entry unless the history is full.
 func (h *History) add(e Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,7 +98,8 @@
 	}
 }
 
-// Record adds what the harness does to a director, or -1 for none of them, with attributes that may be nil.
+// Record adds an action of the harness on a director, or on none if director is -1. The attributes
+// may be nil.
 func (h *History) Record(director int, action string, attributes map[string]string) {
 	if attributes == nil {
 		attributes = map[string]string{}
@@ -105,7 +108,7 @@
 	h.add(Entry{time.Now(), director, harnessEvent, attributes})
 }
 
-// Entries returns all entries so far, by time.
+// Entries returns all entries so far, sorted by time.
 func (h *History) Entries() []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,7 +117,7 @@
 	return all
 }
 
-// String returns the entries so far as text, a line each.
+// String returns the entries so far as text, one per line.
 func (h *History) String() string {
 	var out strings.Builder
 	for _, e := range h.Entries() {
--- a/internal/faulttest/network.go
+++ b/internal/faulttest/network.go
@@ -8,30 +8,32 @@
 	"time"
 )
 
-// Link is what happens on the way from one process to another. The zero Link is a sound one.
+// Link is the state of a directed link from one process to another. The zero value is a link
+// without faults.
 type Link struct {
 	Cut       bool          // nothing arrives
-	Loss      float64       // share of packets that are lost; a part of a stream comes retransmitDelay later
-	Duplicate float64       // share of packets that come twice
-	Delay     time.Duration // of all that arrives
-	Jitter    time.Duration // at the most added to Delay, uniformly; packets overtake each other
+	Loss      float64       // share of lost packets; lost stream data arrives after retransmitDelay
+	Duplicate float64       // share of packets that arrive twice
+	Delay     time.Duration // fixed delay of everything that arrives
+	Jitter    time.Duration // upper bound of a uniform addition to Delay; reorders packets
 }
 
 const (
-	retransmitDelay   = 200 * time.Millisecond // of a part of a stream that was lost
-	cutPollInterval   = 50 * time.Millisecond  // after which a stream tries a cut link again
-	maxDelayedPackets = 4096                   // delayed packets over a relay; more are lost
+	retransmitDelay   = 200 * time.Millisecond // delay of a lost part of a stream
+	cutPollInterval   = 50 * time.Millisecond  // before a stream retries a cut link
+	maxDelayedPackets = 4096                   // per relay; further packets are lost
 	streamBufferBytes = 32 << 10
 	packetBufferBytes = 64 << 10
 	listenAttempts    = 5
 )
 
-// networkStream is the second seed of the network's random numbers.
+// networkStream is the second seed of the network's random number stream.
 const networkStream = 21
 
-// Network stands between processes. Each process has a loopback address of its own, from which all comes that it sends, and a relay at
-// which all others reach it, so that a relay knows by the sender which directed link it carries. It takes a relay for each process
-// instead of one for each of their pairs: 300 in place of 89,700. Its methods may be called by any goroutine.
+// Network connects processes through relays. Each process sends from its own loopback address, and
+// all others reach it through its relay; the relay thus knows from the sender's address which
+// directed link it serves. This needs one relay per process instead of one per pair of processes:
+// for 300 processes, 300 relays instead of 89,700. The methods are safe for concurrent use.
 type Network struct {
 	ctx        context.Context // done when the network is closed
 	cancel     context.CancelFunc
@@ -39,20 +41,20 @@
 
 	mu      sync.Mutex
 	relays  []*relay
-	indexOf map[string]int  // relays by the host of the process behind them
-	links   map[[2]int]Link // by sender and receiver; those that are not sound
+	indexOf map[string]int  // index in relays, by host of the process behind the relay
+	links   map[[2]int]Link // by sender and receiver; links without faults are omitted
 	rand    *rand.Rand
 }
 
-// NewNetwork returns a network without processes. Losses and delays are drawn from the seed.
+// NewNetwork returns a network without processes. The seed determines losses and delays.
 func NewNetwork(seed uint64) *Network {
 	n := &Network{indexOf: map[string]int{}, links: map[[2]int]Link{}, rand: rand.New(rand.NewPCG(seed, networkStream))}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	return n
 }
 
-// Add starts a relay for a process that is to listen at an address of its own, and returns the address at which others reach it.
-// Processes are numbered from 0 in the order in which they are added.
+// Add starts a relay for a process that is to listen on its own address, and returns the address at
+// which others reach it. Processes are numbered from 0 in the order in which they are added.
 func (n *Network) Add(listen string) (advertise string, err error) {
 	host, _, err := net.SplitHostPort(listen)
 	if err != nil {
@@ -72,7 +74,7 @@
 	return r.tcp.Addr().String(), nil
 }
 
-// Close ends all relays and waits until their goroutines have ended.
+// Close stops all relays and waits until their goroutines have returned.
 func (n *Network) Close() {
 	n.cancel()
 	n.mu.Lock()
@@ -84,7 +86,7 @@
 	n.goroutines.Wait()
 }
 
-// SetLink says what happens on a directed link from now on.
+// SetLink sets the state of a directed link.
 func (n *Network) SetLink(sender, receiver int, link Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,21 +97,22 @@
 	}
 }
 
-// Heal makes all links sound.
+// Heal removes the faults of all links.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.links)
 }
 
-// Received returns how many packets, and bytes with those of streams, came to a process so far.
+// Received returns the number of packets that a process has received so far, and the number of
+// bytes including those of streams.
 func (n *Network) Received(receiver int) (packets, octets int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.relays[receiver].packets.Load(), n.relays[receiver].octets.Load()
 }
 
-// indexAt returns the number of the process at a host; false where there is none.
+// indexAt returns the number of the process with the given host. It returns false if there is none.
 func (n *Network) indexAt(host string) (int, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -117,8 +120,9 @@
 	return i, known
 }
 
-// transmit draws what the link from a host does to one packet: after which delays it arrives, none where it is lost and two where it is
-// duplicated. A link that is cut, or from a host that is unknown, carries nothing.
+// transmit draws the random effects of the link from a host on one packet. It returns the delays
+// after which the packet arrives: none if it is lost, two if it is duplicated. A cut link, or a
+// link from an unknown host, transmits nothing.
 func (n *Network) transmit(senderHost string, receiver int) (delays []time.Duration, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/faulttest/recorder.go
+++ b/internal/faulttest/recorder.go
@@ -10,27 +10,27 @@
 	"tallyproxy/internal/logevent"
 )
 
-// timeLayout is that of the time in a director's log lines.
+// timeLayout is the layout of the time in a director's log lines.
 const timeLayout = "2006-01-02T15:04:05.000000Z"
 
 const (
 	maxTailLines     = 40
 	maxRaceLines     = 60
-	raceReportMarker = "DATA RACE" // in the first line of the race detector's report
+	raceReportMarker = "DATA RACE" // marks the first line of a race detector report
 )
 
-// recorder takes the output of one director, and adds its log lines to the history.
+// recorder receives the output of one director and adds its log lines to the history.
 type recorder struct {
 	history  *History
 	director int
 
 	mu        sync.Mutex
-	partial   []byte   // an incomplete last line
-	lastLines []string // for one that ends badly
-	raceLines []string // the race detector's first report
+	partial   []byte   // incomplete last line
+	lastLines []string // reported if the director fails
+	raceLines []string // first report of the race detector
 }
 
-// Write takes output as it comes, in pieces of any size. It never fails.
+// Write accepts output in pieces of any size. It never fails.
 func (r *recorder) Write(output []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,14 +45,15 @@
 	}
 }
 
-// addLine takes one line. The caller holds the lock.
+// addLine processes one line. The caller holds the lock.
 func (r *recorder) addLine(text string) {
 	if len(r.raceLines) > 0 && len(r.raceLines) < maxRaceLines || strings.Contains(text, raceReportMarker) {
 		r.raceLines = append(r.raceLines, text)
 	}
 	entry := parseLine(text)
 	entry.Director = r.director
-	if entry.At.IsZero() || entry.Event != logevent.Memberlist { // the director's own lines, and those of a crash
+	// Keep lines of the director itself and lines of a crash, but none of memberlist.
+	if entry.At.IsZero() || entry.Event != logevent.Memberlist {
 		if r.lastLines = append(r.lastLines, text); len(r.lastLines) > maxTailLines {
 			r.lastLines = r.lastLines[1:]
 		}
@@ -62,7 +63,7 @@
 	}
 }
 
-// parseLine reads a log line. What is no log line has no event.
+// parseLine parses a log line. The entry of any other text has no event.
 func parseLine(text string) Entry {
 	entry := Entry{Attributes: map[string]string{}}
 	for pair := range logPairs(text) {
@@ -79,7 +80,7 @@
 	return entry
 }
 
-// logPairs yields the key=value pairs of a log line; a value with spaces stands in quotes.
+// logPairs yields the key=value pairs of a log line; values that contain spaces are quoted.
 func logPairs(text string) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for text != "" {
@@ -92,7 +93,8 @@
 	}
 }
 
-// pairEnd returns the index of the first space outside quotes; the text's length where there is none.
+// pairEnd returns the index of the first space outside quotes, or the length of the text if there
+// is none.
 func pairEnd(text string) int {
 	quoted := false
 	for i := range len(text) {
@@ -106,7 +108,8 @@
 	return len(text)
 }
 
-// tail returns the last lines of a director's output, after the race detector's first report.
+// tail returns the first report of the race detector followed by the last lines of a director's
+// output.
 func (r *recorder) tail() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -10,21 +10,23 @@
 	"tallyproxy/internal/fakes"
 )
 
-// relay is what others reach a process at: it passes on packets and streams as their links say.
+// relay receives the packets and streams for one process and forwards them according to the state
+// of their links.
 type relay struct {
 	network  *Network
-	receiver int    // the process's number
-	target   string // the process's own address
+	receiver int    // number of the process
+	target   string // address on which the process listens
 	udp      *net.UDPConn
 	tcp      net.Listener
 
-	delayed         atomic.Int64 // packets that are delayed
-	packets, octets atomic.Int64 // that came to the process
+	delayed         atomic.Int64 // packets being delayed
+	packets, octets atomic.Int64 // received by the process
 }
 
-// listen opens both sockets at one free address.
+// listen opens a UDP and a TCP socket at the same free address.
 func (r *relay) listen() (err error) {
-	for attempt := 0; attempt < listenAttempts && (attempt == 0 || err != nil); attempt++ { // the port may have been taken since it was free
+	// The port that FreeAddress found may have been taken in the meantime.
+	for attempt := 0; attempt < listenAttempts && (attempt == 0 || err != nil); attempt++ {
 		var address string
 		if address, err = FreeAddress(); err == nil {
 			r.tcp, err = net.Listen("tcp4", address)
@@ -43,7 +45,7 @@
 	return err
 }
 
-// carryPackets passes packets on until the network is closed.
+// forwardPackets forwards packets until the network is closed.
 func (r *relay) forwardPackets() {
 	target, err := net.ResolveUDPAddr("udp4", r.target)
 	if err != nil {
@@ -55,7 +57,7 @@
 			if r.network.ctx.Err() != nil {
 				return
 			}
-			continue // the process was not there for the packet before
+			continue // the process was not listening when an earlier packet arrived
 		}
 		delays, _ := r.network.transmit(hostOf(from.String()), r.receiver)
 		for _, delay := range delays {
@@ -66,7 +68,7 @@
 	}
 }
 
-// passPacket sends a packet after a delay. One that can't be sent is lost, as packets may be.
+// forwardPacket sends a packet after a delay. A packet that can't be sent is dropped.
 func (r *relay) forwardPacket(packet []byte, target *net.UDPAddr, delay time.Duration) {
 	if delay == 0 {
 		_, _ = r.udp.WriteToUDP(packet, target)
@@ -76,7 +78,7 @@
 		r.delayed.Add(-1)
 		return
 	}
-	packet = append([]byte(nil), packet...) // the buffer takes the next one meanwhile
+	packet = append([]byte(nil), packet...) // the buffer is reused for the next packet
 	time.AfterFunc(delay, func() {
 		defer r.delayed.Add(-1)
 		if r.network.ctx.Err() == nil {
@@ -85,7 +87,7 @@
 	})
 }
 
-// acceptStreams passes connections on until the network is closed.
+// acceptStreams forwards connections until the network is closed.
 func (r *relay) acceptStreams() {
 	for {
 		in, err := r.tcp.Accept()
@@ -96,7 +98,8 @@
 	}
 }
 
-// carryStream carries a connection both ways until both have ended. While a way is cut its bytes wait, as they do where packets are lost.
+// forwardStream forwards a connection in both directions until both have ended. Bytes in a
+// direction that is cut are held back, as TCP would retransmit them.
 func (r *relay) forwardStream(in net.Conn) {
 	defer closeQuietly(in)
 	senderHost := hostOf(in.RemoteAddr().String())
@@ -116,15 +119,16 @@
 	defer stop()
 	var bothWays sync.WaitGroup
 	bothWays.Go(func() { r.copyStream(out, in, senderHost, r.receiver, &r.octets) })
-	bothWays.Go(func() { // what the process answers is not counted as received
+	bothWays.Go(func() { // answers of the process do not count as received
 		r.copyStream(in, out, hostOf(r.target), sender, new(atomic.Int64))
 	})
 	bothWays.Wait()
 }
 
-// copyStream copies one way of a connection until it ends, counts its bytes, and then closes that way.
+// copyStream copies one direction of a connection until it ends, counts the bytes, and then closes
+// that direction.
 func (r *relay) copyStream(to, from net.Conn, senderHost string, receiver int, octets *atomic.Int64) {
-	defer func() { _ = to.(*net.TCPConn).CloseWrite() }() // the other way may have ended the connection
+	defer func() { _ = to.(*net.TCPConn).CloseWrite() }() // the connection may already be closed
 	for buffer := make([]byte, streamBufferBytes); ; {
 		size, err := from.Read(buffer)
 		if size > 0 {
@@ -142,7 +146,8 @@
 	}
 }
 
-// awaitPassage holds bytes of a stream back for as long as their link has them wait; false when the network is closed.
+// awaitLink delays bytes of a stream according to the state of their link. It returns false when
+// the network is closed.
 func (r *relay) awaitLink(senderHost string, receiver int) bool {
 	ctx := r.network.ctx
 	for ctx.Err() == nil {
