--- a/internal/faulttest/check_half_closes.go
+++ b/internal/faulttest/check_half_closes.go
@@ -7,8 +7,10 @@
 	"tallyproxy/internal/logevent"
 )
 
-// splitLostAtEnds divides requests that were open as a director ended their connection. Those that were sent while the machine held the
-// director up between its last look into the socket and the half-close have crossed the end: it can't have read them. The others are lost.
+// splitLostAtEnds divides the requests that were open when a director closed their connection. A
+// request crossed the close if it was sent while the machine delayed the director between its last
+// read of the socket and the half-close: the director can't have read it. All other requests are
+// lost.
 func splitLostAtEnds(entries []Entry, requests []fakes.LostAtEnd) (lost, crossed []fakes.LostAtEnd) {
 	for _, r := range requests {
 		if sentInHalfClose(entries, r) {
@@ -20,7 +22,8 @@
 	return lost, crossed
 }
 
-// sentInHalfClose says whether a request was sent between the look and the half-close of its connection, as the director logged them.
+// sentInHalfClose reports whether a request was sent between the director's last read of the
+// request's connection and the half-close, according to the director's log.
 func sentInHalfClose(entries []Entry, r fakes.LostAtEnd) bool {
 	for _, e := range entries {
 		if e.Event != logevent.HalfCloseDelayed || e.Attributes["client"] != r.Client {
--- a/internal/faulttest/check_membership.go
+++ b/internal/faulttest/check_membership.go
@@ -11,7 +11,7 @@
 	"tallyproxy/membership"
 )
 
-// States of other directors, as log lines and status reports name them.
+// States of other directors, as named in log lines and status reports.
 var (
 	stateUp        = membership.Up.String()
 	stateSuspected = membership.Suspected.String()
@@ -19,12 +19,14 @@
 	stateLeft      = membership.Left.String()
 )
 
-// minUptime is for how long a director has to be up before a death for it to be waited for.
+// minUptime is how long a director must have been up when another one dies for its detection of
+// that death to be awaited.
 const minUptime = 500 * time.Millisecond
 
-// DetectionTimes returns, of each death, how long it took until all directors that live knew of it, and how many deaths not all know of.
-// It counts those of directors, by their names, that were killed and not started again before all knew, with no disruption of links and
-// nobody paused meanwhile; others say nothing of the failure detector.
+// DetectionTimes returns how long it took, for each death, until all live directors knew of it, and
+// the number of deaths that some director never learned of. It counts directors, by name, that were
+// killed and not restarted before all knew, provided that no link was disrupted and no director was
+// paused in the meantime. Other deaths say nothing about the failure detector.
 func DetectionTimes(entries []Entry, names []string) (took []time.Duration, unknown int) {
 	d := deathTracker{names: names, upSince: map[int]time.Time{}, incarnations: map[string]string{}}
 	for _, e := range entries {
@@ -34,15 +36,15 @@
 	return took, len(d.undetected)
 }
 
-// death is a director's, as others come to know of it.
+// death is the death of a director and how far the other directors have detected it.
 type death struct {
 	at       time.Time
 	director int
-	knows    map[int]bool // by director that lived then and still does: whether it knows
-	excluded bool         // it says nothing of the failure detector
+	knows    map[int]bool // whether a director knows, for each one alive since the death
+	excluded bool         // the death says nothing about the failure detector
 }
 
-// isDetected says whether all know.
+// isDetected reports whether all live directors know of the death.
 func (d *death) isDetected() bool {
 	for _, knows := range d.knows {
 		if !knows {
@@ -52,16 +54,16 @@
 	return true
 }
 
-// deathTracker follows deaths through a history.
+// deathTracker tracks deaths while a history is read in order of time.
 type deathTracker struct {
 	names        []string
-	upSince      map[int]time.Time // of directors that live
-	incarnations map[string]string // that others have seen of a director, by name
-	disruptions  int               // that go on
-	undetected   []*death          // that not all know of
+	upSince      map[int]time.Time // by number of each live director
+	incarnations map[string]string // latest seen by other directors, by name
+	disruptions  int               // number in effect
+	undetected   []*death          // deaths that some live director does not know of
 }
 
-// apply takes an entry.
+// apply updates the tracker with the next entry.
 func (t *deathTracker) apply(e Entry) {
 	switch {
 	case e.Event == logevent.Started:
@@ -79,14 +81,15 @@
 	}
 }
 
-// spoil marks those of the open deaths that no longer say anything.
+// exclude marks the undetected deaths that match as excluded.
 func (t *deathTracker) exclude(which func(*death) bool) {
 	for _, d := range t.undetected {
 		d.excluded = d.excluded || which(d)
 	}
 }
 
-// died takes the end of a director: nobody waits for it any more, and if it was killed and ever seen, others are to know.
+// recordDeath handles the end of a director. Detection no longer waits for that director. If it was
+// killed after other directors had seen it, they are expected to detect its death.
 func (t *deathTracker) recordDeath(e Entry) {
 	delete(t.upSince, e.Director)
 	for _, d := range t.undetected {
@@ -106,7 +109,7 @@
 	}
 }
 
-// observed takes what a director says of another's state.
+// recordState handles a director's log line about the state of another director.
 func (t *deathTracker) recordState(e Entry) {
 	name := e.Attributes["name"]
 	switch e.Attributes["state"] {
@@ -121,7 +124,8 @@
 	}
 }
 
-// takeDetected removes the deaths that all know of, and those that are spoiled, and returns how long the former took.
+// takeDetected removes the deaths that all live directors know of and the excluded ones, and
+// returns the detection times of the former.
 func (t *deathTracker) takeDetected(now time.Time) (took []time.Duration) {
 	t.undetected = slices.DeleteFunc(t.undetected, func(d *death) bool {
 		if d.excluded {
@@ -136,8 +140,8 @@
 	return took
 }
 
-// PropagationTime returns after how long, from a time on, a share of so many directors had first logged something that shows that they
-// knew; negative where so many never did.
+// PropagationTime returns how long after from the given share of the directors had first logged an
+// entry for which shows returns true. The result is negative if fewer directors ever did.
 func PropagationTime(entries []Entry, from time.Time, directors int, share float64, shows func(Entry) bool) time.Duration {
 	first := map[int]time.Duration{}
 	for _, e := range entries {
@@ -152,8 +156,9 @@
 	return -1
 }
 
-// FalsePositives counts directors, by their names, that others took for failed, or suspected, while they were up and not paused, and for
-// longer than minCalm there had been no disruption of links.
+// FalsePositives counts, by directors' names, how often a director was marked failed or suspected
+// although it was up and not paused, and although no link had been disrupted for longer than
+// minSettled.
 func FalsePositives(entries []Entry, names []string, minSettled time.Duration) (failed, suspected int) {
 	up, clearSince, disruptions := map[string]bool{}, time.Time{}, 0
 	for _, e := range entries {
@@ -176,17 +181,18 @@
 	return failed, suspected
 }
 
-// ConvergenceTime returns how long after a time all directors that live first had one view and kept it to the end; 0 where they had it
-// before, negative where they have none. The end is where a director is asked to stop while there is such a view.
+// ConvergenceTime returns how long after from all live directors first had the same view and kept
+// it to the end: 0 if they had it before, negative if they have none. The history ends early if a
+// director is asked to stop while all have the same view.
 func ConvergenceTime(entries []Entry, from time.Time) time.Duration {
-	digests := map[int]string{} // of the views of directors that live; empty until the first
-	var since time.Time         // when their present common view began; zero where they have none
+	digests := map[int]string{} // view of each live director; empty before its first
+	var since time.Time         // start of the present common view; zero without one
 	for _, e := range entries {
 		switch {
 		case e.Event == logevent.Started:
 			digests[e.Director] = ""
 		case e.Event == logevent.Stopping && e.Attributes["open"] != "" && !since.IsZero():
-			return max(0, since.Sub(from)) // the end
+			return max(0, since.Sub(from)) // the end of the history
 		case e.Event == logevent.Stopping, e.isAction(actionKill, actionTerminate):
 			delete(digests, e.Director)
 		case e.Event == logevent.MembershipView:
@@ -209,7 +215,7 @@
 	return max(0, since.Sub(from))
 }
 
-// haveOneView says whether there are views, and all of them are the same and not empty.
+// viewsAgree reports whether there is at least one view and all views are equal and not empty.
 func viewsAgree(digests map[int]string) bool {
 	common := ""
 	for _, digest := range digests {
--- a/internal/faulttest/check_quotas.go
+++ b/internal/faulttest/check_quotas.go
@@ -7,15 +7,16 @@
 	"tallyproxy/internal/logevent"
 )
 
-// quotaTolerance is what rounding may add to a sum of quotas.
+// quotaTolerance is the rounding error allowed in a sum of quotas.
 const quotaTolerance = 1e-6
 
-// unboundedQuota is how long a quota holds whose line has no end of its validity.
+// unboundedQuota is how long a quota holds if its log line gives no end of validity.
 const unboundedQuota = 24 * time.Hour
 
-// QuotaSums returns how the quotas of a scope ("zone" or "fleet") summed up over so many directors, in multiples of the whole: the most
-// at any instant, and at how many instants they were above the limit. A director that is there holds the fixed quota, 1, and a higher
-// one for as long as its log line says; one that is paused may hold what it held.
+// QuotaSums returns how the quotas of a scope ("zone" or "fleet") summed up over the given number
+// of directors, in multiples of the whole: the peak over time, and the number of instants at which
+// the sum was above the limit. A running director holds the fixed quota, 1, or a higher one for as
+// long as its log line says. A paused director may still hold the quota that it had.
 func QuotaSums(entries []Entry, directors int, scope string, limit float64) (peak float64, over int) {
 	sums := quotaSums{directors: directors, scope: scope, byDirector: map[int]*directorQuota{}}
 	for _, e := range entries {
@@ -31,21 +32,21 @@
 	return peak, over
 }
 
-// directorQuota is what a director may use.
+// directorQuota is the quota that a director may use.
 type directorQuota struct {
 	running bool
-	quota   float64   // over the fixed one
-	until   time.Time // when a quota above 1 ends
+	quota   float64   // as a multiple of the fixed quota
+	until   time.Time // end of validity of a quota above 1
 }
 
-// quotaSums are the quotas of one scope, by director, as they stand after the entries so far.
+// quotaSums tracks the quotas of one scope, by director, while a history is read.
 type quotaSums struct {
 	directors  int
 	scope      string
 	byDirector map[int]*directorQuota
 }
 
-// apply takes an entry; false for one that is not about quotas.
+// apply updates the quotas with an entry. It returns false if the entry does not concern quotas.
 func (s *quotaSums) apply(e Entry) bool {
 	current := s.byDirector[e.Director]
 	if current == nil {
@@ -70,7 +71,8 @@
 	return true
 }
 
-// at returns the sum of all quotas at a time, over that of as many fixed ones as there are directors.
+// at returns the sum of all quotas at a time, as a multiple of the sum of the fixed quotas of all
+// directors.
 func (s *quotaSums) at(now time.Time) (sum float64) {
 	for _, current := range s.byDirector {
 		switch {
--- a/internal/faulttest/outcome.go
+++ b/internal/faulttest/outcome.go
@@ -12,62 +12,109 @@
 	"tallyproxy/membership"
 )
 
-// Outcome is what came of a schedule, by the statistics of the fakes and the history.
+// Outcome is the result of a schedule, taken from the statistics of the fakes and from the history.
 type Outcome struct {
-	Schedule           Schedule   `json:"schedule"`           // that was played
-	Lost               int        `json:"lost"`               // attempts that were owed an answer and got none
-	LostReasons        string     `json:"lost_how,omitempty"` // of Lost
-	LostToPauses       int        `json:"lost_paused"`        // attempts without an answer from a director that was paused
-	DuplicateAnswers   int        `json:"double_final"`       // answers to an attempt beyond the one
-	WrongBodies        int        `json:"wrong_bytes"`        // answers with another object's body
-	RepeatedEffects    int        `json:"effects_twice"`      // idempotency keys whose request had its effect twice
-	ConcurrentAttempts int        `json:"pulls_together"`     // attempts of one request in flight at two nodes
-	DrainViolations    int        `json:"drains_broken"`      // requests and fills at nodes that were drained
-	PurgeViolations    int        `json:"purges_broken"`      // stale copies that were served
-	OverloadedNodes    int        `json:"fallen"`             // nodes that were pushed over
-	Crashes            int        `json:"crashes"`            // directors that did not end with exit status 0, by lines of CrashDetail
-	Panics             int        `json:"panics"`             // that directors recovered from
-	CrashDetail        string     `json:"why,omitempty"`      // exit statuses and ends of logs
-	QuotaPeak          [2]float64 `json:"parts_peak"`         // the most that all quotas summed up to, over the whole; of a zone, of the fleet
-	QuotaViolations    int        `json:"parts_over"`         // instants at which that was above membership.MaxQuotaFactor
-	Incomplete         bool       `json:"unended"`            // it did not come to its end, or to one view, in time
-	ConvergenceMS      float64    `json:"one_view_ms"`        // until all had one view, from the end of the last fault; see ConvergenceTime
-	DetectionMS        []float64  `json:"know_death_ms"`      // see DetectionTimes
-	FalseFailures      int        `json:"wrongly_failed"`     // see FalsePositives
-	FalseSuspicions    int        `json:"wrongly_suspected"`  // see FalsePositives
-	ColdPeakLoad       float64    `json:"cold_peak_load"`     // the most work that a cache or parent was sent, over what pushes it over
-	Requests           int        `json:"asked"`              // of clients
-	SuccessRate        float64    `json:"fulfilled_share"`    // share of Requests
-	RecoveryMS         float64    `json:"recovery_ms"`        // from the begin of the last fault until nine tenths succeed for good; -1: never
-	SuccessSeries      []float64  `json:"series"`             // success rate of the requests that began in each window of recoveryWindow from then on, by half windows
-	MemoryMB           float64    `json:"memory_mb"`          // the most that a director held
-	PacketsPerSecond   float64    `json:"packets_per_s"`      // from other directors, that came to one director
-	BytesPerSecond     float64    `json:"bytes_per_s"`        // as PacketsPerSecond, with those of streams
-	DirectorHours      float64    `json:"director_hours"`     // of all directors together
-	NameConflicts      int        `json:"name_taken_lines"`   // lines that say that a name is in use
-	HintProbes         int        `json:"questions"`          // probes of nodes after a hint
-	UpdatesReceived    int        `json:"words_bound"`        // updates of the channel that came from another director
-	ListsRelayed       int        `json:"lists_taken"`        // endpoint lists that came from other directors
-	CallsPerSecond     float64    `json:"calls_per_s"`        // polls of the command channel, of all directors together
-	History            *History   `json:"-"`                  // of the run
-
-	// Of schedules that are drawn for a soak; they stand in no JSON.
-	LateAnswers     int             `json:"-"` // answers later than the request's time and 0.5 s
-	SentAfterLeave  int             `json:"-"` // attempts that began over 0.1 s after their client had left
-	EarlyRefusals   int             `json:"-"` // connections refused by a director that owed to accept them
-	ViolationEvents []string        `json:"-"` // what was done with the keys that RepeatedEffects counts, and what SentAfterLeave counts
-	CrossedEnds     int             `json:"-"` // requests that crossed the end of a resting connection: no violation
-	DelayedEnds     []string        `json:"-"` // those of them that splitLostAtEnds found, a line each
-	StartTimes      []time.Duration `json:"-"` // that processes took until they served, sorted
+	// Schedule that was played.
+	Schedule Schedule `json:"schedule"`
+	// Attempts that were owed an answer and got none.
+	Lost int `json:"lost"`
+	// Reasons of Lost.
+	LostReasons string `json:"lost_how,omitempty"`
+	// Attempts without an answer because their director was paused.
+	LostToPauses int `json:"lost_paused"`
+	// Answers to an attempt after its first one.
+	DuplicateAnswers int `json:"double_final"`
+	// Answers with another object's body.
+	WrongBodies int `json:"wrong_bytes"`
+	// Idempotency keys whose request had its effect twice.
+	RepeatedEffects int `json:"effects_twice"`
+	// Attempts of one request in flight at two nodes.
+	ConcurrentAttempts int `json:"pulls_together"`
+	// Requests and fills at nodes that were drained.
+	DrainViolations int `json:"drains_broken"`
+	// Stale copies that were served.
+	PurgeViolations int `json:"purges_broken"`
+	// Nodes that collapsed under overload.
+	OverloadedNodes int `json:"fallen"`
+	// Directors that did not exit with status 0, counted by lines of CrashDetail.
+	Crashes int `json:"crashes"`
+	// Panics from which directors recovered.
+	Panics int `json:"panics"`
+	// Exit statuses and ends of logs.
+	CrashDetail string `json:"why,omitempty"`
+	// Peak sum of all quotas, as a multiple of the whole: of a zone, of the fleet.
+	QuotaPeak [2]float64 `json:"parts_peak"`
+	// Instants at which that sum was above membership.MaxQuotaFactor.
+	QuotaViolations int `json:"parts_over"`
+	// The run did not reach its end, or a common view, in time.
+	Incomplete bool `json:"unended"`
+	// Time from the end of the last fault until all directors had the same view; see
+	// ConvergenceTime.
+	ConvergenceMS float64 `json:"one_view_ms"`
+	// See DetectionTimes.
+	DetectionMS []float64 `json:"know_death_ms"`
+	// See FalsePositives.
+	FalseFailures int `json:"wrongly_failed"`
+	// See FalsePositives.
+	FalseSuspicions int `json:"wrongly_suspected"`
+	// Peak work sent to an edge or parent cache, as a multiple of the work that overloads it.
+	ColdPeakLoad float64 `json:"cold_peak_load"`
+	// Requests of clients.
+	Requests int `json:"asked"`
+	// Share of Requests that succeeded.
+	SuccessRate float64 `json:"fulfilled_share"`
+	// Time from the start of the last fault until nine tenths of the requests succeed for the rest
+	// of the run; -1 if never.
+	RecoveryMS float64 `json:"recovery_ms"`
+	// Success rates of the requests that began in each window of recoveryWindow after the start of
+	// the last fault, advancing by half a window.
+	SuccessSeries []float64 `json:"series"`
+	// Peak memory of a director.
+	MemoryMB float64 `json:"memory_mb"`
+	// Packets from other directors, received per director.
+	PacketsPerSecond float64 `json:"packets_per_s"`
+	// Bytes from other directors, received per director, including those of streams.
+	BytesPerSecond float64 `json:"bytes_per_s"`
+	// Running time of all directors together.
+	DirectorHours float64 `json:"director_hours"`
+	// Log lines that report a name in use by another process.
+	NameConflicts int `json:"name_taken_lines"`
+	// Probes of nodes after a hint.
+	HintProbes int `json:"questions"`
+	// Updates of the channel received from another director.
+	UpdatesReceived int `json:"words_bound"`
+	// Endpoint lists received from other directors.
+	ListsRelayed int `json:"lists_taken"`
+	// Polls of the command channel by all directors together.
+	CallsPerSecond float64 `json:"calls_per_s"`
+	// History of the run.
+	History *History `json:"-"`
+
+	// Results of soak schedules, which are not part of the JSON.
+	// Answers more than 0.5 s after the request's time limit.
+	LateAnswers int `json:"-"`
+	// Attempts that began more than 0.1 s after their client had left.
+	SentAfterLeave int `json:"-"`
+	// Connections refused by a director that was obliged to accept them.
+	EarlyRefusals int `json:"-"`
+	// Events of the keys that RepeatedEffects counts, and of the attempts that SentAfterLeave
+	// counts.
+	ViolationEvents []string `json:"-"`
+	// Requests that crossed the end of an idle connection, which is no violation.
+	CrossedEnds int `json:"-"`
+	// The requests among them that splitLostAtEnds found, one line each.
+	DelayedEnds []string `json:"-"`
+	// Time from each start until the process served, sorted.
+	StartTimes []time.Duration `json:"-"`
 }
 
-// RuleViolations returns how often the rules about answers, copies, drains and processes were broken. What else must not be has counts of
-// its own.
+// RuleViolations returns how often the rules about answers, copies, drains and processes were
+// broken. Other violations have their own counts.
 func (o Outcome) RuleViolations() int {
 	return o.DuplicateAnswers + o.WrongBodies + o.RepeatedEffects + o.ConcurrentAttempts + o.DrainViolations + o.PurgeViolations + o.Crashes + o.Panics
 }
 
-// Violations returns all that was broken, by the JSON key of its count and the count.
+// Violations returns all violations as the JSON key of the count followed by the count.
 func (o Outcome) Violations() (violations []string) {
 	for _, rule := range []struct {
 		key   string
@@ -86,13 +133,13 @@
 	return violations
 }
 
-// Readiness that the operators' gate asks for.
+// Readiness required for acceptance by the operators.
 const (
 	readyWithin = 10 * time.Second
-	readyTenths = 9 // of ten starts
+	readyTenths = 9 // out of ten starts
 )
 
-// startedInTime says whether nine in ten starts took no longer than readyWithin.
+// startedInTime reports whether nine in ten starts took no longer than readyWithin.
 func (o Outcome) startedInTime() bool {
 	late := 0
 	for _, took := range o.StartTimes {
@@ -101,7 +148,7 @@
 	return 10*late <= (10-readyTenths)*len(o.StartTimes)
 }
 
-// countEvents counts the events that stand in the outcome as they are.
+// countEvents counts the events that the outcome reports without further checks.
 func (o *Outcome) countEvents(entries []Entry) {
 	for _, e := range entries {
 		switch e.Event {
@@ -119,11 +166,12 @@
 	}
 }
 
-// falsePositiveSettling is for how long links must have been sound before a suspicion counts as a false one.
+// falsePositiveSettling is how long links must have been undisrupted before a suspicion counts as
+// false.
 const falsePositiveSettling = 10 * time.Second
 
-// check runs the checkers of quotas and failure detection over the entries until all had settled. Names are those of the schedule's
-// directors.
+// check runs the checkers of quotas and failure detection over the entries up to convergence. names
+// are the names of the schedule's directors.
 func (o *Outcome) check(entries []Entry, names []string) {
 	for scope, name := range []string{"zone", "fleet"} {
 		peak, over := QuotaSums(entries, len(names), name, membership.MaxQuotaFactor)
@@ -137,7 +185,8 @@
 	o.FalseFailures, o.FalseSuspicions = FalsePositives(entries, names, falsePositiveSettling)
 }
 
-// addClusterStats takes what the fakes recorded. LastFault is when the last fault began, by the cluster's clock.
+// addClusterStats adds what the fakes recorded. lastFault is the start of the last fault by the
+// cluster's clock.
 func (o *Outcome) addClusterStats(cluster *fakes.Cluster, lastFault time.Duration) {
 	violations := cluster.Violations()
 	o.RepeatedEffects, o.OverloadedNodes = violations.RepeatedEffects, violations.OverloadedNodes
@@ -169,7 +218,7 @@
 	})
 }
 
-// addRequests takes the clients' requests.
+// addRequests adds the results of the clients' requests.
 func (o *Outcome) addRequests(requests []fakes.ClientRequest, lastFault time.Duration) {
 	var series successSeries
 	succeeded := 0
@@ -190,14 +239,14 @@
 }
 
 const (
-	recoveryWindow = 10  // of fakes.SeriesInterval, over which success rates are taken
-	recoveredRate  = 0.9 // success rate at which the fleet counts as recovered
+	recoveryWindow = 10  // length of the window for success rates, in units of fakes.SeriesInterval
+	recoveredRate  = 0.9 // success rate from which the fleet counts as recovered
 )
 
-// successSeries counts requests and those that succeeded, by intervals of fakes.SeriesInterval.
+// successSeries counts requests and successful requests per interval of fakes.SeriesInterval.
 type successSeries struct{ started, succeeded []int }
 
-// add takes a request that began after a time.
+// add counts a request that started at the given time after the start of the series.
 func (s *successSeries) add(after time.Duration, succeeded bool) {
 	i := int(after / fakes.SeriesInterval)
 	for len(s.started) <= i {
@@ -207,7 +256,7 @@
 	s.succeeded[i] += boolean.Int(succeeded)
 }
 
-// window returns the sums over the window that begins at an interval.
+// window returns the sums over the window that starts at interval from.
 func (s *successSeries) window(from int) (started, succeeded float64) {
 	for i := from; i < from+recoveryWindow; i++ {
 		started, succeeded = started+float64(s.started[i]), succeeded+float64(s.succeeded[i])
@@ -215,7 +264,8 @@
 	return started, succeeded
 }
 
-// rates returns the success rate of each half window's window, without those in which no request began.
+// rates returns the success rates of windows that advance by half a window. It omits windows in
+// which no request started.
 func (s *successSeries) rates() (rates []float64) {
 	for i := 0; i+recoveryWindow <= len(s.started); i += recoveryWindow / 2 {
 		if started, succeeded := s.window(i); started > 0 {
@@ -225,7 +275,8 @@
 	return rates
 }
 
-// recovery returns the begin of the first window from which on all have recoveredRate; false where the last has not.
+// recovery returns the start of the first window from which on all windows reach recoveredRate. It
+// returns false if the last window does not reach it.
 func (s *successSeries) recovery() (time.Duration, bool) {
 	lastBelow := -1
 	for i := 0; i+recoveryWindow <= len(s.started); i++ {
@@ -242,7 +293,8 @@
 // roundTo rounds to a multiple of 1/parts.
 func roundTo(value, parts float64) float64 { return math.Round(value*parts) / parts }
 
-// until returns the entries up to a time, and later ones of recovered panics.
+// entriesUntil returns the entries up to a time, and all entries of recovered panics, including
+// later ones.
 func entriesUntil(entries []Entry, end time.Time) []Entry {
 	return slices.DeleteFunc(entries, func(e Entry) bool { return e.At.After(end) && e.Event != logevent.PanicRecovered })
 }
