--- a/internal/faulttest/check_test.go
+++ b/internal/faulttest/check_test.go
@@ -10,7 +10,8 @@
 	"tallyproxy/internal/logevent"
 )
 
-// TestCheckers shows that the checkers find violations in made-up histories, and nothing else.
+// TestCheckers guards against checkers that miss a violation in a made-up history, or report one
+// where there is none.
 func TestCheckers(t *testing.T) {
 	at := time.Now()
 	entry := func(ms, director int, event string, attributes ...string) Entry {
@@ -37,7 +38,7 @@
 		{"dead", []Entry{quota(10, 0, "2", "1s"), quota(20, 1, "2", "1s"), entry(25, 0, harnessEvent, actionAttribute, actionKill), quota(30, 2, "2.5", "1s")}, 5.0 / 3, 0},
 	} {
 		if peak, over := QuotaSums(append(slices.Clone(started), c.entries...), 3, "zone", 2); peak < c.peak-1e-9 || peak > c.peak+1e-9 || over != c.over {
-			t.Errorf("%s: peak %v, %d over", c.name, peak, over)
+			t.Errorf("%s: peak %v, %d instants over the limit", c.name, peak, over)
 		}
 	}
 	peerState := func(ms, director int, name, state string) Entry {
@@ -46,28 +47,29 @@
 	history := append(slices.Clone(started), peerState(10, 0, "n2", "up"), peerState(11, 1, "n2", "up"), entry(5000, 2, harnessEvent, actionAttribute, actionKill),
 		peerState(6000, 0, "n2", "failed"), peerState(6500, 1, "n2", "failed"))
 	if took, unknown := DetectionTimes(history, names); len(took) != 1 || took[0] != 1500*time.Millisecond || unknown != 0 {
-		t.Errorf("known after %v, %d unknown", took, unknown)
+		t.Errorf("deaths detected after %v, %d not detected", took, unknown)
 	}
 	if _, unknown := DetectionTimes(history[:len(history)-1], names); unknown != 1 {
-		t.Errorf("%d unknown", unknown)
+		t.Errorf("%d deaths not detected, want 1", unknown)
 	}
 	if failed, suspected := FalsePositives(append(slices.Clone(started), peerState(20000, 0, "n1", "failed"), peerState(20001, 2, "n1", "suspected")), names, time.Second); failed != 1 || suspected != 1 {
-		t.Errorf("%d failed, %d suspected", failed, suspected)
+		t.Errorf("%d false failures, %d false suspicions, want 1 of each", failed, suspected)
 	}
 	view := func(ms, director int, digest string) Entry {
 		return entry(ms, director, logevent.MembershipView, "digest", digest)
 	}
 	views := append(slices.Clone(started), view(10, 0, "a"), view(20, 1, "a"), view(30, 2, "a"), view(50, 1, "b"), view(90, 1, "a"))
 	if got := ConvergenceTime(views, at.Add(40*time.Millisecond)); got != 50*time.Millisecond {
-		t.Errorf("one view after %v", got)
+		t.Errorf("converged after %v", got)
 	}
 	if got := ConvergenceTime(views[:len(views)-1], at); got >= 0 {
-		t.Errorf("one view after %v", got)
+		t.Errorf("converged after %v", got)
 	}
 }
 
-// A request counts as having crossed the end of its connection only where it was sent between the look and a half-close that the machine
-// held up.
+// TestLostAtEnds guards against counting a lost request as one that crossed the end of its
+// connection. It crossed only if it was sent between the director's last read and a half-close that
+// the machine delayed.
 func TestLostAtEnds(t *testing.T) {
 	lookedAt := time.Now()
 	entries := []Entry{{lookedAt, 0, logevent.HalfCloseDelayed, map[string]string{
@@ -75,7 +77,7 @@
 	}}}
 	for _, c := range []struct {
 		client string
-		after  time.Duration // the look
+		after  time.Duration // time of sending, after the director's last read
 		isLost bool
 	}{
 		{"127.0.0.1:5", -1, true}, {"127.0.0.1:5", time.Millisecond, false}, {"127.0.0.1:5", 19 * time.Millisecond, false},
@@ -83,7 +85,7 @@
 	} {
 		lost, crossed := splitLostAtEnds(entries, []fakes.LostAtEnd{{Client: c.client, SentAt: lookedAt.Add(c.after)}})
 		if len(lost) != boolean.Int(c.isLost) || len(lost)+len(crossed) != 1 {
-			t.Errorf("%s, %v after the look: lost %v, crossed %v", c.client, c.after, lost, crossed)
+			t.Errorf("%s, %v after the last read: lost %v, crossed %v", c.client, c.after, lost, crossed)
 		}
 	}
 }
--- a/internal/faulttest/delegates_test.go
+++ b/internal/faulttest/delegates_test.go
@@ -8,8 +8,9 @@
 	"tallyproxy/internal/logevent"
 )
 
-// TestRelayDelegates plays fleets of which a few directors poll the channel for the rest. In each case the rules hold by the fakes'
-// statistics, no request is lost, no cold cache is pushed over, and the channel's calls are those of a few.
+// TestRelayDelegates guards against faults of fleets in which a few directors poll the channel for
+// the others. In each case the fakes find no broken rule, no request is lost, no cold cache is
+// overloaded, and the rate of calls to the channel is that of a few directors.
 func TestRelayDelegates(t *testing.T) {
 	directors := 40
 	if longRun {
@@ -35,7 +36,7 @@
 		cold     bool // caches and directors start together, under load
 		before   func(*Harness)
 		faults   []Fault
-		maxCalls float64 // a second that the channel may see; 0 for any
+		maxCalls float64 // upper bound of calls per second to the channel; 0 for none
 		check    func(t *testing.T, o Outcome)
 	}{
 		{"all start cold under load", true, nil, []Fault{{Kind: Purge, AtMS: 1000}}, 40, nil},
@@ -57,13 +58,13 @@
 		{"one among those to be heard tells rubbish, and another fleet's list", false, nil, []Fault{{Kind: MalformedRelay, AtMS: 500, ForMS: 4000},
 			{Kind: Purge, AtMS: 2000}, {Kind: Drain, AtMS: 1500, ForMS: 2500}}, 40, func(t *testing.T, o Outcome) {
 			if o.SuccessRate < 0.97 {
-				t.Errorf("%v of the requests succeeded", o.SuccessRate)
+				t.Errorf("success rate %v, want at least 0.97", o.SuccessRate)
 			}
 		}},
 		{"a roll of a tenth at a time while half of the caches are replaced", false, nil, []Fault{{Kind: RollingRestart, AtMS: 500, ForMS: 4000},
 			{Kind: ReplaceCaches, AtMS: 500, ForMS: 4000}}, 60, func(t *testing.T, o Outcome) {
 			if o.ListsRelayed < directors/2 {
-				t.Errorf("%d endpoint lists were relayed", o.ListsRelayed)
+				t.Errorf("%d endpoint lists relayed, want at least one per two directors", o.ListsRelayed)
 			}
 		}},
 	}
@@ -78,16 +79,17 @@
 				c.check(t, o)
 			}
 			if c.maxCalls > 0 && o.CallsPerSecond > c.maxCalls {
-				t.Errorf("%v calls a second", o.CallsPerSecond)
+				t.Errorf("%v calls per second to the channel", o.CallsPerSecond)
 			}
-			t.Logf("%v calls a second, %d lists, %d updates, %v succeeded, cold peak %v, converged after %v ms, %v MB", o.CallsPerSecond,
+			t.Logf("%v calls per second, %d lists, %d updates, success rate %v, cold peak %v, converged after %v ms, %v MB", o.CallsPerSecond,
 				o.ListsRelayed, o.UpdatesReceived, o.SuccessRate, o.ColdPeakLoad, o.ConvergenceMS, o.MemoryMB)
 		})
 	}
 }
 
-// checkUnconfirmedViews shows that at least half of the directors took their views for unconfirmed while the channel was unavailable, and
-// for a second at the least: until then nobody can confirm what is in force, whatever they answer each other.
+// checkUnconfirmedViews checks that at least half of the directors marked their views as
+// unconfirmed while the channel was unavailable, and for at least a second. Until the channel is
+// back nobody can confirm the state in force, and directors must not confirm it to each other.
 func checkUnconfirmedViews(t *testing.T, o Outcome) {
 	since := map[int]time.Time{}
 	for _, e := range o.History.Entries() {
@@ -97,10 +99,10 @@
 		if e.Attributes["active"] == "true" {
 			since[e.Director] = e.At
 		} else if lasted := e.At.Sub(since[e.Director]); lasted < time.Second {
-			t.Errorf("n%d took its view for unconfirmed for %v", e.Director, lasted)
+			t.Errorf("n%d marked its view as unconfirmed for only %v", e.Director, lasted)
 		}
 	}
 	if len(since) < o.Schedule.Directors/2 {
-		t.Errorf("%d took their views for unconfirmed", len(since))
+		t.Errorf("%d directors marked their views as unconfirmed, want at least half", len(since))
 	}
 }
--- a/internal/faulttest/descriptors_test.go
+++ b/internal/faulttest/descriptors_test.go
@@ -13,8 +13,10 @@
 	"tallyproxy/internal/logevent"
 )
 
-// TestDescriptorsDuringChannelOutage has a director with 64 descriptors, which the system holds it to, 200 nodes, and more idle clients
-// than it may hold, while the channel hangs: clients are served, each node is reached, and once the channel is back a drain is in force in time.
+// TestDescriptorsDuringChannelOutage guards against a director that runs out of descriptors while
+// the channel hangs. The system limits it to 64, with 200 nodes and more idle clients than it may
+// hold. It must still serve clients and reach the nodes, and apply a drain in time once the channel
+// is back.
 func TestDescriptorsDuringChannelOutage(t *testing.T) {
 	parallel(t)
 	spec := fakes.DefaultSpec(200, 1)
@@ -57,7 +59,7 @@
 		return served
 	}
 	if n := request(600); n < 595 {
-		t.Errorf("%d of 600 were served", n)
+		t.Errorf("%d of 600 requests served", n)
 	}
 	reached := 0
 	for _, n := range cluster.Nodes {
@@ -65,33 +67,34 @@
 			reached++
 		}
 	}
-	if reached < 180 { // of 200 by 600 objects
-		t.Errorf("%d nodes were reached", reached)
+	if reached < 180 { // 600 objects are spread over 200 nodes
+		t.Errorf("%d of 200 nodes received requests", reached)
 	}
 	calls := len(cluster.ChannelCalls())
 	cluster.SetChannelMode(fakes.ChannelServing, 0)
 	restored := time.Now()
 	draining := cluster.Node("box-7")
 	draining.Announce("draining")
-	for len(cluster.ChannelCalls()) < calls+2 { // one that brought the drain, and the next
+	// Wait for the call that returned the drain and for the next one.
+	for len(cluster.ChannelCalls()) < calls+2 {
 		request(1)
 		if time.Since(restored) > 3*time.Second {
-			t.Fatalf("%d calls in 3 s", len(cluster.ChannelCalls())-calls)
+			t.Fatalf("%d calls to the channel within 3 s, want 2", len(cluster.ChannelCalls())-calls)
 		}
 	}
 	before := draining.RequestCount()
 	if n := request(400); n < 395 {
-		t.Errorf("%d of 400 were served", n)
+		t.Errorf("%d of 400 requests served", n)
 	}
 	if n := draining.RequestCount(); n != before {
-		t.Errorf("%d more reached the node that drains", n-before)
+		t.Errorf("%d more requests reached the draining node", n-before)
 	}
 	if text := log.String(); strings.Contains(text, "too many open files") || strings.Contains(text, logevent.AcceptFailed) {
-		t.Errorf("its log: %s", text)
+		t.Errorf("director ran out of descriptors; log: %s", text)
 	}
 }
 
-// lockedBuffer is a log that can be read while it is written.
+// lockedBuffer is a log that can be read and written concurrently.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
--- a/internal/faulttest/director_test.go
+++ b/internal/faulttest/director_test.go
@@ -8,7 +8,8 @@
 	"tallyproxy/internal/fakes"
 )
 
-// Guards against a wait without end for a director whose process could not be started at all.
+// TestWaitAfterFailedStart guards against a Wait that never returns for a director whose process
+// could not be started.
 func TestWaitAfterFailedStart(t *testing.T) {
 	cluster, err := fakes.New(fakes.DefaultSpec(1, 1))
 	if err != nil {
@@ -20,16 +21,16 @@
 		t.Fatal(err)
 	}
 	if err := d.Start(t.Context()); err == nil {
-		t.Fatal("started")
+		t.Fatal("Start succeeded without a program")
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- d.Wait() }()
 	select {
 	case err := <-ended:
 		if err == nil {
-			t.Error("a process that was not started counts as ended with status 0")
+			t.Error("Wait reports exit status 0 for a process that was not started")
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("still waiting")
+		t.Error("Wait does not return")
 	}
 }
--- a/internal/faulttest/foreign_test.go
+++ b/internal/faulttest/foreign_test.go
@@ -9,8 +9,9 @@
 	"tallyproxy/internal/logevent"
 )
 
-// TestForeignDirectors adds a director with another key, one of another fleet, and one whose seeds are all dead. No member takes them
-// in, they serve as if alone, and nothing else comes of it.
+// TestForeignDirectors guards against members that accept a director with another key, one of
+// another fleet, or one whose seeds are all dead. Such directors must serve as if alone, without
+// other effects.
 func TestForeignDirectors(t *testing.T) {
 	parallel(t)
 	s := Schedule{Seed: 2, Directors: 3, LengthMS: 2500}
@@ -29,7 +30,7 @@
 				err = os.WriteFile(path, []byte(text), 0o600)
 			}
 			if err == nil {
-				p.duplicate = true // of no view that is waited for
+				p.duplicate = true // converged does not wait for this director
 				err = h.StartProcess(t.Context(), p)
 			}
 			if err != nil {
@@ -42,7 +43,7 @@
 	checkOutcome(t, o, err)
 	for _, e := range o.History.Entries() {
 		if e.Event == logevent.PeerState && (strings.HasPrefix(e.Attributes["name"], "x") || e.Director > 2) {
-			t.Errorf("n%d took in %v", e.Director, e.Attributes)
+			t.Errorf("n%d accepted a foreign director: %v", e.Director, e.Attributes)
 		}
 	}
 }
--- a/internal/faulttest/golden_test.go
+++ b/internal/faulttest/golden_test.go
@@ -8,13 +8,14 @@
 	"tallyproxy/internal/goldentest"
 )
 
-// goldenSchedule has every field set, in a schedule and in a fault.
+// goldenSchedule is a schedule with every field set, in the schedule and in a fault.
 var goldenSchedule = Schedule{Seed: 7, Number: 3, Directors: 5, LengthMS: 8000, Faults: []Fault{
 	{Kind: CutLinks, AtMS: 500, ForMS: 4000, Targets: []int{1}, Peers: []int{0, 2}, Both: true, Groups: [][]int{{0, 1}, {2, 3, 4}}, Rate: 0.25},
 	{Kind: Purge, AtMS: 0},
 }}
 
-// TestGoldenSchedule holds the JSON of schedules, which files of scripted faults have and a failed run prints.
+// TestGoldenSchedule guards against changes of the JSON of schedules, which is used in files of
+// scripted faults and printed by failed runs.
 func TestGoldenSchedule(t *testing.T) {
 	const want = `{"seed":7,"number":3,"directors":5,"length_ms":8000,"faults":[{"kind":"cut","at_ms":500,"for_ms":4000,"who":[1],"to":[0,2],"both":true,"groups":[[0,1],[2,3,4]],"rate":0.25},{"kind":"purge","at_ms":0}]}`
 	if got := goldenSchedule.String(); got != want {
@@ -26,17 +27,19 @@
 	}
 }
 
-// TestGoldenKinds holds the names of faults, which stand in schedules and in messages, and their order.
+// TestGoldenKinds guards against changes of the names of faults, which appear in schedules and
+// messages, and of their order.
 func TestGoldenKinds(t *testing.T) {
 	want := []Kind{"cut", "groups", "poor", "flap", "kill", "stop", "term", "restart", "twin", "liar", "cold", "purge", "drain", "busy", "zone", "away",
 		"service", "followers", "move", "roll", "replace", "rubbish", "forget",
 		"planned", "reloads", "crowd", "hang", "reset", "crash", "late", "idle"}
 	if !reflect.DeepEqual(kinds, want) {
-		t.Errorf("%v", kinds)
+		t.Errorf("kinds %v", kinds)
 	}
 }
 
-// TestGoldenDraw holds drawn schedules, which are the same for the same seed and number in every version.
+// TestGoldenDraw guards against changes of random schedules: the same seed and number must give the
+// same schedule in every version.
 func TestGoldenDraw(t *testing.T) {
 	for _, c := range []struct {
 		got  Schedule
@@ -53,7 +56,8 @@
 	}
 }
 
-// TestGoldenOutcome holds the JSON of outcomes, which --json and journals have.
+// TestGoldenOutcome guards against changes of the JSON of outcomes, which --json prints and
+// journals contain.
 func TestGoldenOutcome(t *testing.T) {
 	outcome := Outcome{
 		Schedule: Schedule{Directors: 2}, Lost: 1, LostReasons: "a", LostToPauses: 2, DuplicateAnswers: 3, WrongBodies: 4, RepeatedEffects: 5, ConcurrentAttempts: 6, DrainViolations: 7, PurgeViolations: 8, OverloadedNodes: 9,
@@ -72,7 +76,8 @@
 	}
 }
 
-// TestGoldenBroken holds the names under which broken rules are reported, and their order.
+// TestGoldenBroken guards against changes of the names under which broken rules are reported, and
+// of their order.
 func TestGoldenBroken(t *testing.T) {
 	outcome := Outcome{Lost: 1, DuplicateAnswers: 2, WrongBodies: 3, RepeatedEffects: 4, ConcurrentAttempts: 5, DrainViolations: 6, PurgeViolations: 7, OverloadedNodes: 8, Crashes: 9, Panics: 10, QuotaViolations: 11, Incomplete: true}
 	want := []string{"lost 1", "double_final 2", "wrong_bytes 3", "effects_twice 4", "pulls_together 5", "drains_broken 6", "purges_broken 7", "fallen 8",
--- a/internal/faulttest/main_test.go
+++ b/internal/faulttest/main_test.go
@@ -12,7 +12,7 @@
 	"tallyproxy/internal/server"
 )
 
-// TestMain runs the tests, or a director where a test started the program as one.
+// TestMain runs the tests, or a director if a test started the program as one.
 func TestMain(m *testing.M) {
 	if os.Getenv("TALLYPROXY_TEST_DIRECTOR") != "" {
 		os.Exit(server.Main(os.Args[1:]))
@@ -20,22 +20,24 @@
 	if err := os.Setenv("TALLYPROXY_TEST_DIRECTOR", "1"); err != nil {
 		panic(err)
 	}
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // the logs of faulty members in this process are not of interest
+	// Tests don't evaluate the logs of faulty members in this process.
+	slog.SetDefault(slog.New(slog.DiscardHandler))
 	os.Exit(m.Run())
 }
 
-// harnessSlots bound the harnesses at a time. A director that gets no processor answers late, and a late answer counts as lost: more of
-// them at once, or a compiler beside them, would test the machine.
+// harnessSlots limits the number of concurrent harnesses. A director without processor time answers
+// late, and a late answer counts as lost. More harnesses at once, or a compiler running beside
+// them, would test the machine instead of the directors.
 var harnessSlots = make(chan bool, max(1, runtime.NumCPU()/2))
 
-// parallel lets a case run in parallel with others, once there is a slot.
+// parallel lets a test run in parallel with others once a harness slot is free.
 func parallel(t *testing.T) {
 	t.Parallel()
 	harnessSlots <- true
 	t.Cleanup(func() { <-harnessSlots })
 }
 
-// testSpec is a harness of which the directors are the test program.
+// testSpec returns the spec of a harness whose directors run the test program.
 func testSpec(t *testing.T) Spec {
 	self, err := os.Executable()
 	if err != nil {
@@ -44,10 +46,10 @@
 	return Spec{Argv: []string{self}, CacheNodes: 6, Clients: 120, LoadFactor: 0.3, WarmCaches: true, LoadBefore: time.Second, LoadAfter: 2 * time.Second}
 }
 
-// longRun has faults last for as long as they are meant to, as `make long` asks.
+// longRun selects the full duration of faults, as `make long` requests.
 var longRun = os.Getenv("TALLYPROXY_LONG") != ""
 
-// durationMS returns the duration of a fault in short runs or in long ones, in ms.
+// durationMS returns a fault's duration in ms: short by default, long in long runs.
 func durationMS(short, long int) int {
 	if longRun {
 		return long
@@ -55,8 +57,9 @@
 	return short
 }
 
-// buildProgram returns the command line of a director as it is built for use: forty of them under the race detector, several times slower,
-// would test the machine. The cases of TestFaults run it under the detector.
+// buildProgram builds the production program and returns the command line of a director. Forty
+// directors under the race detector, which makes them several times slower, would test the machine.
+// The cases of TestFaults run directors under the race detector.
 func buildProgram(t *testing.T) []string {
 	path := filepath.Join(t.TempDir(), "tallyproxy")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", path, "tallyproxy/cmd/tallyproxy").CombinedOutput(); err != nil {
@@ -65,7 +68,7 @@
 	return []string{path}
 }
 
-// testSchedule plays faults on so many directors until half a second after the last.
+// testSchedule returns a schedule of the given faults that ends half a second after the last fault.
 func testSchedule(seed uint64, directors int, faults []Fault) Schedule {
 	s := Schedule{Seed: seed, Directors: directors, Faults: faults}
 	for _, f := range faults {
@@ -74,7 +77,8 @@
 	return s
 }
 
-// checkOutcome fails the test for an error, a violation, or too little load to show any.
+// checkOutcome fails the test on an error, on a violation, or if there was too little load to show
+// any violation.
 func checkOutcome(t *testing.T, o Outcome, err error) {
 	t.Helper()
 	if err != nil {
@@ -82,9 +86,9 @@
 	}
 	if violations := o.Violations(); len(violations) > 0 {
 		history := o.History.String()
-		t.Errorf("the end of the history:\n%s\n%s\nlost: %s\nbroken: %v", history[max(0, len(history)-3000):], o.CrashDetail, o.LostReasons, violations)
+		t.Errorf("end of the history:\n%s\n%s\nlost: %s\nviolations: %v", history[max(0, len(history)-3000):], o.CrashDetail, o.LostReasons, violations)
 	}
 	if o.Requests < 50 || o.SuccessRate < 0.5 {
-		t.Errorf("%d requests, %v succeeded", o.Requests, o.SuccessRate)
+		t.Errorf("%d requests, success rate %v", o.Requests, o.SuccessRate)
 	}
 }
--- a/internal/faulttest/play_test.go
+++ b/internal/faulttest/play_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// slowFault is a fault that takes longer to begin than it is to last.
+// slowFault is a fault whose apply takes longer than the fault's duration.
 type slowFault struct {
 	applied     bool
-	undoneAfter bool // undo came once apply had returned
+	undoneAfter bool // undo was called after apply had returned
 }
 
 func (f *slowFault) apply(context.Context) {
@@ -19,7 +19,8 @@
 
 func (f *slowFault) undo(context.Context) { f.undoneAfter = f.applied }
 
-// Guards against a fault that is undone before it has begun, and so stays: a duplicate instance that is slow to start, for one.
+// TestUndoWaitsForApply guards against a fault that is undone before it has been applied and thus
+// stays in effect, for example a duplicate instance that starts slowly.
 func TestUndoWaitsForApply(t *testing.T) {
 	f := &slowFault{}
 	if runSteps(t.Context(), faultSteps(f, 0, 1)); !f.undoneAfter {
--- a/internal/faulttest/restart_test.go
+++ b/internal/faulttest/restart_test.go
@@ -11,7 +11,8 @@
 	"tallyproxy/internal/fakes"
 )
 
-// TestReadinessAfterRestart shows that a restarted director is ready soon, in whatever state the channel is.
+// TestReadinessAfterRestart guards against a restarted director that becomes ready late because of
+// the state of the channel.
 func TestReadinessAfterRestart(t *testing.T) {
 	parallel(t)
 	argv := buildProgram(t)
@@ -71,8 +72,8 @@
 				d.Kill()
 			}
 			slices.Sort(took)
-			if t.Logf("nine in ten after %v, all after %v", took[8], took[9]); took[8] > 10*time.Second {
-				t.Errorf("nine in ten after %v", took[8])
+			if t.Logf("nine in ten directors ready after %v, all after %v", took[8], took[9]); took[8] > 10*time.Second {
+				t.Errorf("nine in ten directors ready after %v, want 10s at most", took[8])
 			}
 		})
 	}
--- a/internal/faulttest/slow_start_test.go
+++ b/internal/faulttest/slow_start_test.go
@@ -21,14 +21,15 @@
 	"github.com/tidwall/redcon"
 )
 
-// countingNode is a cache node that answers every request at once, as a fill, and keeps when each came.
+// countingNode is a cache node that answers every request at once, as a fill, and records the
+// arrival times.
 type countingNode struct {
 	net.Listener
 	mu       sync.Mutex
 	arrivals []time.Time
 }
 
-// startCountingNode starts one on a free port, until the test ends.
+// startCountingNode starts a countingNode on a free port. The node runs until the test ends.
 func startCountingNode(t *testing.T) *countingNode {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +49,7 @@
 	return n
 }
 
-// serve answers one connection's requests until it ends.
+// serve answers the requests of one connection until it ends.
 func (n *countingNode) serve(conn net.Conn) {
 	defer closeQuietly(conn)
 	for in := bufio.NewReader(conn); ; {
@@ -69,7 +70,8 @@
 	}
 }
 
-// flood asks a director for objects that nobody asked for before, as many at a time as may be open, until the context ends.
+// flood requests new objects from a director until the context ends, always with as many requests
+// open as the director allows.
 func flood(ctx context.Context, addr string, number int, barrier <-chan struct{}) error {
 	conn, err := net.Dial("tcp4", addr)
 	if err != nil {
@@ -88,7 +90,8 @@
 				out = redcon.AppendBulkString(out, w)
 			}
 		}
-		_, _ = conn.Write(out) // a connection that ended has no further answers, which ends the loop
+		// A write error needs no handling: the read loop ends with the connection.
+		_, _ = conn.Write(out)
 	}
 	<-barrier
 	send(32)
@@ -97,17 +100,21 @@
 		if err != nil {
 			return nil
 		}
-		if strings.HasPrefix(line, "*") { // an answer begins
+		if strings.HasPrefix(line, "*") { // start of an answer
 			time.Sleep(2 * time.Millisecond)
 			send(1)
 		}
 	}
 }
 
-// TestColdCacheUnder24Directors asks 24 directors, which know nothing of one another and have one seed, all at once for more than a cold
-// cache bears. In every window it gets no more than that and what chance adds.
+// TestColdCacheUnder24Directors guards against directors that together overload a cold cache. 24
+// directors that do not know each other have the same seed and start to send at once, with more
+// requests than the cache can serve. In no window may the cache receive more than its capacity plus
+// a margin for random variation.
 func TestColdCacheUnder24Directors(t *testing.T) {
-	const directors, capacity = 24, 10.0 // requests in a window at its start: 2.5 x 2 transfers x 0.2 x 2 s, 0.2 s of work each
+	// capacity is the number of requests in a window that the cache can serve at its start:
+	// 2.5 x 2 transfers x 0.2 x 2 s, at 0.2 s of work each.
+	const directors, capacity = 24, 10.0
 	const window, warmUp = 2 * time.Second, 30 * time.Second
 	parallel(t)
 	argv := buildProgram(t)
@@ -116,7 +123,8 @@
 		case <-time.After(500 * time.Millisecond):
 		case <-r.Context().Done():
 		}
-		_, _ = fmt.Fprint(w, `{"cursor":1,"cmds":[]}`) // a director that hung up asks again
+		// A director whose poll was interrupted polls again.
+		_, _ = fmt.Fprint(w, `{"cursor":1,"cmds":[]}`)
 	}))
 	defer channel.Close()
 	startedAt := time.Now()
@@ -180,11 +188,12 @@
 	peak := 0.0
 	for i, at := range cold.arrivals {
 		last, _ := slices.BinarySearchFunc(cold.arrivals, at.Add(window), time.Time.Compare)
-		n := capacity * (1 + 4*float64(at.Sub(startedAt))/float64(warmUp)) // from 0.2 of its capacity on a straight line
+		// The limit rises linearly from 0.2 of the full capacity.
+		n := capacity * (1 + 4*float64(at.Sub(startedAt))/float64(warmUp))
 		peak = max(peak, float64(last-i)/(n+2*math.Sqrt(n)+2))
 	}
-	t.Logf("%d came, at the most %.2f of what it bears", len(cold.arrivals), peak)
-	if peak > 1 || len(cold.arrivals) == 0 { // eleven by the budgets' sum
-		t.Errorf("%d came, at the most %.2f of what it bears and what chance has beyond", len(cold.arrivals), peak)
+	t.Logf("%d requests, peak load %.2f of the limit", len(cold.arrivals), peak)
+	if peak > 1 || len(cold.arrivals) == 0 { // the sum of the budgets would allow a peak of eleven
+		t.Errorf("%d requests reached the cold cache, peak load %.2f of its capacity plus the margin", len(cold.arrivals), peak)
 	}
 }
--- a/internal/faulttest/soak_schedule_test.go
+++ b/internal/faulttest/soak_schedule_test.go
@@ -10,23 +10,23 @@
 	"tallyproxy/internal/fakes"
 )
 
-// Figures of a soak's schedules.
+// Parameters of soak schedules.
 const (
-	soakStream      = 4711 // second seed of what soakSchedule draws
+	soakStream      = 4711 // second seed of soakSchedule
 	soakLengthMS    = 9500
 	soakCacheNodes  = 6
-	soakFirstMS     = 700  // when the first planned restart begins, at the earliest
-	soakSecondMS    = 5200 // and the second
-	soakRestartSpan = 800  // in which a restart begins, ms
-	soakMaxFaultMS  = 2500 // longest fault of a node, ms
-	soakIdleClients = 220  // idle clients of a crowd: more than a director may hold
+	soakFirstMS     = 700  // earliest start of the first planned restart
+	soakSecondMS    = 5200 // earliest start of the second planned restart
+	soakRestartSpan = 800  // random part of the start of a restart, ms
+	soakMaxFaultMS  = 2500 // longest duration of a fault, ms
+	soakIdleClients = 220  // number of idle clients; more than a director may hold
 )
 
-// soakNodeTroubles are the faults of nodes that a soak draws from.
+// soakNodeFaults are the kinds of node faults from which a soak draws.
 var soakNodeFaults = []Kind{HangingNode, HangingNode, ResettingNode, CrashedNode, LateNode, IdleCloses, ColdCaches}
 
-// soakSchedule draws a schedule from a seed: planned restarts, reloads and what may happen around them, on one director or a few. The
-// same seed gives the same schedule.
+// soakSchedule draws a schedule from a seed: planned restarts and reloads, and other faults around
+// them, on one to three directors. The same seed gives the same schedule.
 func soakSchedule(seed uint64) Schedule {
 	random := rand.New(rand.NewPCG(seed, soakStream))
 	directors := 1
@@ -50,7 +50,7 @@
 	directors int
 }
 
-// span draws the begin and the duration of a fault of a longest duration, in ms.
+// span draws the start and the duration, in ms, of a fault with the given longest duration.
 func (d soakDrawer) span(maxMS int) (at, duration int) {
 	at = d.random.IntN(soakLengthMS - maxMS)
 	return at, minDrawnMS + d.random.IntN(maxMS-minDrawnMS)
@@ -108,7 +108,7 @@
 	return faults
 }
 
-// soakSpec is a harness for a soak's schedule.
+// soakSpec returns the harness spec for a soak schedule.
 func soakSpec(argv []string, s Schedule) Spec {
 	return Spec{
 		Argv: argv, CacheNodes: soakCacheNodes, WarmCaches: true, LoadAfter: time.Second, NoPeers: s.Directors == 1 || s.Seed%3 == 0,
@@ -119,13 +119,13 @@
 	}
 }
 
-// soakClients is how many clients of a soak use their connections in a way.
+// soakClients is a number of soak clients with the same behavior.
 type soakClients struct {
 	count    int
 	behavior fakes.Behavior
 }
 
-// soakMix are the clients of a soak.
+// soakMix lists the clients of a soak.
 var soakMix = []soakClients{
 	{10, fakes.Behavior{MaxOpen: 1, MaxBurst: 1, MeanPause: 200 * time.Millisecond, RepeatShare: 0.5}},
 	{4, fakes.Behavior{MaxOpen: 32, MaxBurst: 32, MeanPause: 1500 * time.Millisecond, RepeatShare: 0.5, Aimed: true}},
@@ -143,7 +143,7 @@
 	}
 }
 
-// Every seed gives a schedule that can be played, and the same one each time.
+// TestSoakSchedule guards against seeds whose schedule is invalid or differs between two draws.
 func TestSoakSchedule(t *testing.T) {
 	for seed := range uint64(2000) {
 		s := soakSchedule(seed)
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -8,18 +8,23 @@
 	"time"
 )
 
-// Seeds that CI plays, from one to the other.
+// First and last seed that CI plays.
 const (
 	firstSoakSeed = 1
 	lastSoakSeed  = 12
 )
 
 const (
-	idleWait            = 4 * time.Second // after which a director without clients holds no connection to nodes any more: they rest for 1.9 s
-	maxExtraDescriptors = 8               // more than at its start, at rest: the channel, other directors
+	// idleWait is long enough for a director without clients to close all connections to nodes,
+	// which it does when they have been idle for 1.9 s.
+	idleWait = 4 * time.Second
+	// maxExtraDescriptors is how many more descriptors than at its start an idle director may hold,
+	// for the channel and other directors.
+	maxExtraDescriptors = 8
 )
 
-// soakSeeds are the first and the last seed to play: CI's, or those that TALLYPROXY_SOAK_SEEDS names, as 17-17.
+// soakSeeds returns the first and the last seed to play: those of CI, or those given in
+// TALLYPROXY_SOAK_SEEDS, for example 17-17.
 func soakSeeds(t *testing.T) (first, last uint64) {
 	text := os.Getenv("TALLYPROXY_SOAK_SEEDS")
 	if text == "" {
@@ -31,8 +36,8 @@
 	return first, last
 }
 
-// Guards against what only long service shows: requests lost around signals and restarts, rules broken while everything else goes wrong
-// too, and descriptors or memory that grow.
+// TestSoak guards against failures that only long operation reveals: requests lost around signals
+// and restarts, rules broken while other faults occur, and growing use of descriptors or memory.
 func TestSoak(t *testing.T) {
 	program := buildProgram(t)
 	first, last := soakSeeds(t)
@@ -44,7 +49,8 @@
 	}
 }
 
-// playSoak plays one seed. Odd seeds play the test program, under the race detector where the test is.
+// playSoak plays one seed. Odd seeds run the test program, under the race detector if the test runs
+// under it.
 func playSoak(t *testing.T, program []string, seed uint64) {
 	schedule := soakSchedule(seed)
 	argv := program
@@ -65,22 +71,23 @@
 	if seed%2 == 0 && o.MemoryMB > minMemoryMB {
 		violations = append(violations, fmt.Sprintf("memory %v MB", o.MemoryMB))
 	}
-	t.Logf("%d requests, %v succeeded, %d crossed an end, starts %v, %v MB; ends held up: %v", o.Requests, o.SuccessRate, o.CrossedEnds, o.StartTimes, o.MemoryMB,
+	t.Logf("%d requests, success rate %v, %d crossed a close, starts %v, %v MB; delayed closes: %v", o.Requests, o.SuccessRate, o.CrossedEnds, o.StartTimes, o.MemoryMB,
 		o.DelayedEnds)
 	if len(violations) > 0 || o.Requests < 500 {
 		history := o.History.String()
-		t.Errorf("broken: %v\nlost: %s\n%s\n%s\nthe end of the history:\n%s\nschedule: %v", violations, o.LostReasons,
+		t.Errorf("violations: %v\nlost: %s\n%s\n%s\nend of the history:\n%s\nschedule: %v", violations, o.LostReasons,
 			strings.Join(o.ViolationEvents, "\n"), o.CrashDetail,
 			history[max(0, len(history)-6000):], schedule)
 	}
 }
 
-// descriptorLeaks waits until directors without clients are at rest, and says which then hold more descriptors than at their start.
+// descriptorLeaks waits until directors without clients are idle, and returns a message for each
+// director that then holds more descriptors than at its start.
 func (h *Harness) descriptorLeaks() (leaks []string) {
 	time.Sleep(idleWait)
 	for _, p := range h.Processes() {
 		if now := p.DescriptorCount(); h.isUp(p) && now > p.startFDs+maxExtraDescriptors {
-			leaks = append(leaks, fmt.Sprintf("%s holds %d descriptors at rest, %d at its start", p.Name, now, p.startFDs))
+			leaks = append(leaks, fmt.Sprintf("%s holds %d descriptors when idle, %d at its start", p.Name, now, p.startFDs))
 		}
 	}
 	return leaks
