--- a/internal/faulttest/check_membership.go
+++ b/internal/faulttest/check_membership.go
@@ -11,7 +11,7 @@
 	"tallyproxy/membership"
 )
 
-// States of other directors, as log lines and status reports name them.
+// States of other directors, as named in log lines and status reports.
 var (
 	stateUp        = membership.Up.String()
 	stateSuspected = membership.Suspected.String()
@@ -19,30 +19,32 @@
 	stateLeft      = membership.Left.String()
 )
 
-// minUptime is for how long a director has to be up before a death for it to be waited for.
+// minUptime is how long a director must have been up when another one dies for its detection of
+// that death to be awaited.
 const minUptime = 500 * time.Millisecond
 
-// DetectionTimes returns, of each death, how long it took until all directors that live knew of it, and how many deaths not all know of.
-// It counts those of directors, by their names, that were killed and not started again before all knew, with no disruption of links and
-// nobody paused meanwhile; others say nothing of the failure detector.
+// DetectionTimes returns how long it took, for each death, until all live directors knew of it, and
+// the number of deaths that some director never learned of. It counts directors, by name, that were
+// killed and not restarted before all knew, provided that no link was disrupted and no director was
+// paused in the meantime. Other deaths say nothing about the failure detector.
 func DetectionTimes(entries []Entry, names []string) (took []time.Duration, unknown int) {
 	d := deathTracker{names: names, upSince: map[int]time.Time{}, incarnations: map[string]string{}}
 	for _, e := range entries {
 		d.apply(e)
 		took = append(took, d.takeDetected(e.At)...)
 	}
-	return took, len(d.open)
+	return took, len(d.undetected)
 }
 
-// death is a director's, as others come to know of it.
+// death is the death of a director and how far the other directors have detected it.
 type death struct {
 	at       time.Time
 	director int
-	knows    map[int]bool // by director that lived then and still does: whether it knows
-	spoiled  bool         // it says nothing of the failure detector
+	knows    map[int]bool // whether a director knows, for each one alive since the death
+	excluded bool         // the death says nothing about the failure detector
 }
 
-// isDetected says whether all know.
+// isDetected reports whether all live directors know of the death.
 func (d *death) isDetected() bool {
 	for _, knows := range d.knows {
 		if !knows {
@@ -52,68 +54,69 @@
 	return true
 }
 
-// deathTracker follows deaths through a history.
+// deathTracker tracks deaths while a history is read in order of time.
 type deathTracker struct {
 	names        []string
-	upSince      map[int]time.Time // of directors that live
-	incarnations map[string]string // that others have seen of a director, by name
-	disruptions  int               // that go on
-	open         []*death          // that not all know of
+	upSince      map[int]time.Time // by number of each live director
+	incarnations map[string]string // latest seen by other directors, by name
+	disruptions  int               // number in effect
+	undetected   []*death          // deaths that some live director does not know of
 }
 
-// apply takes an entry.
+// apply updates the tracker with the next entry.
 func (t *deathTracker) apply(e Entry) {
 	switch {
 	case e.Event == logevent.Started:
 		t.upSince[e.Director] = e.At
-		t.spoil(func(d *death) bool { return d.director == e.Director })
+		t.exclude(func(d *death) bool { return d.director == e.Director })
 	case e.isAction(actionKill, actionTerminate):
-		t.died(e)
+		t.recordDeath(e)
 	case e.isDisruption(disruptionOn):
 		t.disruptions++
-		t.spoil(func(*death) bool { return true })
+		t.exclude(func(*death) bool { return true })
 	case e.isDisruption(disruptionOff):
 		t.disruptions--
 	case e.Event == logevent.PeerState:
-		t.observed(e)
+		t.recordState(e)
 	}
 }
 
-// spoil marks those of the open deaths that no longer say anything.
-func (t *deathTracker) spoil(which func(*death) bool) {
-	for _, d := range t.open {
-		d.spoiled = d.spoiled || which(d)
+// exclude marks the undetected deaths that match as excluded.
+func (t *deathTracker) exclude(which func(*death) bool) {
+	for _, d := range t.undetected {
+		d.excluded = d.excluded || which(d)
 	}
 }
 
-// died takes the end of a director: nobody waits for it any more, and if it was killed and ever seen, others are to know.
-func (t *deathTracker) died(e Entry) {
+// recordDeath handles the end of a director. Detection no longer waits for that director. If it was
+// killed after other directors had seen it, they are expected to detect its death.
+func (t *deathTracker) recordDeath(e Entry) {
 	delete(t.upSince, e.Director)
-	for _, d := range t.open {
+	for _, d := range t.undetected {
 		delete(d.knows, e.Director)
 	}
 	if !e.isAction(actionKill) || e.Director >= len(t.names) || t.incarnations[t.names[e.Director]] == "" {
 		return
 	}
-	d := &death{at: e.At, director: e.Director, knows: map[int]bool{}, spoiled: t.disruptions > 0}
+	d := &death{at: e.At, director: e.Director, knows: map[int]bool{}, excluded: t.disruptions > 0}
 	for director, since := range t.upSince {
 		if director < len(t.names) && since.Before(e.At.Add(-minUptime)) {
 			d.knows[director] = false
 		}
 	}
 	if len(d.knows) > 0 {
-		t.open = append(t.open, d)
+		t.undetected = append(t.undetected, d)
 	}
 }
 
-// observed takes what a director says of another's state.
-func (t *deathTracker) observed(e Entry) {
+// recordState handles a director's log line about the state of another director.
+func (t *deathTracker) recordState(e Entry) {
 	name := e.Attributes["name"]
 	switch e.Attributes["state"] {
 	case stateUp:
 		t.incarnations[name] = e.Attributes["incarnation"]
 	case stateFailed, stateLeft:
-		for _, d := range t.open {
+		for _, d := range t.undetected {
 			if _, awaited := d.knows[e.Director]; awaited && t.names[d.director] == name {
 				d.knows[e.Director] = true
 			}
@@ -121,10 +124,11 @@
 	}
 }
 
-// takeDetected removes the deaths that all know of, and those that are spoiled, and returns how long the former took.
+// takeDetected removes the deaths that all live directors know of and the excluded ones, and
+// returns the detection times of the former.
 func (t *deathTracker) takeDetected(now time.Time) (took []time.Duration) {
-	t.open = slices.DeleteFunc(t.open, func(d *death) bool {
-		if d.spoiled {
+	t.undetected = slices.DeleteFunc(t.undetected, func(d *death) bool {
+		if d.excluded {
 			return true
 		}
 		if !d.isDetected() {
@@ -136,8 +140,8 @@
 	return took
 }
 
-// PropagationTime returns after how long, from a time on, a share of so many directors had first logged something that shows that they
-// knew; negative where so many never did.
+// PropagationTime returns how long after from the given share of the directors had first logged an
+// entry for which shows returns true. The result is negative if fewer directors ever did.
 func PropagationTime(entries []Entry, from time.Time, directors int, share float64, shows func(Entry) bool) time.Duration {
 	first := map[int]time.Duration{}
 	for _, e := range entries {
@@ -152,9 +156,10 @@
 	return -1
 }
 
-// FalsePositives counts directors, by their names, that others took for failed, or suspected, while they were up and not paused, and for
-// longer than minCalm there had been no disruption of links.
-func FalsePositives(entries []Entry, names []string, minCalm time.Duration) (failed, suspected int) {
+// FalsePositives counts, by directors' names, how often a director was marked failed or suspected
+// although it was up and not paused, and although no link had been disrupted for longer than
+// minSettled.
+func FalsePositives(entries []Entry, names []string, minSettled time.Duration) (failed, suspected int) {
 	up, clearSince, disruptions := map[string]bool{}, time.Time{}, 0
 	for _, e := range entries {
 		named := e.Director >= 0 && e.Director < len(names)
@@ -168,7 +173,7 @@
 		case e.isDisruption(disruptionOff):
 			disruptions--
 			clearSince = e.At
-		case e.Event == logevent.PeerState && up[e.Attributes["name"]] && disruptions == 0 && e.At.Sub(clearSince) > minCalm:
+		case e.Event == logevent.PeerState && up[e.Attributes["name"]] && disruptions == 0 && e.At.Sub(clearSince) > minSettled:
 			failed += boolean.Int(e.Attributes["state"] == stateFailed)
 			suspected += boolean.Int(e.Attributes["state"] == stateSuspected)
 		}
@@ -176,28 +181,29 @@
 	return failed, suspected
 }
 
-// ConvergenceTime returns how long after a time all directors that live first had one view and kept it to the end; 0 where they had it
-// before, negative where they have none. The end is where a director is asked to stop while there is such a view.
+// ConvergenceTime returns how long after from all live directors first had the same view and kept
+// it to the end: 0 if they had it before, negative if they have none. The history ends early if a
+// director is asked to stop while all have the same view.
 func ConvergenceTime(entries []Entry, from time.Time) time.Duration {
-	digests := map[int]string{} // of the views of directors that live; empty until the first
-	var since time.Time         // when their present common view began; zero where they have none
+	digests := map[int]string{} // view of each live director; empty before its first
+	var since time.Time         // start of the present common view; zero without one
 	for _, e := range entries {
 		switch {
 		case e.Event == logevent.Started:
 			digests[e.Director] = ""
 		case e.Event == logevent.Stopping && e.Attributes["open"] != "" && !since.IsZero():
-			return max(0, since.Sub(from)) // the end
+			return max(0, since.Sub(from)) // the end of the history
 		case e.Event == logevent.Stopping, e.isAction(actionKill, actionTerminate):
 			delete(digests, e.Director)
 		case e.Event == logevent.MembershipView:
-			if _, lives := digests[e.Director]; lives {
+			if _, live := digests[e.Director]; live {
 				digests[e.Director] = e.Attributes["digest"]
 			}
 		default:
 			continue
 		}
 		switch {
-		case !haveOneView(digests):
+		case !viewsAgree(digests):
 			since = time.Time{}
 		case since.IsZero():
 			since = e.At
@@ -209,14 +215,14 @@
 	return max(0, since.Sub(from))
 }
 
-// haveOneView says whether there are views, and all of them are the same and not empty.
-func haveOneView(digests map[int]string) bool {
-	one := ""
+// viewsAgree reports whether there is at least one view and all views are equal and not empty.
+func viewsAgree(digests map[int]string) bool {
+	common := ""
 	for _, digest := range digests {
-		if digest == "" || one != "" && digest != one {
+		if digest == "" || common != "" && digest != common {
 			return false
 		}
-		one = digest
+		common = digest
 	}
-	return one != ""
+	return common != ""
 }
--- a/internal/faulttest/descriptors_test.go
+++ b/internal/faulttest/descriptors_test.go
@@ -13,21 +13,23 @@
 	"tallyproxy/internal/logevent"
 )
 
-// TestDescriptorsDuringChannelOutage has a director with 64 descriptors, which the system holds it to, 200 nodes, and more idle clients
-// than it may hold, while the channel hangs: clients are served, each node is reached, and once the channel is back a drain is in force in time.
+// TestDescriptorsDuringChannelOutage guards against a director that runs out of descriptors while
+// the channel hangs. The system limits it to 64, with 200 nodes and more idle clients than it may
+// hold. It must still serve clients and reach the nodes, and apply a drain in time once the channel
+// is back.
 func TestDescriptorsDuringChannelOutage(t *testing.T) {
 	parallel(t)
-	s := fakes.DefaultSpec(200, 1)
-	s.ColdEdges, s.CacheCapacity, s.LinkCapacity, s.ParentCapacity, s.OriginCapacity, s.OriginLatency = false, 1000, 1e5, 1e5, 1e5, time.Millisecond
-	s.ContentTypes[0].MeanTransfer = time.Millisecond
-	w, err := fakes.New(s)
+	spec := fakes.DefaultSpec(200, 1)
+	spec.ColdEdges, spec.CacheCapacity, spec.LinkCapacity, spec.ParentCapacity, spec.OriginCapacity, spec.OriginLatency = false, 1000, 1e5, 1e5, 1e5, time.Millisecond
+	spec.ContentTypes[0].MeanTransfer = time.Millisecond
+	cluster, err := fakes.New(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
+	defer cluster.Close()
 	var log lockedBuffer
 	argv := append([]string{"/bin/sh", "-c", `ulimit -n 64 && exec "$0"`}, buildProgram(t)...)
-	d, err := NewDirector(w, t.TempDir(), "n0", argv, "", Limits{Sockets: 64, MemoryMB: 64, Cores: 1}, &log)
+	d, err := NewDirector(cluster, t.TempDir(), "n0", argv, "", Limits{Sockets: 64, MemoryMB: 64, Cores: 1}, &log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +37,7 @@
 		t.Fatal(err)
 	}
 	defer d.Kill()
-	w.SetChannelMode(fakes.ChannelHanging, 0)
+	cluster.SetChannelMode(fakes.ChannelHanging, 0)
 	for range 100 { // idle clients
 		conn, err := net.Dial("tcp4", d.Addr)
 		if err != nil {
@@ -43,13 +45,13 @@
 		}
 		t.Cleanup(func() { closeQuietly(conn) })
 	}
-	c := &fakes.Client{Cluster: w, Targets: []*fakes.Target{&d.Target}, Rand: rand.New(rand.NewPCG(1, 2))}
-	defer c.Close()
+	client := &fakes.Client{Cluster: cluster, Targets: []*fakes.Target{&d.Target}, Rand: rand.New(rand.NewPCG(1, 2))}
+	defer client.Close()
 	number := 0
 	request := func(times int) (served int) {
 		for range times {
 			number++
-			status, _, _, err := c.Attempt(t.Context(), w.Object(&w.ContentTypes[0], number), 3*time.Second, false, "")
+			status, _, _, err := client.Attempt(t.Context(), cluster.Object(&cluster.ContentTypes[0], number), 3*time.Second, false, "")
 			if err == nil && status == "200" {
 				served++
 			}
@@ -57,41 +59,42 @@
 		return served
 	}
 	if n := request(600); n < 595 {
-		t.Errorf("%d of 600 were served", n)
+		t.Errorf("%d of 600 requests served", n)
 	}
 	reached := 0
-	for _, n := range w.Nodes {
+	for _, n := range cluster.Nodes {
 		if strings.HasPrefix(n.Name, "box") && n.RequestCount() > 0 {
 			reached++
 		}
 	}
-	if reached < 180 { // of 200 by 600 objects
-		t.Errorf("%d nodes were reached", reached)
+	if reached < 180 { // 600 objects are spread over 200 nodes
+		t.Errorf("%d of 200 nodes received requests", reached)
 	}
-	calls := len(w.ChannelCalls())
-	w.SetChannelMode(fakes.ChannelServing, 0)
+	calls := len(cluster.ChannelCalls())
+	cluster.SetChannelMode(fakes.ChannelServing, 0)
 	restored := time.Now()
-	draining := w.Node("box-7")
+	draining := cluster.Node("box-7")
 	draining.Announce("draining")
-	for len(w.ChannelCalls()) < calls+2 { // one that brought the drain, and the next
+	// Wait for the call that returned the drain and for the next one.
+	for len(cluster.ChannelCalls()) < calls+2 {
 		request(1)
 		if time.Since(restored) > 3*time.Second {
-			t.Fatalf("%d calls in 3 s", len(w.ChannelCalls())-calls)
+			t.Fatalf("%d calls to the channel within 3 s, want 2", len(cluster.ChannelCalls())-calls)
 		}
 	}
 	before := draining.RequestCount()
 	if n := request(400); n < 395 {
-		t.Errorf("%d of 400 were served", n)
+		t.Errorf("%d of 400 requests served", n)
 	}
 	if n := draining.RequestCount(); n != before {
-		t.Errorf("%d more reached the node that drains", n-before)
+		t.Errorf("%d more requests reached the draining node", n-before)
 	}
 	if text := log.String(); strings.Contains(text, "too many open files") || strings.Contains(text, logevent.AcceptFailed) {
-		t.Errorf("its log: %s", text)
+		t.Errorf("director ran out of descriptors; log: %s", text)
 	}
 }
 
-// lockedBuffer is a log that can be read while it is written.
+// lockedBuffer is a log that can be read and written concurrently.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
--- a/internal/faulttest/slow_start_test.go
+++ b/internal/faulttest/slow_start_test.go
@@ -21,14 +21,15 @@
 	"github.com/tidwall/redcon"
 )
 
-// countingNode is a cache node that answers every request at once, as a fill, and keeps when each came.
+// countingNode is a cache node that answers every request at once, as a fill, and records the
+// arrival times.
 type countingNode struct {
 	net.Listener
 	mu       sync.Mutex
 	arrivals []time.Time
 }
 
-// startCountingNode starts one on a free port, until the test ends.
+// startCountingNode starts a countingNode on a free port. The node runs until the test ends.
 func startCountingNode(t *testing.T) *countingNode {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +49,7 @@
 	return n
 }
 
-// serve answers one connection's requests until it ends.
+// serve answers the requests of one connection until it ends.
 func (n *countingNode) serve(conn net.Conn) {
 	defer closeQuietly(conn)
 	for in := bufio.NewReader(conn); ; {
@@ -69,7 +70,8 @@
 	}
 }
 
-// flood asks a director for objects that nobody asked for before, as many at a time as may be open, until the context ends.
+// flood requests new objects from a director until the context ends, always with as many requests
+// open as the director allows.
 func flood(ctx context.Context, addr string, number int, barrier <-chan struct{}) error {
 	conn, err := net.Dial("tcp4", addr)
 	if err != nil {
@@ -88,7 +90,8 @@
 				out = redcon.AppendBulkString(out, w)
 			}
 		}
-		_, _ = conn.Write(out) // a connection that ended has no further answers, which ends the loop
+		// A write error needs no handling: the read loop ends with the connection.
+		_, _ = conn.Write(out)
 	}
 	<-barrier
 	send(32)
@@ -97,18 +100,22 @@
 		if err != nil {
 			return nil
 		}
-		if strings.HasPrefix(line, "*") { // an answer begins
+		if strings.HasPrefix(line, "*") { // start of an answer
 			time.Sleep(2 * time.Millisecond)
 			send(1)
 		}
 	}
 }
 
-// TestColdCacheUnder24Directors asks 24 directors, which know nothing of one another and have one seed, all at once for more than a cold
-// cache bears. In every window it gets no more than that and what chance adds.
+// TestColdCacheUnder24Directors guards against directors that together overload a cold cache. 24
+// directors that do not know each other have the same seed and start to send at once, with more
+// requests than the cache can serve. In no window may the cache receive more than its capacity plus
+// a margin for random variation.
 func TestColdCacheUnder24Directors(t *testing.T) {
-	const directors, bears = 24, 10.0 // requests in a window at its start: 2.5 x 2 transfers x 0.2 x 2 s, 0.2 s of work each
-	const window, warm = 2 * time.Second, 30 * time.Second
+	// capacity is the number of requests in a window that the cache can serve at its start:
+	// 2.5 x 2 transfers x 0.2 x 2 s, at 0.2 s of work each.
+	const directors, capacity = 24, 10.0
+	const window, warmUp = 2 * time.Second, 30 * time.Second
 	parallel(t)
 	argv := buildProgram(t)
 	channel := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -116,16 +123,17 @@
 		case <-time.After(500 * time.Millisecond):
 		case <-r.Context().Done():
 		}
-		_, _ = fmt.Fprint(w, `{"cursor":1,"cmds":[]}`) // a director that hung up asks again
+		// A director whose poll was interrupted polls again.
+		_, _ = fmt.Fprint(w, `{"cursor":1,"cmds":[]}`)
 	}))
 	defer channel.Close()
-	began := time.Now()
+	startedAt := time.Now()
 	cold := startCountingNode(t)
-	rows := []string{fmt.Sprintf(`{"name":"e9","address":%q,"zone":"town","type":"edge","status":"up","since_ms":%d}`, cold.Addr(), began.UnixMilli()),
+	endpoints := []string{fmt.Sprintf(`{"name":"e9","address":%q,"zone":"town","type":"edge","status":"up","since_ms":%d}`, cold.Addr(), startedAt.UnixMilli()),
 		fmt.Sprintf(`{"name":"p0","address":%q,"zone":"hub","type":"parent","status":"up"}`, startCountingNode(t).Addr()),
 		fmt.Sprintf(`{"name":"o","address":%q,"zone":"hub","type":"origin","status":"up"}`, startCountingNode(t).Addr())}
 	for i := range 3 {
-		rows = append(rows, fmt.Sprintf(`{"name":"e%d","address":%q,"zone":"town","type":"edge","status":"up"}`, i, startCountingNode(t).Addr()))
+		endpoints = append(endpoints, fmt.Sprintf(`{"name":"e%d","address":%q,"zone":"town","type":"edge","status":"up"}`, i, startCountingNode(t).Addr()))
 	}
 	folder, all := t.TempDir(), []*Director{}
 	for i := range directors {
@@ -142,11 +150,11 @@
 			"limits":{"cancel":true,"try-limit":6,"connect-timeout":400,"keepalive":30000,"max-streams":100},
 			"specifics":{"origin-kind":2,"shield-kind":1,"gone-everywhere":6000,"note-level":"all","max-age":[0],"pace-kb-per-s":1000,
 			"pipe-kb-per-s":[0,4000],"count-by-zone":[0,%d]}}}`,
-			i, addr, strings.TrimPrefix(channel.URL, "http://"), strings.Join(rows, ","), warm.Milliseconds(), window.Milliseconds(), directors)
+			i, addr, strings.TrimPrefix(channel.URL, "http://"), strings.Join(endpoints, ","), warmUp.Milliseconds(), window.Milliseconds(), directors)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d := &Director{argv: argv, log: io.Discard, now: func() time.Duration { return time.Since(began) }, env: append(os.Environ(), "NODE_CONFIG="+path)}
+		d := &Director{argv: argv, log: io.Discard, now: func() time.Duration { return time.Since(startedAt) }, env: append(os.Environ(), "NODE_CONFIG="+path)}
 		d.Addr = addr
 		all = append(all, d)
 	}
@@ -180,11 +188,12 @@
 	peak := 0.0
 	for i, at := range cold.arrivals {
 		last, _ := slices.BinarySearchFunc(cold.arrivals, at.Add(window), time.Time.Compare)
-		n := bears * (1 + 4*float64(at.Sub(began))/float64(warm)) // from 0.2 of its capacity on a straight line
+		// The limit rises linearly from 0.2 of the full capacity.
+		n := capacity * (1 + 4*float64(at.Sub(startedAt))/float64(warmUp))
 		peak = max(peak, float64(last-i)/(n+2*math.Sqrt(n)+2))
 	}
-	t.Logf("%d came, at the most %.2f of what it bears", len(cold.arrivals), peak)
-	if peak > 1 || len(cold.arrivals) == 0 { // eleven by the budgets' sum
-		t.Errorf("%d came, at the most %.2f of what it bears and what chance has beyond", len(cold.arrivals), peak)
+	t.Logf("%d requests, peak load %.2f of the limit", len(cold.arrivals), peak)
+	if peak > 1 || len(cold.arrivals) == 0 { // the sum of the budgets would allow a peak of eleven
+		t.Errorf("%d requests reached the cold cache, peak load %.2f of its capacity plus the margin", len(cold.arrivals), peak)
 	}
 }
--- a/internal/faulttest/soak_schedule_test.go
+++ b/internal/faulttest/soak_schedule_test.go
@@ -10,23 +10,23 @@
 	"tallyproxy/internal/fakes"
 )
 
-// Figures of a soak's schedules.
+// Parameters of soak schedules.
 const (
-	soakStream      = 4711 // second seed of what soakSchedule draws
+	soakStream      = 4711 // second seed of soakSchedule
 	soakLengthMS    = 9500
 	soakCacheNodes  = 6
-	soakFirstMS     = 700  // when the first planned restart begins, at the earliest
-	soakSecondMS    = 5200 // and the second
-	soakRestartSpan = 800  // in which a restart begins, ms
-	soakTroubleSpan = 2500 // longest fault of a node, ms
-	soakCrowd       = 220  // idle clients of a crowd: more than a director may hold
+	soakFirstMS     = 700  // earliest start of the first planned restart
+	soakSecondMS    = 5200 // earliest start of the second planned restart
+	soakRestartSpan = 800  // random part of the start of a restart, ms
+	soakMaxFaultMS  = 2500 // longest duration of a fault, ms
+	soakIdleClients = 220  // number of idle clients; more than a director may hold
 )
 
-// soakNodeTroubles are the faults of nodes that a soak draws from.
-var soakNodeTroubles = []Kind{HangingNode, HangingNode, ResettingNode, CrashedNode, LateNode, IdleCloses, ColdCaches}
+// soakNodeFaults are the kinds of node faults from which a soak draws.
+var soakNodeFaults = []Kind{HangingNode, HangingNode, ResettingNode, CrashedNode, LateNode, IdleCloses, ColdCaches}
 
-// soakSchedule draws a schedule from a seed: planned restarts, reloads and what may happen around them, on one director or a few. The
-// same seed gives the same schedule.
+// soakSchedule draws a schedule from a seed: planned restarts and reloads, and other faults around
+// them, on one to three directors. The same seed gives the same schedule.
 func soakSchedule(seed uint64) Schedule {
 	random := rand.New(rand.NewPCG(seed, soakStream))
 	directors := 1
@@ -35,10 +35,10 @@
 	}
 	d := soakDrawer{random, directors}
 	s := Schedule{Seed: seed, Directors: directors, LengthMS: soakLengthMS}
-	s.Faults = slices.Concat(d.restarts(), d.reloads(), d.nodeTroubles(), d.channelTroubles(), d.peerTroubles())
+	s.Faults = slices.Concat(d.restarts(), d.reloads(), d.nodeFaults(), d.channelFaults(), d.linkFaults())
 	if random.IntN(3) == 0 {
 		at := random.IntN(soakFirstMS + soakRestartSpan)
-		s.Faults = append(s.Faults, Fault{Kind: Crowd, AtMS: at, ForMS: 3000 + random.IntN(4000), Targets: []int{random.IntN(directors)}, Rate: soakCrowd})
+		s.Faults = append(s.Faults, Fault{Kind: IdleClients, AtMS: at, ForMS: 3000 + random.IntN(4000), Targets: []int{random.IntN(directors)}, Rate: soakIdleClients})
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return a.AtMS - b.AtMS })
 	return s
@@ -50,10 +50,10 @@
 	directors int
 }
 
-// span draws the begin and the duration of a fault of a longest duration, in ms.
-func (d soakDrawer) span(longest int) (at, duration int) {
-	at = d.random.IntN(soakLengthMS - longest)
-	return at, minDrawnMS + d.random.IntN(longest-minDrawnMS)
+// span draws the start and the duration, in ms, of a fault with the given longest duration.
+func (d soakDrawer) span(maxMS int) (at, duration int) {
+	at = d.random.IntN(soakLengthMS - maxMS)
+	return at, minDrawnMS + d.random.IntN(maxMS-minDrawnMS)
 }
 
 func (d soakDrawer) restarts() (faults []Fault) {
@@ -73,19 +73,19 @@
 	return faults
 }
 
-func (d soakDrawer) nodeTroubles() (faults []Fault) {
+func (d soakDrawer) nodeFaults() (faults []Fault) {
 	for range 2 + d.random.IntN(3) {
-		f := Fault{Kind: soakNodeTroubles[d.random.IntN(len(soakNodeTroubles))], Targets: d.random.Perm(soakCacheNodes)[:1+d.random.IntN(2)]}
-		f.AtMS, f.ForMS = d.span(soakTroubleSpan)
+		f := Fault{Kind: soakNodeFaults[d.random.IntN(len(soakNodeFaults))], Targets: d.random.Perm(soakCacheNodes)[:1+d.random.IntN(2)]}
+		f.AtMS, f.ForMS = d.span(soakMaxFaultMS)
 		faults = append(faults, f)
 	}
 	return faults
 }
 
-func (d soakDrawer) channelTroubles() (faults []Fault) {
+func (d soakDrawer) channelFaults() (faults []Fault) {
 	if d.random.IntN(2) == 0 {
 		f := Fault{Kind: ChannelOutage, Rate: float64(1 + d.random.IntN(3))}
-		f.AtMS, f.ForMS = d.span(soakTroubleSpan)
+		f.AtMS, f.ForMS = d.span(soakMaxFaultMS)
 		faults = append(faults, f)
 	}
 	if d.random.IntN(2) == 0 {
@@ -99,16 +99,16 @@
 	return faults
 }
 
-func (d soakDrawer) peerTroubles() (faults []Fault) {
+func (d soakDrawer) linkFaults() (faults []Fault) {
 	if d.directors > 1 && d.random.IntN(2) == 0 {
 		f := Fault{Kind: CutLinks, Targets: []int{0}, Peers: []int{1}, Both: d.random.IntN(2) == 0}
-		f.AtMS, f.ForMS = d.span(soakTroubleSpan)
+		f.AtMS, f.ForMS = d.span(soakMaxFaultMS)
 		faults = append(faults, f)
 	}
 	return faults
 }
 
-// soakSpec is a harness for a soak's schedule.
+// soakSpec returns the harness spec for a soak schedule.
 func soakSpec(argv []string, s Schedule) Spec {
 	return Spec{
 		Argv: argv, CacheNodes: soakCacheNodes, WarmCaches: true, LoadAfter: time.Second, NoPeers: s.Directors == 1 || s.Seed%3 == 0,
@@ -119,13 +119,13 @@
 	}
 }
 
-// soakClients is how many clients of a soak use their connections in a way.
+// soakClients is a number of soak clients with the same behavior.
 type soakClients struct {
 	count    int
 	behavior fakes.Behavior
 }
 
-// soakMix are the clients of a soak.
+// soakMix lists the clients of a soak.
 var soakMix = []soakClients{
 	{10, fakes.Behavior{MaxOpen: 1, MaxBurst: 1, MeanPause: 200 * time.Millisecond, RepeatShare: 0.5}},
 	{4, fakes.Behavior{MaxOpen: 32, MaxBurst: 32, MeanPause: 1500 * time.Millisecond, RepeatShare: 0.5, Aimed: true}},
@@ -143,7 +143,7 @@
 	}
 }
 
-// Every seed gives a schedule that can be played, and the same one each time.
+// TestSoakSchedule guards against seeds whose schedule is invalid or differs between two draws.
 func TestSoakSchedule(t *testing.T) {
 	for seed := range uint64(2000) {
 		s := soakSchedule(seed)
