--- a/internal/experiment/affinity.go
+++ b/internal/experiment/affinity.go
@@ -15,8 +15,9 @@
 	"tallyproxy/internal/faulttest"
 )
 
-const clockTick = 10 * time.Millisecond // the unit of processor time in /proc
+const clockTick = 10 * time.Millisecond // unit of CPU time in /proc/PID/stat
 
+// cpuSet converts core numbers to the bit set that sched_setaffinity(2) takes.
 func cpuSet(cores []int) *unix.CPUSet {
 	var set unix.CPUSet
 	for _, core := range cores {
@@ -25,10 +26,10 @@
 	return &set
 }
 
-// pinThread lets the calling thread run on some cores only.
+// pinThread restricts the calling thread to the given cores.
 func pinThread(cores []int) error { return unix.SchedSetaffinity(0, cpuSet(cores)) }
 
-// pinProcess lets all threads of this process run on some cores only.
+// pinProcess restricts all threads of this process to the given cores.
 func pinProcess(cores []int) error {
 	threads, err := os.ReadDir("/proc/self/task")
 	if err != nil {
@@ -41,14 +42,14 @@
 			return err
 		}
 		err = unix.SchedSetaffinity(id, set)
-		if err != nil && !errors.Is(err, unix.ESRCH) { // a thread that has ended meanwhile
+		if err != nil && !errors.Is(err, unix.ESRCH) { // ESRCH: the thread has ended meanwhile
 			return err
 		}
 	}
 	return nil
 }
 
-// allowedCores are the cores that this process may use.
+// allowedCores returns the cores that this process may run on.
 func allowedCores() (cores []int, err error) {
 	var set unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &set); err != nil {
@@ -62,7 +63,8 @@
 	return cores, nil
 }
 
-// startOn starts a director on some cores: a process inherits those of the thread that starts it.
+// startOn starts a director on the given cores: a process inherits the CPU affinity of the thread
+// that starts it.
 func startOn(ctx context.Context, director *faulttest.Director, cores []int) error {
 	started := make(chan error)
 	go func() {
@@ -76,8 +78,8 @@
 	return <-started
 }
 
-// cpuTime is the processor time that directors have used together, in user and system mode. A director whose process is gone counts
-// nothing.
+// cpuTime returns the sum of the CPU time, user and system, that the directors have used. A
+// director whose process has ended does not count.
 func cpuTime(directors []*faulttest.Director) (sum time.Duration) {
 	for _, director := range directors {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", director.PID()))
--- a/internal/experiment/broken.go
+++ b/internal/experiment/broken.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// namedCount is a rule by its JSON key, and how often it was broken.
+// namedCount is the JSON key of a rule and how often the rule was broken.
 type namedCount struct {
 	name  string
 	count int
 }
 
-// countsAboveZero are the names and counts of rules that were broken.
+// countsAboveZero returns the name and count of each rule that was broken.
 func countsAboveZero(counts []namedCount) (broken []string) {
 	for _, c := range counts {
 		if c.count > 0 {
--- a/internal/experiment/cores.go
+++ b/internal/experiment/cores.go
@@ -1,6 +1,7 @@
-// Package experiment runs the experiments of tallybench: fakes of all that directors talk to, directors as processes or their decision
-// modules in simulated time, and a report of the result. Fields of options are explained by their help texts; JSON keys of results keep
-// their names from version to version.
+// Package experiment implements the experiments of tallybench. Each one runs directors against
+// fakes of all systems that directors talk to, either as processes or as their decision modules in
+// simulated time, and reports the result. The help texts of the options document their fields. JSON
+// keys of results keep their names between versions.
 package experiment
 
 import (
@@ -24,20 +25,20 @@
 // Cores is the experiment `tallybench cores`: the rate and latency of a director on several cores.
 type Cores struct {
 	Cores        []int         `default:"1,2,4" placeholder:"N,..." help:"Cores of the director."`
-	ContentTypes []string      `name:"mix" default:"thumbnails,clips,picks" help:"Content types that are requested."`
-	Duration     time.Duration `name:"seconds" default:"5s" help:"How long each number of cores is measured."`
-	Connections  int           `default:"64" help:"Clients' connections."`
-	Pipelining   int           `name:"depth" default:"16" help:"Requests that a connection has open at a time, without --rate."`
-	Rate         float64       `default:"0" help:"Requests a second for each core, sent on schedule; 0: as many as possible."`
-	Division     string        `default:"whole" enum:"whole,divided,separate" help:"whole: a director's cores share its state; divided: each core has its own; separate: a director for each core."`
-	NoScript     bool          `name:"plain" help:"Give the director no operator's script: for versions without."`
+	ContentTypes []string      `name:"mix" default:"thumbnails,clips,picks" help:"Content types to request."`
+	Duration     time.Duration `name:"seconds" default:"5s" help:"Duration of the measurement for each number of cores."`
+	Connections  int           `default:"64" help:"Number of client connections."`
+	Pipelining   int           `name:"depth" default:"16" help:"Requests in flight on each connection, without --rate."`
+	Rate         float64       `default:"0" help:"Requests per second for each core, sent on a fixed schedule; 0: as many as possible."`
+	Division     string        `default:"whole" enum:"whole,divided,separate" help:"whole: the cores of a director share its state; divided: each core has its own state; separate: one director per core."`
+	NoScript     bool          `name:"plain" help:"Start the director without an operator script, for versions that have none."`
 	CacheNodes   int           `name:"boxes" default:"8" help:"Cache nodes."`
-	ProfileDir   string        `name:"profile" placeholder:"FILE" help:"Have the director write profiles there."`
+	ProfileDir   string        `name:"profile" placeholder:"FILE" help:"File to which the director writes a CPU profile; it writes a profile of lock waits beside it."`
 	JSON         bool          `name:"json" help:"Print one JSON object."`
 	PlotPath     string        `name:"plot" placeholder:"FILE.png" help:"Plot rate and latency over cores."`
-	DirectorPath string        `name:"director" placeholder:"FILE" help:"The director's program; by default tallyproxy beside this program."`
+	DirectorPath string        `name:"director" placeholder:"FILE" help:"Path of the director's executable; default: tallyproxy in this executable's folder."`
 
-	Argv []string `kong:"-"` // starts a director
+	Argv []string `kong:"-"` // command line that starts a director
 }
 
 // Values of Cores.Division.
@@ -46,34 +47,34 @@
 	divisionSeparate = "separate"
 )
 
-const coresWarmUp = time.Second // before the measurement
+const coresWarmUp = time.Second // load before the measurement starts
 
-// CoresRun is the result of one number of cores.
+// CoresRun is the result for one number of cores.
 type CoresRun struct {
-	Cores           int     `json:"cores"`             // of the director, or directors together
-	OwnCores        bool    `json:"own_cores"`         // the load used other cores than the directors
-	LoadCores       int     `json:"load_cores"`        // that the load used
-	Rate            float64 `json:"rate"`              // requests a second that succeeded
-	P50             float64 `json:"p50_ms"`            // latency of those
-	P99             float64 `json:"p99_ms"`            // latency of those
-	P999            float64 `json:"p999_ms"`           // latency of those
-	CPUPerAnswer    float64 `json:"cpu_us_per_answer"` // of the directors, for each request that succeeded
+	Cores           int     `json:"cores"`             // of all directors together
+	OwnCores        bool    `json:"own_cores"`         // load generator and directors ran on separate cores
+	LoadCores       int     `json:"load_cores"`        // cores of the load generator
+	Rate            float64 `json:"rate"`              // successful requests per second
+	P50             float64 `json:"p50_ms"`            // latency of successful requests
+	P99             float64 `json:"p99_ms"`            // latency of successful requests
+	P999            float64 `json:"p999_ms"`           // latency of successful requests
+	CPUPerAnswer    float64 `json:"cpu_us_per_answer"` // CPU time of the directors per successful request
 	PeakMemoryMB    float64 `json:"rss_mb_peak"`       // of all directors
 	Rejected        int     `json:"throttled"`         // requests that were rejected
-	Failed          int     `json:"failed"`            // requests with another answer
+	Failed          int     `json:"failed"`            // requests with any other answer
 	Lost            int     `json:"lost"`              // requests without an answer
-	DoubleFinal     int     `json:"double_final"`      // answers beyond the one of a request
+	DoubleFinal     int     `json:"double_final"`      // further answers to a request that was already answered
 	WrongBodies     int     `json:"wrong_bytes"`       // answers with another object's bytes
-	RepeatedEffects int     `json:"effects_twice"`     // effects that a key had beyond the first
+	RepeatedEffects int     `json:"effects_twice"`     // further effects of the same idempotency key
 }
 
-// CoresResult has a run for each number of cores.
+// CoresResult has one run for each number of cores.
 type CoresResult struct {
 	Division string     `json:"division"` // as in Cores.Division
 	Runs     []CoresRun `json:"runs"`     // in the order of Cores.Cores
 }
 
-// Broken names the runs in which a rule was broken.
+// Broken describes the runs in which a rule was broken.
 func (r CoresResult) Broken() (rules []string) {
 	for _, run := range r.Runs {
 		if run.Lost+run.DoubleFinal+run.WrongBodies+run.RepeatedEffects > 0 {
@@ -83,7 +84,8 @@
 	return rules
 }
 
-// Execute runs the experiment. It changes the cores that this process may use, and restores them.
+// Execute runs the experiment. It changes the CPU affinity of this process while it runs and
+// restores it afterwards.
 func (s *Cores) Execute(ctx context.Context) (result CoresResult, err error) {
 	result.Division = s.Division
 	machineCores, err := allowedCores()
@@ -92,7 +94,7 @@
 	}
 	for _, n := range s.Cores {
 		if n < 1 {
-			return result, fmt.Errorf("--cores: %d is under 1", n)
+			return result, fmt.Errorf("--cores: %d is less than 1", n)
 		}
 		run, err := s.measure(ctx, n, machineCores)
 		if err != nil {
@@ -103,10 +105,11 @@
 	return result, nil
 }
 
-// contentTypeNames are the names in --mix of the fakes' content types.
+// contentTypeNames maps the content types of the fakes to their names in --mix.
 var contentTypeNames = map[string]string{"thumbnail": "thumbnails", "preview-clip": "clips", "cover-pick": "picks"}
 
-// spec is the cluster's: fakes that answer at once, and only the content types that are asked for, with small bodies.
+// spec returns the spec of the cluster: fakes that answer immediately, and only the requested
+// content types, with small bodies.
 func (s *Cores) spec(directors int) (fakes.Spec, error) {
 	spec := fakes.DefaultSpec(s.CacheNodes, directors)
 	spec.Instant, spec.ColdEdges, spec.LinkCapacity, spec.Objects = true, false, 1e5, 10_000
@@ -119,11 +122,11 @@
 	for _, name := range s.ContentTypes {
 		contentType, ok := known[name]
 		if !ok {
-			return spec, fmt.Errorf("--mix: %q is none of thumbnails, clips, picks", name)
+			return spec, fmt.Errorf("--mix: unknown content type %q, want thumbnails, clips or picks", name)
 		}
-		contentType.MeanTransfer /= 16 // bodies of about 3 KB and 12 KB
+		contentType.MeanTransfer /= 16 // results in bodies of about 3 KB and 12 KB
 		if contentType.Name == "cover-pick" {
-			contentType.MeanTransfer = 16 * time.Microsecond // of a few bytes
+			contentType.MeanTransfer = 16 * time.Microsecond // results in a body of a few bytes
 		}
 		spec.ContentTypes = append(spec.ContentTypes, contentType)
 		totalShare += contentType.RequestShare
@@ -141,10 +144,10 @@
 	cluster      *fakes.Cluster
 	directors    []*faulttest.Director
 	log          *directorLog
-	directorCPUs []int // that the directors may use
+	directorCPUs []int // cores that the directors run on
 }
 
-// measure measures n cores on a machine that has machineCores.
+// measure measures n cores on a machine with the cores machineCores.
 func (s *Cores) measure(ctx context.Context, n int, machineCores []int) (result CoresRun, err error) {
 	result.Cores = n
 	directorCPUs, loadCPUs := machineCores, machineCores
@@ -189,7 +192,7 @@
 	return result, err
 }
 
-// startDirectors starts directors on their cores, one after another.
+// startDirectors starts the directors on their cores, one after another.
 func (r *coresMeasurement) startDirectors(ctx context.Context, folder string, count int) error {
 	script, argv := fmt.Sprintf("machine(cores = %d)\n", r.cores), slices.Clone(r.Argv)
 	if r.NoScript {
@@ -215,19 +218,20 @@
 	return nil
 }
 
-// stopDirectors stops the directors one after another, and returns the first error with their log.
+// stopDirectors stops the directors one after another. It returns the first error, with the
+// directors' log.
 func (r *coresMeasurement) stopDirectors() (err error) {
 	for _, director := range r.directors {
 		if stopErr := director.Stop(); stopErr != nil && err == nil {
-			err = fmt.Errorf("a director ended with %w\n%s", stopErr, r.log)
+			err = fmt.Errorf("director did not stop cleanly: %w\n%s", stopErr, r.log)
 		}
 	}
 	return err
 }
 
-// load sends requests on all connections, and measures from the end of the warm-up on.
+// load sends requests on all connections and measures from the end of the warm-up on.
 func (r *coresMeasurement) load(ctx context.Context, result *CoresRun) error {
-	interval := time.Duration(0) // of a connection's requests
+	interval := time.Duration(0) // between the requests of one connection
 	if r.Rate > 0 {
 		interval = time.Duration(float64(time.Second) * float64(r.Connections) / (r.Rate * float64(result.Cores)))
 	}
@@ -254,7 +258,7 @@
 	return nil
 }
 
-// summarize adds what the connections counted to the result.
+// summarize adds the counts of all connections to the result.
 func (r *coresMeasurement) summarize(connections []*loadConnection, cpuUsed time.Duration, result *CoresRun) {
 	latencies := newLatencyHistogram()
 	succeeded := 0
@@ -276,10 +280,10 @@
 	}
 }
 
-// newLatencyHistogram counts latencies in µs, up to 10 s.
+// newLatencyHistogram returns a histogram of latencies in µs, up to 10 s.
 func newLatencyHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
 
-// quantileMS is a quantile, in percent, of latencies in ms.
+// quantileMS returns the latency in ms at a quantile given in percent.
 func quantileMS(latencies *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(latencies.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/experiment/cores_test.go
+++ b/internal/experiment/cores_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestCores loads directors on several cores, by every division; every rule holds.
+// TestCores checks that no rule is broken under load on several cores, for every division of the
+// directors' state, and that invalid numbers of cores are rejected.
 func TestCores(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -22,9 +23,9 @@
 			s := c.cores
 			s.ContentTypes, s.Duration, s.Connections, s.Pipelining = []string{"thumbnails", "clips", "picks"}, time.Second/2, 16, 4
 			s.CacheNodes, s.Argv = 4, selfAsDirector(t)
-			if s.Cores[0] == 300 { // a script may ask for no more than 256
+			if s.Cores[0] == 300 { // a script may set 256 cores at most
 				if _, err := s.Execute(t.Context()); err == nil {
-					t.Error("300 cores were taken")
+					t.Error("300 cores were accepted")
 				}
 				return
 			}
@@ -38,11 +39,12 @@
 		})
 	}
 	if _, err := (&Cores{Cores: []int{0}}).Execute(t.Context()); err == nil {
-		t.Error("no core at all was taken")
+		t.Error("0 cores were accepted")
 	}
 }
 
-// TestStormsOnCores runs storms on a director of four cores, with faults.
+// TestStormsOnCores checks that faults during a storm break no rule of a director that runs on four
+// cores.
 func TestStormsOnCores(t *testing.T) {
 	cases := []struct {
 		name  string
--- a/internal/experiment/detectors.go
+++ b/internal/experiment/detectors.go
@@ -15,46 +15,49 @@
 	"tallyproxy/policy"
 )
 
-// DetectorTrial runs the directors' failure detectors alone: up to 1000 in one process, in real time and over real sockets, where as many
-// whole directors would want more processors than a machine has. Some fail without a word; measured is how long it takes until all that
-// are left know of each, and until they have one view.
+// DetectorTrial runs failure detectors without the rest of the directors: up to 1000 in one
+// process, in real time and over real sockets. As many whole directors would need more CPUs than
+// one machine has. Some detectors stop without notice. The trial measures the time until all
+// remaining ones know of each failure, and the time until they have one common view.
 type DetectorTrial struct {
-	Directors int // whose detectors run
-	Failing   int // at once
-	Rounds    int // of failures
-	Slowdown  int // factor on all times of the detectors, by which the measured ones are divided; 0 is 1
+	Directors int // number of detectors
+	Failing   int // detectors that fail at the same time
+	Rounds    int // how often Failing detectors fail
+	Slowdown  int // multiplies all times of the detectors; results are divided by it; 0 means 1
 }
 
 const (
 	maxDetectors          = 1000
-	detectorBatch         = 25 // that start at once, before there is one view again
+	detectorBatch         = 25 // detectors that start together; the next batch waits for a common view
 	detectorDeadline      = 30 * time.Second
 	failurePollInterval   = 10 * time.Millisecond
 	convergenceCheckEvery = 50 * time.Millisecond
 )
 
-// detectorFleet are the detectors that run, by number. It belongs to the goroutine that runs the trial.
+// detectorFleet is the set of running detectors, by number. Only the goroutine of the trial uses
+// it.
 type detectorFleet struct {
 	DetectorTrial
-	begun   time.Time
-	seeds   []string
-	running map[int]*gossipnet.Driver
+	startedAt time.Time
+	seeds     []string
+	running   map[int]*gossipnet.Driver
 }
 
-// Execute runs the trial. Unfinished of the result counts the rounds that did not come to one view in time.
+// Execute runs the trial. The result's Unfinished counts the rounds without a common view before
+// the deadline.
 func (t DetectorTrial) Execute(ctx context.Context) (*MembershipRun, error) {
 	if t.Directors < 3 || t.Directors > maxDetectors || t.Failing < 1 || t.Rounds*t.Failing > t.Directors-2 {
-		return nil, fmt.Errorf("--together: %d times %d failures of %d: 3 to %d, of whom two are left", t.Rounds, t.Failing, t.Directors, maxDetectors)
+		return nil, fmt.Errorf("--together: %d rounds with %d failures of %d detectors: want 3 to %d detectors, two of which remain", t.Rounds, t.Failing, t.Directors, maxDetectors)
 	}
 	defer slog.SetDefault(slog.Default())
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // each detector logs what it finds of each other one
+	slog.SetDefault(slog.New(slog.DiscardHandler)) // each detector logs every state change of every other one
 	t.Slowdown = max(1, t.Slowdown)
 	run := &MembershipRun{Directors: t.Directors, Faults: fmt.Sprintf("%dx%d die", t.Rounds, t.Failing), Schedules: 1}
-	fleet := &detectorFleet{DetectorTrial: t, begun: time.Now(), running: map[int]*gossipnet.Driver{}}
+	fleet := &detectorFleet{DetectorTrial: t, startedAt: time.Now(), running: map[int]*gossipnet.Driver{}}
 	defer fleet.shutdown()
 	if started, err := fleet.start(ctx); err != nil {
 		return nil, err
-	} else if !started { // too many for this machine
+	} else if !started { // too many detectors for this machine
 		run.Unfinished++
 		return run, nil
 	}
@@ -72,11 +75,11 @@
 	return run, ctx.Err()
 }
 
-// deadline is the longest that any wait takes.
+// deadline returns the upper bound of every wait.
 func (t DetectorTrial) deadline() time.Duration { return detectorDeadline * time.Duration(t.Slowdown) }
 
-// start starts the detectors in batches, since a machine does not start hundreds at once as hundreds of machines do. ok is false where they
-// did not come to one view.
+// start starts the detectors in batches, since one machine cannot start hundreds at the same time
+// as hundreds of machines can. It returns false if they did not reach a common view in time.
 func (f *detectorFleet) start(ctx context.Context) (ok bool, err error) {
 	for i := range f.Directors {
 		if err := f.startDetector(i); err != nil {
@@ -99,7 +102,7 @@
 	settings := membership.Derive(fmt.Sprint("n", i), uint64(i+1), policy.Settings{ZoneDirectors: f.Directors, TotalDirectors: f.Directors,
 		ConnectTimeout: 400 * millisecond * slowdown, EdgeSlowStart: policy.SlowStart{OverloadWindow: 3 * policy.Second * slowdown}})
 	peers := config.Peers{Listen: address, Seeds: f.seeds, Fleet: "lab", SharedKey: bytes.Repeat([]byte{7}, 32)}
-	now := func() policy.Micros { return policy.Second + policy.MicrosOf(time.Since(f.begun)) }
+	now := func() policy.Micros { return policy.Second + policy.MicrosOf(time.Since(f.startedAt)) }
 	driver, err := gossipnet.Start(peers, settings, now, gossipnet.Handlers{})
 	if err != nil {
 		return err
@@ -117,36 +120,38 @@
 	}
 }
 
-// failSome stops detectors at once, spread over the fleet, and returns how long it took in ms until all others knew of each, and until
-// they had one view; ok is false where that did not happen in time.
+// failSome stops some detectors at the same time. It returns for each the time in ms until all
+// others knew of the failure, and the time until they had a common view. ok is false if either did
+// not happen in time.
 func (f *detectorFleet) failSome(ctx context.Context, first int) (detections []float64, convergence float64, ok bool) {
 	failing := f.removeSome(first)
-	unaware := map[int]map[int]bool{} // by the number that failed: those that don't know it yet
+	unaware := map[int]map[int]bool{} // by number of the failed detector: those that do not know of the failure yet
 	for i := range failing {
 		unaware[i] = map[int]bool{}
 		for j := range f.running {
 			unaware[i][j] = true
 		}
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	for _, driver := range failing {
 		driver.Shutdown()
 	}
-	for len(unaware) > 0 && time.Since(begun) < f.deadline() && ctx.Err() == nil {
-		for i, by := range unaware {
-			f.removeAware(i, by)
-			if len(by) == 0 {
+	for len(unaware) > 0 && time.Since(startedAt) < f.deadline() && ctx.Err() == nil {
+		for i, remaining := range unaware {
+			f.removeAware(i, remaining)
+			if len(remaining) == 0 {
 				delete(unaware, i)
-				detections = append(detections, float64(time.Since(begun).Milliseconds()))
+				detections = append(detections, float64(time.Since(startedAt).Milliseconds()))
 			}
 		}
 		fakes.Sleep(ctx, failurePollInterval)
 	}
 	converged := f.awaitConvergence(ctx)
-	return detections, float64(time.Since(begun).Milliseconds()), converged && len(unaware) == 0
+	return detections, float64(time.Since(startedAt).Milliseconds()), converged && len(unaware) == 0
 }
 
-// removeSome takes the detectors that are to fail out of the fleet. Steps of seven keep them from following the order of the seeds.
+// removeSome removes the detectors that are to fail from the fleet. It picks every seventh one, so
+// that the order of failures does not follow the order of the seeds.
 func (f *detectorFleet) removeSome(first int) map[int]*gossipnet.Driver {
 	failing := map[int]*gossipnet.Driver{}
 	for k := range f.Failing {
@@ -160,7 +165,7 @@
 	return failing
 }
 
-// removeAware removes from a set those that know that a director has failed.
+// removeAware removes from unaware the detectors that know of the failure.
 func (f *detectorFleet) removeAware(failed int, unaware map[int]bool) {
 	for i := range unaware {
 		if state, _ := f.running[i].State(fmt.Sprint("n", failed)); state >= membership.Failed {
@@ -169,7 +174,8 @@
 	}
 }
 
-// awaitConvergence waits until all have the same view, of all that run; false where the time was over.
+// awaitConvergence waits until all running detectors have the same view of all running ones. It
+// returns false if that does not happen before the deadline.
 func (f *detectorFleet) awaitConvergence(ctx context.Context) bool {
 	for until := time.Now().Add(f.deadline()); time.Now().Before(until) && ctx.Err() == nil; fakes.Sleep(ctx, convergenceCheckEvery) {
 		if f.converged() {
--- a/internal/experiment/directorlog.go
+++ b/internal/experiment/directorlog.go
@@ -10,19 +10,22 @@
 	"tallyproxy/internal/logevent"
 )
 
-// removeFolder removes the directors' files. What can't be removed stays in the system's folder for temporary files.
+// removeFolder removes the directors' files. A failure only leaves files in the system's folder for
+// temporary files.
 func removeFolder(path string) { _ = os.RemoveAll(path) }
 
-// directorLog is the log of several directors. It counts lines of interest and copies all to an output. It is safe for concurrent use;
-// its counts may be read once the directors have ended.
+// directorLog receives the log of several directors. It counts lines of interest and copies all
+// lines to an output. It is safe for concurrent use; its counts may be read once the directors have
+// ended.
 type directorLog struct {
 	mu          sync.Mutex
 	output      io.Writer // nil for none
-	overloads   int       // lines that say that a director has detected an overload
-	clockStalls int       // lines that say that a director has detected a stall
+	overloads   int       // logged detections of an overload
+	clockStalls int       // logged detections of a stall
 }
 
-// Write implements io.Writer. Errors of the output are dropped: a director must not fail by its log.
+// Write implements io.Writer. It ignores errors of the output: a director must not fail because its
+// log can't be written.
 func (l *directorLog) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,7 +37,7 @@
 	return len(b), nil
 }
 
-// String is what was written, where the output keeps it.
+// String returns the log so far if the output is a fmt.Stringer, else an empty string.
 func (l *directorLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// fill sets every exported field of v, recursively, to a value that omitempty does not leave out. A pointer is followed once.
+// fill sets every exported field of v, recursively, to a value that omitempty does not omit. It
+// follows pointers to the given depth.
 func fill(v reflect.Value, pointers int) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -34,7 +35,8 @@
 	}
 }
 
-// The JSON of each result, as `tallybench SUB --json` prints it, keeps its keys and their order.
+// TestResultJSONGolden guards against changes of the JSON keys, or of their order, in the results
+// that `tallybench SUB --json` prints.
 func TestResultJSONGolden(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/internal/experiment/loadconnection.go
+++ b/internal/experiment/loadconnection.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	maxPending    = 32               // requests of a connection that are sent on schedule
-	answerTimeout = 10 * time.Second // after which a connection counts its requests as lost
+	maxPending    = 32               // unanswered requests per connection when sending on a schedule
+	answerTimeout = 10 * time.Second // without any answer for so long, all unanswered requests count as lost
 	readBuffer    = 256 << 10
 )
 
-// loadConnection is a connection that sends one request after another, many at a time, and checks the answers. Its counts may be read
-// once run has returned.
+// loadConnection is a client connection that keeps many requests in flight and checks the answers.
+// Its counts may be read once run has returned.
 type loadConnection struct {
 	cluster    *fakes.Cluster
 	addr       string
-	pipelining int           // requests that are open together, without an interval
-	interval   time.Duration // between requests; 0: the next one is sent as soon as one ends
+	pipelining int           // requests in flight if interval is 0
+	interval   time.Duration // between requests; 0: the next request is sent as soon as one ends
 	random     *rand.Rand
 	zipf       *fakes.Zipf
 	conn       net.Conn
-	tag        int // of the request sent last
+	tag        int // tag of the request sent last
 	pending    map[int]pendingRequest
 	unsent     []byte
-	unread     []byte    // the beginning of an answer
-	nextDue    time.Time // of the next request, with an interval
-	measuring  bool      // after the warm-up
+	unread     []byte    // received part of an incomplete answer
+	nextDue    time.Time // scheduled time of the next request if interval is above 0
+	measuring  bool      // the warm-up is over
 
 	latencies *hdrhistogram.Histogram // of requests that succeeded, in µs
 	succeeded, rejected, failed, lost,
 	duplicates, wrongBodies int
 }
 
-// pendingRequest is a request without an answer yet.
+// pendingRequest is a request that has no answer yet.
 type pendingRequest struct {
 	object string
-	due    time.Time // when it was to be sent, from which its latency counts
+	due    time.Time // scheduled time of sending; the latency counts from it
 }
 
 func newLoadConnection(cluster *fakes.Cluster, addr string, pipelining int, interval time.Duration, seed uint64) *loadConnection {
@@ -58,13 +58,14 @@
 	}
 }
 
-// run sends requests until the context ends, and waits for their answers. Answers before a time are not counted.
+// run sends requests until the context ends and then waits for their answers. Answers before
+// measureFrom are not counted.
 func (c *loadConnection) run(ctx context.Context, measureFrom time.Time) error {
 	conn, err := net.Dial("tcp", c.addr)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // all that matters was read
+	defer func() { _ = conn.Close() }() // everything needed was read before
 	c.conn = conn
 	buffer := make([]byte, readBuffer)
 	c.nextDue = time.Now()
@@ -87,8 +88,8 @@
 	}
 }
 
-// appendDue appends the requests that are to be sent now. With an interval a request that could not be sent when it was due keeps that
-// time, and its latency counts from then.
+// appendDue appends the requests that are due to the unsent data. With an interval, a request that
+// is sent late keeps its scheduled time, and its latency counts from then.
 func (c *loadConnection) appendDue(now time.Time) {
 	if c.interval == 0 {
 		for len(c.pending) < c.pipelining {
@@ -102,7 +103,7 @@
 	}
 }
 
-// appendRequest appends a request for a random object to what is unsent.
+// appendRequest appends a request for a random object to the unsent data.
 func (c *loadConnection) appendRequest(due time.Time) {
 	object := c.cluster.DrawObject(c.random, c.zipf)
 	c.tag++
@@ -117,7 +118,7 @@
 	c.pending[c.tag] = pendingRequest{object.ID, due}
 }
 
-// flush writes what is unsent.
+// flush writes the unsent data.
 func (c *loadConnection) flush() error {
 	if len(c.unsent) == 0 {
 		return nil
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// read waits for answers, until the next request is due at the latest, and handles them.
+// read waits for answers, but not past the time at which the next request is due, and handles them.
 func (c *loadConnection) read(buffer []byte, now time.Time, ending bool) error {
 	deadline := now.Add(answerTimeout)
 	if c.interval > 0 && !ending && len(c.pending) < maxPending {
@@ -141,7 +142,7 @@
 	}
 	n, err := c.conn.Read(buffer)
 	if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(now.Add(answerTimeout-time.Second)) {
-		return nil // a request is due
+		return nil // no answer arrived before the next request is due
 	}
 	if err != nil {
 		c.lost += len(c.pending)
@@ -150,7 +151,7 @@
 	return c.handleAnswers(buffer[:n], time.Now())
 }
 
-// handleAnswers handles the answers that are complete, and keeps the rest.
+// handleAnswers handles all complete answers and keeps the incomplete rest.
 func (c *loadConnection) handleAnswers(data []byte, received time.Time) error {
 	c.unread = append(c.unread, data...)
 	rest := c.unread
@@ -169,9 +170,10 @@
 	return nil
 }
 
-// handleAnswer counts an answer: tag, status, a field that is not needed, and the body.
+// handleAnswer counts an answer. Its fields are the tag, the status, a field that is not used here
+// and the body.
 func (c *loadConnection) handleAnswer(fields [][]byte, received time.Time) {
-	tag, _ := strconv.Atoi(string(fields[0])) // what is no number is no pending request's
+	tag, _ := strconv.Atoi(string(fields[0])) // an invalid tag becomes 0, which no request has
 	request, ok := c.pending[tag]
 	if !ok {
 		c.duplicates++
--- a/internal/experiment/main_test.go
+++ b/internal/experiment/main_test.go
@@ -12,10 +12,12 @@
 	"tallyproxy/internal/server"
 )
 
-// parallelTests limits how many tests run in parallel: fleets of agents mostly wait for each other's timers.
+// parallelTests limits how many tests run in parallel. Several of them can share the CPUs, since
+// fleets of agents mostly wait for each other's timers.
 var parallelTests = make(chan bool, max(1, runtime.NumCPU()/2))
 
-// inParallel runs the rest of a test in parallel with others, after those that need the processors to themselves.
+// inParallel runs the rest of a test in parallel with others, after the tests that need all CPUs
+// for themselves.
 func inParallel(t *testing.T) {
 	t.Helper()
 	t.Parallel()
@@ -23,10 +25,10 @@
 	t.Cleanup(func() { <-parallelTests })
 }
 
-// newRand is the random generator of a client.
+// newRand returns the random generator of a client.
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 5)) }
 
-// TestMain runs the tests, or, when a test has started this program as a director, the director.
+// TestMain runs the tests, or the director if a test has started this executable as one.
 func TestMain(m *testing.M) {
 	if os.Getenv("TALLYPROXY_TEST_DIRECTOR") != "" {
 		os.Exit(server.Main(os.Args[1:]))
@@ -34,11 +36,11 @@
 	if err := os.Setenv("TALLYPROXY_TEST_DIRECTOR", "1"); err != nil {
 		panic(err)
 	}
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // of agents, which run in this process; directors have their own log
+	slog.SetDefault(slog.New(slog.DiscardHandler)) // discards the log of agents, which run in this process; directors log separately
 	os.Exit(m.Run())
 }
 
-// selfAsDirector is the command that starts this program as a director.
+// selfAsDirector returns the command line that starts this executable as a director.
 func selfAsDirector(t *testing.T) []string {
 	t.Helper()
 	self, err := os.Executable()
@@ -48,8 +50,9 @@
 	return []string{self}
 }
 
-// buildDirector builds the director's program without the race detector, which makes it several times slower: a storm of any size would
-// overload it. All other tests run directors with the race detector.
+// buildDirector builds the director without the race detector, which makes it several times slower,
+// so that a storm of any size would overload it. All other tests run directors with the race
+// detector.
 func buildDirector(t *testing.T) []string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tallyproxy")
--- a/internal/experiment/plots.go
+++ b/internal/experiment/plots.go
@@ -15,16 +15,16 @@
 	"tallyproxy/internal/fakes"
 )
 
-// plotPanel is one of several plots, drawn one under another.
+// plotPanel is one of several plots that are drawn below each other.
 type plotPanel struct {
 	title  string
 	yLabel string
-	xLabel string    // empty for the time in seconds
-	x      []float64 // of the points; nil for the times of fakes.SeriesInterval
+	xLabel string    // empty: time in seconds
+	x      []float64 // of the points; nil: multiples of fakes.SeriesInterval
 	lines  []plotLine
 }
 
-// plotLine is a line of a panel.
+// plotLine is one line of a panel.
 type plotLine struct {
 	name   string
 	color  color.Color
@@ -42,7 +42,7 @@
 	panelHeight = 7 * vg.Centimeter
 )
 
-// ratePerSecond turns counts by fakes.SeriesInterval into rates.
+// ratePerSecond converts counts per fakes.SeriesInterval to rates per second.
 func ratePerSecond(counts []int) []float64 {
 	rates := make([]float64, len(counts))
 	for i, n := range counts {
@@ -55,12 +55,12 @@
 func DrawStorm(path string, result StormResult) error {
 	series := result.Series
 	return drawPanels(path, []plotPanel{
-		{title: "attempts and advised retries", yLabel: "a second", lines: []plotLine{
+		{title: "attempts and advised retries", yLabel: "per second", lines: []plotLine{
 			{"attempts", blue, ratePerSecond(series.Attempts)},
-			{"told to retry", red, ratePerSecond(series.RetryAfter)},
+			{"advised retries", red, ratePerSecond(series.RetryAfter)},
 			{"succeeded", green, ratePerSecond(series.Succeeded)},
 		}},
-		{title: "highest load of a cache node so far, over what overloads it", yLabel: "load", lines: []plotLine{{"load", red, series.Load}}},
+		{title: "peak load of any cache node so far, relative to its overload threshold", yLabel: "load", lines: []plotLine{{"load", red, series.Load}}},
 	})
 }
 
@@ -72,12 +72,12 @@
 		p50, p99 = append(p50, run.P50), append(p99, run.P99)
 	}
 	return drawPanels(path, []plotPanel{
-		{title: "requests that succeeded, " + result.Division, yLabel: "a second", xLabel: "cores", x: cores, lines: []plotLine{{"rate", blue, rate}}},
+		{title: "successful requests, " + result.Division, yLabel: "per second", xLabel: "cores", x: cores, lines: []plotLine{{"rate", blue, rate}}},
 		{title: "latency", yLabel: "ms", xLabel: "cores", x: cores, lines: []plotLine{{"p50", green, p50}, {"p99", red, p99}}},
 	})
 }
 
-// drawPanels writes a PNG of panels one under another.
+// drawPanels writes a PNG of panels below each other.
 func drawPanels(path string, panels []plotPanel) error {
 	plots := make([][]*plot.Plot, len(panels))
 	for i, panel := range panels {
--- a/internal/experiment/plots_test.go
+++ b/internal/experiment/plots_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestDrawStorm: a plot is a PNG, and a path that can't be written an error.
+// TestDrawStorm checks that a plot is written as PNG, and that a path that can't be written gives
+// an error.
 func TestDrawStorm(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.png")
 	r := StormResult{Series: StormSeries{Attempts: []int{1, 2, 3}, Succeeded: []int{1, 1}, Load: []float64{0.1, 0.5}}}
@@ -18,6 +19,6 @@
 		t.Errorf("%.8q, %v", b, err)
 	}
 	if err := DrawStorm(filepath.Join(path, "x"), r); err == nil {
-		t.Error("drawn where nothing can be")
+		t.Error("no error for a path that can't be written")
 	}
 }
--- a/internal/experiment/ratio.go
+++ b/internal/experiment/ratio.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// ratio is part/total, rounded to four decimals; 0 where the total is 0.
+// ratio returns part/total, rounded to four decimals, or 0 if total is 0.
 func ratio(part, total float64) float64 {
 	if total == 0 {
 		return 0
