--- a/internal/experiment/fleetchange_test.go
+++ b/internal/experiment/fleetchange_test.go
@@ -21,8 +21,9 @@
 	"tallyproxy/rollout"
 )
 
-// TestChangeWithDirectorKilled changes twenty directors, one of which is killed meanwhile: it restarts with the new script, as all others
-// have it, and the tool reports each. The change is then undone.
+// TestChangeWithDirectorKilled changes twenty directors and kills one of them meanwhile. It guards
+// against a restart with the old script and against a director that is missing from the report. It
+// then undoes the change.
 func TestChangeWithDirectorKilled(t *testing.T) {
 	inParallel(t)
 	f, op := newFleet(t, 10, 2)
@@ -40,25 +41,26 @@
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if n := awaitScripts(t, op, "warn"); n != 20 {
-		t.Errorf("%d have it", n)
+		t.Errorf("%d directors run the new script", n)
 	}
-	// taken back, as a change of its own
+	// Undo the change; the undo is a separate change.
 	v := op.Snapshot(t.Context())
-	of, before := v.Change(change.ID)
-	undo := rollout.Undo(ctl.NewChangeID(), "op", of, before, func(s string) string { return config.Digest([]byte(s)) })
+	original, before := v.Change(change.ID)
+	undo := rollout.Undo(ctl.NewChangeID(), "op", original, before, func(s string) string { return config.Digest([]byte(s)) })
 	if r, err := op.Run(t.Context(), undo, nil, nil); err != nil || !r.AllOrNone() {
 		t.Fatalf("undo: %+v, %v", r, err)
 	}
 	if n := awaitScripts(t, op, "warn"); n != 0 {
-		t.Errorf("%d have it after the undo", n)
+		t.Errorf("%d directors run the new script after the undo", n)
 	}
 	seen := 0
 	if err := op.Audit(t.Context(), func(string, *fleetpb.AuditRecord) { seen++ }); err != nil || seen < 20 {
-		t.Errorf("%d records, %v", seen, err)
+		t.Errorf("%d audit records, %v", seen, err)
 	}
 }
 
-// TestAgentCutOff: an agent that is cut off in the middle of a change learns from the others how it ended.
+// TestAgentCutOff checks that an agent that is unreachable during a change learns the outcome from
+// the other agents once it is back.
 func TestAgentCutOff(t *testing.T) {
 	cases := []struct {
 		name string
@@ -83,7 +85,7 @@
 			if err != nil {
 				t.Fatalf("%+v, %v", r, err)
 			}
-			for _, e := range r.Targets { // the tool says of each where it is, or will be
+			for _, e := range r.Targets { // the tool reports the current or the future state of each target
 				if want := map[int]string{0: "untouched", 5: "changed"}[c.want]; e.State != want && (e.Agent != "a02" || e.State != "will be "+want) {
 					t.Errorf("%+v", e)
 				}
@@ -92,18 +94,19 @@
 				t.Fatal(err)
 			}
 			if n := awaitScripts(t, op, "warn"); n != c.want {
-				t.Errorf("%d have it, want %d", n, c.want)
+				t.Errorf("%d directors run the new script, want %d", n, c.want)
 			}
 		})
 	}
 }
 
-// TestAgentsRecover: when a tool is gone the agents finish what it began without another tool, but no wave that it had not begun.
+// TestAgentsRecover checks that agents complete a change whose tool has ended, without another
+// tool. They must not begin a wave that the tool had not begun.
 func TestAgentsRecover(t *testing.T) {
 	cases := []struct {
 		name      string
 		at        rollout.Step
-		interrupt bool // it can say that it leaves; else it is killed
+		interrupt bool // the tool is interrupted and can report it; else it is killed
 		limit     int
 		outcome   string
 		changed   int
@@ -118,7 +121,7 @@
 			inParallel(t)
 			f, op := newFleet(t, 5, 1)
 			change := addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, c.limit)
-			begun := time.Now()
+			startedAt := time.Now()
 			if c.interrupt {
 				ctx, cancel := context.WithCancel(t.Context())
 				_, err := op.Run(ctx, change, nil, func(s rollout.Step, _ int) {
@@ -135,40 +138,41 @@
 			for end := time.Now().Add(40 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 				v := op.Snapshot(t.Context())
 				i := slices.IndexFunc(v.Changes, func(x ctl.ChangeStatus) bool { return x.ID == change.ID })
-				going, changed := 0, 0
+				applying, changed := 0, 0
 				for _, phase := range v.Changes[i].Directors {
 					switch phase {
 					case "in force":
 						changed++
 					case "going":
-						going++
+						applying++
 					}
 				}
-				if x := v.Changes[i]; x.Outcome == c.outcome && x.InProgress == (c.limit > 0) && going == 0 && changed == c.changed {
-					t.Log("recovered after", time.Since(begun))
+				if x := v.Changes[i]; x.Outcome == c.outcome && x.InProgress == (c.limit > 0) && applying == 0 && changed == c.changed {
+					t.Log("recovered after", time.Since(startedAt))
 					break
 				} else if time.Now().After(end) {
 					t.Fatalf("%+v", x)
 				}
 			}
-			if c.limit > 0 { // the further waves need the operator's word
+			if c.limit > 0 { // further waves need an operator to resume the change
 				if _, err := op.Run(t.Context(), nil, nil, nil); err != nil {
 					t.Fatal(err)
 				}
 				if n := awaitScripts(t, op, "warn"); n != 5 {
-					t.Errorf("%d have it after it was resumed", n)
+					t.Errorf("%d directors run the new script after the change was resumed", n)
 				}
 			}
 		})
 	}
 }
 
-// TestDiskFull: agents whose disks are full refuse a change that they can't store, and nothing changes; with room again it succeeds.
+// TestDiskFull checks that agents with full disks refuse a change that they can't store, so that no
+// director changes, and that the change succeeds once there is space.
 func TestDiskFull(t *testing.T) {
 	inParallel(t)
-	if os.Getenv("TALLY_DISK_FULL") == "" { // in a process of its own: the limit holds for all files of one
+	if os.Getenv("TALLY_DISK_FULL") == "" { // in a separate process, since the file size limit applies to all files of a process
 		cmd := exec.Command(os.Args[0], "-test.run=^TestDiskFull$")
-		cmd.Env = append(os.Environ(), "TALLY_DISK_FULL=1", "TALLYPROXY_TEST_DIRECTOR=") // not as a director
+		cmd.Env = append(os.Environ(), "TALLY_DISK_FULL=1", "TALLYPROXY_TEST_DIRECTOR=") // the empty variable keeps it from running as a director
 		if out, err := cmd.CombinedOutput(); err != nil {
 			t.Fatalf("%v: %s", err, out[max(0, len(out)-2000):])
 		}
@@ -176,7 +180,7 @@
 	}
 	_, op := newFleet(t, 3, 1)
 	view := op.Snapshot(t.Context())
-	signal.Ignore(syscall.SIGXFSZ) // a write past the limit is an error then, as on a full disk
+	signal.Ignore(syscall.SIGXFSZ) // a write past the limit then returns an error, as on a full disk
 	defer signal.Reset(syscall.SIGXFSZ)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &limit); err != nil {
@@ -194,38 +198,40 @@
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if n := awaitScripts(t, op, "warn"); n != 0 {
-		t.Fatalf("%d have it", n)
+		t.Fatalf("%d directors run the new script", n)
 	}
 	r, err = op.Run(t.Context(), addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0), nil, nil)
 	if err != nil || !r.AllOrNone() || r.Outcome != rollout.Commit {
-		t.Fatalf("with room again: %+v, %v", r, err)
+		t.Fatalf("with disk space again: %+v, %v", r, err)
 	}
 	if n := awaitScripts(t, op, "warn"); n != 3 {
-		t.Errorf("%d have it", n)
+		t.Errorf("%d directors run the new script", n)
 	}
 }
 
-// TestToolReturnsWithoutMajority: a tool ends with a reason also where most agents accept calls and never answer.
+// TestToolReturnsWithoutMajority checks that a tool ends with a reason even if most agents accept
+// connections but never answer.
 func TestToolReturnsWithoutMajority(t *testing.T) {
 	inParallel(t)
 	f, op := newFleet(t, 3, 1)
 	change := addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0)
 	for _, name := range []string{"a01", "a02"} {
 		f.StopAgent(name)
-		l, err := net.Listen("tcp", f.Inventory.Agent(name).Address) // a machine that hangs: the kernel takes the connection
+		l, err := net.Listen("tcp", f.Inventory.Agent(name).Address) // like a machine that hangs: the kernel accepts the connection
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = l.Close() }() // nothing was written to it
+		defer func() { _ = l.Close() }() // nothing was written, so the error does not matter
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	r, err := op.Run(t.Context(), change, nil, nil)
-	if took := time.Since(begun); err != nil || r.RefusalReason != "no majority of the agents answers" || !r.AllOrNone() || took > 30*time.Second {
+	if took := time.Since(startedAt); err != nil || r.RefusalReason != "no majority of the agents answers" || !r.AllOrNone() || took > 30*time.Second {
 		t.Errorf("after %v: %+v, %v", took, r, err)
 	}
 }
 
-// TestTwoOperatorsAtOnce: of two changes at once one succeeds at most, the other is refused, and no director has both.
+// TestTwoOperatorsAtOnce checks that at most one of two concurrent changes succeeds, that the other
+// is refused, and that no director runs both scripts.
 func TestTwoOperatorsAtOnce(t *testing.T) {
 	inParallel(t)
 	f, op := newFleet(t, 3, 1)
@@ -247,17 +253,17 @@
 		if r.Outcome == rollout.Commit && r.AllOrNone() {
 			committed++
 		} else if r.RefusalReason == "" {
-			t.Errorf("neither whole nor refused: %+v", r)
+			t.Errorf("neither complete nor refused: %+v", r)
 		}
 	}
 	warn, errs := awaitScripts(t, op, "warn"), awaitScripts(t, op, "error")
 	if committed > 1 || warn > 0 && errs > 0 || committed == 1 && warn+errs != 3 {
-		t.Errorf("%d went; %d and %d have it: %+v", committed, warn, errs, results)
+		t.Errorf("%d changes committed; %d and %d directors run the new scripts: %+v", committed, warn, errs, results)
 	}
 }
 
-// TestDrainByChange drains a cache node at every director under load: no request reaches it from a second after the change on, and no
-// answer is lost meanwhile.
+// TestDrainByChange drains a cache node at every director under load. No request may reach the node
+// later than a second after the change, and no answer may be lost meanwhile.
 func TestDrainByChange(t *testing.T) {
 	inParallel(t)
 	f, op := newFleet(t, 3, 1)
@@ -298,13 +304,13 @@
 	before := node.RequestCount()
 	time.Sleep(time.Second)
 	if n := node.RequestCount(); n != before {
-		t.Errorf("%d more reached the cache node", n-before)
+		t.Errorf("%d requests reached the drained cache node", n-before)
 	}
 	stopClients()
 	clients.Wait()
 	f.Cluster.Clients.WithLock(func(b *fakes.ClientStats) {
 		if b.Lost+b.Duplicates+b.WrongBodies > 0 || len(b.Requests) == 0 {
-			t.Errorf("%d lost %v, %d twice, of %d", b.Lost, b.LostReasons, b.Duplicates, len(b.Requests))
+			t.Errorf("%d lost (%v) and %d duplicate answers, of %d requests", b.Lost, b.LostReasons, b.Duplicates, len(b.Requests))
 		}
 	})
 }
--- a/internal/experiment/fleetfiles.go
+++ b/internal/experiment/fleetfiles.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	fleetName         = "lab" // of authority and gossip
+	fleetName         = "lab" // fleet name of the authority and of gossip
 	agentsPerLocation = 4
 	certificateValid  = time.Hour
 )
@@ -27,15 +27,16 @@
 	dir       string
 	authority string   // folder of the authority's keys
 	gossipKey string   // path of the key that directors and agents share
-	command   []string // starts a director
+	command   []string // command line that starts a director
 	script    string   // of each director
-	peers     bool     // directors form a cluster
-	seeds     []string // quoted addresses of the first directors
+	peers     bool     // whether directors form a cluster
+	seeds     []string // quoted gossip addresses of the first directors
 	inventory strings.Builder
 }
 
-// NewLoopbackFleet writes the files of a fleet into a folder: so many agents with so many directors each, which argv starts with a script.
-// With peers the directors form a cluster. Start starts the fleet.
+// NewLoopbackFleet writes the files of a fleet into the folder dir. The fleet has the given number
+// of agents with directorsPerAgent directors each, which run argv with the given script. With peers
+// the directors form a cluster. Start starts the fleet.
 func NewLoopbackFleet(cluster *fakes.Cluster, dir string, agents, directorsPerAgent int, argv []string, script string, peers bool) (*LoopbackFleet, error) {
 	files := &fleetFiles{cluster: cluster, dir: dir, authority: filepath.Join(dir, "keys"), gossipKey: filepath.Join(dir, "peers.key"),
 		command: argv, script: script, peers: peers}
@@ -59,7 +60,7 @@
 	return &LoopbackFleet{Cluster: cluster, Dir: dir, AuthorityDir: files.authority, Inventory: inventory, agents: map[string]*runningAgent{}}, nil
 }
 
-// writeKeys makes the authority, an operator's certificate and the shared key.
+// writeKeys creates the authority, an operator's certificate and the shared gossip key.
 func (f *fleetFiles) writeKeys() error {
 	now := time.Now()
 	if err := authority.Init(f.authority, fleetName, now); err != nil {
@@ -73,7 +74,7 @@
 	return os.WriteFile(f.gossipKey, []byte(key), 0o600)
 }
 
-// addAgent adds an agent and its directors to the inventory, and writes their files.
+// addAgent adds an agent and its directors to the inventory and writes their files.
 func (f *fleetFiles) addAgent(i, directors int) error {
 	name := fmt.Sprintf("a%02d", i)
 	if err := authority.Issue(f.authority, f.dir, name, []authority.Role{authority.RoleAgent}, certificateValid, time.Now()); err != nil {
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// addDirector adds a director of an agent to the inventory, and writes its configuration and script.
+// addDirector adds a director of an agent to the inventory and writes its configuration and script.
 func (f *fleetFiles) addDirector(name, agentName string) error {
 	path := func(extension string) string { return filepath.Join(f.dir, name+extension) }
 	listen, err := faulttest.FreeAddress()
@@ -126,7 +127,8 @@
 	return nil
 }
 
-// peersLine is the line of a director's script that joins it to those before it.
+// peersLine returns the line of a director's script that joins it to the cluster of the directors
+// before it.
 func (f *fleetFiles) peersLine() (string, error) {
 	address, err := faulttest.FreeAddress()
 	if err != nil {
--- a/internal/experiment/fleethelpers_test.go
+++ b/internal/experiment/fleethelpers_test.go
@@ -15,7 +15,7 @@
 	"tallyproxy/rollout"
 )
 
-// listenAddress is the address at which a director's configuration has it listen.
+// listenAddress returns the listen address in a director's configuration file.
 func listenAddress(t *testing.T, path string) string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -29,17 +29,17 @@
 	return c.Listen
 }
 
-// newFleet starts a fleet and connects an operator; both end with the test.
-func newFleet(t *testing.T, agents, each int) (*LoopbackFleet, *ctl.Fleet) {
+// newFleet starts a fleet and connects an operator. Both end with the test.
+func newFleet(t *testing.T, agents, directorsPerAgent int) (*LoopbackFleet, *ctl.Fleet) {
 	t.Helper()
-	spec := fakes.DefaultSpec(4, agents*each)
+	spec := fakes.DefaultSpec(4, agents*directorsPerAgent)
 	spec.ColdEdges = false
 	cluster, err := fakes.New(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.Close)
-	dir, err := os.MkdirTemp("", "fleet") // sockets need short paths
+	dir, err := os.MkdirTemp("", "fleet") // not t.TempDir, since paths of Unix sockets must be short
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 			t.Error(err)
 		}
 	})
-	f, err := NewLoopbackFleet(cluster, dir, agents, each, selfAsDirector(t), "", false)
+	f, err := NewLoopbackFleet(cluster, dir, agents, directorsPerAgent, selfAsDirector(t), "", false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,8 @@
 	return f, op
 }
 
-// addLine makes a change that adds a line to every director's script, in waves of limit directors; 0 for all at once.
+// addLine returns a change that adds a line to every director's script, in waves of limit
+// directors, or all at once if limit is 0.
 func addLine(t *testing.T, v ctl.Snapshot, line string, limit int) *rollout.Change {
 	t.Helper()
 	candidates, err := v.Candidates()
@@ -75,7 +76,8 @@
 		func(p rollout.Candidate) string { return p.Script + line + "\n" })
 }
 
-// awaitScripts waits until every director reports that its script has a line, or none does, and returns how many do.
+// awaitScripts waits until either all directors or none report a script that contains a line, and
+// returns how many do.
 func awaitScripts(t *testing.T, op *ctl.Fleet, line string) (with int) {
 	t.Helper()
 	for end := time.Now().Add(40 * time.Second); ; time.Sleep(100 * time.Millisecond) {
@@ -96,7 +98,7 @@
 	}
 }
 
-// driveUntil drives a change until a step, whose first messages are not sent any more.
+// driveUntil runs a change up to a step, whose first messages are not sent.
 func driveUntil(t *testing.T, f *LoopbackFleet, change *rollout.Change, at rollout.Step) {
 	t.Helper()
 	id, err := f.identity("op")
@@ -105,8 +107,8 @@
 	}
 	peers := agent.NewClients(f.Inventory, id)
 	defer peers.Close()
-	c, begun := rollout.NewCoordinator("op/killed", 100, f.Inventory.AgentNames(), change, rollout.DefaultTimeouts(), nil), time.Now()
-	now := func() policy.Micros { return policy.MicrosOf(time.Since(begun)) }
+	c, startedAt := rollout.NewCoordinator("op/killed", 100, f.Inventory.AgentNames(), change, rollout.DefaultTimeouts(), nil), time.Now()
+	now := func() policy.Micros { return policy.MicrosOf(time.Since(startedAt)) }
 	for sends := c.Start(now()); c.Step() < at; sends = append(sends, c.Tick(now())...) {
 		if len(sends) == 0 {
 			time.Sleep(50 * time.Millisecond)
--- a/internal/experiment/fleetrefusal_test.go
+++ b/internal/experiment/fleetrefusal_test.go
@@ -13,7 +13,8 @@
 	"tallyproxy/rollout"
 )
 
-// TestRefusals: changes that must not take effect are refused with a reason.
+// TestRefusals checks that changes that must not take effect are refused with a reason: scripts
+// that are invalid or need a restart, and operators without the permission or a valid certificate.
 func TestRefusals(t *testing.T) {
 	inParallel(t)
 	f, op := newFleet(t, 3, 1)
@@ -25,7 +26,7 @@
 	})
 	t.Run("what the agent had checked and the director would not have", func(t *testing.T) {
 		r, err := op.Run(t.Context(), addLine(t, op.Snapshot(t.Context()), "machine(cores = 4)", 0), nil, nil)
-		// cores are one by the platform's limit: the script is fine and the director takes it
+		// the platform limits the director to one core; the script is valid and is applied
 		if err != nil || r.Outcome != rollout.Commit || !r.AllOrNone() {
 			t.Errorf("%+v, %v", r, err)
 		}
@@ -43,23 +44,23 @@
 			}
 		}
 		if n := awaitScripts(t, op, "elsewhere"); n != 0 {
-			t.Errorf("%d have it", n)
+			t.Errorf("%d directors run the refused script", n)
 		}
 	})
 	t.Run("an operator who may only look", func(t *testing.T) {
 		if err := authority.Issue(f.AuthorityDir, f.Dir, "looker", []authority.Role{authority.RoleViewer}, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		looker, err := f.Operator("looker")
+		viewer, err := f.Operator("looker")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer looker.Close()
-		v := looker.Snapshot(t.Context())
+		defer viewer.Close()
+		v := viewer.Snapshot(t.Context())
 		if len(v.Directors) != 3 || !v.Directors[0].Up {
-			t.Errorf("can't look: %+v", v)
+			t.Errorf("viewer can't read the fleet's state: %+v", v)
 		}
-		r, err := looker.Run(t.Context(), addLine(t, v, `log(level = "warn")`, 0), nil, nil)
+		r, err := viewer.Run(t.Context(), addLine(t, v, `log(level = "warn")`, 0), nil, nil)
 		if err != nil || r.RefusalReason == "" || r.Outcome != rollout.Undecided {
 			t.Errorf("%+v, %v", r, err)
 		}
@@ -68,12 +69,12 @@
 		if err := authority.Issue(f.AuthorityDir, f.Dir, "left", []authority.Role{authority.RoleEditor}, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		left, err := f.Operator("left")
+		revoked, err := f.Operator("left")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer left.Close()
-		if v := left.Snapshot(t.Context()); !v.Agents[0].Reachable {
+		defer revoked.Close()
+		if v := revoked.Snapshot(t.Context()); !v.Agents[0].Reachable {
 			t.Fatalf("%+v", v.Agents)
 		}
 		cert, err := authority.LoadCertificate(filepath.Join(f.Dir, "left.pem"))
@@ -83,7 +84,7 @@
 		if err := authority.Revoke(f.AuthorityDir, []*x509.Certificate{cert}, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		for _, a := range left.Snapshot(t.Context()).Agents { // at once, also on the connection that is there
+		for _, a := range revoked.Snapshot(t.Context()).Agents { // takes effect immediately, also on an open connection
 			if a.Reachable || !strings.Contains(a.Reason, "revoked") {
 				t.Errorf("%+v", a)
 			}
@@ -91,12 +92,12 @@
 		if err := authority.Issue(f.AuthorityDir, f.Dir, "late", []authority.Role{authority.RoleEditor}, time.Minute, time.Now().Add(-2*time.Hour)); err != nil {
 			t.Fatal(err)
 		}
-		late, err := f.Operator("late")
+		expired, err := f.Operator("late")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer late.Close()
-		for _, a := range late.Snapshot(t.Context()).Agents {
+		defer expired.Close()
+		for _, a := range expired.Snapshot(t.Context()).Agents {
 			if a.Reachable {
 				t.Errorf("%+v", a)
 			}
--- a/internal/experiment/loopbackfleet.go
+++ b/internal/experiment/loopbackfleet.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	maxSeeds          = 3 // directors whose addresses a new one is given, to find its cluster by
+	maxSeeds          = 3 // seed addresses that a new director gets to join its cluster
 	fleetStartTimeout = 60 * time.Second
 )
 
-// LoopbackFleet is a fleet on loopback: an authority, an inventory, agents in this process and directors as processes. Its methods are
-// safe for concurrent use.
+// LoopbackFleet is a fleet on loopback: an authority, an inventory, agents in this process and
+// directors as processes. Its methods are safe for concurrent use.
 type LoopbackFleet struct {
-	Cluster      *fakes.Cluster    // what the directors talk to
-	Dir          string            // has the files of all
+	Cluster      *fakes.Cluster    // fakes that the directors talk to
+	Dir          string            // folder with the files of all agents and directors
 	Inventory    *config.Inventory // agents and directors
-	AuthorityDir string            // has the authority's keys
+	AuthorityDir string            // folder with the authority's keys
 
 	mu     sync.Mutex
 	agents map[string]*runningAgent // by name; guarded by mu
 }
 
-// runningAgent is an agent that serves.
+// runningAgent is an agent that is serving.
 type runningAgent struct {
 	cancel context.CancelFunc
 	served chan struct{} // closed once Serve has returned
 	store  *agent.Store
 }
 
-// StartAgent starts an agent. Those of its directors that don't run start with it.
+// StartAgent starts an agent, which starts those of its directors that are not running.
 func (f *LoopbackFleet) StartAgent(name string) error {
 	identity, err := f.identity(name)
 	if err != nil {
@@ -57,7 +57,7 @@
 	running := &runningAgent{cancel, make(chan struct{}), store}
 	go func() {
 		defer close(running.served)
-		_ = a.Serve(ctx) // the tool reports an agent that can't be reached
+		_ = a.Serve(ctx) // an error shows in the tool, which reports the agent as unreachable
 	}()
 	f.mu.Lock()
 	f.agents[name] = running
@@ -65,12 +65,12 @@
 	return nil
 }
 
-// identity opens the certificate that the fleet's authority has issued for a name.
+// identity opens the certificate that the fleet's authority has issued under the given name.
 func (f *LoopbackFleet) identity(name string) (*authority.Identity, error) {
 	return authority.Open(f.AuthorityDir, filepath.Join(f.Dir, name+".pem"), filepath.Join(f.Dir, name+"-key.pem"))
 }
 
-// StopAgent stops an agent; its directors go on.
+// StopAgent stops an agent. Its directors keep running.
 func (f *LoopbackFleet) StopAgent(name string) {
 	f.mu.Lock()
 	running := f.agents[name]
@@ -81,10 +81,10 @@
 	}
 	running.cancel()
 	<-running.served
-	_ = running.store.Close() // each change was committed when it was made
+	_ = running.store.Close() // every change was committed when it was made
 }
 
-// Start starts all agents, and waits until every director reports its state.
+// Start starts all agents and waits until every director reports its state.
 func (f *LoopbackFleet) Start(ctx context.Context) error {
 	var starting sync.WaitGroup
 	errs := make([]error, len(f.Inventory.Agents))
@@ -113,12 +113,13 @@
 			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			return fmt.Errorf("%d of %d directors are up", up, len(f.Inventory.Directors))
+			return fmt.Errorf("fleet did not start: %d of %d directors are up", up, len(f.Inventory.Directors))
 		}
 	}
 }
 
-// Operator connects to the fleet with the certificate of a name. The caller closes it.
+// Operator connects to the fleet with the certificate of the given name. The caller closes the
+// connection.
 func (f *LoopbackFleet) Operator(name string) (*ctl.Fleet, error) {
 	identity, err := f.identity(name)
 	if err != nil {
@@ -127,7 +128,8 @@
 	return ctl.Open(f.Inventory, identity), nil
 }
 
-// Director is the director of a name, to be signalled and queried; nil where there is none.
+// Director returns a handle to signal and query the director of the given name, or nil if there is
+// none.
 func (f *LoopbackFleet) Director(name string) *agent.Director {
 	for _, entry := range f.Inventory.Directors {
 		if entry.Name == name {
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// Close stops all agents, and then all directors.
+// Close stops all agents and then all directors.
 func (f *LoopbackFleet) Close() {
 	var stopping sync.WaitGroup
 	for _, a := range f.Inventory.Agents {
@@ -145,7 +147,7 @@
 	}
 	stopping.Wait()
 	for _, entry := range f.Inventory.Directors {
-		stopping.Go(func() { _ = f.Director(entry.Name).Stop(context.Background()) }) // one that has ended can't be stopped
+		stopping.Go(func() { _ = f.Director(entry.Name).Stop(context.Background()) }) // fails for a director that has already ended
 	}
 	stopping.Wait()
 }
--- a/internal/experiment/loopbackfleet_test.go
+++ b/internal/experiment/loopbackfleet_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestDirectorRestart: a director that ends by itself is restarted with the script in force; one that was told to stop stays down.
+// TestDirectorRestart checks that an agent restarts a director that crashed, with the script in
+// force, and does not restart one that was stopped by SIGTERM.
 func TestDirectorRestart(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -32,7 +33,7 @@
 				return x.Up && x.Report.PID != before && !x.Drifted && strings.Contains(x.Script, "warn")
 			}
 			wait := 20 * time.Second
-			if !c.restarts { // three times as long as the first start would take
+			if !c.restarts { // three times as long as the first start takes
 				wait = 4 * time.Second
 			}
 			restarted := false
@@ -40,13 +41,14 @@
 				restarted = isRestarted()
 			}
 			if restarted != c.restarts || !down {
-				t.Errorf("back: %v, was down: %v", restarted, down)
+				t.Errorf("restarted: %v, was down: %v", restarted, down)
 			}
 		})
 	}
 }
 
-// TestAgentMembership: agents detect each other and that one has left, by the same detector as directors.
+// TestAgentMembership checks that agents detect each other, and that an agent which stops is seen
+// as having left, by the failure detector that directors use too.
 func TestAgentMembership(t *testing.T) {
 	inParallel(t)
 	f, op := newFleet(t, 3, 1)
@@ -69,7 +71,7 @@
 			}
 		}
 	}
-	until("they don't all see each other", sees(map[string]string{"a00": "up", "a01": "up", "a02": "up"}))
+	until("not all agents see each other", sees(map[string]string{"a00": "up", "a01": "up", "a02": "up"}))
 	f.StopAgent("a02")
-	until("one that stopped has not left", sees(map[string]string{"a02": "left"}))
+	until("an agent that stopped is not reported as having left", sees(map[string]string{"a02": "left"}))
 }
