--- a/internal/experiment/maintenance.go
+++ b/internal/experiment/maintenance.go
@@ -12,55 +12,55 @@
 	"tallyproxy/policy"
 )
 
-// MaintenancePlan is the experiment `tallybench plan`: orders in which machines are taken out for maintenance, as package maintenance
-// plans them for random sites.
+// MaintenancePlan is the experiment `tallybench plan`. It measures the maintenance schedules that
+// package maintenance plans for the machines of random sites.
 type MaintenancePlan struct {
-	Locations      int     `name:"depots" default:"10" help:"Locations."`
-	CacheNodes     int     `name:"boxes" default:"170" help:"Cache nodes, over all locations, unequally."`
-	Parents        int     `default:"30" help:"Parents, over three hubs."`
-	Jobs           int     `default:"60" help:"Machines to be taken out."`
-	Demand         float64 `default:"0.5" help:"Demand at the busiest time, relative to the capacity of all; 0.4 of that at night."`
-	Schedules      int     `default:"20" help:"Random sites with jobs."`
-	SmallSchedules int     `name:"small" default:"200" help:"Small sites with seven jobs, on which the fast planner is compared with the exact one."`
+	Locations      int     `name:"depots" default:"10" help:"Number of locations."`
+	CacheNodes     int     `name:"boxes" default:"170" help:"Number of cache nodes, distributed unequally over the locations."`
+	Parents        int     `default:"30" help:"Number of parents, distributed over three hubs."`
+	Jobs           int     `default:"60" help:"Number of machines to take out of service."`
+	Demand         float64 `default:"0.5" help:"Demand at the busiest time, relative to the capacity of all machines; at night it is 0.4 of that."`
+	Schedules      int     `default:"20" help:"Number of random sites with jobs."`
+	SmallSchedules int     `name:"small" default:"200" help:"Number of small sites with seven jobs, on which the fast planner is compared with the exact one."`
 	Seed           uint64  `default:"1" help:"Seed of sites and jobs."`
 	JSON           bool    `name:"json" help:"Print one JSON object."`
 }
 
 const (
 	hubs                   = 3
-	smallCacheNodes        = 5 // of a small site
+	smallCacheNodes        = 5 // cache nodes of a small site
 	smallParents           = 6
 	smallJobs              = 7
 	localSearchMoves       = 400
-	exactLimit             = 7 // jobs up to which the exact planner is used
+	exactLimit             = 7 // largest number of jobs for the exact planner
 	slotDuration           = 3600 * policy.Second
-	manualPause            = 60 * policy.Second // between two jobs of a location, by hand
-	nightDemand            = 0.4                // of the busiest time's
-	maintenanceStream      = 41                 // of the random generator
+	manualPause            = 60 * policy.Second // between two jobs of a location when done by hand
+	nightDemand            = 0.4                // share of the demand at the busiest time
+	maintenanceStream      = 41                 // stream of the random generator
 	maxUnavailable         = 0.34
 	reservedCapacity       = 0.1
 	parentCapacity         = 10.0
 	minimumNodesOfLocation = 2
 )
 
-// MaintenancePlanResult is the result of all sites.
+// MaintenancePlanResult is the result over all sites.
 type MaintenancePlanResult struct {
 	Schedules          int     `json:"schedules"`        // large sites that were planned
-	Violations         int     `json:"over_planned_out"` // plans that break a constraint
-	Infeasible         int     `json:"never"`            // jobs without a place, for which the plan has a reason
-	LateOverManual     float64 `json:"late_over_hand"`   // late jobs, relative to one after another by hand
-	MakespanOverManual float64 `json:"done_over_hand"`   // time until all is done, relative to one after another by hand
-	RandomOverPlan     float64 `json:"random_over_plan"` // time until all is done in a random order, relative to the plan
+	Violations         int     `json:"over_planned_out"` // plans that violate a constraint
+	Infeasible         int     `json:"never"`            // jobs that can't be scheduled; the plan has a reason for each
+	LateOverManual     float64 `json:"late_over_hand"`   // late jobs, relative to sequential work by hand
+	MakespanOverManual float64 `json:"done_over_hand"`   // makespan, relative to sequential work by hand
+	RandomOverPlan     float64 `json:"random_over_plan"` // makespan of a random order, relative to the plan
 	MaxPlanningMS      float64 `json:"planner_ms"`       // wall-clock time of the slowest plan
-	MeanGap            float64 `json:"gap_mean"`         // of small sites: time of the fast plan relative to the exact one, less 1
-	MaxGap             float64 `json:"gap_most"`         // the largest
-	NoGapShare         float64 `json:"gap_none_share"`   // share of small sites on which the two are equal
-	OrdersTried        int     `json:"orders_looked_at"` // by the exact planner
+	MeanGap            float64 `json:"gap_mean"`         // small sites: mean cost of the fast plan relative to the exact one, minus 1
+	MaxGap             float64 `json:"gap_most"`         // largest such gap
+	NoGapShare         float64 `json:"gap_none_share"`   // share of small sites on which both plans are equal
+	OrdersTried        int     `json:"orders_looked_at"` // orders that the exact planner tried
 
-	planned, manual float64 // sums of the time until all is done, in µs
+	planned, manual float64 // sums of makespans, in µs
 }
 
-// Broken names the rule that was broken, with its count; empty for none.
+// Broken returns the name and count of the rule that was broken, or an empty string.
 func (r MaintenancePlanResult) Broken() string {
 	if r.Violations > 0 {
 		return fmt.Sprintf("over_planned_out %d", r.Violations)
@@ -68,10 +68,10 @@
 	return ""
 }
 
-// siteSize is what a random site is drawn for.
+// siteSize is the size of a random site.
 type siteSize struct{ locations, cacheNodes, parents, jobs int }
 
-// drawSite draws a site, its demand over three hours, and jobs.
+// drawSite draws a random site, its demand over three hours, and its jobs.
 func (m *MaintenancePlan) drawSite(random *rand.Rand, size siteSize) (maintenance.Site, []maintenance.Job) {
 	site := maintenance.Site{
 		WarmUp: [3]policy.Micros{10 * policy.Second, 20 * policy.Second, 0}, MaxUnavailable: maxUnavailable, Reserve: reservedCapacity,
@@ -79,7 +79,7 @@
 	}
 	for i := range size.cacheNodes {
 		location := i % size.locations
-		if i >= minimumNodesOfLocation*size.locations { // the rest unequally
+		if i >= minimumNodesOfLocation*size.locations { // distributes the remaining nodes unequally
 			location = int(float64(size.locations) * math.Pow(random.Float64(), 1.5))
 		}
 		site.Machines = append(site.Machines, maintenance.Machine{Name: fmt.Sprint("box-", i), Kind: maintenance.CacheNode,
@@ -93,7 +93,7 @@
 	return site, drawJobs(random, site.Machines, size.jobs)
 }
 
-// demand is the demand at the day's end, by night and in the morning.
+// demand returns the demand in three slots: end of the day, night and morning.
 func (m *MaintenancePlan) demand(machines []maintenance.Machine) (slots []maintenance.Slot) {
 	capacity := map[string]float64{} // by location
 	for _, machine := range machines {
@@ -109,7 +109,7 @@
 	return slots
 }
 
-// drawJobs draws jobs of one machine each, a quarter of them with a deadline.
+// drawJobs draws jobs for one machine each. A quarter of them has a deadline.
 func drawJobs(random *rand.Rand, machines []maintenance.Machine, count int) (jobs []maintenance.Job) {
 	for i, k := range random.Perm(len(machines))[:min(count, len(machines))] {
 		duration := policy.Micros(300+random.IntN(900)) * policy.Second
@@ -122,18 +122,18 @@
 	return jobs
 }
 
-// planByHand does the jobs of each location one after another, with a fixed pause in between, whatever the demand. It returns when all
-// are done, and how many are late.
+// planByHand schedules the jobs of each location one after another, with a fixed pause between them
+// and regardless of the demand. It returns the makespan and the number of late jobs.
 func planByHand(site maintenance.Site, jobs []maintenance.Job) (makespan policy.Micros, late int) {
-	free := map[string]policy.Micros{} // when the next job of a location may begin
+	nextStart := map[string]policy.Micros{} // by location: earliest start of its next job
 	locations := map[string]string{}
 	for _, machine := range site.Machines {
 		locations[machine.Name] = machine.Location
 	}
 	for _, job := range jobs {
 		location := locations[job.Machines[0]]
-		end := free[location] + job.Duration
-		free[location] = end + manualPause
+		end := nextStart[location] + job.Duration
+		nextStart[location] = end + manualPause
 		makespan = max(makespan, end)
 		late += boolean.Int(job.Deadline > 0 && end > job.Deadline)
 	}
@@ -144,7 +144,7 @@
 func (m *MaintenancePlan) Execute() (result MaintenancePlanResult, err error) {
 	if m.Locations < 1 || m.CacheNodes < minimumNodesOfLocation*m.Locations || m.Parents < 2*hubs || m.Jobs < 1 || m.Schedules < 1 ||
 		m.Demand < 0 || m.Demand > 1 {
-		return result, fmt.Errorf("two boxes to a location, two parents to each of three hubs, a job, a schedule and a demand from 0 to 1 at the least")
+		return result, fmt.Errorf("need at least two cache nodes per location, two parents for each of three hubs, one job and one schedule, and a demand from 0 to 1")
 	}
 	random := rand.New(rand.NewPCG(m.Seed, maintenanceStream))
 	m.compareWithManual(random, &result)
@@ -152,14 +152,15 @@
 	return result, nil
 }
 
-// compareWithManual plans large sites, and compares the plans with work by hand and with a random order.
+// compareWithManual plans large sites and compares the plans with sequential work by hand and with
+// a random order.
 func (m *MaintenancePlan) compareWithManual(random *rand.Rand, result *MaintenancePlanResult) {
 	late, lateByHand, randomOrder := 0, 0, 0.0
 	for range m.Schedules {
 		site, jobs := m.drawSite(random, siteSize{m.Locations, m.CacheNodes, m.Parents, m.Jobs})
-		begun := time.Now()
+		startedAt := time.Now()
 		plan := maintenance.MakePlan(site, jobs, m.Seed)
-		result.MaxPlanningMS = max(result.MaxPlanningMS, float64(time.Since(begun).Microseconds())/1000)
+		result.MaxPlanningMS = max(result.MaxPlanningMS, float64(time.Since(startedAt).Microseconds())/1000)
 		result.Schedules++
 		result.Infeasible += len(plan.Infeasible)
 		result.Violations += boolean.Int(len(maintenance.Violations(site, jobs, plan)) > 0)
@@ -177,18 +178,19 @@
 	result.LateOverManual = ratio(float64(late), max(1, float64(lateByHand)))
 }
 
-// randomOrderMakespan is when all jobs are done in the order in which they were drawn, which is a random one, without their deadlines.
+// randomOrderMakespan returns the makespan if the jobs are scheduled in the random order in which
+// they were drawn, without deadlines.
 func randomOrderMakespan(site maintenance.Site, jobs []maintenance.Job) policy.Micros {
 	site.LocalSearchMoves = 0
-	unbound := make([]maintenance.Job, len(jobs))
+	withoutDeadlines := make([]maintenance.Job, len(jobs))
 	for i, job := range jobs {
 		job.Deadline, job.NotBefore = 0, 0
-		unbound[i] = job
+		withoutDeadlines[i] = job
 	}
-	return maintenance.PlanInOrder(site, unbound).Makespan
+	return maintenance.PlanInOrder(site, withoutDeadlines).Makespan
 }
 
-// compareWithExact plans small sites by the exact planner and by the fast one.
+// compareWithExact plans small sites with the exact planner and with the fast one.
 func (m *MaintenancePlan) compareWithExact(random *rand.Rand, result *MaintenancePlanResult) {
 	equal := 0
 	for range m.SmallSchedules {
@@ -211,13 +213,13 @@
 	result.NoGapShare = ratio(float64(equal), float64(m.SmallSchedules))
 }
 
-// Table is the result as text.
+// Table formats the result as text.
 func (r MaintenancePlanResult) Table() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d schedules: all done in %.2f of the time of one after another by hand, with %.2f of its late jobs; a random order takes "+
+	fmt.Fprintf(&b, "%d schedules: makespan %.2f and late jobs %.2f, relative to sequential work by hand; a random order takes "+
 		"%.2f times the plan's time\n", r.Schedules, r.MakespanOverManual, r.LateOverManual, r.RandomOverPlan)
-	fmt.Fprintf(&b, "%d jobs can't be placed, %d plans break a constraint, the slowest plan took %.0f ms\n", r.Infeasible, r.Violations, r.MaxPlanningMS)
-	fmt.Fprintf(&b, "small sites: the fast planner is %.4f slower than the exact one on average, %.4f at most, no slower on %.2f of them\n", r.MeanGap,
+	fmt.Fprintf(&b, "%d jobs can't be scheduled, %d plans violate a constraint, the slowest plan took %.0f ms\n", r.Infeasible, r.Violations, r.MaxPlanningMS)
+	fmt.Fprintf(&b, "small sites: plans of the fast planner are longer than the exact ones by %.4f on average, %.4f at most; equal on %.2f of the sites\n", r.MeanGap,
 		r.MaxGap, r.NoGapShare)
 	return b.String()
 }
--- a/internal/experiment/maintenance_test.go
+++ b/internal/experiment/maintenance_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// TestMaintenancePlan: plans for two hundred machines keep the constraints, and are done in half the time of one after another by hand.
+// TestMaintenancePlan checks that plans for two hundred machines violate no constraint and take at
+// most half the time of sequential work by hand.
 func TestMaintenancePlan(t *testing.T) {
-	w := MaintenancePlan{Locations: 10, CacheNodes: 170, Parents: 30, Jobs: 60, Demand: 0.5, Schedules: 2, SmallSchedules: 20, Seed: 1}
-	r, err := w.Execute()
+	plan := MaintenancePlan{Locations: 10, CacheNodes: 170, Parents: 30, Jobs: 60, Demand: 0.5, Schedules: 2, SmallSchedules: 20, Seed: 1}
+	r, err := plan.Execute()
 	if err != nil || r.Violations > 0 || r.MakespanOverManual > 0.5 || r.RandomOverPlan < 1 || r.MeanGap > 0.02 {
 		t.Errorf("%+v, %v", r, err)
 	}
--- a/internal/experiment/membership.go
+++ b/internal/experiment/membership.go
@@ -12,95 +12,96 @@
 	"tallyproxy/internal/faulttest"
 )
 
-// Membership is the experiment `tallybench peers`: directors that form a cluster, and faults between them. Directors are processes, or
-// simulated, or failure detectors alone.
+// Membership is the experiment `tallybench peers`: directors that form a cluster, and faults
+// between them. The directors are processes, or simulated, or only failure detectors.
 type Membership struct {
-	Directors         []int    `name:"instances" default:"5" help:"Directors, as processes."`
+	Directors         []int    `name:"instances" default:"5" help:"Numbers of directors, which run as processes."`
 	Faults            []string `default:"seven" enum:"none,oneway,halves,thirds,stop,restart,seven,zone,away,flap,twin,loss,liar,term,drawn" help:"Kinds of fault: ${enum}."`
-	Simulated         []int    `placeholder:"N,..." help:"Run so many directors in simulated time instead, with a failure detector that is late and at times wrong."`
-	Detectors         []int    `name:"together" placeholder:"N,..." help:"Run so many failure detectors alone instead, in one process and in real time: how long until all know that some have failed."`
-	Slowdown          int      `name:"slow" default:"1" help:"Run detectors so many times slower, for more of them than the machine has processors for; times in the result are divided by it."`
-	Schedules         int      `default:"1" help:"Schedules for each size and kind."`
+	Simulated         []int    `placeholder:"N,..." help:"Simulate these numbers of directors instead, with a failure detector that is late and sometimes wrong."`
+	Detectors         []int    `name:"together" placeholder:"N,..." help:"Run only these numbers of failure detectors instead, in one process and in real time, and measure how long it takes until all know of a failure."`
+	Slowdown          int      `name:"slow" default:"1" help:"Factor by which detectors run slower, for more of them than the machine has CPUs for; times in the result are divided by it."`
+	Schedules         int      `default:"1" help:"Number of schedules for each size and kind of fault."`
 	OnlySchedule      int      `name:"only" default:"-1" help:"Run only the schedule of this number."`
-	ScheduleFile      string   `name:"schedule" placeholder:"FILE" help:"Run a schedule as it was printed instead."`
-	Shrink            bool     `help:"Shorten a schedule that fails, and print what is left."`
-	CompareFixedQuota bool     `name:"beside" help:"Run the same with fixed quotas, for comparison."`
+	ScheduleFile      string   `name:"schedule" placeholder:"FILE" help:"Run the schedule in this file instead; the file has the JSON of a printed schedule."`
+	Shrink            bool     `help:"Shorten a schedule that fails, and print the shortest one that still fails."`
+	CompareFixedQuota bool     `name:"beside" help:"Also run each schedule with fixed quotas, for comparison."`
 	Seed              uint64   `default:"1" help:"Seed of schedules, clients and objects."`
-	CacheNodes        int      `name:"boxes" default:"8" help:"Cache nodes."`
-	Clients           int      `default:"200" help:"Clients."`
-	Load              float64  `default:"0.4" help:"Clients' demand, relative to the capacity of warm caches."`
-	PrintHistory      bool     `name:"history" help:"Print what every process logged and did."`
+	CacheNodes        int      `name:"boxes" default:"8" help:"Number of cache nodes."`
+	Clients           int      `default:"200" help:"Number of clients."`
+	Load              float64  `default:"0.4" help:"Demand of the clients, relative to the capacity of warm caches."`
+	PrintHistory      bool     `name:"history" help:"Print the log and the events of every process."`
 	JSON              bool     `name:"json" help:"Print one JSON object."`
-	DirectorPath      string   `name:"director" placeholder:"FILE" help:"The director's program; by default tallyproxy beside this program."`
+	DirectorPath      string   `name:"director" placeholder:"FILE" help:"Path of the director's executable; default: tallyproxy in this executable's folder."`
 
-	Argv []string  `kong:"-"` // starts a director
-	Log  io.Writer `kong:"-"` // of the directors; nil for none
+	Argv []string  `kong:"-"` // command line that starts a director
+	Log  io.Writer `kong:"-"` // receives the directors' logs; nil for none
 }
 
 const (
-	maxDirectors   = 300 // as processes
-	maxShrinkRuns  = 24  // to shorten a schedule
-	maxFailing     = 8   // schedules that a run prints
-	recoveryFailed = -1  // MembershipRun.Recovery
+	maxDirectors   = 300 // largest number of directors as processes
+	maxShrinkRuns  = 24  // largest number of runs to shorten a schedule
+	maxFailing     = 8   // largest number of failing schedules in a result
+	recoveryFailed = -1  // value of MembershipRun.Recovery if requests did not recover
 )
 
-// MembershipRun is the result of one number of directors with one kind of fault. Without processes only few of the values are measured.
+// MembershipRun is the result for one number of directors and one kind of fault. Without processes
+// only some of the values are measured.
 type MembershipRun struct {
-	Directors       int            `json:"instances"`                  // in the cluster
-	Faults          string         `json:"faults"`                     // their kind
+	Directors       int            `json:"instances"`                  // number of directors in the cluster
+	Faults          string         `json:"faults"`                     // kind of the faults
 	Simulated       bool           `json:"simulated"`                  // in simulated time
-	Schedules       int            `json:"schedules"`                  // that were played
-	RulesBroken     int            `json:"rules_broken"`               // of answers, copies, drains and processes
-	Lost            int            `json:"lost"`                       // attempts without the answer that a director owed
-	QuotaExceeded   int            `json:"parts_over"`                 // times at which the sum of quotas was above its bound
-	OverloadedNodes int            `json:"fallen"`                     // cache nodes
-	Unfinished      int            `json:"unended"`                    // schedules that did not end with a common view in time
-	PeakQuotaSum    float64        `json:"parts_peak"`                 // most that the quotas came to together
-	DetectionP50    float64        `json:"know_death_ms_p50"`          // ms until all knew that a director had failed
-	DetectionP99    float64        `json:"know_death_ms_p99"`          // ms until all knew that a director had failed
+	Schedules       int            `json:"schedules"`                  // schedules that were run
+	RulesBroken     int            `json:"rules_broken"`               // violations of rules on answers, copies, drains and processes
+	Lost            int            `json:"lost"`                       // attempts that a director should have answered but did not
+	QuotaExceeded   int            `json:"parts_over"`                 // observations of a sum of quotas above its bound
+	OverloadedNodes int            `json:"fallen"`                     // cache nodes that were overloaded
+	Unfinished      int            `json:"unended"`                    // schedules without a common view at their end
+	PeakQuotaSum    float64        `json:"parts_peak"`                 // largest sum of quotas
+	DetectionP50    float64        `json:"know_death_ms_p50"`          // ms until all directors knew of a failure
+	DetectionP99    float64        `json:"know_death_ms_p99"`          // ms until all directors knew of a failure
 	ConvergenceP99  float64        `json:"one_view_ms_p99"`            // ms from the end of the last fault until the common view
-	FalseFailures   float64        `json:"wrongly_failed_per_hour"`    // of a director
-	FalseSuspicions float64        `json:"wrongly_suspected_per_hour"` // of a director
-	Packets         float64        `json:"packets_per_s"`              // that a director received; simulated: sent
-	Bytes           float64        `json:"bytes_per_s"`                // that a director received
-	Memory          float64        `json:"memory_mb"`                  // most of any director
-	SuccessShare    float64        `json:"fulfilled_share"`            // of requests
-	Recovery        float64        `json:"recovery_ms"`                // the longest until nine tenths of the requests succeeded; -1 for not
-	Series          []float64      `json:"series"`                     // of the last schedule, see faulttest.Outcome.SuccessSeries
-	PeakColdLoad    float64        `json:"cold_peak_load"`             // of a cache node that was cold, relative to what overloads it
-	FixedQuota      *MembershipRun `json:"fixed,omitempty"`            // the same with fixed quotas
+	FalseFailures   float64        `json:"wrongly_failed_per_hour"`    // per director
+	FalseSuspicions float64        `json:"wrongly_suspected_per_hour"` // per director
+	Packets         float64        `json:"packets_per_s"`              // received per director; simulated: sent per director
+	Bytes           float64        `json:"bytes_per_s"`                // received per director
+	Memory          float64        `json:"memory_mb"`                  // peak of any director
+	SuccessShare    float64        `json:"fulfilled_share"`            // share of requests that succeeded
+	Recovery        float64        `json:"recovery_ms"`                // largest time in ms until nine tenths of the requests succeeded; -1: never
+	Series          []float64      `json:"series"`                     // faulttest.Outcome.SuccessSeries of the last schedule
+	PeakColdLoad    float64        `json:"cold_peak_load"`             // peak load of a cold cache node, relative to its overload threshold
+	FixedQuota      *MembershipRun `json:"fixed,omitempty"`            // the same schedules with fixed quotas
 	Failing         []string       `json:"failing,omitempty"`          // schedules that failed, as JSON
 	Reasons         []string       `json:"why,omitempty"`              // why they failed
 
 	detections      []float64 // ms
 	convergences    []float64 // ms
-	hours           float64   // that directors ran, together
+	hours           float64   // sum of the directors' running times
 	falseFailures   int
 	falseSuspicions int
 }
 
 // MembershipResult has all runs and their sums.
 type MembershipResult struct {
-	Runs            []*MembershipRun `json:"runs"`              // for each kind of fault and number of directors
-	RulesBroken     int              `json:"rules_broken"`      // of answers, copies, drains and processes
-	Lost            int              `json:"lost"`              // attempts without the answer that a director owed
-	QuotaExceeded   int              `json:"parts_over"`        // times at which the sum of quotas was above its bound
-	OverloadedNodes int              `json:"fallen"`            // cache nodes
-	Schedules       int              `json:"schedules"`         // that were played
-	Unfinished      int              `json:"unended"`           // schedules that did not end with a common view in time
-	DetectionP99    float64          `json:"know_death_ms_p99"` // of all runs' failures, in ms
+	Runs            []*MembershipRun `json:"runs"`              // one for each kind of fault and number of directors
+	RulesBroken     int              `json:"rules_broken"`      // violations of rules on answers, copies, drains and processes
+	Lost            int              `json:"lost"`              // attempts that a director should have answered but did not
+	QuotaExceeded   int              `json:"parts_over"`        // observations of a sum of quotas above its bound
+	OverloadedNodes int              `json:"fallen"`            // cache nodes that were overloaded
+	Schedules       int              `json:"schedules"`         // schedules that were run
+	Unfinished      int              `json:"unended"`           // schedules without a common view at their end
+	DetectionP99    float64          `json:"know_death_ms_p99"` // ms, over the failures of all runs
 
 	detections []float64 // ms
 }
 
-// Broken names the rules that were broken, with counts.
+// Broken returns the names and counts of the rules that were broken.
 func (r MembershipResult) Broken() []string {
 	return countsAboveZero([]namedCount{
 		{"rules_broken", r.RulesBroken}, {"lost", r.Lost}, {"parts_over", r.QuotaExceeded}, {"fallen", r.OverloadedNodes}, {"unended", r.Unfinished},
 	})
 }
 
-// add takes a run into the sums.
+// add adds a run to the result and its sums.
 func (r *MembershipResult) add(run *MembershipRun) {
 	r.Runs = append(r.Runs, run)
 	r.detections = append(r.detections, run.detections...)
@@ -113,10 +114,11 @@
 	r.DetectionP99 = quantile(r.detections, 0.99)
 }
 
-// Execute runs the experiment. An error says that it could not be run; broken rules are in the result.
+// Execute runs the experiment. It returns an error if the experiment could not be run; broken rules
+// are part of the result.
 func (p *Membership) Execute(ctx context.Context) (out MembershipResult, err error) {
 	if len(p.Detectors) > 0 {
-		return p.playDetectors(ctx)
+		return p.runDetectors(ctx)
 	}
 	counts, simulated := p.Directors, false
 	if len(p.Simulated) > 0 {
@@ -125,9 +127,9 @@
 	for _, kind := range p.Faults {
 		for _, n := range counts {
 			if n < 2 || n > maxDirectors && !simulated || n > maxSimulatedDirectors {
-				return out, fmt.Errorf("--instances, --simulated: %d is not from 2 to %d, or %d in simulated time", n, maxDirectors, maxSimulatedDirectors)
+				return out, fmt.Errorf("--instances, --simulated: %d is out of range, want 2 to %d directors, or 2 to %d in simulated time", n, maxDirectors, maxSimulatedDirectors)
 			}
-			run, err := p.playKind(ctx, kind, n, simulated)
+			run, err := p.runKind(ctx, kind, n, simulated)
 			if err != nil {
 				return out, err
 			}
@@ -137,8 +139,9 @@
 	return out, nil
 }
 
-// playDetectors has failure detectors fail one at a time, and then most of them at once.
-func (p *Membership) playDetectors(ctx context.Context) (out MembershipResult, err error) {
+// runDetectors runs trials in which failure detectors fail one at a time, and then trials in which
+// most of them fail at the same time.
+func (p *Membership) runDetectors(ctx context.Context) (out MembershipResult, err error) {
 	for _, n := range p.Detectors {
 		oneByOne := DetectorTrial{Directors: n, Failing: 1, Rounds: min(10, n-2), Slowdown: p.Slowdown}
 		most := DetectorTrial{Directors: n, Failing: min(n*7/10, n-2), Rounds: 1, Slowdown: p.Slowdown}
@@ -153,8 +156,8 @@
 	return out, nil
 }
 
-// playKind plays the schedules of one kind of fault with n directors.
-func (p *Membership) playKind(ctx context.Context, kind string, n int, simulated bool) (*MembershipRun, error) {
+// runKind runs the schedules of one kind of fault with n directors.
+func (p *Membership) runKind(ctx context.Context, kind string, n int, simulated bool) (*MembershipRun, error) {
 	run := &MembershipRun{Directors: n, Faults: kind, Simulated: simulated}
 	if p.CompareFixedQuota && !simulated {
 		run.FixedQuota = &MembershipRun{Directors: n, Faults: kind}
@@ -168,7 +171,7 @@
 			return nil, err
 		}
 		run.Directors = schedule.Directors
-		if err := p.playSchedule(ctx, run, schedule, simulated); err != nil {
+		if err := p.runSchedule(ctx, run, schedule, simulated); err != nil {
 			return nil, err
 		}
 	}
@@ -176,7 +179,8 @@
 	return run, nil
 }
 
-// schedule is the schedule of a number: the one of the file where there is one. A number above all takes every schedule's place.
+// schedule returns the schedule of the given number, or the one in ScheduleFile if that is set. An
+// OnlySchedule that is not below Schedules replaces every number.
 func (p *Membership) schedule(kind string, number, n int) (faulttest.Schedule, error) {
 	if p.ScheduleFile != "" {
 		return p.readSchedule()
@@ -201,8 +205,8 @@
 	return schedule, err
 }
 
-// playSchedule plays one schedule, and shorter ones where it fails and that is wanted.
-func (p *Membership) playSchedule(ctx context.Context, run *MembershipRun, schedule faulttest.Schedule, simulated bool) error {
+// runSchedule runs one schedule. If it fails and Shrink is set, it also runs shorter ones.
+func (p *Membership) runSchedule(ctx context.Context, run *MembershipRun, schedule faulttest.Schedule, simulated bool) error {
 	run.Schedules++
 	if simulated {
 		p.simulateSchedule(run, schedule)
@@ -234,7 +238,7 @@
 	return nil
 }
 
-// simulateSchedule plays one schedule in simulated time.
+// simulateSchedule runs one schedule in simulated time.
 func (p *Membership) simulateSchedule(run *MembershipRun, schedule faulttest.Schedule) {
 	result := simulateMembership(schedule)
 	run.PeakQuotaSum = max(run.PeakQuotaSum, result.PeakQuotaSum)
@@ -247,7 +251,8 @@
 	}
 }
 
-// recordFailure adds a schedule that failed to the run's; with Shrink a shorter one for which fails is true as well.
+// recordFailure adds a failed schedule to the run. With Shrink it adds a shorter schedule for which
+// fails returns true as well.
 func (p *Membership) recordFailure(run *MembershipRun, schedule faulttest.Schedule, fails func(faulttest.Schedule) bool) {
 	if len(run.Failing) >= maxFailing {
 		return
@@ -258,7 +263,7 @@
 	run.Failing = append(run.Failing, schedule.String())
 }
 
-// spec is the harness's for directors in a cluster, or with fixed quotas.
+// spec returns the spec of the harness, for directors in a cluster or with fixed quotas.
 func (p *Membership) spec(fixedQuota bool) faulttest.Spec {
 	return faulttest.Spec{
 		Argv: p.Argv, NoPeers: fixedQuota, CacheNodes: p.CacheNodes, Clients: p.Clients, LoadFactor: p.Load, WarmCaches: true, LoadBefore: time.Second,
@@ -266,7 +271,7 @@
 	}
 }
 
-// add takes the outcome of one more schedule into the run, whose Schedules counts it already.
+// add adds the outcome of a schedule, which r.Schedules must already count.
 func (r *MembershipRun) add(o faulttest.Outcome) {
 	r.RulesBroken += o.RuleViolations()
 	r.Lost += o.Lost
@@ -292,7 +297,7 @@
 	}
 }
 
-// summarize sets the quantiles and rates from what was collected.
+// summarize computes quantiles and rates from the collected values.
 func (r *MembershipRun) summarize() {
 	r.DetectionP50, r.DetectionP99 = quantile(r.detections, 0.5), quantile(r.detections, 0.99)
 	r.ConvergenceP99 = quantile(r.convergences, 0.99)
--- a/internal/experiment/membershipfaults.go
+++ b/internal/experiment/membershipfaults.go
@@ -6,9 +6,10 @@
 	"tallyproxy/internal/faulttest"
 )
 
-const maxCacheNodes = 64 // that faults name; there are fewer
+const maxCacheNodes = 64 // upper bound on cache nodes that faults refer to; a cluster has fewer
 
-// NamedSchedule is the schedule of a kind of fault, by its name in --faults, for n directors. Seed and number matter for random ones.
+// NamedSchedule returns the schedule of a kind of fault, by its name in --faults, for n directors.
+// Random schedules depend on seed and number.
 func NamedSchedule(kind string, seed uint64, number, n int) faulttest.Schedule {
 	schedule := faulttest.Schedule{Seed: seed, Number: number, Directors: n, LengthMS: 8000}
 	switch kind {
@@ -21,7 +22,7 @@
 	return schedule
 }
 
-// namedFaults are the faults of a kind that is not random.
+// namedFaults returns the faults of a kind that is not random.
 func namedFaults(kind string, n int) []faulttest.Fault {
 	all, third, cacheNodes := indexes(n), indexes((n+2)/3), indexes(maxCacheNodes)
 	switch kind {
@@ -60,12 +61,12 @@
 	return nil
 }
 
-// partition divides n directors into groups for six seconds.
+// partition returns a fault that partitions n directors into groups for six seconds.
 func partition(n, groups int) faulttest.Fault {
 	return faulttest.Fault{Kind: faulttest.Partition, AtMS: 500, ForMS: 6000, Groups: alternate(n, groups)}
 }
 
-// indexes are the numbers from 0 to n-1.
+// indexes returns the numbers from 0 to n-1.
 func indexes(n int) []int {
 	all := make([]int, n)
 	for i := range all {
@@ -74,7 +75,7 @@
 	return all
 }
 
-// alternate divides the numbers from 0 to n-1 into groups, in turn.
+// alternate assigns the numbers from 0 to n-1 to groups in turn.
 func alternate(n, groups int) [][]int {
 	divided := make([][]int, groups)
 	for i := range n {
--- a/internal/experiment/membershipnet.go
+++ b/internal/experiment/membershipnet.go
@@ -9,38 +9,39 @@
 	"tallyproxy/policy"
 )
 
-// detectorReport is what a director's failure detector is about to tell it of another one.
+// detectorReport is a report that a director's failure detector will make about another director.
 type detectorReport struct {
-	at         policy.Micros
-	by, of     int
-	wrong      bool             // tells wrongState, whatever is true
-	wrongState membership.State // with wrong
+	at                policy.Micros
+	observer, subject int
+	wrong             bool             // reports wrongState regardless of the actual state
+	wrongState        membership.State // used if wrong is set
 }
 
-// leaseMessage is a request or a grant under way.
+// leaseMessage is a lease request or a lease grant in transit.
 type leaseMessage struct {
-	at          policy.Micros // of its arrival
+	at          policy.Micros // time of arrival
 	from, to    int
-	request     *membership.LeaseRequest // or
-	grant       *membership.LeaseGrant
-	incarnation uint64 // of the receiver; a later one does not get it
+	request     *membership.LeaseRequest // nil for a grant
+	grant       *membership.LeaseGrant   // nil for a request
+	incarnation uint64                   // of the receiver at the time of sending; a later incarnation does not receive it
 }
 
-// report tells a director's view the state of another director.
-func (m *membershipSim) report(by, of int, state membership.State) {
-	if by != of && m.directors[by].alive {
-		m.reported[m.pair(by, of)] = int8(state)
-		settings := m.directors[of].settings
-		m.directors[by].view.UpdatePeer(m.clock(by), settings.Name, settings.Incarnation, 0, state)
+// report passes a detected state of a director to the observer's view.
+func (m *membershipSim) report(observer, subject int, state membership.State) {
+	if observer != subject && m.directors[observer].alive {
+		m.reported[m.pair(observer, subject)] = int8(state)
+		settings := m.directors[subject].settings
+		m.directors[observer].view.UpdatePeer(m.clock(observer), settings.Name, settings.Incarnation, 0, state)
 	}
 }
 
-// reachable says whether a director could find out that another one is up.
-func (m *membershipSim) reachable(by, of int) bool {
-	return m.directors[of].alive && !m.directors[of].paused && m.blocked[m.pair(by, of)] <= 0 && m.blocked[m.pair(of, by)] <= 0
+// reachable reports whether a director can detect that another one is up.
+func (m *membershipSim) reachable(observer, subject int) bool {
+	return m.directors[subject].alive && !m.directors[subject].paused && m.blocked[m.pair(observer, subject)] <= 0 && m.blocked[m.pair(subject, observer)] <= 0
 }
 
-// detect schedules reports of what has changed, and makes those whose time has come. With wrongReports some are wrong.
+// detect schedules reports of changed states and makes those that are due. With wrongReports some
+// reports are wrong.
 func (m *membershipSim) detect(wrongReports bool) {
 	for i := range m.directors {
 		if m.directors[i].alive && !m.directors[i].paused {
@@ -50,15 +51,16 @@
 	m.makeReports()
 }
 
-// scheduleReports schedules what a director is to find out: of one that is up within 1.1 s, of one that is not a second later.
-func (m *membershipSim) scheduleReports(by int, wrongReports bool) {
-	for of := range m.directors {
-		pair, state := m.pair(by, of), membership.Failed
-		if m.reachable(by, of) {
+// scheduleReports schedules the reports that a director's detector will make: up to 1.1 s after a
+// director is up, and a second later than that after it is not.
+func (m *membershipSim) scheduleReports(observer int, wrongReports bool) {
+	for subject := range m.directors {
+		pair, state := m.pair(observer, subject), membership.Failed
+		if m.reachable(observer, subject) {
 			state = membership.Up
 		}
 		known := m.reported[pair] == int8(state) || m.reported[pair] == notReported && state == membership.Failed
-		if by == of || m.reportPending[pair] || known {
+		if observer == subject || m.reportPending[pair] || known {
 			continue
 		}
 		delay := policy.Second/10 + policy.Micros(m.random.Int64N(int64(policy.Second)))
@@ -66,38 +68,39 @@
 			delay += policy.Second
 		}
 		m.reportPending[pair] = true
-		m.reports = append(m.reports, detectorReport{at: m.now + delay, by: by, of: of})
+		m.reports = append(m.reports, detectorReport{at: m.now + delay, observer: observer, subject: subject})
 	}
 	if wrongReports && m.random.IntN(400) == 0 {
-		of, state := m.random.IntN(len(m.directors)), membership.State(m.random.IntN(3))
-		m.reports = append(m.reports, detectorReport{at: m.now, by: by, of: of, wrong: true, wrongState: state})
+		subject, state := m.random.IntN(len(m.directors)), membership.State(m.random.IntN(3))
+		m.reports = append(m.reports, detectorReport{at: m.now, observer: observer, subject: subject, wrong: true, wrongState: state})
 	}
 }
 
-// makeReports makes the reports that are due; a paused director gets its own when it goes on. A report that is not wrong tells what is
-// true when it is made.
+// makeReports makes the reports that are due. A paused director receives its reports when it
+// resumes. A report that is not wrong has the state at the time when it is made.
 func (m *membershipSim) makeReports() {
 	kept := m.reports[:0]
 	for _, r := range m.reports {
-		if m.now < r.at || m.directors[r.by].paused {
+		if m.now < r.at || m.directors[r.observer].paused {
 			kept = append(kept, r)
 			continue
 		}
 		if r.wrong {
-			m.report(r.by, r.of, r.wrongState)
+			m.report(r.observer, r.subject, r.wrongState)
 			continue
 		}
 		state := membership.Failed
-		if m.reachable(r.by, r.of) {
+		if m.reachable(r.observer, r.subject) {
 			state = membership.Up
 		}
-		m.report(r.by, r.of, state)
-		m.reportPending[m.pair(r.by, r.of)] = false
+		m.report(r.observer, r.subject, state)
+		m.reportPending[m.pair(r.observer, r.subject)] = false
 	}
 	m.reports = kept
 }
 
-// exchangeLeases has every director send its requests, and delivers the messages that have arrived. It returns how many were sent.
+// exchangeLeases sends the requests of every director and delivers the messages that have arrived.
+// It returns how many messages were sent.
 func (m *membershipSim) exchangeLeases() (sent int) {
 	for i := range m.directors {
 		if !m.directors[i].alive || m.directors[i].paused {
@@ -105,18 +108,18 @@
 		}
 		requests := m.directors[i].view.Tick(m.clock(i))
 		for _, name := range slices.Sorted(maps.Keys(requests)) {
-			to, _ := strconv.Atoi(name[1:]) // names are n and the index
+			to, _ := strconv.Atoi(name[1:]) // a name is "n" and the director's index
 			request := requests[name]
 			m.send(leaseMessage{from: i, to: to, request: &request})
 			sent++
 		}
 	}
-	underWay := m.messages
+	inTransit := m.messages
 	m.messages = nil
-	for _, message := range underWay {
+	for _, message := range inTransit {
 		receiver := &m.directors[message.to]
 		switch {
-		case m.now < message.at || receiver.alive && receiver.paused: // in the network, or in the socket of a paused process
+		case m.now < message.at || receiver.alive && receiver.paused: // still in transit, or in the socket of a paused process
 			m.messages = append(m.messages, message)
 		case receiver.alive && receiver.settings.Incarnation == message.incarnation:
 			sent += m.receive(message)
@@ -125,7 +128,8 @@
 	return sent
 }
 
-// receive gives a message to its receiver's view, and returns how many messages it sends for it.
+// receive passes a message to the receiver's view and returns how many messages it sends in
+// response.
 func (m *membershipSim) receive(message leaseMessage) (sent int) {
 	view, from := m.directors[message.to].view, m.directors[message.from].settings.Name
 	if message.request == nil {
@@ -140,7 +144,8 @@
 	return 1
 }
 
-// send puts a message under way to the receiver's present incarnation, unless it is lost. One in twenty is very late.
+// send sends a message to the receiver's current incarnation, unless the message is lost. One
+// message in twenty is delayed by up to 3 s.
 func (m *membershipSim) send(message leaseMessage) {
 	if m.blocked[m.pair(message.from, message.to)] > 0 || m.random.Float64() < m.lossRate {
 		return
--- a/internal/experiment/membershipsim.go
+++ b/internal/experiment/membershipsim.go
@@ -14,34 +14,36 @@
 	membershipStep             = 50 * millisecond
 	maxSimulatedDirectors      = 1200
 	faultsBeginAfter           = 2 * policy.Second
-	convergenceLimit           = 120 * policy.Second // after the faults, for all to have one view
-	quotaTolerance             = 1e-6                // of the sum's rounding
-	clockSkew                  = 1.0 / 64            // between the fastest and the slowest clock
-	notReported           int8 = -1                  // by the failure detector
+	convergenceLimit           = 120 * policy.Second // time after the faults to reach a common view
+	quotaTolerance             = 1e-6                // for rounding errors of the sum
+	clockSkew                  = 1.0 / 64            // relative difference between the fastest and the slowest clock
+	notReported           int8 = -1                  // the failure detector has made no report
 )
 
-// membershipSim plays the views of directors against each other in simulated time. The views are those of package membership; network
-// and failure detector are simulated. The detector is a bad one on purpose: each director finds out about each other by itself and
-// late, so views differ in every way in which a real detector's may, and now and then a report is wrong. All of it belongs to the
-// goroutine that plays the schedule. Slices by pair are indexed by pair.
+// membershipSim runs the membership views of directors against each other in simulated time. The
+// views are those of package membership; the network and the failure detector are simulated. The
+// detector is poor on purpose: each director detects the state of each other one independently and
+// late, so that views differ in every way in which they may with a real detector, and sometimes a
+// report is wrong. Only the goroutine of the simulation uses it. Slices by pair are indexed by the
+// method pair.
 type membershipSim struct {
 	random          *rand.Rand
 	now             policy.Micros
 	directors       []simulatedMember
-	blocked         []int32 // by pair: faults that block messages from the second to the first
+	blocked         []int32 // by pair: number of faults that block messages from the second to the first
 	lossRate        float64
-	reports         []detectorReport // that the detector is about to make
+	reports         []detectorReport // that the detector has scheduled
 	reportPending   []bool           // by pair
-	reported        []int8           // by pair: the detector's last report, a membership.State or notReported
-	messages        []leaseMessage   // under way
+	reported        []int8           // by pair: last reported membership.State, or notReported
+	messages        []leaseMessage   // in transit
 	lastIncarnation uint64
 }
 
-// simulatedMember is a director, as far as it is a member.
+// simulatedMember is the state of a director that concerns membership.
 type simulatedMember struct {
 	view     *membership.View
 	settings membership.Settings
-	speed    float64       // of its clock, about 1
+	speed    float64       // of its clock, relative to simulated time
 	offset   policy.Micros // of its clock
 	alive    bool
 	paused   bool
@@ -49,37 +51,37 @@
 
 // membershipSimResult is the result of one schedule in simulated time.
 type membershipSimResult struct {
-	PeakQuotaSum  float64       // most that the quotas of a location came to together
-	QuotaExceeded int           // steps at which that was more than the bound
-	Unfinished    bool          // there was no common view in time
+	PeakQuotaSum  float64       // largest sum of the quotas of a location
+	QuotaExceeded int           // steps at which the sum was above its bound
+	Unfinished    bool          // no common view was reached in time
 	Convergence   policy.Micros // from the end of the last fault until the common view
-	QuotaRaised   bool          // some quota was above 1
-	MessageRate   float64       // messages a second of each director
+	QuotaRaised   bool          // at least one quota was above 1 at some time
+	MessageRate   float64       // messages per second and director
 }
 
-// failed says whether a rule was broken.
+// failed reports whether a rule was broken.
 func (r membershipSimResult) failed() bool { return r.QuotaExceeded > 0 || r.Unfinished }
 
-// simulateMembership plays a schedule.
+// simulateMembership runs a schedule.
 func simulateMembership(schedule faulttest.Schedule) (out membershipSimResult) {
 	m := newMembershipSim(schedule)
 	begin := m.now + faultsBeginAfter
 	end := begin + policy.Micros(schedule.LengthMS)*millisecond
 	messages := 0
-	var healedAt policy.Micros // 0 for not yet
+	var faultsEndedAt policy.Micros // end of all faults; 0 before it
 	for ; m.now < end+convergenceLimit; m.now += membershipStep {
 		for _, fault := range schedule.Faults {
 			m.applyFault(fault, begin)
 		}
-		if m.now >= end && healedAt == 0 {
-			healedAt = m.now
-			m.heal()
+		if m.now >= end && faultsEndedAt == 0 {
+			faultsEndedAt = m.now
+			m.endFaults()
 		}
-		m.detect(healedAt == 0)
+		m.detect(faultsEndedAt == 0)
 		messages += m.exchangeLeases()
 		m.checkQuotas(&out)
-		if healedAt > 0 && m.converged() {
-			out.Convergence = m.now - healedAt
+		if faultsEndedAt > 0 && m.converged() {
+			out.Convergence = m.now - faultsEndedAt
 			out.MessageRate = float64(messages) / float64(len(m.directors)) / (float64(m.now-policy.Second) / float64(policy.Second))
 			return out
 		}
@@ -88,7 +90,7 @@
 	return out
 }
 
-// newMembershipSim starts a schedule's directors, each of which knows that the others are up.
+// newMembershipSim starts the directors of a schedule. Each of them knows that the others are up.
 func newMembershipSim(schedule faulttest.Schedule) *membershipSim {
 	n := schedule.Directors
 	m := &membershipSim{
@@ -112,15 +114,15 @@
 	return m
 }
 
-// pair is the index of what director i has or hears of director j.
+// pair returns the index of the pair of director i, the observer or receiver, and director j.
 func (m *membershipSim) pair(i, j int) int { return i*len(m.directors) + j }
 
-// clock is the time by a director's own clock.
+// clock returns the time of a director's clock.
 func (m *membershipSim) clock(i int) policy.Micros {
 	return m.directors[i].offset + policy.Micros(float64(m.now)*m.directors[i].speed)
 }
 
-// start starts a director as a new incarnation, which the detector has not seen yet.
+// start starts a director as a new incarnation, which no detector has reported yet.
 func (m *membershipSim) start(i int) {
 	m.lastIncarnation++
 	settings := policy.Settings{ZoneDirectors: len(m.directors), TotalDirectors: len(m.directors), ConnectTimeout: 400 * millisecond,
@@ -134,7 +136,8 @@
 	}
 }
 
-// applyFault begins or ends a fault where its time has come in this step; times in it count from begin.
+// applyFault begins or ends a fault if it is due in this step. The fault's times are relative to
+// begin.
 func (m *membershipSim) applyFault(f faulttest.Fault, begin policy.Micros) {
 	from := begin + policy.Micros(f.AtMS)*millisecond
 	to := from + policy.Micros(f.ForMS)*millisecond
@@ -160,7 +163,7 @@
 	}
 }
 
-// blockLinks blocks the links of a fault, or unblocks them at its end.
+// blockLinks blocks the links of a fault, or unblocks them when the fault ends.
 func (m *membershipSim) blockLinks(f faulttest.Fault, ends bool) {
 	change := int32(1)
 	if ends {
@@ -175,7 +178,8 @@
 	}
 }
 
-// killOrStart kills a fault's directors when it begins, and starts them when it ends, or at once where it is a restart.
+// killOrStart kills the directors of a fault when it begins, and starts them when it ends, or
+// immediately for a restart.
 func (m *membershipSim) killOrStart(f faulttest.Fault, begins, ends bool) {
 	targets := f.Targets
 	if f.Kind == faulttest.ZoneLoss {
@@ -196,8 +200,8 @@
 	}
 }
 
-// heal ends all faults.
-func (m *membershipSim) heal() {
+// endFaults ends all faults.
+func (m *membershipSim) endFaults() {
 	clear(m.blocked)
 	m.lossRate = 0
 	for i := range m.directors {
@@ -208,7 +212,7 @@
 	}
 }
 
-// checkQuotas sums the quotas of all that live, and notes where the sum is above the bound.
+// checkQuotas sums the quotas of all running directors and counts a sum above the bound.
 func (m *membershipSim) checkQuotas(out *membershipSimResult) {
 	sum := 0.0
 	for i := range m.directors {
@@ -226,7 +230,8 @@
 	}
 }
 
-// converged says whether every director sees all others, by one digest, and has the quota of a whole fleet.
+// converged reports whether all directors have the same digest, see the whole fleet, are in the
+// majority and have the normal quota of 1.
 func (m *membershipSim) converged() bool {
 	for i := range m.directors {
 		view := m.directors[i].view
