--- a/internal/experiment/rollout_test.go
+++ b/internal/experiment/rollout_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestRolloutEnds: every schedule of faults ends, with all directors changed or none, and the same seed gives the same run.
+// TestRolloutEnds checks that under every schedule of faults a change ends with all directors
+// changed or none, and that the same seed gives the same result.
 func TestRolloutEnds(t *testing.T) {
 	rough := Rollout{Schedules: 150, LossRate: 0.2, DuplicateRate: 0.1, AgentCrashRate: 0.2, ToolCrashRate: 0.3, PartitionRate: 1, OnlySchedule: -1}
 	usual := Rollout{Schedules: 150, LossRate: 0.05, DuplicateRate: 0.05, AgentCrashRate: 0.02, ToolCrashRate: 0.3, PartitionRate: 0.1, OnlySchedule: -1}
@@ -31,7 +32,7 @@
 			}
 			for _, r := range runs {
 				if r.Unfinished+r.Inconsistent > 0 || r.Changed == 0 || r.Untouched == 0 {
-					t.Errorf("%d instances: %d unended, %d neither, %d changed, %d untouched: %v", r.Instances, r.Unfinished, r.Inconsistent, r.Changed,
+					t.Errorf("%d instances: %d unfinished, %d inconsistent, %d changed, %d untouched: %v", r.Instances, r.Unfinished, r.Inconsistent, r.Changed,
 						r.Untouched, r.Problems)
 				}
 			}
@@ -43,7 +44,8 @@
 	}
 }
 
-// TestRolloutEventLimit: a schedule that does not end within its events is reported with its seed, its number and who waits for whom.
+// TestRolloutEventLimit checks that a schedule that does not end within its events is reported with
+// its seed, its number and what each party waits for.
 func TestRolloutEventLimit(t *testing.T) {
 	s := Rollout{Instances: []int{5}, Schedules: 3, Seed: 7, MaxEvents: 40, OnlySchedule: -1}
 	runs, err := s.Execute()
--- a/internal/experiment/rolloutschedule.go
+++ b/internal/experiment/rolloutschedule.go
@@ -7,13 +7,13 @@
 	"tallyproxy/rollout"
 )
 
-// fleetState is what the directors of a fleet run after a change.
+// fleetState classifies what the directors of a fleet run after a change.
 type fleetState int
 
 const (
-	fleetInconsistent fleetState = iota // directors differ, or an agent's record differs from what its director runs
-	fleetChanged                        // all run the new script
-	fleetUntouched                      // all run the old script
+	fleetInconsistent fleetState = iota // directors differ, or an agent's record differs from its director's script
+	fleetChanged                        // all directors run the new script
+	fleetUntouched                      // all directors run the old script
 	fleetPartial                        // the change was stopped between waves
 )
 
@@ -21,26 +21,26 @@
 type rolloutOutcome struct {
 	state         fleetState
 	reported      policy.Micros // from the start until the last tool ended
-	known         policy.Micros // from the start until every agent knew the outcome; 0 for never
+	known         policy.Micros // from the start until every agent knew the outcome; 0: never
 	convergence   policy.Micros // from the end of the last fault until the final state
 	toolMessages  int
 	agentMessages int
 	events        int
-	toolCrashed   bool // the first one
+	toolCrashed   bool // the first tool crashed
 	finished      bool
 	problem       string // empty for none
 }
 
-// playSchedule plays one change of a fleet of n agents.
-func (r *Rollout) playSchedule(n int, number uint64) (out rolloutOutcome) {
+// runSchedule runs one change of a fleet of n agents.
+func (r *Rollout) runSchedule(n int, number uint64) (out rolloutOutcome) {
 	f := newRolloutSim(r, n, number)
 	change := rollout.Plan(changeID, "op", "", f.candidates(), r.WaveSize, checksum, func(rollout.Candidate) string { return newScript })
-	begun, lastFault := f.now, f.scheduleFaults()
+	startedAt, lastFault := f.now, f.scheduleFaults()
 	crashAfter := policy.Micros(0)
 	if f.random.Float64() < r.ToolCrashRate {
 		crashAfter = policy.Micros(1 + f.random.IntN(1_500_000))
 	}
-	f.watchKnown(func() { out.known = f.now - begun })
+	f.watchKnown(func() { out.known = f.now - startedAt })
 
 	coordinator := f.runTool(change, crashAfter)
 	out.toolCrashed = coordinator.Step() != rollout.StepDone
@@ -48,7 +48,7 @@
 		lastFault = max(lastFault, f.now)
 	}
 	coordinator = f.resume(coordinator, change, out.toolCrashed)
-	out.reported = f.now - begun
+	out.reported = f.now - startedAt
 	result, toolDone := coordinator.Result(), coordinator.Step() == rollout.StepDone
 	out.state = f.awaitConvergence(lastFault, &out.known)
 	if !reportIsTrue(result, out.state) {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// watchKnown polls the agents, and calls report once all know the outcome.
+// watchKnown polls the agents and calls report once all of them know the outcome.
 func (f *rolloutSim) watchKnown(report func()) {
 	var poll func()
 	poll = func() {
@@ -76,8 +76,10 @@
 	f.after(toolTickInterval, poll)
 }
 
-// resume runs further tools, a second after each other, until one has ended the change: the first tool's own where it did not crash,
-// else another operator's, which is refused for as long as the crashed one's lease lasts. It returns the last coordinator.
+// resume runs further tools, a second after each other, until one of them has completed the change.
+// If the first tool did not crash, the same operator resumes its change; else another operator
+// does, whose tool is refused until the lease of the crashed tool expires. It returns the last
+// coordinator.
 func (f *rolloutSim) resume(c *rollout.Coordinator, change *rollout.Change, crashed bool) *rollout.Coordinator {
 	if crashed {
 		change = nil
@@ -92,7 +94,8 @@
 	return c
 }
 
-// awaitConvergence runs on until all agents are back, know the outcome and agree with their directors; for two minutes at the most.
+// awaitConvergence runs the simulation until all agents are up, know the outcome and agree with
+// their directors, but not longer than two minutes. It returns the state of the fleet.
 func (f *rolloutSim) awaitConvergence(lastFault policy.Micros, known *policy.Micros) fleetState {
 	for deadline := f.now + 120*policy.Second; ; {
 		state := f.state()
@@ -104,7 +107,7 @@
 	}
 }
 
-// reportIsTrue says whether a tool's report agrees with the state of the directors in the end.
+// reportIsTrue reports whether a tool's report agrees with the final state of the directors.
 func reportIsTrue(result rollout.Result, state fleetState) bool {
 	for _, target := range result.Targets {
 		switch {
@@ -117,7 +120,8 @@
 	return true
 }
 
-// outcomeKnown says whether every agent is up and knows the outcome, once the change has reached the first agent or the tool has ended.
+// outcomeKnown reports whether every agent is up and knows the outcome. It is false until the
+// change has reached the first agent or the tool has ended.
 func (f *rolloutSim) outcomeKnown() bool {
 	for _, name := range f.names {
 		a := f.agents[name]
@@ -131,7 +135,7 @@
 	return f.coordinator.Step() == rollout.StepDone || f.agents[f.names[0]].Entry(changeID) != nil
 }
 
-// state compares what directors run, what their agents have recorded and what was decided.
+// state compares the scripts that directors run with their agents' records and the decision.
 func (f *rolloutSim) state() fleetState {
 	running, final, outcome := map[string]int{}, true, rollout.Undecided
 	for _, name := range f.names {
--- a/internal/experiment/rolloutsim.go
+++ b/internal/experiment/rolloutsim.go
@@ -12,37 +12,38 @@
 const (
 	toolTickInterval  = 50 * millisecond
 	agentTickInterval = 2 * toolTickInterval
-	rolloutDeadline   = 600 * policy.Second // by which a schedule has ended, in simulated time
+	rolloutDeadline   = 600 * policy.Second // simulated time by which a schedule must have ended
 
 	changeID       = "c1"
-	instancePrefix = "n-" // of a director's name, before its agent's
+	instancePrefix = "n-" // a director's name is this prefix and its agent's name
 	oldScript      = "old"
 	newScript      = "new"
 )
 
-// checksum stands for the digest of a script.
+// checksum returns a stand-in for the digest of a script.
 func checksum(script string) string { return "sum " + script }
 
 // rolloutAgent is the machine of an agent and its director.
 type rolloutAgent struct {
-	*rollout.Agent // the process, made anew by each start
+	*rollout.Agent // the process; every start creates a new one
 	recovery       *rollout.Recovery
-	stored         rollout.State // what a crash leaves
-	running        string        // the director's script
-	starts         int           // how often it was started; timers and replies of an earlier process are dropped by it
+	stored         rollout.State // state on disk, which survives a crash
+	running        string        // script that the director runs
+	starts         int           // number of starts; timers and replies of an earlier process are ignored
 	up             bool
-	partitioned    bool // reaches only others that are partitioned too
+	partitioned    bool // reaches only agents that are partitioned too
 }
 
-// rolloutSim is one schedule: agents, a tool and the network between them. All of it belongs to the goroutine that plays the schedule.
+// rolloutSim simulates one schedule: agents, a tool and the network between them. Only the
+// goroutine of the schedule uses it.
 type rolloutSim struct {
 	eventQueue
 	options       *Rollout
 	random        *rand.Rand
 	agents        map[string]*rolloutAgent
-	names         []string // of agents, in order
+	names         []string // of all agents, in order
 	toolMessages  int      // sent by tools
-	agentMessages int      // sent by agents to each other
+	agentMessages int      // sent between agents
 	eventsRun     int
 	eventBudget   int
 	toolCut       bool // the tool reaches only agents that are partitioned
@@ -50,7 +51,8 @@
 	trace         func(format string, args ...any) // nil for none
 }
 
-// newRolloutSim makes a fleet of n agents, all started. The generator depends on seed, n and the schedule's number.
+// newRolloutSim creates a fleet of n agents and starts all of them. The random generator depends on
+// seed, n and the schedule's number.
 func newRolloutSim(options *Rollout, n int, number uint64) *rolloutSim {
 	f := &rolloutSim{
 		options:    options,
@@ -76,7 +78,7 @@
 	return f
 }
 
-// candidates are all directors, ten to a location.
+// candidates returns all directors, ten per location.
 func (f *rolloutSim) candidates() (candidates []rollout.Candidate) {
 	for i, name := range f.names {
 		candidates = append(candidates, rollout.Candidate{Instance: instancePrefix + name, Agent: name, Depot: fmt.Sprint(i / 10), Script: oldScript})
@@ -84,8 +86,8 @@
 	return candidates
 }
 
-// runUntil runs events up to a time or until done. The clock is set to that time also where no event falls on it. It stops early when
-// the schedule has used its events.
+// runUntil runs events up to the given time or until done returns true. It advances the clock to
+// that time even if no event falls on it. It stops early when the schedule has used up its events.
 func (f *rolloutSim) runUntil(until policy.Micros, done func() bool) {
 	for at, ok := f.next(); ok && at <= until && f.eventsRun < f.eventBudget; at, ok = f.next() {
 		if done() {
@@ -101,7 +103,7 @@
 
 func never() bool { return false }
 
-// deliver calls receive after the network's delay: once, twice or never.
+// deliver calls receive after a network delay: once, twice or never.
 func (f *rolloutSim) deliver(receive func()) {
 	times := 1
 	switch x := f.random.Float64(); {
@@ -115,7 +117,7 @@
 	}
 }
 
-// startAgent starts an agent from what it has stored.
+// startAgent starts an agent from its stored state.
 func (f *rolloutSim) startAgent(name string) {
 	a := f.agents[name]
 	timeouts := rollout.DefaultTimeouts()
@@ -129,14 +131,14 @@
 	f.scheduleAgentTick(a, a.starts)
 }
 
-// store keeps the agent's state where it has changed.
+// store saves the agent's state if it has changed.
 func (a *rolloutAgent) store() {
 	if a.TakeDirty() {
 		a.stored = a.State.Clone()
 	}
 }
 
-// isProcess says whether the process of a start still runs.
+// isProcess reports whether the process of the given start is still running.
 func (a *rolloutAgent) isProcess(start int) bool { return a.up && a.starts == start }
 
 // scheduleAgentTick ticks an agent's recovery for as long as its process runs.
@@ -149,7 +151,7 @@
 	})
 }
 
-// agentStep has an agent's recovery act. What it sends goes out once its state is stored.
+// agentStep runs one step of an agent's recovery. Its messages are sent after its state is stored.
 func (f *rolloutSim) agentStep(a *rolloutAgent, start int, act func() ([]rollout.Envelope, []rollout.Command)) {
 	envelopes, commands := act()
 	a.store()
@@ -173,7 +175,7 @@
 	}
 }
 
-// handle gives a message to an agent, and returns its reply.
+// handle passes a message to an agent and returns the reply.
 func (f *rolloutSim) handle(from string, a *rolloutAgent, m rollout.Message) rollout.Reply {
 	reply, commands := a.Handle(f.now, m)
 	a.store()
@@ -184,7 +186,8 @@
 	return reply
 }
 
-// execute carries out an agent's commands on its director, each after a while, unless the agent crashes before.
+// execute carries out an agent's commands on its director, each after a delay, unless the agent
+// crashes before.
 func (f *rolloutSim) execute(a *rolloutAgent, commands []rollout.Command) {
 	for _, command := range commands {
 		start := a.starts
@@ -203,13 +206,13 @@
 	sim         *rolloutSim
 	coordinator *rollout.Coordinator
 	name        string
-	crashAt     policy.Micros // 0 for never
+	crashAt     policy.Micros // 0: never
 }
 
-// runTool runs a tool until it ends, or crashes after a while; 0 for never. It makes the change, or, where that is nil, resumes what
-// the agents know.
+// runTool runs a tool until it ends, or until it crashes after crashAfter unless that is 0. The
+// tool drives the given change; if change is nil, it resumes the one that the agents know.
 func (f *rolloutSim) runTool(change *rollout.Change, crashAfter policy.Micros) *rollout.Coordinator {
-	number := int64(1) // a ballot above all that the agents have promised
+	number := int64(1) // ballot above every ballot that an agent has promised
 	for _, name := range f.names {
 		number = max(number, f.agents[name].State.Promised.Number+1)
 	}
@@ -239,7 +242,7 @@
 	}
 }
 
-// send sends messages to agents, and takes their replies.
+// send sends messages to agents and handles their replies.
 func (t *rolloutTool) send(envelopes []rollout.Envelope) {
 	f := t.sim
 	for _, envelope := range envelopes {
@@ -259,7 +262,7 @@
 	}
 }
 
-// scheduleFaults draws what fails during the change, and returns when the last of it is over.
+// scheduleFaults draws the faults during the change and returns the time when the last one is over.
 func (f *rolloutSim) scheduleFaults() (last policy.Micros) {
 	last = f.now
 	for _, name := range f.names {
@@ -273,7 +276,7 @@
 	return last
 }
 
-// scheduleCrash has an agent crash and start again, and returns when it does.
+// scheduleCrash makes an agent crash and start again. It returns the time of the start.
 func (f *rolloutSim) scheduleCrash(name string) (over policy.Micros) {
 	a := f.agents[name]
 	at := policy.Micros(f.random.IntN(2_000_000))
@@ -283,7 +286,7 @@
 	return f.now + at + down
 }
 
-// schedulePartition divides the fleet for a while, and returns when that ends.
+// schedulePartition partitions the fleet for some time and returns when that ends.
 func (f *rolloutSim) schedulePartition() (over policy.Micros) {
 	share := f.random.Float64()
 	at := policy.Micros(f.random.IntN(1_500_000))
@@ -303,7 +306,7 @@
 	return f.now + at + duration
 }
 
-// debugString says who waits for whom.
+// debugString describes what the tool and each unfinished agent wait for.
 func (f *rolloutSim) debugString() string {
 	out := []string{fmt.Sprintf("after %.1f s and %d events: tool %v", float64(f.now)/1e6, f.eventsRun, f.coordinator.DebugString())}
 	for _, name := range f.names {
@@ -313,7 +316,7 @@
 		case !a.up:
 			out = append(out, name+" is down")
 		case entry != nil && !entry.IsComplete():
-			out = append(out, fmt.Sprintf("%s, director at %q", a.recovery.DebugString(f.now), a.running))
+			out = append(out, fmt.Sprintf("%s, director runs %q", a.recovery.DebugString(f.now), a.running))
 		}
 		if len(out) > maxProblems/2 {
 			return strings.Join(append(out, "..."), "; ")
--- a/internal/experiment/singledirector_test.go
+++ b/internal/experiment/singledirector_test.go
@@ -14,11 +14,13 @@
 	"tallyproxy/internal/faulttest"
 )
 
-// TestSameRequestOnTwoCores: of two requests with one id at once one is refused; requests with one key have one effect.
+// TestSameRequestOnTwoCores guards against duplicates that arrive on different cores: one of two
+// concurrent requests with the same id must be refused, and requests with the same idempotency key
+// must have one effect.
 func TestSameRequestOnTwoCores(t *testing.T) {
 	b := newSingleDirector(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
 	for _, n := range b.Nodes {
-		n.SetFault(fakes.FaultNone, 20) // so that both are open together
+		n.SetFault(fakes.FaultNone, 20) // slow, so that both requests are open at the same time
 	}
 	for round := range 5 {
 		statuses := make([]string, 2)
@@ -46,7 +48,7 @@
 		c.Rand = rand.New(rand.NewPCG(rand.Uint64(), 1))
 		requests.Go(func() {
 			defer c.Close()
-			_, _, _, _ = c.Attempt(t.Context(), b.Object(&b.ContentTypes[2], 1), 3*time.Second, false, key) // only the effects matter
+			_, _, _, _ = c.Attempt(t.Context(), b.Object(&b.ContentTypes[2], 1), 3*time.Second, false, key) // only the number of effects is checked
 		})
 	}
 	requests.Wait()
@@ -58,20 +60,20 @@
 	}
 }
 
-// TestFloodOnOneCore: clients are answered in time while another one floods a core.
+// TestFloodOnOneCore checks that clients are answered in time while another client floods one core.
 func TestFloodOnOneCore(t *testing.T) {
 	b := newSingleDirector(t, func(*fakes.Spec) {}, "machine(cores = 4)\n")
 	ctx, cancel := context.WithCancel(t.Context())
 	flood := newLoadConnection(b.Cluster, b.director.Addr, 32, 0, 1)
 	var requests sync.WaitGroup
-	requests.Go(func() { _ = flood.run(ctx, time.Now()) }) // only the others' answers matter
+	requests.Go(func() { _ = flood.run(ctx, time.Now()) }) // only the answers to the other clients are checked
 	for i := range 40 {
 		c := b.newClient()
 		c.Rand = rand.New(rand.NewPCG(uint64(i), 9))
-		begun := time.Now()
+		startedAt := time.Now()
 		status, _, _, err := c.Attempt(ctx, b.Object(&b.ContentTypes[0], i), 3*time.Second, false, "")
-		if err != nil || time.Since(begun) > 2*time.Second {
-			t.Errorf("client %d: %s, %v after %v", i, status, err, time.Since(begun))
+		if err != nil || time.Since(startedAt) > 2*time.Second {
+			t.Errorf("client %d: %s, %v after %v", i, status, err, time.Since(startedAt))
 		}
 		c.Close()
 	}
@@ -79,15 +81,15 @@
 	requests.Wait()
 }
 
-// singleDirector is a world with one director for single downloads.
+// singleDirector is a cluster of fakes with one director, for tests that send single requests.
 type singleDirector struct {
 	*fakes.Cluster
 	director      *faulttest.Director
 	defaultClient *fakes.Client
 }
 
-// newSingleDirector starts a director with a script on two cache nodes and a parent; change may alter the cluster before. All ends with
-// the test.
+// newSingleDirector starts a director with a script on two cache nodes and a parent. change may
+// modify the spec of the cluster first. Everything ends with the test.
 func newSingleDirector(t *testing.T, change func(*fakes.Spec), script string) *singleDirector {
 	t.Helper()
 	spec := fakes.DefaultSpec(2, 1)
@@ -116,7 +118,7 @@
 	return b
 }
 
-// newClient is a client of the director, with its own random generator.
+// newClient returns a client of the director with its own random generator.
 func (b *singleDirector) newClient() *fakes.Client {
 	return &fakes.Client{
 		Cluster: b.Cluster, Targets: []*fakes.Target{&b.director.Target}, MaxRetries: 5, RetryPause: 50 * time.Millisecond,
@@ -124,8 +126,9 @@
 	}
 }
 
-// TestLateRetryOfCoverPick: a request that had its effect but whose answer was lost has no second effect when it is retried on another
-// connection; within its deduplication window it is answered, after more than 3 s it fails.
+// TestLateRetryOfCoverPick checks that a request whose effect happened but whose answer was lost
+// has no second effect when it is retried on another connection. A retry within the deduplication
+// window is answered; after more than 3 s it fails.
 func TestLateRetryOfCoverPick(t *testing.T) {
 	b := newSingleDirector(t, func(s *fakes.Spec) { s.ContentTypes[2].Timeout = 20 * time.Second }, "")
 	pick := &b.ContentTypes[2]
@@ -136,7 +139,7 @@
 		key := fmt.Sprintf("%032x", i+1)
 		ctx, cancel := context.WithCancel(t.Context())
 		first := b.newClient()
-		go func() { // the client leaves before the answer, which takes the origin a while
+		go func() { // the client disconnects after the effect and before the origin's answer
 			for b.EffectCount(key) == 0 && ctx.Err() == nil {
 				time.Sleep(time.Millisecond)
 			}
@@ -147,18 +150,19 @@
 		}
 		_, _, _, _ = first.Attempt(ctx, b.Object(pick, i), 10*time.Second, false, key) // interrupted
 		if b.EffectCount(key) != 1 {
-			t.Fatalf("key %d: %d effects of the first try", i, b.EffectCount(key))
+			t.Fatalf("key %d: %d effects of the first attempt", i, b.EffectCount(key))
 		}
 		time.Sleep(x.after)
 		status, _, _, err := b.newClient().Attempt(t.Context(), b.Object(pick, i), 5*time.Second, true, key)
 		if err != nil || status != x.want || b.EffectCount(key) != 1 {
-			t.Errorf("repeated after %v: %s, %v; %d effects", x.after, status, err, b.EffectCount(key))
+			t.Errorf("retried after %v: %s, %v; %d effects", x.after, status, err, b.EffectCount(key))
 		}
 	}
 }
 
-// TestUnknownObjects: requests that are well formed but that every node fails cost one attempt each after the first, all of them are
-// answered, and other clients are served afterwards.
+// TestUnknownObjects checks that valid requests that every node fails cost one upstream attempt
+// each after the first request, that all of them are answered, and that other clients are served
+// afterwards.
 func TestUnknownObjects(t *testing.T) {
 	b := newSingleDirector(t, func(*fakes.Spec) {}, "")
 	for _, n := range b.Nodes {
@@ -172,30 +176,31 @@
 	}
 	for i := range 100 {
 		if status, _, _, err := b.defaultClient.Attempt(t.Context(), b.Object(&b.ContentTypes[0], i), time.Second, false, ""); err != nil || status != "503" {
-			t.Errorf("download %d: %s, %v", i, status, err)
+			t.Errorf("request %d: %s, %v", i, status, err)
 		}
 	}
 	if n := requestCount(); n > 103 {
-		t.Errorf("100 downloads cost %d pulls", n)
+		t.Errorf("100 requests cost %d upstream attempts", n)
 	}
 	for _, n := range b.Nodes {
 		n.SetFault(fakes.FaultNone, 1)
 	}
-	time.Sleep(1200 * time.Millisecond) // boxes that erred are asked again
+	time.Sleep(1200 * time.Millisecond) // cache nodes that returned errors get requests again after this time
 	if status, _, _, err := b.newClient().Attempt(t.Context(), b.Object(&b.ContentTypes[0], 1), 3*time.Second, false, ""); status != "200" {
 		t.Errorf("another client: %s, %v", status, err)
 	}
 }
 
-// TestQueueAtSIGTERM: connections in the listener's queue when SIGTERM comes were accepted, and are answered.
+// TestQueueAtSIGTERM checks that connections which are still in the listen queue when the signal to
+// stop arrives are answered.
 func TestQueueAtSIGTERM(t *testing.T) {
 	b := newSingleDirector(t, func(*fakes.Spec) {}, "")
-	for _, n := range b.Nodes { // slow, so that places stay taken
+	for _, n := range b.Nodes { // slow, so that connections stay open
 		n.SetFault(fakes.FaultNone, 30)
 	}
 	var requests sync.WaitGroup
 	answered := make(chan string, 200)
-	for i := range 120 { // the director has 64 places
+	for i := range 120 { // the director allows 64 connections
 		c := b.newClient()
 		requests.Go(func() {
 			defer c.Close()
