--- a/internal/experiment/startup.go
+++ b/internal/experiment/startup.go
@@ -13,102 +13,103 @@
 	"tallyproxy/internal/fakes"
 )
 
-// Startup is the experiment `tallybench start`: many directors that start at once, and a command channel that is unavailable for a
-// while. Directors are processes, or simulated.
+// Startup is the experiment `tallybench start`: many directors that start at the same time, and a
+// command channel that is unavailable for some time. The directors are processes, or simulated.
 type Startup struct {
-	Directors       []int         `default:"40" help:"Directors."`
-	Faults          []string      `default:"away,event" enum:"none,away,retry,hangs,half,event,events,seven,followers,halves,move,roll" help:"Faults: ${enum}. The command channel answers 503, answers 503 with a time to retry at, hangs, breaks off its answers; one event comes, or one every 200 ms; the others happen under load."`
+	Directors       []int         `default:"40" help:"Numbers of directors."`
+	Faults          []string      `default:"away,event" enum:"none,away,retry,hangs,half,event,events,seven,followers,halves,move,roll" help:"Faults: ${enum}. With away, retry, hangs and half the command channel answers 503, answers 503 with a retry time, hangs, or truncates its answers; event and events announce one event, or one every 200 ms; the others happen under load."`
 	PhaseDuration   time.Duration `name:"phase" default:"2s" help:"Duration of each phase."`
-	Peers           bool          `default:"true" negatable:"" help:"The directors form a cluster, in which few of them poll the channel."`
-	CompareAlone    bool          `name:"beside" default:"true" negatable:"" help:"Run the same with directors that are on their own, for comparison."`
-	CallsPerSecond  float64       `name:"service" default:"0" help:"Calls a second that the command channel can answer; 0: any."`
-	EventsPerSecond float64       `name:"lines" default:"0" help:"Events a second that it can put into its answers; 0: any."`
-	MaxAnswerDelay  time.Duration `name:"patience" default:"500ms" help:"It refuses calls whose answer would take longer."`
-	Simulated       []int         `placeholder:"N,..." help:"Run so many directors in simulated time instead."`
-	CacheNodes      int           `name:"boxes" default:"8" help:"Cache nodes of the start under load, which are cold."`
-	Clients         int           `default:"300" help:"Clients of the start under load."`
-	Load            float64       `default:"0.4" help:"Their demand, relative to the capacity of warm caches."`
+	Peers           bool          `default:"true" negatable:"" help:"The directors form a cluster in which only a few of them poll the channel."`
+	CompareAlone    bool          `name:"beside" default:"true" negatable:"" help:"Also run directors that form no cluster, for comparison."`
+	CallsPerSecond  float64       `name:"service" default:"0" help:"Calls per second that the command channel can answer; 0: unlimited."`
+	EventsPerSecond float64       `name:"lines" default:"0" help:"Events per second that the command channel can put into its answers; 0: unlimited."`
+	MaxAnswerDelay  time.Duration `name:"patience" default:"500ms" help:"The command channel refuses calls whose answer would take longer."`
+	Simulated       []int         `placeholder:"N,..." help:"Simulate these numbers of directors instead."`
+	CacheNodes      int           `name:"boxes" default:"8" help:"Number of cache nodes, all cold, in the start under load."`
+	Clients         int           `default:"300" help:"Number of clients in the start under load."`
+	Load            float64       `default:"0.4" help:"Demand of these clients, relative to the capacity of warm caches."`
 	Seed            uint64        `default:"1" help:"Seed of the random generators."`
 	JSON            bool          `name:"json" help:"Print one JSON object."`
-	DirectorPath    string        `name:"director" placeholder:"FILE" help:"The director's program; by default tallyproxy beside this program."`
+	DirectorPath    string        `name:"director" placeholder:"FILE" help:"Path of the director's executable; default: tallyproxy in this executable's folder."`
 
-	Argv []string  `kong:"-"` // starts a director
-	Log  io.Writer `kong:"-"` // of the directors; nil for none
+	Argv []string  `kong:"-"` // command line that starts a director
+	Log  io.Writer `kong:"-"` // receives the directors' logs; nil for none
 }
 
 const (
-	maxStartupDirectors = 300 // as processes
+	maxStartupDirectors = 300 // largest number of directors as processes
 	maxSimulatedStartup = 20_000
-	peakWindow          = 100 * time.Millisecond // in which calls are counted for a peak
+	peakWindow          = 100 * time.Millisecond // window in which calls are counted for a peak
 )
 
-// StartupPhase is what the command channel saw of a fleet in one phase.
+// StartupPhase is what the command channel observed in one phase.
 type StartupPhase struct {
-	Name         string  `json:"name"`        // what began with it
-	CallRate     float64 `json:"calls_per_s"` // of all directors
-	PeakShare    float64 `json:"peak_share"`  // most calls in 100 ms, relative to the number of directors
-	Refused      int     `json:"turned_away"` // calls that got no answer
-	RelativeRate float64 `json:"over_calm"`   // CallRate, relative to the phase "calm"
-	AllCalledP99 float64 `json:"know_ms_p99"` // ms until 0.99 calls a director had come; 0 for not
+	Name         string  `json:"name"`        // event that began the phase
+	CallRate     float64 `json:"calls_per_s"` // calls per second of all directors together
+	PeakShare    float64 `json:"peak_share"`  // largest number of calls in 100 ms, per director
+	Refused      int     `json:"turned_away"` // calls that were refused
+	RelativeRate float64 `json:"over_calm"`   // CallRate relative to that of the phase "calm"
+	AllCalledP99 float64 `json:"know_ms_p99"` // ms until 0.99 calls per director had arrived; 0: they did not
 }
 
-// StartupRun is the result of one number of directors.
+// StartupRun is the result for one number of directors.
 type StartupRun struct {
-	Directors     int            `json:"directors"`         // that started at once
-	Alone         bool           `json:"alone"`             // the directors form no cluster
+	Directors     int            `json:"directors"`         // number of directors that started at the same time
+	Alone         bool           `json:"alone"`             // directors form no cluster
 	Simulated     bool           `json:"simulated"`         // in simulated time
-	Phases        []StartupPhase `json:"phases"`            // in the order of time
-	Memory        float64        `json:"memory_mb"`         // most of any director
-	ListKnownP99  float64        `json:"know_list_ms_p99"`  // ms from the channel's return until 99 % had the endpoint list that changed meanwhile
-	EventKnownP99 float64        `json:"know_event_ms_p99"` // ms until 99 % knew a purge
-	NeverKnown    int            `json:"unknown"`           // lists and purges that 99 % did not know by the end of the phase
-	Crashes       int            `json:"crashes"`           // of directors, and other faults of the run
-	CrashReasons  string         `json:"why,omitempty"`     // a line for each crash
-	ColdStart     ColdStart      `json:"cold"`              // with processes only
+	Phases        []StartupPhase `json:"phases"`            // in chronological order
+	Memory        float64        `json:"memory_mb"`         // peak of any director
+	ListKnownP99  float64        `json:"know_list_ms_p99"`  // ms from the end of the outage until 99 % had the endpoint list that changed during it
+	EventKnownP99 float64        `json:"know_event_ms_p99"` // ms from the announcement until 99 % knew of a purge
+	NeverKnown    int            `json:"unknown"`           // endpoint lists and purges that fewer than 99 % knew of at the end of the phase
+	Crashes       int            `json:"crashes"`           // crashes of directors and other failures of the run
+	CrashReasons  string         `json:"why,omitempty"`     // one line for each crash
+	ColdStart     ColdStart      `json:"cold"`              // only with processes
 }
 
-// ColdStart is the result of a start on cold caches under load.
+// ColdStart is the result of a start with cold caches under load.
 type ColdStart struct {
-	RulesBroken     int     `json:"rules_broken"`    // of answers, copies, drains and processes
-	Lost            int     `json:"lost"`            // attempts without the answer that a director owed
-	OverloadedNodes int     `json:"fallen"`          // cache nodes
-	Unfinished      int     `json:"unended"`         // 1 where the run did not come to its end
-	Requests        int     `json:"asked"`           // that ended
-	SuccessShare    float64 `json:"fulfilled_share"` // of requests
-	Recovery        float64 `json:"recovery_ms"`     // until nine tenths of the requests succeeded; -1 for not
-	PeakLoad        float64 `json:"cold_peak_load"`  // of any cache node, relative to what overloads it
+	RulesBroken     int     `json:"rules_broken"`    // violations of rules on answers, copies, drains and processes
+	Lost            int     `json:"lost"`            // attempts that a director should have answered but did not
+	OverloadedNodes int     `json:"fallen"`          // cache nodes that were overloaded
+	Unfinished      int     `json:"unended"`         // 1 if the run did not complete
+	Requests        int     `json:"asked"`           // requests that ended
+	SuccessShare    float64 `json:"fulfilled_share"` // share of requests that succeeded
+	Recovery        float64 `json:"recovery_ms"`     // ms until nine tenths of the requests succeeded; -1: never
+	PeakLoad        float64 `json:"cold_peak_load"`  // peak load of any cache node, relative to its overload threshold
 }
 
-// StartupResult has all runs, and the worst or the sum of those that the experiment is about: with Peers those of clusters, else those of
-// directors on their own.
+// StartupResult has all runs, and the worst values or the sums of the runs under test: with Peers
+// those of clusters, else those of directors that form no cluster.
 type StartupResult struct {
-	Runs               []StartupRun `json:"runs"`              // those for comparison too
-	OutageRelativeRate float64      `json:"outage_over_calm"`  // of a phase in which the channel was unavailable
-	ReturnPeakShare    float64      `json:"back_peak_share"`   // of the phase in which it was back
-	ListKnownP99       float64      `json:"know_list_ms_p99"`  // ms from the channel's return
-	EventKnownP99      float64      `json:"know_event_ms_p99"` // ms
-	PeakCallShare      float64      `json:"peak_calls_share"`  // of any phase
-	PeakColdLoad       float64      `json:"cold_peak_load"`    // of any cold start
-	RulesBroken        int          `json:"rules_broken"`      // of answers, copies, drains and processes
-	Lost               int          `json:"lost"`              // attempts without the answer that a director owed
-	OverloadedNodes    int          `json:"fallen"`            // cache nodes
-	Unfinished         int          `json:"unended"`           // and what directors never knew
-	Crashes            int          `json:"crashes"`           // of directors, and other faults of the run
+	Runs               []StartupRun `json:"runs"`              // includes the runs for comparison
+	OutageRelativeRate float64      `json:"outage_over_calm"`  // largest RelativeRate of a phase in which the channel was unavailable
+	ReturnPeakShare    float64      `json:"back_peak_share"`   // largest PeakShare of a phase in which the channel was available again
+	ListKnownP99       float64      `json:"know_list_ms_p99"`  // ms from the end of the outage
+	EventKnownP99      float64      `json:"know_event_ms_p99"` // ms from the announcement
+	PeakCallShare      float64      `json:"peak_calls_share"`  // largest PeakShare of any phase
+	PeakColdLoad       float64      `json:"cold_peak_load"`    // largest PeakLoad of any cold start
+	RulesBroken        int          `json:"rules_broken"`      // violations of rules on answers, copies, drains and processes
+	Lost               int          `json:"lost"`              // attempts that a director should have answered but did not
+	OverloadedNodes    int          `json:"fallen"`            // cache nodes that were overloaded
+	Unfinished         int          `json:"unended"`           // cold starts that did not complete, plus NeverKnown
+	Crashes            int          `json:"crashes"`           // crashes of directors and other failures of the run
 }
 
-// Broken names the rules that were broken, with counts.
+// Broken returns the names and counts of the rules that were broken.
 func (r StartupResult) Broken() []string {
 	return countsAboveZero([]namedCount{
 		{"rules_broken", r.RulesBroken}, {"lost", r.Lost}, {"fallen", r.OverloadedNodes}, {"unended", r.Unfinished}, {"crashes", r.Crashes},
 	})
 }
 
-// Execute runs the experiment. An error says that it could not be run; broken rules are in the result.
+// Execute runs the experiment. It returns an error if the experiment could not be run; broken rules
+// are part of the result.
 func (s *Startup) Execute(ctx context.Context) (out StartupResult, err error) {
 	if err := s.validate(); err != nil {
 		return out, err
 	}
-	kinds := []bool{!s.Peers} // of Alone
+	kinds := []bool{!s.Peers} // values of StartupRun.Alone to run
 	if s.Peers && s.CompareAlone {
 		kinds = []bool{true, false}
 	}
@@ -118,7 +119,7 @@
 	}
 	for _, n := range counts {
 		for _, alone := range kinds {
-			run, err := s.playFleet(ctx, n, alone)
+			run, err := s.runFleet(ctx, n, alone)
 			if err != nil {
 				return out, err
 			}
@@ -134,30 +135,30 @@
 func (s *Startup) validate() error {
 	for _, n := range s.Directors {
 		if n < 1 || n > maxStartupDirectors {
-			return fmt.Errorf("--directors: %d is not from 1 to %d", n, maxStartupDirectors)
+			return fmt.Errorf("--directors: %d is out of range, want 1 to %d", n, maxStartupDirectors)
 		}
 	}
 	for _, n := range s.Simulated {
 		if n < 1 || n > maxSimulatedStartup {
-			return fmt.Errorf("--simulated: %d is not from 1 to %d", n, maxSimulatedStartup)
+			return fmt.Errorf("--simulated: %d is out of range, want 1 to %d", n, maxSimulatedStartup)
 		}
 	}
 	return nil
 }
 
-// playFleet plays the phases, and with processes the start on cold caches too.
-func (s *Startup) playFleet(ctx context.Context, n int, alone bool) (run StartupRun, err error) {
+// runFleet runs the phases and, with processes, the start with cold caches.
+func (s *Startup) runFleet(ctx context.Context, n int, alone bool) (run StartupRun, err error) {
 	if len(s.Simulated) > 0 {
 		return simulateStartup(n, alone, s.Seed, s.capacity(), s.PhaseDuration), nil
 	}
-	if run, err = s.playPhases(ctx, n, alone); err != nil {
+	if run, err = s.runPhases(ctx, n, alone); err != nil {
 		return run, err
 	}
-	run.ColdStart, err = s.playColdStart(ctx, n, alone)
+	run.ColdStart, err = s.runColdStart(ctx, n, alone)
 	return run, err
 }
 
-// capacity is what the command channel can do.
+// capacity returns the capacity of the command channel.
 func (s *Startup) capacity() fakes.ChannelCapacity {
 	capacity := fakes.ChannelCapacity{MaxWait: s.MaxAnswerDelay}
 	if s.CallsPerSecond > 0 {
@@ -169,7 +170,7 @@
 	return capacity
 }
 
-// add takes a run into the worst values and the sums.
+// add adds a run to the worst values and the sums.
 func (r *StartupResult) add(run StartupRun) {
 	for _, phase := range run.Phases {
 		switch phase.Name {
@@ -191,14 +192,15 @@
 	r.Unfinished += run.NeverKnown + cold.Unfinished
 }
 
-// computeRelativeRates sets each phase's rate in relation to that of the second phase, which is the calm one.
+// computeRelativeRates divides the rate of each phase by that of the second phase, which is the
+// calm one.
 func (r *StartupRun) computeRelativeRates() {
 	for i := range r.Phases {
 		r.Phases[i].RelativeRate = ratio(r.Phases[i].CallRate, r.Phases[1].CallRate)
 	}
 }
 
-// measurePhase counts the calls of n directors in a phase.
+// measurePhase summarizes the calls of n directors in a phase.
 func measurePhase(name string, calls []fakes.ChannelCall, from, to time.Duration, n int) StartupPhase {
 	phase := StartupPhase{Name: name}
 	var times []time.Duration
@@ -220,7 +222,7 @@
 	return phase
 }
 
-// Table is the result as text.
+// Table formats the result as text.
 func (r StartupResult) Table() string {
 	var b strings.Builder
 	kind := func(alone bool) string {
--- a/internal/experiment/startup_test.go
+++ b/internal/experiment/startup_test.go
@@ -7,9 +7,10 @@
 	"tallyproxy/internal/fakes"
 )
 
-// TestStartup starts forty directors at once, and the command channel is unavailable for a while. On their own they neither call in step
-// nor overload it (without backoff they made 13 times the calls of a calm phase, all in the same tenth of a second); in a cluster only
-// the delegates poll, and all know what was announced soon.
+// TestStartup starts forty directors at the same time and makes the command channel unavailable for
+// some time. Directors without a cluster must neither call in step nor overload the channel:
+// without backoff they made 13 times the calls of a calm phase, all in the same tenth of a second.
+// In a cluster only the delegates may poll, and all directors must soon know of what was announced.
 func TestStartup(t *testing.T) {
 	s := Startup{Directors: []int{40}, PhaseDuration: 1500 * time.Millisecond, Seed: 1, Argv: buildDirector(t), CacheNodes: 4, Clients: 60, Load: 0.2, Peers: true, CompareAlone: true,
 		Faults: []string{"away", "event"}, CallsPerSecond: 400, EventsPerSecond: 40_000, MaxAnswerDelay: 500 * time.Millisecond}
@@ -22,14 +23,14 @@
 	}
 	for _, run := range r.Runs {
 		if c := run.ColdStart; c.Requests < 60 || c.PeakLoad > 0.5 || c.PeakLoad <= 0 || c.RulesBroken+c.Lost+c.OverloadedNodes+c.Unfinished > 0 {
-			t.Errorf("on cold caches: %+v", c)
+			t.Errorf("start with cold caches: %+v", c)
 		}
 		for _, p := range run.Phases {
 			switch {
 			case p.Name == "away" && (p.RelativeRate > 1.8 || p.PeakShare > 0.5), p.Name == "back" && p.PeakShare > 0.5:
 				t.Errorf("alone %v: %+v", run.Alone, p)
 			case p.Name == "calm" && !run.Alone && p.CallRate > 24:
-				t.Errorf("%v calls a second where three are to ask", p.CallRate)
+				t.Errorf("%v calls per second, although only three directors should poll", p.CallRate)
 			}
 		}
 		if run.ListKnownP99 > 3000 || run.EventKnownP99 > 1000 {
@@ -44,26 +45,27 @@
 	}
 }
 
-// TestStartupSimulated: in simulated time 300 directors make as many calls as 100, few of them while the channel is unavailable, and 99 %
-// know an event within 300 ms.
+// TestStartupSimulated checks in simulated time that 300 directors make about as many calls as 100,
+// that they make few calls while the channel is unavailable, and that 99 % know of an event within
+// 300 ms.
 func TestStartupSimulated(t *testing.T) {
 	calls := map[int]float64{}
 	for _, n := range []int{100, 300} {
-		alone, few := simulateStartup(n, true, 5, fakes.ChannelCapacity{}, 2*time.Second), simulateStartup(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second)
-		if repeated := simulateStartup(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second); repeated.EventKnownP99 != few.EventKnownP99 || repeated.Phases[0] != few.Phases[0] {
-			t.Errorf("played again: %+v, before %+v", repeated, few)
+		alone, clustered := simulateStartup(n, true, 5, fakes.ChannelCapacity{}, 2*time.Second), simulateStartup(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second)
+		if repeated := simulateStartup(n, false, 5, fakes.ChannelCapacity{}, 2*time.Second); repeated.EventKnownP99 != clustered.EventKnownP99 || repeated.Phases[0] != clustered.Phases[0] {
+			t.Errorf("second run: %+v, first run: %+v", repeated, clustered)
 		}
-		if few.NeverKnown+alone.NeverKnown > 0 || few.EventKnownP99 > 300 || few.ListKnownP99 > 3000 {
-			t.Errorf("%+v", few)
+		if clustered.NeverKnown+alone.NeverKnown > 0 || clustered.EventKnownP99 > 300 || clustered.ListKnownP99 > 3000 {
+			t.Errorf("%+v", clustered)
 		}
-		for i, p := range few.Phases {
+		for i, p := range clustered.Phases {
 			if p.CallRate > alone.Phases[i].CallRate/2 || p.Name != "start" && p.PeakShare > 0.15 {
 				t.Errorf("%+v, alone %+v", p, alone.Phases[i])
 			}
 		}
-		calls[n] = few.Phases[1].CallRate
+		calls[n] = clustered.Phases[1].CallRate
 	}
 	if calls[300] > 1.5*calls[100] {
-		t.Errorf("calls grow with the fleet: %v", calls)
+		t.Errorf("the call rate grows with the fleet: %v", calls)
 	}
 }
--- a/internal/experiment/startupchannel.go
+++ b/internal/experiment/startupchannel.go
@@ -10,19 +10,20 @@
 	"tallyproxy/relays"
 )
 
-// simulatedChannel is the command channel's service: it holds polls until there is news, and answers one at a time as fast as its
-// capacity allows.
+// simulatedChannel is the service of the command channel. It holds polls until there are new
+// events, and answers polls one at a time at the rate that its capacity allows.
 type simulatedChannel struct {
-	serving     bool // else it refuses every poll
+	serving     bool // false: it refuses every poll
 	capacity    fakes.ChannelCapacity
-	busyUntil   policy.Micros  // when the answers under way are done
-	events      int            // announced so far
-	listVersion int            // of its endpoint list
-	waiting     map[int]func() // polls that are held, by director's index; calling one answers it
+	busyUntil   policy.Micros  // time at which the current answers are complete
+	events      int            // number of events announced so far
+	listVersion int            // version of the endpoint list
+	heldPolls   map[int]func() // by director's index: function that answers the held poll
 	calls       []fakes.ChannelCall
 }
 
-// answerTime books the time for an answer with so many events; ok is false where the channel refuses the call.
+// answerTime reserves capacity for an answer with the given number of events and returns how long
+// the answer takes. ok is false if the channel refuses the call.
 func (c *simulatedChannel) answerTime(now policy.Micros, events int) (duration policy.Micros, ok bool) {
 	duration = policy.MicrosOf(c.capacity.PerCall) + policy.Micros(events)*policy.MicrosOf(c.capacity.PerEvent)
 	done := max(now, c.busyUntil) + duration
@@ -36,28 +37,29 @@
 	return done - now, true
 }
 
-// announceEvent puts a purge on the channel.
+// announceEvent announces a purge on the channel.
 func (s *startupSim) announceEvent() {
 	s.channel.events++
 	if s.channel.serving {
-		s.wakePolls()
+		s.answerHeldPolls()
 	}
 }
 
-// announceList puts a new version of the endpoint list on the channel, which is an event too.
+// announceList announces a new version of the endpoint list on the channel, which counts as an
+// event too.
 func (s *startupSim) announceList() {
 	s.channel.listVersion++
 	s.announceEvent()
 }
 
-// wakePolls answers all polls that are held, in the order of their directors.
-func (s *startupSim) wakePolls() {
-	for _, index := range slices.Sorted(maps.Keys(s.channel.waiting)) {
-		s.channel.waiting[index]()
+// answerHeldPolls answers all held polls, in the order of their directors.
+func (s *startupSim) answerHeldPolls() {
+	for _, index := range slices.Sorted(maps.Keys(s.channel.heldPolls)) {
+		s.channel.heldPolls[index]()
 	}
 }
 
-// poll has a director call the channel as soon as its poller and its relay let it.
+// poll lets a director call the channel as soon as its poller and its relay allow it.
 func (s *startupSim) poll(d *startupDirector) {
 	if s.now < d.pollAt {
 		s.after(d.pollAt-s.now, func() { s.poll(d) })
@@ -80,7 +82,8 @@
 	call     int // index in the channel's calls
 }
 
-// arrive is the channel's reaction: it refuses the call, answers it where there is news, or holds it for as long as the caller asked.
+// arrive handles the call at the channel: it refuses the call, answers it if there are new events,
+// or holds it for as long as the caller asked.
 func (p *simulatedPoll) arrive() {
 	channel := &p.sim.channel
 	switch {
@@ -93,27 +96,28 @@
 	}
 }
 
-// hold keeps the call until there is news or its time is over.
+// hold holds the call until there is a new event or its long-poll time is over.
 func (p *simulatedPoll) hold() {
 	answered := false
 	answer := func() {
 		if !answered {
 			answered = true
-			delete(p.sim.channel.waiting, p.director.index)
+			delete(p.sim.channel.heldPolls, p.director.index)
 			p.answer()
 		}
 	}
-	p.sim.channel.waiting[p.director.index] = answer
+	p.sim.channel.heldPolls[p.director.index] = answer
 	p.sim.after(p.director.longPoll, answer)
 }
 
-// refuse turns the call away.
+// refuse refuses the call.
 func (p *simulatedPoll) refuse() {
 	p.sim.channel.calls[p.call].Refused = true
 	p.sim.after(p.sim.networkDelay(), func() { p.end(backoff.Unavailable) })
 }
 
-// answer sends the events and the list as they are now, where the channel's capacity allows.
+// answer sends the events and the endpoint list of this moment if the channel's capacity allows it,
+// else it refuses the call.
 func (p *simulatedPoll) answer() {
 	s, d := p.sim, p.director
 	duration, ok := s.channel.answerTime(s.now, s.channel.events-d.cursor)
@@ -126,7 +130,7 @@
 		s.channel.calls[p.call].Answered = true
 		changed := events > d.cursor
 		d.cursor = events
-		s.takeList(d, version)
+		s.applyList(d, version)
 		d.relay.PollSucceeded(s.now, relays.Sum(s.endpointList(version)), p.began, changed)
 		s.learnEvents(d, events)
 		if changed {
@@ -137,7 +141,7 @@
 	})
 }
 
-// end tells the director's poller how the call ended, and schedules the next one.
+// end passes the result of the call to the director's poller and schedules the next call.
 func (p *simulatedPoll) end(result backoff.PollResult) {
 	pause, longPoll := p.director.poller.Next(result, 0, 0)
 	p.director.pollAt, p.director.longPoll = p.sim.now+pause, longPoll
--- a/internal/experiment/startupphases.go
+++ b/internal/experiment/startupphases.go
@@ -27,18 +27,18 @@
 )
 
 const (
-	eventInterval   = 200 * time.Millisecond // of phaseEvents
-	retryAfter      = 5                      // seconds, of phaseRetryAfter
-	phaseCacheNodes = 4                      // cache nodes, which no client uses in the phases
+	eventInterval   = 200 * time.Millisecond // between the events of phaseEvents
+	retryAfter      = 5                      // seconds, sent in phaseRetryAfter
+	phaseCacheNodes = 4                      // number of cache nodes; no client uses them in the phases
 )
 
 // channelPhase is a phase of the command channel.
 type channelPhase struct {
 	name  string
-	begin func() // nil for the phase that began with the directors' start
+	begin func() // nil for the phase that begins with the directors' start
 }
 
-// phaseRun plays the phases with directors as processes.
+// phaseRun runs the phases with directors as processes.
 type phaseRun struct {
 	*Startup
 	ctx           context.Context
@@ -47,15 +47,16 @@
 	announcements []announcement
 }
 
-// announcement is something that all directors are to know.
+// announcement is a change that all directors are expected to learn of.
 type announcement struct {
 	at      time.Time
-	shows   func(faulttest.Entry) bool // whether a log line shows that a director knows it
-	knownMS *float64                   // the result, of which it keeps the largest
+	shows   func(faulttest.Entry) bool // whether a log entry shows that a director knows of it
+	knownMS *float64                   // where the largest propagation time is stored
 }
 
-// playPhases starts n directors at once, and has the command channel go through its phases. No client sends requests.
-func (s *Startup) playPhases(ctx context.Context, n int, alone bool) (result StartupRun, err error) {
+// runPhases starts n directors at the same time and puts the command channel through its phases. No
+// client sends requests.
+func (s *Startup) runPhases(ctx context.Context, n int, alone bool) (result StartupRun, err error) {
 	result.Directors, result.Alone = n, alone
 	spec := faulttest.Spec{Argv: s.Argv, NoPeers: alone, CacheNodes: phaseCacheNodes, WarmCaches: true, Log: s.Log}
 	harness, err := faulttest.New(spec, faulttest.Schedule{Seed: s.Seed, Directors: n})
@@ -64,7 +65,7 @@
 	}
 	cluster := harness.Cluster
 	cluster.SetChannelCapacity(s.capacity())
-	begun := cluster.Now()
+	startedAt := cluster.Now()
 	startErr := harness.Start(ctx)
 	defer func() {
 		result.Memory = math.Round(harness.PeakMemoryMB()*10) / 10
@@ -76,7 +77,7 @@
 	for _, phase := range run.phases() {
 		from := cluster.Now()
 		if phase.begin == nil {
-			from = begun
+			from = startedAt
 		} else {
 			phase.begin()
 		}
@@ -88,7 +89,7 @@
 	return result, ctx.Err()
 }
 
-// phases are the start, a calm phase, and those of the faults that are asked for.
+// phases returns the start, a calm phase, and the phases of the requested faults.
 func (r *phaseRun) phases() []channelPhase {
 	phases := []channelPhase{{phaseStart, nil}, {phaseBaseline, func() {}}}
 	restored := channelPhase{phaseRestored, r.restoreChannel}
@@ -111,7 +112,8 @@
 	return phases
 }
 
-// outage is a phase in which the channel does not serve, while a cache node changes its status.
+// outage returns a phase in which the channel does not serve, while a cache node changes its
+// status.
 func (r *phaseRun) outage(name string, mode fakes.ChannelMode, retryAfter int, status string) channelPhase {
 	return channelPhase{name, func() {
 		r.cluster.SetChannelMode(mode, retryAfter)
@@ -119,19 +121,20 @@
 	}}
 }
 
-// restoreChannel has the channel serve again; directors are to learn the endpoint list from now on.
+// restoreChannel makes the channel serve again. Directors are expected to learn the endpoint list
+// from now on.
 func (r *phaseRun) restoreChannel() {
 	r.cluster.SetChannelMode(fakes.ChannelServing, 0)
 	r.announcements = append(r.announcements, announcement{time.Now(), showsEndpointList, &r.result.ListKnownP99})
 }
 
-// purgeOnce purges a group, which directors are to know.
+// purgeOnce purges a group. Directors are expected to learn of it from now on.
 func (r *phaseRun) purgeOnce() {
 	r.announcements = append(r.announcements, announcement{time.Now(), showsPurge, &r.result.EventKnownP99})
 	r.cluster.Purge("", 1)
 }
 
-// purgeOften purges a group again and again for the whole phase.
+// purgeOften purges a group repeatedly for the duration of the phase.
 func (r *phaseRun) purgeOften() {
 	for range int(r.PhaseDuration / eventInterval) {
 		r.cluster.Purge("", 2)
@@ -147,7 +150,8 @@
 	return e.Event == logevent.GossipReceived || e.Event == logevent.DiscoveryEvents && e.Attributes["events"] != "0"
 }
 
-// measurePropagation finds in the directors' logs how long it took until 99 % of them knew each announcement.
+// measurePropagation determines from the directors' logs how long it took until 99 % of them knew
+// of each announcement.
 func (r *phaseRun) measurePropagation(entries []faulttest.Entry) {
 	for _, a := range r.announcements {
 		took := faulttest.PropagationTime(entries, a.at, r.result.Directors, 0.99, a.shows)
@@ -159,8 +163,9 @@
 	}
 }
 
-// playColdStart starts n directors with cold caches, under load from the moment when they serve, with the faults that happen under load.
-func (s *Startup) playColdStart(ctx context.Context, n int, alone bool) (ColdStart, error) {
+// runColdStart starts n directors with cold caches. They are under load as soon as they serve, with
+// the faults that happen under load.
+func (s *Startup) runColdStart(ctx context.Context, n int, alone bool) (ColdStart, error) {
 	schedule := faulttest.Schedule{Seed: s.Seed, Directors: n, Faults: s.loadFaults(n)}
 	for _, fault := range schedule.Faults {
 		schedule.LengthMS = max(schedule.LengthMS, fault.AtMS+fault.ForMS+500)
@@ -182,7 +187,7 @@
 	}, err
 }
 
-// loadFaults are the faults of a start under load.
+// loadFaults returns the faults of a start under load.
 func (s *Startup) loadFaults(n int) (faults []faulttest.Fault) {
 	all, halves := indexes(n), alternate(n, 2)
 	for _, name := range s.Faults {
--- a/internal/experiment/startupsim.go
+++ b/internal/experiment/startupsim.go
@@ -14,61 +14,64 @@
 )
 
 const (
-	simulatedZoneSize = 500 // directors of a location in simulated time
-	gossipFanout      = 4   // directors that are sent an event at once, as package gossipnet does
-	delegates         = 3   // of a location, that poll the channel
+	simulatedZoneSize = 500 // directors per location in simulated time
+	gossipFanout      = 4   // directors to which an event is forwarded immediately, as in package gossipnet
+	delegates         = 3   // directors of a location that poll the channel
 	delegateZones     = 8
 	delegateKinds     = 4
-	pollRecheck       = 40 * millisecond  // after which a director that is no delegate looks again whether it should poll
-	memberRecheck     = policy.Second / 5 // between changes of the members that a director takes in
+	pollRecheck       = 40 * millisecond  // interval at which a director that is not a delegate checks whether it should poll
+	memberRecheck     = policy.Second / 5 // minimum interval between updates of a director's members
 )
 
-// startupSim plays a fleet's polls of the command channel in simulated time, for fleets that no machine holds as processes. Who polls
-// and when is decided by packages backoff and relays; the network and the channel are simulated. What a director learns of purges goes
-// to others at once, as by gossip; endpoint lists go by relays' queries. All of it belongs to the goroutine that runs it.
+// startupSim simulates a fleet's polls of the command channel, for fleets that are too large to run
+// as processes on one machine. Packages backoff and relays decide which directors poll and when;
+// the network and the channel are simulated. A director forwards new purges to others immediately,
+// as gossip does; endpoint lists spread by the relays' queries. Only the goroutine of the
+// simulation uses it.
 type startupSim struct {
 	eventQueue
-	random    *rand.Rand
-	directors []*startupDirector
-	byName    map[string]*startupDirector
-	zones     []startupZone
-	noPeers   bool // every director polls the channel for itself
-	intervals backoff.Intervals
-	channel   simulatedChannel
-	list      []relays.Endpoint // of listAt
-	listAt    int               // version of list
+	random            *rand.Rand
+	directors         []*startupDirector
+	byName            map[string]*startupDirector
+	zones             []startupZone
+	noPeers           bool // every director polls the channel itself
+	intervals         backoff.Intervals
+	channel           simulatedChannel
+	cachedList        []relays.Endpoint // endpoint list of version cachedListVersion
+	cachedListVersion int               // version of cachedList
 }
 
 // startupZone is a location of directors.
 type startupZone struct {
 	names  []string
-	joined int // directors that have joined the cluster
+	joined int // number of directors that have joined the cluster
 }
 
-// startupDirector is a director, as far as it polls and relays.
+// startupDirector is the state of a director that concerns polling and relaying.
 type startupDirector struct {
-	index       int
-	name        string
-	zone        *startupZone
-	relay       *relays.Relay // nil before its start
-	poller      *backoff.Poller
-	cursor      int           // events that its own polls have brought
-	listVersion int           // of the endpoint list in force
-	listedAt    policy.Micros // when it took that list
-	joined      bool          // it has joined the cluster
-	membersSeen int           // of its zone, when it last took them in
-	membersAt   policy.Micros // when it may take them in again
-	known       int           // events known, from any source
-	knownAt     policy.Micros // when it learned of the last one
-	pollAt      policy.Micros // the earliest time of its next poll
-	longPoll    policy.Micros // how long that poll waits for news
+	index         int
+	name          string
+	zone          *startupZone
+	relay         *relays.Relay // nil before the director's start
+	poller        *backoff.Poller
+	cursor        int           // number of events received by its own polls
+	listVersion   int           // version of the endpoint list in force
+	listAppliedAt policy.Micros // when that list came into force
+	joined        bool          // it has joined the cluster
+	membersSeen   int           // number of joined directors of its zone at the last update of its members
+	membersAt     policy.Micros // earliest time of the next update of its members
+	known         int           // number of events known, from any source
+	knownAt       policy.Micros // when it learned of the last event
+	pollAt        policy.Micros // the earliest time of its next poll
+	longPoll      policy.Micros // how long that poll waits for new events
 }
 
-// newStartupSim makes n directors, in locations of about zoneSize, that all start within a second.
+// newStartupSim creates n directors, in locations of about zoneSize, that all start within a
+// second.
 func newStartupSim(n, zoneSize int, noPeers bool, seed uint64, capacity fakes.ChannelCapacity) *startupSim {
 	s := &startupSim{
 		eventQueue: eventQueue{now: policy.Second}, random: rand.New(rand.NewPCG(seed, 3)), byName: map[string]*startupDirector{}, noPeers: noPeers,
-		channel: simulatedChannel{serving: true, capacity: capacity, waiting: map[int]func(){}, events: 1, listVersion: 1},
+		channel: simulatedChannel{serving: true, capacity: capacity, heldPolls: map[int]func(){}, events: 1, listVersion: 1},
 	}
 	settings := policy.Settings{ConnectTimeout: 400 * millisecond, PurgePropagation: 500 * millisecond, PurgeRetention: 6 * policy.Second}
 	timeouts := policy.Timeouts{LongPoll: settings.PurgeRetention / 5, PollRetry: settings.ConnectTimeout / 4}
@@ -89,15 +92,15 @@
 	return s
 }
 
-// randomDelay draws a time below a bound.
+// randomDelay returns a random delay below a bound.
 func (s *startupSim) randomDelay(bound policy.Micros) policy.Micros {
 	return policy.Micros(s.random.Int64N(int64(bound)))
 }
 
-// networkDelay draws how long a message takes.
+// networkDelay returns the random delay of a message.
 func (s *startupSim) networkDelay() policy.Micros { return 100 + s.randomDelay(2*millisecond) }
 
-// start starts a director. It joins the cluster a moment later.
+// start starts a director, which joins the cluster up to 400 ms later.
 func (s *startupSim) start(d *startupDirector, settings policy.Settings) {
 	relaySettings := relays.DeriveSettings(d.name, delegates, delegateZones, delegateKinds, settings)
 	d.poller = backoff.New(s.intervals, backoff.Seed(1, d.name))
@@ -114,7 +117,7 @@
 	s.poll(d)
 }
 
-// members are the other directors of a location that have joined the cluster too.
+// members returns the other directors of the same location that have joined the cluster.
 func (s *startupSim) members(d *startupDirector) (names []string) {
 	for _, name := range d.zone.names {
 		if other := s.byName[name]; other.joined && other != d {
@@ -124,7 +127,7 @@
 	return names
 }
 
-// tick has a director's relay act, now and at an interval from now on.
+// tick ticks a director's relay, now and then repeatedly at the given interval.
 func (s *startupSim) tick(d *startupDirector, interval policy.Micros) {
 	if d.joined && d.membersSeen != d.zone.joined && s.now >= d.membersAt {
 		d.membersSeen, d.membersAt = d.zone.joined, s.now+memberRecheck
@@ -136,8 +139,8 @@
 	s.after(interval, func() { s.tick(d, interval) })
 }
 
-// query sends a relay's query to another director. The response brings purges that the asker lacks, and, where the asker wants it, the
-// endpoint list a round trip later.
+// query sends a relay's query to another director. The response has the purges that the sender
+// lacks and, if the sender requests it, the endpoint list follows one round trip later.
 func (s *startupSim) query(from, to *startupDirector) {
 	sentAt := s.now
 	s.after(s.networkDelay(), func() {
@@ -153,30 +156,32 @@
 			}
 			s.after(s.networkDelay()+s.networkDelay(), func() {
 				if _, ok := from.relay.AcceptList(s.endpointList(version)); ok {
-					s.takeList(from, version)
+					s.applyList(from, version)
 				}
 			})
 		})
 	})
 }
 
-// endpointList is the channel's list of a version. The last one is kept, since most directors want the same one.
+// endpointList returns the channel's endpoint list of a version. It caches the last list, since
+// most directors ask for the same one.
 func (s *startupSim) endpointList(version int) []relays.Endpoint {
-	if s.listAt != version {
-		s.listAt, s.list = version, []relays.Endpoint{{ID: fmt.Sprint("list-", version)}}
+	if s.cachedListVersion != version {
+		s.cachedListVersion, s.cachedList = version, []relays.Endpoint{{ID: fmt.Sprint("list-", version)}}
 	}
-	return s.list
+	return s.cachedList
 }
 
-// takeList puts an endpoint list in force.
-func (s *startupSim) takeList(d *startupDirector, version int) {
+// applyList puts an endpoint list in force.
+func (s *startupSim) applyList(d *startupDirector, version int) {
 	if version > d.listVersion {
-		d.listedAt = s.now
+		d.listAppliedAt = s.now
 	}
 	d.listVersion = version
 }
 
-// learnEvents has a director know so many events, and gossip them where they are new to it.
+// learnEvents records that a director knows of the given number of events, and forwards them by
+// gossip if any of them is new to it.
 func (s *startupSim) learnEvents(d *startupDirector, known int) {
 	if known <= d.known {
 		return
@@ -191,7 +196,7 @@
 	}
 }
 
-// runFor runs events for a while.
+// runFor runs events for the given duration.
 func (s *startupSim) runFor(duration policy.Micros) {
 	until := s.now + duration
 	for at, ok := s.next(); ok && at < until; {
@@ -202,8 +207,8 @@
 	}
 }
 
-// knownP99 is the time in ms, from a time on, until 99 of 100 directors knew something; ok is false where fewer do. knownAt says when a
-// director learned of it.
+// knownP99 returns the time in ms from a point in time until 99 of 100 directors knew of something.
+// ok is false if fewer do. knownAt returns when a director learned of it.
 func (s *startupSim) knownP99(from policy.Micros, knownAt func(*startupDirector) (at policy.Micros, known bool)) (ms float64, ok bool) {
 	var times []float64
 	for _, d := range s.directors {
@@ -218,12 +223,12 @@
 	return 0, false
 }
 
-// simulateStartup plays the phases of a start, as Startup.playPhases does with processes.
+// simulateStartup runs the phases of a start, as Startup.runPhases does with processes.
 func simulateStartup(n int, noPeers bool, seed uint64, capacity fakes.ChannelCapacity, phaseDuration time.Duration) StartupRun {
 	run := StartupRun{Directors: n, Alone: noPeers, Simulated: true}
 	s := newStartupSim(n, simulatedZoneSize, noPeers, seed, capacity)
-	// play plays a phase, and returns when it began
-	play := func(name string, begin func()) policy.Micros {
+	// runPhase runs a phase and returns the time at which it began.
+	runPhase := func(name string, begin func()) policy.Micros {
 		from := s.now
 		begin()
 		s.runFor(policy.MicrosOf(phaseDuration))
@@ -237,18 +242,18 @@
 		}
 		return ms
 	}
-	play(phaseStart, func() {})
-	play(phaseBaseline, func() {})
-	play(phaseUnavailable, func() {
+	runPhase(phaseStart, func() {})
+	runPhase(phaseBaseline, func() {})
+	runPhase(phaseUnavailable, func() {
 		s.channel.serving = false
-		s.wakePolls()
+		s.answerHeldPolls()
 		s.after(policy.Second, s.announceList)
 	})
-	from := play(phaseRestored, func() { s.channel.serving = true })
+	from := runPhase(phaseRestored, func() { s.channel.serving = true })
 	run.ListKnownP99 = known(from, func(d *startupDirector) (policy.Micros, bool) {
-		return d.listedAt, d.listVersion == s.channel.listVersion
+		return d.listAppliedAt, d.listVersion == s.channel.listVersion
 	})
-	from = play(phaseEvent, s.announceEvent)
+	from = runPhase(phaseEvent, s.announceEvent)
 	run.EventKnownP99 = known(from, func(d *startupDirector) (policy.Micros, bool) { return d.knownAt, d.known == s.channel.events })
 	run.computeRelativeRates()
 	return run
--- a/internal/experiment/storm.go
+++ b/internal/experiment/storm.go
@@ -25,57 +25,58 @@
 	scenarioPopular = "popular" // most requests are for one object, to warm caches
 )
 
-// Storm is the experiment `tallybench storm`: clients that connect and retry at once, on fakes of all that directors talk to and with
-// directors as processes.
+// Storm is the experiment `tallybench storm`: clients that all connect and retry at the same time,
+// with directors as processes and fakes of all systems that directors talk to.
 type Storm struct {
-	Clients       int           `default:"2000" help:"Clients that connect."`
-	ConnectWindow time.Duration `name:"within" default:"1s" help:"The time within which they connect."`
-	IgnoreShare   float64       `name:"ignore" default:"0.25" placeholder:"SHARE" help:"Share of clients that retry earlier than they are told."`
-	UnmarkedShare float64       `name:"unmarked" default:"0" placeholder:"SHARE" help:"Share of clients that don't mark their retries as such."`
-	IdleClients   int           `name:"silent" default:"0" help:"Further clients that connect and send nothing."`
-	Directors     int           `default:"3" help:"Directors."`
-	CacheNodes    int           `name:"boxes" default:"8" help:"Cache nodes."`
-	Cores         int           `default:"1" help:"Cores of a director."`
+	Clients       int           `default:"2000" help:"Number of clients that connect."`
+	ConnectWindow time.Duration `name:"within" default:"1s" help:"Time within which all clients connect."`
+	IgnoreShare   float64       `name:"ignore" default:"0.25" placeholder:"SHARE" help:"Share of clients that retry earlier than advised."`
+	UnmarkedShare float64       `name:"unmarked" default:"0" placeholder:"SHARE" help:"Share of clients that don't mark their retries."`
+	IdleClients   int           `name:"silent" default:"0" help:"Number of additional clients that connect and send nothing."`
+	Directors     int           `default:"3" help:"Number of directors."`
+	CacheNodes    int           `name:"boxes" default:"8" help:"Number of cache nodes."`
+	Cores         int           `default:"1" help:"Number of cores of each director."`
 	Divided       bool          `hidden:"" help:"Each core of a director keeps its own state."`
 	Load          float64       `default:"0.5" help:"Demand once the storm is over, relative to the capacity of warm caches."`
 	Scenario      string        `name:"day" default:"storm" enum:"storm,morning,popular" help:"storm: all clients at once on cold caches; morning: one after another on warm caches; popular: one object on warm caches."`
-	SocketLimit   int           `name:"limit-sockets" default:"512" help:"File descriptors of a director."`
-	MemoryLimitMB int           `name:"limit-memory" default:"64" help:"Memory of a director, in MB."`
+	SocketLimit   int           `name:"limit-sockets" default:"512" help:"Limit on the file descriptors of each director."`
+	MemoryLimitMB int           `name:"limit-memory" default:"64" help:"Memory limit of each director, in MB."`
 	Faults        []string      `name:"trouble" placeholder:"NAME,..." enum:"drain,purge,restart,roll,reload,die,second,slow,turnover,mute,spoil,reset,pause" help:"Faults during the storm: ${enum}."`
-	PauseDuration time.Duration `name:"pause" default:"4s" help:"How long a director is stopped for, with --trouble pause."`
+	PauseDuration time.Duration `name:"pause" default:"4s" help:"How long a director is stopped with --trouble pause."`
 	Peers         bool          `help:"The directors form a cluster."`
-	OverloadMode  string        `name:"guard" default:"on" enum:"on,off,fixed" help:"on: each rejected client gets a reserved time to retry at; fixed: all get the same time; off: none."`
+	OverloadMode  string        `name:"guard" default:"on" enum:"on,off,fixed" help:"on: each rejected client gets a reserved retry time; fixed: all get the same retry time; off: none."`
 	Seed          uint64        `default:"1" help:"Seed of the random generators of clients and objects."`
-	Duration      time.Duration `default:"30s" help:"How long the experiment goes on."`
-	MaxRetries    int           `name:"retries" default:"12" help:"A client's retries of a request, within its deadline."`
-	RetryPause    time.Duration `name:"wait" default:"100ms" help:"A client's pause between attempts when it is told no time."`
+	Duration      time.Duration `default:"30s" help:"Duration of the experiment."`
+	MaxRetries    int           `name:"retries" default:"12" help:"Largest number of retries of a request within its deadline."`
+	RetryPause    time.Duration `name:"wait" default:"100ms" help:"Pause of a client between attempts if no retry time is advised."`
 	PlotPath      string        `name:"plot" placeholder:"FILE.png" help:"Plot demand, advised retries and load over time."`
 	JSON          bool          `name:"json" help:"Print one JSON object."`
-	DirectorPath  string        `name:"director" placeholder:"FILE" help:"The director's program; by default tallyproxy beside this program."`
+	DirectorPath  string        `name:"director" placeholder:"FILE" help:"Path of the director's executable; default: tallyproxy in this executable's folder."`
 
-	Argv []string  `kong:"-"` // starts a director
-	Log  io.Writer `kong:"-"` // of the directors; nil for none
+	Argv []string  `kong:"-"` // command line that starts a director
+	Log  io.Writer `kong:"-"` // receives the directors' logs; nil for none
 }
 
-// Script is the operator's script of the directors.
+// Script returns the operator script of the directors.
 func (s *Storm) Script() string {
 	mode := map[string]string{"on": "guard", "off": "silent", "fixed": "fixed"}[s.OverloadMode]
 	return fmt.Sprintf("machine(cores = %d)\nstorm(mode = %q)\n", max(1, s.Cores), mode)
 }
 
-// stormRun is a storm that goes on.
+// stormRun is a storm in progress.
 type stormRun struct {
 	*Storm
 	cluster   *fakes.Cluster
 	zipf      *fakes.Zipf
 	directors []*faulttest.Director
-	targets   []*fakes.Target // the directors' addresses
-	begin     time.Duration   // by the cluster's clock
+	targets   []*fakes.Target // addresses of the directors
+	begin     time.Duration   // start of the storm, by the cluster's clock
 	running   sync.WaitGroup  // clients and faults
 	log       *directorLog
 }
 
-// Execute runs the experiment. An error says that it could not be run; broken rules are in the result.
+// Execute runs the experiment. It returns an error if the experiment could not be run; broken rules
+// are part of the result.
 func (s *Storm) Execute(ctx context.Context) (result StormResult, err error) {
 	run, err := s.newRun()
 	if err != nil {
@@ -102,7 +103,7 @@
 	return result, nil
 }
 
-// newRun makes the cluster of fakes, with caches as the scenario has them.
+// newRun creates the cluster of fakes, with cold or warm caches according to the scenario.
 func (s *Storm) newRun() (*stormRun, error) {
 	spec := fakes.DefaultSpec(s.CacheNodes, s.Directors)
 	cold := s.Scenario == scenarioStorm
@@ -117,7 +118,7 @@
 	return &stormRun{Storm: s, cluster: cluster, zipf: fakes.NewZipf(spec.Objects, spec.ZipfExponent), log: &directorLog{output: s.Log}}, nil
 }
 
-// startDirectors starts the directors, one after another, with their files in a folder.
+// startDirectors starts the directors one after another, with their files in the given folder.
 func (r *stormRun) startDirectors(ctx context.Context, folder string) error {
 	argv := r.Argv
 	if r.Divided {
@@ -142,7 +143,8 @@
 	return nil
 }
 
-// stopDirectors stops all directors at once, and adds to the result what their processes and logs say.
+// stopDirectors stops all directors at the same time and adds the crashes, memory and log counts to
+// the result.
 func (r *stormRun) stopDirectors(result *StormResult) {
 	var stopping sync.WaitGroup
 	errs := make([]error, len(r.directors))
@@ -157,7 +159,8 @@
 	result.OverloadsDetected, result.ClockStalls = r.log.overloads, r.log.clockStalls
 }
 
-// peersLines are the lines of each director's script that join it to the others; empty where directors are on their own.
+// peersLines returns for each director the line of its script that joins it to the cluster. The
+// lines are empty if the directors form no cluster.
 func (s *Storm) peersLines(folder string) (lines []string, err error) {
 	lines = make([]string, s.Directors)
 	if !s.Peers {
@@ -196,7 +199,7 @@
 	return series
 }
 
-// peakLoad is the highest load so far of any cache node, relative to what overloads it.
+// peakLoad returns the highest load so far of any cache node, relative to its overload threshold.
 func peakLoad(cluster *fakes.Cluster) (load float64) {
 	for _, node := range cluster.Nodes {
 		if peak, _ := node.PeakLoad(); node.Kind != fakes.Origin {
@@ -206,7 +209,7 @@
 	return load
 }
 
-// startClients starts the clients; each connects at its own time.
+// startClients starts the clients. Each one connects at its own time.
 func (r *stormRun) startClients(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.Seed, 11))
 	thinkTime := r.thinkTime()
@@ -223,7 +226,7 @@
 		at := r.begin + time.Duration(random.Float64()*float64(window))
 		r.running.Go(func() {
 			if r.Scenario == scenarioPopular {
-				client.Zipf = fakes.NewZipf(2, 3) // of two objects the first is drawn most of the time
+				client.Zipf = fakes.NewZipf(2, 3) // two objects, the first of which is drawn most of the time
 			}
 			client.Run(ctx, at, thinkTime)
 		})
@@ -234,7 +237,8 @@
 	}
 }
 
-// thinkTime is a client's pause between requests, with which all of them demand the share Load of the caches' capacity.
+// thinkTime returns the pause of each client between requests at which all clients together demand
+// the share Load of the caches' capacity.
 func (r *stormRun) thinkTime() time.Duration {
 	meanTransfer := 0.0 // seconds
 	for _, t := range r.cluster.ContentTypes {
@@ -244,7 +248,7 @@
 	return time.Duration(float64(r.Clients) / requestRate * float64(time.Second))
 }
 
-// newClient makes the client of a number, which has its own address and random generator.
+// newClient creates the i-th client, which has its own address and random generator.
 func (r *stormRun) newClient(i int) *fakes.Client {
 	return &fakes.Client{
 		Cluster: r.cluster, Targets: r.targets, Current: i % len(r.targets), LocalAddress: fmt.Sprintf("127.1.%d.%d", i/250%250, 1+i%250),
--- a/internal/experiment/storm_test.go
+++ b/internal/experiment/storm_test.go
@@ -9,13 +9,14 @@
 	"tallyproxy/internal/logevent"
 )
 
-// TestStorms runs storms one at a time: beside each other directors would wait for processors, and late answers would count as lost. It
-// checks the rules, and that an overload is detected where there is one and only there.
+// TestStorms checks that storms break no rule, and that an overload is detected if and only if
+// there is one. The storms run one at a time: in parallel, directors would wait for CPUs, and late
+// answers would count as lost.
 func TestStorms(t *testing.T) {
 	cases := []struct {
 		name       string
 		storm      Storm
-		noOverload bool // there is no overload, and none must be detected
+		noOverload bool // no overload occurs, so none may be detected
 	}{
 		{"2,000 clients within a second on fresh boxes", Storm{Clients: 2000, IgnoreShare: 0.25}, false},
 		{"half of them ignore the advice", Storm{Clients: 500, IgnoreShare: 0.5}, false},
@@ -36,7 +37,7 @@
 			s := c.storm
 			s.ConnectWindow, s.Seed, s.OverloadMode, s.Argv = time.Second, 1, "on", built
 			s.MaxRetries, s.RetryPause, s.MemoryLimitMB = 12, 100*time.Millisecond, 64
-			if s.Duration = 3500 * time.Millisecond; len(s.Faults) > 0 || s.Clients > 1000 { // so many on cold boxes take as long
+			if s.Duration = 3500 * time.Millisecond; len(s.Faults) > 0 || s.Clients > 1000 { // that many clients on cold caches take this long
 				s.Duration = 6500 * time.Millisecond
 			}
 			if s.Directors, s.CacheNodes = 2, 6; s.Scenario == "" {
@@ -62,10 +63,10 @@
 				t.Error(log.String())
 			}
 			if r.FirstAnswered < s.Clients || r.Requests < s.Clients/2 || r.Succeeded == 0 {
-				t.Errorf("%d first tries were answered, %d downloads ended, %d of them fulfilled", r.FirstAnswered, r.Requests, r.Succeeded)
+				t.Errorf("%d first attempts were answered, %d requests ended, %d of them succeeded", r.FirstAnswered, r.Requests, r.Succeeded)
 			}
 			if c.noOverload != (r.OverloadsDetected == 0) {
-				t.Errorf("%d storms noticed: %+v", r.OverloadsDetected, r)
+				t.Errorf("%d overloads detected: %+v", r.OverloadsDetected, r)
 			}
 		})
 	}
--- a/internal/experiment/stormfaults.go
+++ b/internal/experiment/stormfaults.go
@@ -8,9 +8,9 @@
 	"tallyproxy/internal/fakes"
 )
 
-const purgedGroups = 128 // every second group, which is half of them
+const purgedGroups = 128 // every second group, half of all groups
 
-// stormFaults are the faults of a storm by the names that --trouble has for them. Each schedules what goes wrong.
+// stormFaults maps the fault names of --trouble to functions that schedule the faults.
 var stormFaults = map[string]func(*faultInjector){
 	"drain":    (*faultInjector).drainNode,
 	"purge":    (*faultInjector).purgeSlowly,
@@ -21,13 +21,13 @@
 	"die":      (*faultInjector).killNode,
 	"second":   (*faultInjector).secondStorm,
 	"slow":     (*faultInjector).slowNode,
-	"turnover": (*faultInjector).turnOverNode,
+	"turnover": (*faultInjector).flapNodeStatus,
 	"mute":     func(f *faultInjector) { f.breakNode(0, fakes.FaultNoAnswer) },
 	"spoil":    func(f *faultInjector) { f.breakNode(2, fakes.FaultMalformed) },
 	"reset":    func(f *faultInjector) { f.breakNode(4, fakes.FaultReset) },
 }
 
-// injectFaults schedules the faults that are asked for.
+// injectFaults schedules the requested faults.
 func (r *stormRun) injectFaults(ctx context.Context) {
 	injector := &faultInjector{r, ctx}
 	for _, name := range r.Faults {
@@ -37,13 +37,13 @@
 	}
 }
 
-// faultInjector schedules parts of faults until its context ends.
+// faultInjector schedules the steps of faults until its context ends.
 type faultInjector struct {
 	*stormRun
 	ctx context.Context
 }
 
-// at calls a function at a time since the storm's begin, in a goroutine of its own.
+// at calls a function at an offset from the start of the storm, in a separate goroutine.
 func (f *faultInjector) at(offset time.Duration, inject func()) {
 	f.running.Go(func() {
 		select {
@@ -54,7 +54,7 @@
 	})
 }
 
-// drainNode announces that a cache node drains, and removes it later.
+// drainNode announces a cache node as draining, and removes it later.
 func (f *faultInjector) drainNode() {
 	node := f.cluster.Nodes[0]
 	f.at(1500*time.Millisecond, func() { node.Announce("draining") })
@@ -71,7 +71,8 @@
 	}
 }
 
-// pauseDirector stops a director while a cache node is announced as draining and half of the groups are purged.
+// pauseDirector stops a director and, while it is stopped, announces a cache node as draining and
+// purges half of the groups.
 func (f *faultInjector) pauseDirector() {
 	director := f.directors[0]
 	f.at(2*time.Second, func() { director.Pause(true) })
@@ -84,14 +85,14 @@
 	f.at(2*time.Second+f.PauseDuration, func() { director.Pause(false) })
 }
 
-// killDirector kills a director, and starts it two seconds later.
+// killDirector kills a director and restarts it two seconds later.
 func (f *faultInjector) killDirector() {
 	director := f.directors[0]
 	f.at(2*time.Second, func() { director.Kill() })
 	f.at(4*time.Second, func() { director.Restart(f.ctx) })
 }
 
-// rollDirector ends a director by SIGTERM, and starts it at once.
+// rollDirector sends a director SIGTERM and restarts it immediately.
 func (f *faultInjector) rollDirector() {
 	director := f.directors[len(f.directors)-1]
 	f.at(3*time.Second, func() {
@@ -100,22 +101,22 @@
 	})
 }
 
-// reloadDirector has a director reload its script five times.
+// reloadDirector makes a director reload its script five times.
 func (f *faultInjector) reloadDirector() {
 	for i := range 5 {
 		f.at(time.Duration(i+1)*time.Second, func() { f.directors[0].Signal(syscall.SIGHUP) })
 	}
 }
 
-// killNode kills a cache node, and restarts it three seconds later.
+// killNode kills a cache node and restarts it three seconds later.
 func (f *faultInjector) killNode() {
 	node := f.cluster.Nodes[1]
 	f.at(3*time.Second, func() { node.Kill() })
-	f.at(6*time.Second, func() { _ = node.Restart() }) // one that stays down shows in the result
+	f.at(6*time.Second, func() { _ = node.Restart() }) // a node that stays down shows in the result
 }
 
-// turnOverNode announces a cache node as draining and as up in turn, ten times a second.
-func (f *faultInjector) turnOverNode() {
+// flapNodeStatus announces a cache node alternately as draining and as up, ten times a second.
+func (f *faultInjector) flapNodeStatus() {
 	node := f.cluster.Nodes[3%f.CacheNodes]
 	for i := range int(f.Duration / (100 * time.Millisecond)) {
 		status := []string{"draining", "up"}[i%2]
@@ -123,7 +124,7 @@
 	}
 }
 
-// breakNode gives a cache node a fault for two seconds.
+// breakNode injects a fault into a cache node for two seconds.
 func (f *faultInjector) breakNode(index int, fault fakes.Fault) {
 	node := f.cluster.Nodes[index%f.CacheNodes]
 	f.at(2*time.Second, func() { node.SetFault(fault, 1) })
@@ -135,7 +136,8 @@
 	f.at(2*time.Second, func() { f.cluster.Nodes[2%f.CacheNodes].SetFault(fakes.FaultNone, 4) })
 }
 
-// secondStorm has half as many clients again connect at once later on, for one request each.
+// secondStorm starts half as many additional clients, which all connect at the same time later on
+// and send one request each.
 func (f *faultInjector) secondStorm() {
 	for i := range f.Clients / 2 {
 		client := f.newClient(f.Clients + f.IdleClients + i)
--- a/internal/experiment/stormpause_test.go
+++ b/internal/experiment/stormpause_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// TestPausedDirector stops a director under load while a cache node drains and half of the groups are purged, and lets it go on: it sends
-// nothing to the node and serves nothing older than the purges, however long it was stopped, on one core and on several. A process that
-// was stopped may handle the requests in its sockets before it reads the news in the channel's.
+// TestPausedDirector guards against a director that was stopped (SIGSTOP) and then handles the
+// requests in its sockets before it reads the events of the command channel. A cache node drains
+// and half of the groups are purged meanwhile. However long it was stopped, on one core or several,
+// it must not send requests to the node or serve copies older than the purges.
 func TestPausedDirector(t *testing.T) {
 	cases := []struct {
-		name  string
-		storm Storm
-		jumps int
+		name      string
+		storm     Storm
+		minStalls int
 	}{
 		{"four seconds", Storm{PauseDuration: 4 * time.Second}, 1},
 		{"on two cores", Storm{PauseDuration: 1500 * time.Millisecond, Cores: 2}, 1},
@@ -35,8 +36,8 @@
 			if broken := r.Broken(); len(broken) > 0 {
 				t.Errorf("broken: %v; %+v\n%s", broken, r, log.String())
 			}
-			if r.ClockStalls < c.jumps || r.Succeeded < r.Requests/2 {
-				t.Errorf("%d jumps noticed, want %d; %+v", r.ClockStalls, c.jumps, r)
+			if r.ClockStalls < c.minStalls || r.Succeeded < r.Requests/2 {
+				t.Errorf("%d clock stalls detected, want at least %d; %+v", r.ClockStalls, c.minStalls, r)
 			}
 		})
 	}
--- a/internal/experiment/stormresult.go
+++ b/internal/experiment/stormresult.go
@@ -8,53 +8,53 @@
 	"tallyproxy/internal/fakes"
 )
 
-// StormResult is what clients, cache nodes and directors counted in a storm. Shares are of 1. RecoveryMS is -1 where it did not
-// end.
+// StormResult is what clients, cache nodes and directors counted in a storm. Shares are from 0 to
+// 1. RecoveryMS is -1 if requests did not recover.
 type StormResult struct {
-	Clients            int         `json:"clients"`            // without the idle ones
-	Requests           int         `json:"asked"`              // that ended
-	FirstAnswered      int         `json:"answered"`           // requests whose first attempt was answered, ended or not
-	Attempts           int         `json:"tries"`              // of requests that ended
+	Clients            int         `json:"clients"`            // clients, not counting idle ones
+	Requests           int         `json:"asked"`              // requests that ended
+	FirstAnswered      int         `json:"answered"`           // requests with an answer to the first attempt, whether ended or not
+	Attempts           int         `json:"tries"`              // attempts of requests that ended
 	Succeeded          int         `json:"fulfilled"`          // requests that succeeded
 	Rejected           int         `json:"throttled"`          // requests whose last answer was a rejection
-	Failed             int         `json:"abandoned"`          // requests whose last answer was another one
+	Failed             int         `json:"abandoned"`          // requests whose last answer had any other status
 	Unanswered         int         `json:"unanswered"`         // requests without an answer
-	Lost               int         `json:"lost"`               // attempts without the answer that a director owed
-	DoubleFinal        int         `json:"double_final"`       // answers beyond the one of an attempt
+	Lost               int         `json:"lost"`               // attempts that a director should have answered but did not
+	DoubleFinal        int         `json:"double_final"`       // further answers to an attempt that was already answered
 	WrongBodies        int         `json:"wrong_bytes"`        // answers with another object's bytes
-	RepeatedEffects    int         `json:"effects_twice"`      // effects that a key had beyond the first
-	ConcurrentAttempts int         `json:"pulls_together"`     // upstream attempts of a request beside another of it
-	OverloadedNodes    int         `json:"boxes_fallen"`       // cache nodes that were pushed over
+	RepeatedEffects    int         `json:"effects_twice"`      // further effects of the same idempotency key
+	ConcurrentAttempts int         `json:"pulls_together"`     // upstream attempts of a request while another one was open
+	OverloadedNodes    int         `json:"boxes_fallen"`       // cache nodes that were overloaded
 	DrainedUses        int         `json:"drains_broken"`      // attempts sent to a drained node
 	StaleCopies        int         `json:"purges_broken"`      // answers older than a purge
-	PeakLoad           float64     `json:"peak_load"`          // of any cache node, relative to what overloads it
-	RecoveryMS         int64       `json:"settle_ms"`          // until 95 % of the requests of two seconds succeeded
-	WastedShare        float64     `json:"wasted_share"`       // of attempts
-	WeightShare        float64     `json:"benefit_share"`      // of the requests' priority weight; late answers count a tenth
-	CacheUtilization   float64     `json:"boxes_used"`         // work done in the first ten seconds, relative to the caches' capacity
-	EarlyRetries       int         `json:"early_tries"`        // attempts before the time that was told
-	ObeyingSuccess     float64     `json:"heeders_served"`     // share of requests that succeeded, of clients that obey the time they are told
-	IgnoringSuccess    float64     `json:"ignorers_served"`    // share of requests that succeeded, of clients that ignore it
-	LostToKills        int         `json:"killed_tries"`       // attempts that ended with a director that was killed
-	LostToPauses       int         `json:"lost_paused"`        // attempts that timed out while their director was stopped
-	ClockStalls        int         `json:"jumps_noticed"`      // logged by directors
-	Crashes            int         `json:"crashes"`            // directors that did not end well
-	PeakMemoryMB       float64     `json:"rss_mb_peak"`        // of any director
-	OverloadsDetected  int         `json:"storms_noticed"`     // logged by directors
+	PeakLoad           float64     `json:"peak_load"`          // highest load of any cache node, relative to its overload threshold
+	RecoveryMS         int64       `json:"settle_ms"`          // ms until 95 % of the requests succeeded in two consecutive seconds
+	WastedShare        float64     `json:"wasted_share"`       // share of attempts without success
+	WeightShare        float64     `json:"benefit_share"`      // share of the requests' priority weight that succeeded; late answers count a tenth
+	CacheUtilization   float64     `json:"boxes_used"`         // work completed in the first ten seconds, relative to the caches' capacity
+	EarlyRetries       int         `json:"early_tries"`        // attempts before the advised retry time
+	ObeyingSuccess     float64     `json:"heeders_served"`     // share of successful requests, of clients that obey the advised retry time
+	IgnoringSuccess    float64     `json:"ignorers_served"`    // share of successful requests, of clients that ignore the advised retry time
+	LostToKills        int         `json:"killed_tries"`       // attempts lost because their director was killed
+	LostToPauses       int         `json:"lost_paused"`        // attempts that timed out while their director was paused
+	ClockStalls        int         `json:"jumps_noticed"`      // clock stalls that directors logged
+	Crashes            int         `json:"crashes"`            // directors that did not stop cleanly
+	PeakMemoryMB       float64     `json:"rss_mb_peak"`        // peak memory of any director
+	OverloadsDetected  int         `json:"storms_noticed"`     // overloads that directors logged
 	Series             StormSeries `json:"-"`                  // for the plot
-	SuccessBySecond    []float64   `json:"met"`                // share of requests that succeeded, by the second of their start
+	SuccessBySecond    []float64   `json:"met"`                // share of requests that succeeded, by second of their start
 	LostReasons        string      `json:"lost_how,omitempty"` // errors of the attempts in Lost, with counts
 }
 
-// StormSeries are counts over time, one value for each fakes.SeriesInterval.
+// StormSeries has counts over time, one value for each fakes.SeriesInterval.
 type StormSeries struct {
-	Attempts   []int     // of clients
-	RetryAfter []int     // times at which clients were told to retry
-	Succeeded  []int     // answers with the object
+	Attempts   []int     // attempts of clients
+	RetryAfter []int     // advised retries, by the advised time
+	Succeeded  []int     // answers that have the object
 	Load       []float64 // peak load so far
 }
 
-// Broken names the rules that were broken.
+// Broken returns the names of the rules that were broken.
 func (r StormResult) Broken() (rules []string) {
 	for _, rule := range []struct {
 		name   string
@@ -72,14 +72,14 @@
 }
 
 const (
-	recoveryWindow    = time.Second      // of requests that are counted together
-	recoveredShare    = 0.95             // of a window's requests that succeed once the storm is over
-	unfinishedTail    = 7 * time.Second  // at the end, whose requests may not have ended
-	utilizationWindow = 10 * time.Second // from the begin
-	lateWeight        = 0.1              // of an answer after the latency objective
+	recoveryWindow    = time.Second      // length of the windows in which requests are counted
+	recoveredShare    = 0.95             // share of successful requests in a window after recovery
+	unfinishedTail    = 7 * time.Second  // end of the run, where requests may still be open
+	utilizationWindow = 10 * time.Second // from the start of the storm
+	lateWeight        = 0.1              // weight of an answer later than the latency objective
 )
 
-// summarize adds what clients and nodes counted to the result.
+// summarize adds the counts of clients and cache nodes to the result.
 func (r *stormRun) summarize(result *StormResult) {
 	result.Clients = r.Clients
 	violations := r.cluster.Violations()
@@ -104,7 +104,7 @@
 	})
 }
 
-// addClientStats takes over what clients counted themselves.
+// addClientStats copies the counts that clients keep themselves.
 func (r *StormResult) addClientStats(stats *fakes.ClientStats) {
 	r.Lost, r.DoubleFinal, r.WrongBodies, r.StaleCopies = stats.Lost, stats.Duplicates, stats.WrongBodies, stats.StaleCopies
 	r.FirstAnswered = stats.FirstAnswered
@@ -115,7 +115,7 @@
 	}
 }
 
-// requestCount counts requests and those that succeeded.
+// requestCount counts requests and successful requests.
 type requestCount struct{ requests, succeeded int }
 
 func (c *requestCount) add(succeeded bool) {
@@ -127,18 +127,18 @@
 	return ratio(float64(c.succeeded), float64(c.requests))
 }
 
-// requestTally sums up requests that ended.
+// requestTally sums up the requests that ended.
 type requestTally struct {
 	begin        time.Duration
-	windows      []requestCount // by recoveryWindow of their start
-	obeying      requestCount   // of clients that obey the time they are told
-	ignoring     requestCount   // of clients that ignore it
+	windows      []requestCount // by recoveryWindow of the requests' start
+	obeying      requestCount   // of clients that obey the advised retry time
+	ignoring     requestCount   // of clients that ignore the advised retry time
 	weight       float64        // priority weight of all requests
-	weightGained float64        // of those that succeeded
-	earlyWork    float64        // µs of transfer that ended in utilizationWindow
+	weightGained float64        // priority weight of requests that succeeded
+	earlyWork    float64        // µs of transfer of successful requests that ended in utilizationWindow
 }
 
-// add adds a request to the sums, and to the result's counts of requests.
+// add adds a request to the sums and to the result's counts of requests.
 func (t *requestTally) add(request *fakes.ClientRequest, result *StormResult) {
 	result.Requests++
 	result.Attempts += request.Attempts
@@ -166,7 +166,7 @@
 	}
 }
 
-// addSuccess adds the work and the weight of a request that succeeded.
+// addSuccess adds the work and the weight of a successful request.
 func (t *requestTally) addSuccess(request *fakes.ClientRequest) {
 	if request.StartedAt+request.Duration < t.begin+utilizationWindow {
 		t.earlyWork += request.TransferMicros
@@ -179,7 +179,8 @@
 	}
 }
 
-// recoveryMS is the start, in ms, of the first two windows in a row in which nearly all requests succeeded; -1 where there are none.
+// recoveryMS returns the start, in ms, of the first two consecutive windows in which nearly all
+// requests succeeded, or -1 if there are none.
 func (t *requestTally) recoveryMS(duration time.Duration) int64 {
 	recovered := func(window int) bool {
 		return float64(t.windows[window].succeeded) >= recoveredShare*float64(t.windows[window].requests)
