--- a/backoff/intervals.go
+++ b/backoff/intervals.go
@@ -20,9 +20,9 @@
 //
 // A purge or a drain must take effect within its propagation time after the service reported it.
 // The pause after changes is therefore at most two thirds of the shorter of the two propagation
-// times, and the first poll begins within nine tenths of it. After an outage, changes that the
-// service reported meanwhile count as reported up to a third of PurgeRetention later (2 s of 6 s),
-// so no pause after an error is longer than that.
+// times, and the first poll begins within nine tenths of it. Changes that the service reported
+// during an outage count as reported up to a third of PurgeRetention later (2 s of 6 s), so no
+// pause after an error is longer than that.
 func DeriveIntervals(settings policy.Settings, timeouts policy.Timeouts) Intervals {
 	propagation := cmp.Or(settings.PurgePropagation, settings.ConnectTimeout)
 	if settings.DrainPropagation > 0 {
--- a/backoff/poller.go
+++ b/backoff/poller.go
@@ -23,7 +23,7 @@
 	TimedOut                        // no complete answer arrived in time
 	Unavailable                     // the service answered that it is overloaded
 	Malformed                       // the answer could not be parsed
-	Canceled                        // canceled: address changed, or fresh data is needed at once
+	Canceled                        // by the caller: address changed, or fresh data needed at once
 )
 
 // pollResultNames holds the names that appear in log lines.
--- a/dedup/dedup.go
+++ b/dedup/dedup.go
@@ -12,8 +12,10 @@
 
 // Settings holds the operator's settings of deduplication.
 type Settings struct {
-	MaxRecords    int     // maximum number of records; 0 disables the table
-	RetainWindows float64 // retention after a key's last attempt, in its type's dedup windows
+	MaxRecords int // maximum number of records; 0 disables the table
+	// RetainWindows is the retention after a key's last attempt, in dedup windows of its content
+	// type. Values below 1 count as 1.
+	RetainWindows float64
 	// FailUnknownRetries makes a retry with an unknown key fail if the first attempt may be older
 	// than its dedup window.
 	FailUnknownRetries bool
--- a/maintenance/violations.go
+++ b/maintenance/violations.go
@@ -12,7 +12,8 @@
 const checkTolerance = 1e-6
 
 // Violations returns where a plan breaks its constraints. It checks every group at every time at
-// which something changes, and shares no check with the planner.
+// which an outage or a slot of the demand starts, and shares no check with the planner. It does not
+// check the capacity of a group that had already lost machines before the plan.
 func Violations(site Site, jobs []Job, plan Plan) (violations []string) {
 	p := newPlanner(&site)
 	for i := range jobs {
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -35,7 +35,7 @@
 type Admission struct {
 	ClientHash   uint64  // hash of the client's address; 0 if unknown
 	ObjectHash   uint64  // hash of content type, object and part
-	Work         float64 // sending time at full rate, in microseconds
+	Work         float64 // transfer time at full rate, in microseconds
 	RelativeCost float64 // work per unit of priority weight, relative to the average request
 	IsRetry      bool    // client marked the request as a retry
 
@@ -77,9 +77,9 @@
 }
 
 // New returns a Controller for clients that honor retry-after times up to maxRetryAfter. It never
-// detects a storm in a mode other than ModeReserve, or if maxRetryAfter is too short for the number
-// of windows in the settings. onChange, unless nil, is called on every change of state, within the
-// call that causes it.
+// detects a storm in a mode other than ModeReserve. If maxRetryAfter is too short for the number of
+// windows in the settings, ModeReserve acts like ModeSilent. onChange, unless nil, is called on
+// every change of state, within the call that causes it.
 func New(settings Settings, maxRetryAfter policy.Micros, seed uint64, estimate CapacityEstimate, onChange func(policy.Micros, Report)) *Controller {
 	c := &Controller{
 		settings: settings, estimate: estimate, random: random.NewMixed(seed), capacityFactor: 1, keptShare: 1, onChange: onChange,
--- a/overload/helpers_test.go
+++ b/overload/helpers_test.go
@@ -37,7 +37,7 @@
 	sliceWork  float64 // work done in the current slice
 	slice      policy.Micros
 	served     map[int]policy.Micros // by client: when its request succeeded
-	retryAt    map[int]policy.Micros // by client: when it was told to retry
+	retryAt    map[int]policy.Micros // by client: time that it was given for its retry
 }
 
 func (s *simulation) send(client int, a *Admission) (served bool, retryAfter policy.Micros) {
--- a/overload/reservations.go
+++ b/overload/reservations.go
@@ -8,7 +8,7 @@
 type reservation struct {
 	id   uint64 // 0 marks a free entry
 	at   policy.Micros
-	work float32 // reserved work in microseconds of sending time; 0 if no window had room
+	work float32 // reserved work in microseconds of transfer time; 0 if no window had room
 }
 
 // reservationTable stores reservations in a fixed number of rows of four entries. A new reservation
--- a/overload/reserve.go
+++ b/overload/reserve.go
@@ -18,8 +18,8 @@
 )
 
 // reserve finds the first window with room for the request, records the reservation and returns its
-// time. If no window has room, it draws a time from the second half of the horizon and reserves no
-// work.
+// time. A window without reservations has room for any request if it has reservable capacity. If no
+// window has room, reserve draws a time from the second half of the horizon and reserves no work.
 func (c *Controller) reserve(now policy.Micros, a *Admission) policy.Micros {
 	share := c.fillLimit(a)
 	last := int64((now + c.horizon) / c.windowLength)
@@ -72,7 +72,7 @@
 }
 
 // windowCapacity returns the work that can be done in a window at the given time, in microseconds
-// of sending time. It applies the learned correction.
+// of transfer time. It applies the learned correction.
 func (c *Controller) windowCapacity(at policy.Micros) float64 {
 	return c.capacity(at) * float64(c.windowLength) * c.capacityFactor
 }
--- a/overload/window.go
+++ b/overload/window.go
@@ -6,7 +6,7 @@
 	recentWindows       = 5   // windows over which demand is summed, including the current one
 	meanWindows         = 100 // windows over which slow running means are taken
 	riseWindows         = 20  // windows over which the forecast of first attempts follows a rise
-	fallWindows         = 4   // the same for a fall; few, so that a burst is not projected
+	fallWindows         = 4   // the same for a fall; fewer, to not project a burst
 	sketchHalvingCycles = 8   // horizons after which the counts of early retries are halved
 
 	wastedShareLimit  = 0.2 // rejected or late share of admitted retries that cuts the factor
@@ -16,7 +16,7 @@
 	maxCapacityFactor = 2.0 // for caches that warm up faster than estimated
 )
 
-// window counts the events of one time window. Work is in microseconds of sending time.
+// window counts the events of one time window. Work is in microseconds of transfer time.
 type window struct {
 	requestedWork     float64 // of all requests
 	firstAttemptWork  float64 // of requests that are not retries
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -41,7 +41,7 @@
 	Unsplit          bool        // objects have no parts
 }
 
-// SlowStart is the load that an endpoint can bear after it has started.
+// SlowStart describes the load that an endpoint can handle after it has started.
 type SlowStart struct {
 	InitialShare float64 // minimum share of its capacity that the endpoint has at its start
 	Duration     Micros  // time over which the share grows linearly to 1
--- a/routing/concurrency.go
+++ b/routing/concurrency.go
@@ -22,14 +22,15 @@
 }
 
 // Allow reports whether one more attempt may be sent if it may use the given share of the limit.
-// unitHash is the hash of the object as a number from 0 to 1.
+// unitHash selects the objects that a limit below 1 allows: it is a hash as a number from 0 to 1,
+// scaled up if costly objects are to be allowed less often, or 0 to allow every object.
 func (c *concurrencyLimit) Allow(share, unitHash float64) bool {
 	return float64(c.inFlight) < max(1, c.limit)*share && unitHash < c.limit
 }
 
 // Observe adapts the limit to an attempt that took ratio times its latency objective. A ratio
 // above slow reduces the limit by the share decrease, but by 1 at most. Any other ratio raises the
-// limit by up to increase.
+// limit by up to increase if most of the limit is in use.
 func (c *concurrencyLimit) Observe(ratio, slow, decrease, increase float64) {
 	if ratio > slow {
 		c.limit = max(minConcurrency, c.floor, c.limit-min(1, c.limit*decrease))
--- a/routing/fill.go
+++ b/routing/fill.go
@@ -14,7 +14,7 @@
 	congestionThreshold = 0.7
 	// congestionTimeout is the time without further signs of congestion after which it is over.
 	congestionTimeout = 10 * policy.Second
-	lateFillRatio     = 2   // latency objectives for which a late or failed fill counts
+	lateFillRatio     = 2   // ratio to its latency objective recorded for a late or failed fill
 	originDecrease    = 0.5 // share by which a late fill reduces the limit of the origin
 	// minFillLatencySamples is the minimum number of fills that the mean of all fills covers,
 	// however many directors there are.
@@ -99,8 +99,8 @@
 // all fills exceeds congestionThreshold.
 //
 // The limits protect a zone's link and the origin from fills that all end late, are abandoned and
-// must be repeated, whatever made them slow. They can do harm if a few fills are slow for a long
-// time, because misses then wait unnecessarily.
+// must be repeated, regardless of why they are slow. They can do harm if a few fills are slow for
+// a long time, because misses then wait unnecessarily.
 func (r *Router) observeFill(now policy.Micros, a *attempt, ratio float64, reachedOrigin bool) {
 	if r.fillLatency += (ratio - r.fillLatency) / r.fillLatencySamples; r.fillLatency > congestionThreshold {
 		r.congestedAt = now
--- a/routing/outcome.go
+++ b/routing/outcome.go
@@ -7,10 +7,11 @@
 
 // observeOutcome updates the state of an attempt's endpoint and source with the attempt's outcome.
 //
-// An error without a reported cause counts as a failure of its endpoint only once another endpoint
-// succeeds with the same request. If two endpoints return such errors, they are taken to agree
-// that the request is at fault. This protects endpoints from clients whose requests no endpoint
-// can process. It can do harm if two endpoints fail where a third would succeed.
+// If answers normally report causes, an error without a reported cause counts as a failure of its
+// endpoint only once another endpoint succeeds with the same request. If two endpoints return such
+// errors, they are taken to agree that the request is at fault. This protects endpoints from
+// clients whose requests no endpoint can process. It can do harm if two endpoints fail where a
+// third would succeed.
 func (r *Router) observeOutcome(now policy.Micros, request *policy.Request, state *requestState, a *attempt, outcome policy.Outcome) {
 	r.release(now, a)
 	late := outcome.Result == policy.Succeeded && now-a.sentAt > a.objective
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -65,7 +65,7 @@
 // failureThreshold such fills in a row.
 //
 // If answers do not report the cause of a failure, every successful answer through a source clears
-// its failures. If no other parent is usable either, the fault is assumed to be behind the
+// its failures. If, in addition, no other parent is usable, the fault is assumed to be behind the
 // parents, and all of them are used again. This protects against dead and slow parents and keeps
 // the parents' cached content in use while the origin fails. It can do harm while all parents are
 // dead but still listed.
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -16,8 +16,9 @@
 )
 
 // queueOrReject queues a request for which there was no room, provided that it can still be
-// answered in time, and rejects it otherwise. Retries are queued only if they arrive at the time
-// of their reserved slot.
+// answered in time, and rejects it otherwise. It also rejects a request if there are ready edge
+// caches but none is allowed to take it. Retries are queued only if they arrive at the time of
+// their reserved slot.
 func (r *Router) queueOrReject(p *placement) policy.Decision {
 	request, now := p.request, p.now
 	hasCandidate := len(r.edges.ready) == 0 || slices.ContainsFunc(r.edges.ready, p.allowed)
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -40,7 +40,8 @@
 
 // retryOrReject decides what follows an attempt that failed. It makes another attempt unless the
 // request has had enough attempts, too many attempts of all requests are rejected or late, or
-// endpoints agree that they cannot process the request.
+// endpoints agree that they cannot process the request. The rate of rejected and late attempts
+// does not prevent an attempt that replaces a cancelled or withdrawn one.
 func (r *Router) retryOrReject(now policy.Micros, request *policy.Request, state *requestState, a *attempt, result policy.Result) policy.Decision {
 	overloaded := r.errorRate > overloadErrorRate && !a.cancelled && result != policy.Withdrawn
 	unprocessable := len(state.unexplainedErrors) > boolean.Int(!request.ClientSuspect)
--- a/routing/router.go
+++ b/routing/router.go
@@ -35,7 +35,8 @@
 	// rate; 0 if the link's capacity is unknown.
 	linkShare float64
 	// transferTimes holds mean transfer times in microseconds by content type, calculated from
-	// sizes if they are known and otherwise measured on hits.
+	// sizes if they are known and otherwise measured on answers of lightly loaded endpoints that
+	// no fill delayed.
 	transferTimes map[*policy.ContentType]*runningMean
 	averageCost   runningMean // mean cost of requests, see cost
 
@@ -48,15 +49,15 @@
 	// can be left.
 	purges map[purgeKey]policy.Micros
 
-	missRatio float64 // running share of answers that were not hits
-	errorRate float64 // running share of attempts that were rejected or late
+	missRatio float64 // running share of answers that were neither hits nor stale copies
+	errorRate float64 // running share of attempts that were rejected, timed out or late
 
 	fillLatency float64 // running mean of fill times, as a ratio of their latency objectives
 	// fillLatencySamples is the number of fills that fillLatency covers. It is smaller if each of
 	// several directors sees only a part of the fills.
 	fillLatencySamples float64
-	// congestedAt is when a fill was last late or had no room in a limiter; 0 while fills are not
-	// congested.
+	// congestedAt is when fillLatency last exceeded congestionThreshold after a fill, or a fill
+	// last had no room in a limiter during a congestion; 0 while fills are not congested.
 	congestedAt   policy.Micros
 	fillLimiter   concurrencyLimit // limits fills while they are congested
 	originLimiter concurrencyLimit // limits those fills that may reach the origin
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -53,8 +53,9 @@
 // capacity of the fill link is unknown.
 func (r *Router) sizesOnly() bool { return r.linkShare == 0 && r.settings.WeightsAreSizes }
 
-// Capacity returns this director's share of the current capacity of the zone's ready edge caches,
-// in concurrent transfers at the full rate.
+// Capacity returns this director's share of the capacity that the zone's ready edge caches have at
+// the given time, in concurrent transfers at the full rate. It leaves out caches whose ejection
+// ends later.
 func (r *Router) Capacity(at policy.Micros) float64 {
 	weight := 0.0
 	for _, e := range r.edges.ready {
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestSlowStartBudget guards against overload of an endpoint in slow start (rule 4). Directors
-// that do not communicate stay within its budget in every window, whatever is requested, and work
-// that does not fit goes to other endpoints.
+// that do not communicate stay within its budget in every window, regardless of the demand, and
+// work that does not fit goes to other endpoints.
 func TestSlowStartBudget(t *testing.T) {
 	cases := []struct {
 		name           string
--- a/shard/queue.go
+++ b/shard/queue.go
@@ -5,15 +5,15 @@
 // shrinkFactor is the multiple of a queue's limit beyond which a grown buffer is released.
 const shrinkFactor = 4
 
-// Queue passes values from many goroutines to one consumer, which takes all queued values at a
-// time: one lock for each value put in, and one for each batch taken out. Put and TryPut respect
+// Queue passes values from many goroutines to one consumer, which takes all queued values at
+// once: one lock for each value put in, and one for each batch taken out. Put and TryPut respect
 // the limit. Callers of PutUnbounded must bound their number of values themselves. A mutex guards
 // the queue.
 type Queue[T any] struct {
 	mu      sync.Mutex
 	notFull sync.Cond
 	items   []T
-	spare   []T // buffer of the last batch, reused after the next call of TakeAll
+	spare   []T // buffer of the last batch; the next TakeAll makes it the buffer of items
 	limit   int
 	ready   chan struct{} // has capacity 1
 	closed  bool
--- a/stall/detector.go
+++ b/stall/detector.go
@@ -2,11 +2,11 @@
 // state may be trusted.
 //
 // After the process was stopped, or its machine slept, the state is as old as the stall, and
-// nothing in it shows that: what the command channel sent meanwhile is still unread while requests
-// are being decided. The Detector recognizes a stall as a jump of the director's clocks between two
-// heartbeats, at the moment at which the state is used. From then on the state is suspect until the
-// command channel has been polled again. A command channel that fails is not a stall, and changes
-// nothing here.
+// nothing in it shows its age: what the command channel sent during the stall is still unread while
+// the director already decides requests. The Detector recognizes a stall as a jump of the
+// director's clocks between two heartbeats, at the moment at which the state is used. From then on
+// the state is suspect until the command channel has been polled again. A command channel that
+// fails is not a stall, and changes nothing here.
 //
 // The package does no I/O; its callers pass the readings of the clocks.
 package stall
@@ -71,13 +71,18 @@
 	lastPoll      atomic.Int64 // last poller activity, on the monotonic clock
 	suspectSince  atomic.Int64 // start of the suspect state, on the monotonic clock; 0 if trusted
 
-	mu          sync.Mutex
-	channelDown bool          // the last poll before the suspect state failed
+	mu sync.Mutex
+	// channelDown is true if the last poll before the suspect state failed, or if no poll has ended
+	// since a suspect state that was not resolved ByPoll.
+	channelDown bool
 	resolved    chan struct{} // closed while the state is trusted
 	stalls      int64         // number of stalls noticed so far
 	stalled     policy.Micros // length of the last stall, or sum of several while suspect
-	staleFrom   policy.Micros // start of the reads that may be stale by stalled, monotonic clock
-	staleUntil  policy.Micros // end of these reads, monotonic clock
+
+	// Data read from staleFrom to staleUntil, on the monotonic clock, may be older than its reading
+	// by stalled.
+	staleFrom  policy.Micros
+	staleUntil policy.Micros
 }
 
 // New returns a Detector that trusts the state. It calls onSuspect with the length of each stall
@@ -221,7 +226,7 @@
 	}
 	d.mu.Lock()
 	stalled := d.gap(now)
-	if stalled <= d.thresholds.Stall { // another goroutine has noticed it meanwhile
+	if stalled <= d.thresholds.Stall { // another goroutine noticed the stall first
 		d.mu.Unlock()
 		return d.suspectSince.Load() != 0
 	}
--- a/timerwheel/wheel.go
+++ b/timerwheel/wheel.go
@@ -154,8 +154,8 @@
 	return time.Duration(max(0, next*w.tick-now)) * time.Microsecond
 }
 
-// nextEvent returns the next tick at which an item is due or moves to a lower level, but at most
-// until. All items of a lower level come before those of a higher level.
+// nextEvent returns the next tick at which an item is due or moves to a lower level, or the tick
+// until if that is earlier. All items of a lower level come before those of a higher level.
 func (w *Wheel[T]) nextEvent(until int64) int64 {
 	for level := range levels {
 		shift := slotBits * level
