--- a/deploy/director.star
+++ b/deploy/director.star
@@ -1,45 +1,62 @@
-# The operator's own settings of a director, a Starlark script. Named on the command line:
+# The operator's settings of a director, as a Starlark script. Its path is given on the command
+# line:
 #
 #     tallyproxy --settings deploy/director.star
 #
-# Each section is called at most once; what is left out has the value that is written here, but for storm's mode, which is
-# "fixed" in a director without this file. tallyproxy --check reads it without serving. SIGHUP reads it again.
+# Each function may be called at most once. A setting that is left out has the value that is written
+# here, except storm's mode, whose default is "fixed", with or without a script. tallyproxy --check
+# reads the script without serving requests. SIGHUP makes a running director read it again.
 
-# Throttled downloads and storms: docs/storms.md.
+# Overload control: rejected requests and retry storms. See docs/storms.md.
 storm(
-    mode = "guard",     # "guard": places while there is a storm; "fixed": the ordinary time; "silent": none
-    reach = 1.0,        # how far ahead places are given, as part of the longest advice that clients heed
-    windows = 10,       # that the reach is cut into
-    rise = 1.25,        # work asked for over what the caches can do, from which a storm may rise
-    surge = 4,          # new connections over the usual that are a sign of one,
-    repeats = 0.5,      # or this share of repeats,
-    cold = 0.6,         # or caches below this part of their full capacity
-    promise = 0.9,      # part of what can be done that is promised
-    clients = 4096,     # places remembered, 32 bytes each
+    # Retry-after time that rejected clients are given. "guard": a reserved slot during a storm and
+    # the default time otherwise; "fixed": always the default time; "silent": none.
+    mode = "guard",
+    # How far ahead slots are reserved, as a share of the longest retry-after time that clients
+    # respect.
+    reach = 1.0,
+    # Number of windows that the reach is divided into.
+    windows = 10,
+    # A storm may begin when the ratio of requested work to the capacity of the caches is above this
+    # value and there is at least one of the three signs below.
+    rise = 1.25,
+    surge = 4,          # sign: ratio of new to usual connections above this value
+    repeats = 0.5,      # sign: share of retries among the requests above this value
+    cold = 0.6,         # sign: capacity of the caches below this share of their warm capacity
+    # Share of the capacity left by first attempts that may be reserved.
+    promise = 0.9,
+    clients = 4096,     # maximum number of stored reservations, which take 32 bytes each
 )
 
-# Deduped downloads over their clients' retries.
+# Idempotency keys: how requests with a key are recognized when clients retry them.
 keys(
-    # marks = 10000,    # remembered at most; with as many, new deduped downloads are throttled unsent. By default as many as
-    #                   # fit into a sixteenth of the memory
-    remember = 20,      # windows of the content type after the last pull
-    strangers = "send", # marked repeats of unknown keys where a client's time is longer than the window: or "abandon"
+    # Maximum number of stored keys. When it is reached, idempotent requests with a new key are
+    # rejected without being sent. By default, as many as fit into one sixteenth of the memory.
+    # marks = 10000,
+
+    # How long a key is stored after its last attempt, in dedup windows of the content type.
+    remember = 20,
+    # What happens to marked retries with an unknown key if the client's timeout is longer than the
+    # dedup window. "send": they are sent; "abandon": they fail.
+    strangers = "send",
 )
 
-# After the signal to stop, the director ends once nothing has come for so long; by default a quarter of the time that a
-# connection to a node may take.
+# After the stop signal, the director stops once no client has connected for this long. The default
+# is a quarter of the timeout for connections to a node.
 # door(settle = ms(100))
 
-# Cores that the director grows over, up to the platform's limits.cores rounded up; a change needs a restart: docs/cores.md.
+# Number of cores that the director may use, at most the platform's limits.cores rounded up. A
+# change needs a restart. See docs/cores.md.
 # machine(cores = 4)
 
-# Boxes that this director takes for draining, whatever the list says.
+# Cache nodes that this director treats as draining, regardless of the endpoint list.
 # avoid(boxes = ["box-3"])
 
-# A socket at which the director tells its own machine how it is, for `tallyctl`; only its user may open it.
+# Unix socket at which the director reports its status on its own machine, for `tallyctl`. Only the
+# director's user may open it.
 # state(socket = "/run/tallyproxy/n3.sock")
 
-# Other directors, where the platform's settings permit the talk: docs/peers.md.
+# Gossip with other directors, if the platform's settings permit it. See docs/peers.md.
 # peers(listen = "10.1.0.9:7946", seeds = ["10.1.0.8:7946"], key = "/etc/tallyproxy/peers.key", fleet = "depots")
 
 log(level = "info")
