--- a/internal/experiment/affinity.go
+++ b/internal/experiment/affinity.go
@@ -42,7 +42,7 @@
 			return err
 		}
 		err = unix.SchedSetaffinity(id, set)
-		if err != nil && !errors.Is(err, unix.ESRCH) { // ESRCH: the thread has ended meanwhile
+		if err != nil && !errors.Is(err, unix.ESRCH) { // ESRCH: the thread has ended
 			return err
 		}
 	}
--- a/internal/experiment/cores.go
+++ b/internal/experiment/cores.go
@@ -51,21 +51,36 @@
 
 // CoresRun is the result for one number of cores.
 type CoresRun struct {
-	Cores           int     `json:"cores"`             // of all directors together
-	OwnCores        bool    `json:"own_cores"`         // load generator and directors ran on separate cores
-	LoadCores       int     `json:"load_cores"`        // cores of the load generator
-	Rate            float64 `json:"rate"`              // successful requests per second
-	P50             float64 `json:"p50_ms"`            // latency of successful requests
-	P99             float64 `json:"p99_ms"`            // latency of successful requests
-	P999            float64 `json:"p999_ms"`           // latency of successful requests
-	CPUPerAnswer    float64 `json:"cpu_us_per_answer"` // CPU time of the directors per successful request
-	PeakMemoryMB    float64 `json:"rss_mb_peak"`       // of all directors
-	Rejected        int     `json:"throttled"`         // requests that were rejected
-	Failed          int     `json:"failed"`            // requests with any other answer
-	Lost            int     `json:"lost"`              // requests without an answer
-	DoubleFinal     int     `json:"double_final"`      // further answers to a request that was already answered
-	WrongBodies     int     `json:"wrong_bytes"`       // answers with another object's bytes
-	RepeatedEffects int     `json:"effects_twice"`     // further effects of the same idempotency key
+	// Number of cores of all directors together.
+	Cores int `json:"cores"`
+	// The load generator and the directors ran on separate cores.
+	OwnCores bool `json:"own_cores"`
+	// Number of cores of the load generator.
+	LoadCores int `json:"load_cores"`
+	// Successful requests per second.
+	Rate float64 `json:"rate"`
+	// Median latency of successful requests.
+	P50 float64 `json:"p50_ms"`
+	// 99th percentile of the latency of successful requests.
+	P99 float64 `json:"p99_ms"`
+	// 99.9th percentile of the latency of successful requests.
+	P999 float64 `json:"p999_ms"`
+	// CPU time of the directors per successful request.
+	CPUPerAnswer float64 `json:"cpu_us_per_answer"`
+	// Sum of the peak memory of all directors.
+	PeakMemoryMB float64 `json:"rss_mb_peak"`
+	// Requests that were rejected.
+	Rejected int `json:"throttled"`
+	// Requests with any other answer.
+	Failed int `json:"failed"`
+	// Requests without an answer.
+	Lost int `json:"lost"`
+	// Further answers to a request that was already answered.
+	DoubleFinal int `json:"double_final"`
+	// Answers with another object's bytes.
+	WrongBodies int `json:"wrong_bytes"`
+	// Further effects of the same idempotency key.
+	RepeatedEffects int `json:"effects_twice"`
 }
 
 // CoresResult has one run for each number of cores.
--- a/internal/experiment/detectors.go
+++ b/internal/experiment/detectors.go
@@ -27,8 +27,10 @@
 }
 
 const (
-	maxDetectors          = 1000
-	detectorBatch         = 25 // detectors that start together; the next batch waits for a common view
+	maxDetectors = 1000
+	// detectorBatch is the number of detectors that start together. The next batch starts when all
+	// detectors have a common view.
+	detectorBatch         = 25
 	detectorDeadline      = 30 * time.Second
 	failurePollInterval   = 10 * time.Millisecond
 	convergenceCheckEvery = 50 * time.Millisecond
@@ -50,7 +52,8 @@
 		return nil, fmt.Errorf("--together: %d rounds with %d failures of %d detectors: want 3 to %d detectors, two of which remain", t.Rounds, t.Failing, t.Directors, maxDetectors)
 	}
 	defer slog.SetDefault(slog.Default())
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // each detector logs every state change of every other one
+	// Each detector would log every state change of every other detector.
+	slog.SetDefault(slog.New(slog.DiscardHandler))
 	t.Slowdown = max(1, t.Slowdown)
 	run := &MembershipRun{Directors: t.Directors, Faults: fmt.Sprintf("%dx%d die", t.Rounds, t.Failing), Schedules: 1}
 	fleet := &detectorFleet{DetectorTrial: t, startedAt: time.Now(), running: map[int]*gossipnet.Driver{}}
@@ -125,7 +128,8 @@
 // not happen in time.
 func (f *detectorFleet) failSome(ctx context.Context, first int) (detections []float64, convergence float64, ok bool) {
 	failing := f.removeSome(first)
-	unaware := map[int]map[int]bool{} // by number of the failed detector: those that do not know of the failure yet
+	// By number of the failed detector: the detectors that do not know of the failure yet.
+	unaware := map[int]map[int]bool{}
 	for i := range failing {
 		unaware[i] = map[int]bool{}
 		for j := range f.running {
--- a/internal/experiment/fleetchange_test.go
+++ b/internal/experiment/fleetchange_test.go
@@ -21,9 +21,9 @@
 	"tallyproxy/rollout"
 )
 
-// TestChangeWithDirectorKilled changes twenty directors and kills one of them meanwhile. It guards
-// against a restart with the old script and against a director that is missing from the report. It
-// then undoes the change.
+// TestChangeWithDirectorKilled changes twenty directors and kills one of them during the change. It
+// guards against a restart with the old script and against a director that is missing from the
+// report. It then undoes the change.
 func TestChangeWithDirectorKilled(t *testing.T) {
 	inParallel(t)
 	f, op := newFleet(t, 10, 2)
@@ -85,7 +85,8 @@
 			if err != nil {
 				t.Fatalf("%+v, %v", r, err)
 			}
-			for _, e := range r.Targets { // the tool reports the current or the future state of each target
+			// The tool reports the current or the future state of each target.
+			for _, e := range r.Targets {
 				if want := map[int]string{0: "untouched", 5: "changed"}[c.want]; e.State != want && (e.Agent != "a02" || e.State != "will be "+want) {
 					t.Errorf("%+v", e)
 				}
@@ -170,9 +171,12 @@
 // director changes, and that the change succeeds once there is space.
 func TestDiskFull(t *testing.T) {
 	inParallel(t)
-	if os.Getenv("TALLY_DISK_FULL") == "" { // in a separate process, since the file size limit applies to all files of a process
+	// The test runs in a separate process, since the file size limit applies to all files of a
+	// process.
+	if os.Getenv("TALLY_DISK_FULL") == "" {
 		cmd := exec.Command(os.Args[0], "-test.run=^TestDiskFull$")
-		cmd.Env = append(os.Environ(), "TALLY_DISK_FULL=1", "TALLYPROXY_TEST_DIRECTOR=") // the empty variable keeps it from running as a director
+		// The empty variable keeps the process from running as a director.
+		cmd.Env = append(os.Environ(), "TALLY_DISK_FULL=1", "TALLYPROXY_TEST_DIRECTOR=")
 		if out, err := cmd.CombinedOutput(); err != nil {
 			t.Fatalf("%v: %s", err, out[max(0, len(out)-2000):])
 		}
@@ -180,7 +184,8 @@
 	}
 	_, op := newFleet(t, 3, 1)
 	view := op.Snapshot(t.Context())
-	signal.Ignore(syscall.SIGXFSZ) // a write past the limit then returns an error, as on a full disk
+	// With the signal ignored, a write past the limit returns an error, as on a full disk.
+	signal.Ignore(syscall.SIGXFSZ)
 	defer signal.Reset(syscall.SIGXFSZ)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &limit); err != nil {
@@ -217,7 +222,9 @@
 	change := addLine(t, op.Snapshot(t.Context()), `log(level = "warn")`, 0)
 	for _, name := range []string{"a01", "a02"} {
 		f.StopAgent(name)
-		l, err := net.Listen("tcp", f.Inventory.Agent(name).Address) // like a machine that hangs: the kernel accepts the connection
+		// The listener acts like a machine that hangs: the kernel accepts connections, but no agent
+		// answers.
+		l, err := net.Listen("tcp", f.Inventory.Agent(name).Address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -263,7 +270,7 @@
 }
 
 // TestDrainByChange drains a cache node at every director under load. No request may reach the node
-// later than a second after the change, and no answer may be lost meanwhile.
+// later than a second after the change, and no answer may be lost during the test.
 func TestDrainByChange(t *testing.T) {
 	inParallel(t)
 	f, op := newFleet(t, 3, 1)
--- a/internal/experiment/fleethelpers_test.go
+++ b/internal/experiment/fleethelpers_test.go
@@ -39,7 +39,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.Close)
-	dir, err := os.MkdirTemp("", "fleet") // not t.TempDir, since paths of Unix sockets must be short
+	// Not t.TempDir, since paths of Unix sockets must be short.
+	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/fleetrefusal_test.go
+++ b/internal/experiment/fleetrefusal_test.go
@@ -84,7 +84,8 @@
 		if err := authority.Revoke(f.AuthorityDir, []*x509.Certificate{cert}, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		for _, a := range revoked.Snapshot(t.Context()).Agents { // takes effect immediately, also on an open connection
+		// A revocation takes effect immediately, also on an open connection.
+		for _, a := range revoked.Snapshot(t.Context()).Agents {
 			if a.Reachable || !strings.Contains(a.Reason, "revoked") {
 				t.Errorf("%+v", a)
 			}
--- a/internal/experiment/loadconnection.go
+++ b/internal/experiment/loadconnection.go
@@ -18,8 +18,12 @@
 )
 
 const (
-	maxPending    = 32               // unanswered requests per connection when sending on a schedule
-	answerTimeout = 10 * time.Second // without any answer for so long, all unanswered requests count as lost
+	// maxPending limits the unanswered requests per connection when requests are sent on a
+	// schedule.
+	maxPending = 32
+	// answerTimeout is the time without any answer after which all unanswered requests of a
+	// connection count as lost.
+	answerTimeout = 10 * time.Second
 	readBuffer    = 256 << 10
 )
 
--- a/internal/experiment/loopbackfleet.go
+++ b/internal/experiment/loopbackfleet.go
@@ -147,7 +147,8 @@
 	}
 	stopping.Wait()
 	for _, entry := range f.Inventory.Directors {
-		stopping.Go(func() { _ = f.Director(entry.Name).Stop(context.Background()) }) // fails for a director that has already ended
+		// Stop fails for a director that has already ended.
+		stopping.Go(func() { _ = f.Director(entry.Name).Stop(context.Background()) })
 	}
 	stopping.Wait()
 }
--- a/internal/experiment/main_test.go
+++ b/internal/experiment/main_test.go
@@ -36,7 +36,8 @@
 	if err := os.Setenv("TALLYPROXY_TEST_DIRECTOR", "1"); err != nil {
 		panic(err)
 	}
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // discards the log of agents, which run in this process; directors log separately
+	// The agents run in this process; their log is discarded. Directors log separately.
+	slog.SetDefault(slog.New(slog.DiscardHandler))
 	os.Exit(m.Run())
 }
 
--- a/internal/experiment/maintenance.go
+++ b/internal/experiment/maintenance.go
@@ -45,17 +45,28 @@
 
 // MaintenancePlanResult is the result over all sites.
 type MaintenancePlanResult struct {
-	Schedules          int     `json:"schedules"`        // large sites that were planned
-	Violations         int     `json:"over_planned_out"` // plans that violate a constraint
-	Infeasible         int     `json:"never"`            // jobs that can't be scheduled; the plan has a reason for each
-	LateOverManual     float64 `json:"late_over_hand"`   // late jobs, relative to sequential work by hand
-	MakespanOverManual float64 `json:"done_over_hand"`   // makespan, relative to sequential work by hand
-	RandomOverPlan     float64 `json:"random_over_plan"` // makespan of a random order, relative to the plan
-	MaxPlanningMS      float64 `json:"planner_ms"`       // wall-clock time of the slowest plan
-	MeanGap            float64 `json:"gap_mean"`         // small sites: mean cost of the fast plan relative to the exact one, minus 1
-	MaxGap             float64 `json:"gap_most"`         // largest such gap
-	NoGapShare         float64 `json:"gap_none_share"`   // share of small sites on which both plans are equal
-	OrdersTried        int     `json:"orders_looked_at"` // orders that the exact planner tried
+	// Large sites that were planned.
+	Schedules int `json:"schedules"`
+	// Plans that violate a constraint.
+	Violations int `json:"over_planned_out"`
+	// Jobs that can't be scheduled; the plan has a reason for each.
+	Infeasible int `json:"never"`
+	// Number of late jobs, relative to sequential work by hand.
+	LateOverManual float64 `json:"late_over_hand"`
+	// Makespan, relative to sequential work by hand.
+	MakespanOverManual float64 `json:"done_over_hand"`
+	// Makespan of a random order, relative to the plan.
+	RandomOverPlan float64 `json:"random_over_plan"`
+	// Wall-clock time of the slowest plan.
+	MaxPlanningMS float64 `json:"planner_ms"`
+	// Mean cost of the fast plan relative to the exact one, minus 1, on small sites.
+	MeanGap float64 `json:"gap_mean"`
+	// Largest cost of the fast plan relative to the exact one, minus 1, on small sites.
+	MaxGap float64 `json:"gap_most"`
+	// Share of small sites on which both plans are equal.
+	NoGapShare float64 `json:"gap_none_share"`
+	// Orders that the exact planner tried.
+	OrdersTried int `json:"orders_looked_at"`
 
 	planned, manual float64 // sums of makespans, in µs
 }
--- a/internal/experiment/membership.go
+++ b/internal/experiment/membership.go
@@ -47,31 +47,56 @@
 // MembershipRun is the result for one number of directors and one kind of fault. Without processes
 // only some of the values are measured.
 type MembershipRun struct {
-	Directors       int            `json:"instances"`                  // number of directors in the cluster
-	Faults          string         `json:"faults"`                     // kind of the faults
-	Simulated       bool           `json:"simulated"`                  // in simulated time
-	Schedules       int            `json:"schedules"`                  // schedules that were run
-	RulesBroken     int            `json:"rules_broken"`               // violations of rules on answers, copies, drains and processes
-	Lost            int            `json:"lost"`                       // attempts that a director should have answered but did not
-	QuotaExceeded   int            `json:"parts_over"`                 // observations of a sum of quotas above its bound
-	OverloadedNodes int            `json:"fallen"`                     // cache nodes that were overloaded
-	Unfinished      int            `json:"unended"`                    // schedules without a common view at their end
-	PeakQuotaSum    float64        `json:"parts_peak"`                 // largest sum of quotas
-	DetectionP50    float64        `json:"know_death_ms_p50"`          // ms until all directors knew of a failure
-	DetectionP99    float64        `json:"know_death_ms_p99"`          // ms until all directors knew of a failure
-	ConvergenceP99  float64        `json:"one_view_ms_p99"`            // ms from the end of the last fault until the common view
-	FalseFailures   float64        `json:"wrongly_failed_per_hour"`    // per director
-	FalseSuspicions float64        `json:"wrongly_suspected_per_hour"` // per director
-	Packets         float64        `json:"packets_per_s"`              // received per director; simulated: sent per director
-	Bytes           float64        `json:"bytes_per_s"`                // received per director
-	Memory          float64        `json:"memory_mb"`                  // peak of any director
-	SuccessShare    float64        `json:"fulfilled_share"`            // share of requests that succeeded
-	Recovery        float64        `json:"recovery_ms"`                // largest time in ms until nine tenths of the requests succeeded; -1: never
-	Series          []float64      `json:"series"`                     // faulttest.Outcome.SuccessSeries of the last schedule
-	PeakColdLoad    float64        `json:"cold_peak_load"`             // peak load of a cold cache node, relative to its overload threshold
-	FixedQuota      *MembershipRun `json:"fixed,omitempty"`            // the same schedules with fixed quotas
-	Failing         []string       `json:"failing,omitempty"`          // schedules that failed, as JSON
-	Reasons         []string       `json:"why,omitempty"`              // why they failed
+	// Number of directors in the cluster.
+	Directors int `json:"instances"`
+	// Kind of the faults.
+	Faults string `json:"faults"`
+	// The run was in simulated time.
+	Simulated bool `json:"simulated"`
+	// Schedules that were run.
+	Schedules int `json:"schedules"`
+	// Violations of rules on answers, copies, drains and processes.
+	RulesBroken int `json:"rules_broken"`
+	// Attempts that a director should have answered but did not.
+	Lost int `json:"lost"`
+	// Observations of a sum of quotas above its bound.
+	QuotaExceeded int `json:"parts_over"`
+	// Cache nodes that were overloaded.
+	OverloadedNodes int `json:"fallen"`
+	// Schedules without a common view at their end.
+	Unfinished int `json:"unended"`
+	// Largest sum of quotas.
+	PeakQuotaSum float64 `json:"parts_peak"`
+	// Median of the milliseconds until all directors knew of a failure.
+	DetectionP50 float64 `json:"know_death_ms_p50"`
+	// 99th percentile of the milliseconds until all directors knew of a failure.
+	DetectionP99 float64 `json:"know_death_ms_p99"`
+	// 99th percentile of the milliseconds from the end of the last fault until the common view.
+	ConvergenceP99 float64 `json:"one_view_ms_p99"`
+	// Wrong reports of a failure, per hour of a director.
+	FalseFailures float64 `json:"wrongly_failed_per_hour"`
+	// Wrong suspicions of a failure, per hour of a director.
+	FalseSuspicions float64 `json:"wrongly_suspected_per_hour"`
+	// Packets per second that a director received or, in simulated time, sent.
+	Packets float64 `json:"packets_per_s"`
+	// Bytes per second that a director received.
+	Bytes float64 `json:"bytes_per_s"`
+	// Peak memory of any director.
+	Memory float64 `json:"memory_mb"`
+	// Share of requests that succeeded.
+	SuccessShare float64 `json:"fulfilled_share"`
+	// Longest time in milliseconds until nine tenths of the requests succeeded; -1: never.
+	Recovery float64 `json:"recovery_ms"`
+	// faulttest.Outcome.SuccessSeries of the last schedule.
+	Series []float64 `json:"series"`
+	// Peak load of a cold cache node, relative to its overload threshold.
+	PeakColdLoad float64 `json:"cold_peak_load"`
+	// The same schedules with fixed quotas.
+	FixedQuota *MembershipRun `json:"fixed,omitempty"`
+	// Schedules that failed, as JSON.
+	Failing []string `json:"failing,omitempty"`
+	// Reasons why the schedules failed.
+	Reasons []string `json:"why,omitempty"`
 
 	detections      []float64 // ms
 	convergences    []float64 // ms
@@ -82,14 +107,22 @@
 
 // MembershipResult has all runs and their sums.
 type MembershipResult struct {
-	Runs            []*MembershipRun `json:"runs"`              // one for each kind of fault and number of directors
-	RulesBroken     int              `json:"rules_broken"`      // violations of rules on answers, copies, drains and processes
-	Lost            int              `json:"lost"`              // attempts that a director should have answered but did not
-	QuotaExceeded   int              `json:"parts_over"`        // observations of a sum of quotas above its bound
-	OverloadedNodes int              `json:"fallen"`            // cache nodes that were overloaded
-	Schedules       int              `json:"schedules"`         // schedules that were run
-	Unfinished      int              `json:"unended"`           // schedules without a common view at their end
-	DetectionP99    float64          `json:"know_death_ms_p99"` // ms, over the failures of all runs
+	// One run for each kind of fault and number of directors.
+	Runs []*MembershipRun `json:"runs"`
+	// Violations of rules on answers, copies, drains and processes.
+	RulesBroken int `json:"rules_broken"`
+	// Attempts that a director should have answered but did not.
+	Lost int `json:"lost"`
+	// Observations of a sum of quotas above its bound.
+	QuotaExceeded int `json:"parts_over"`
+	// Cache nodes that were overloaded.
+	OverloadedNodes int `json:"fallen"`
+	// Schedules that were run.
+	Schedules int `json:"schedules"`
+	// Schedules without a common view at their end.
+	Unfinished int `json:"unended"`
+	// 99th percentile of the milliseconds until all directors knew of a failure, over all runs.
+	DetectionP99 float64 `json:"know_death_ms_p99"`
 
 	detections []float64 // ms
 }
--- a/internal/experiment/membershipnet.go
+++ b/internal/experiment/membershipnet.go
@@ -19,11 +19,13 @@
 
 // leaseMessage is a lease request or a lease grant in transit.
 type leaseMessage struct {
-	at          policy.Micros // time of arrival
-	from, to    int
-	request     *membership.LeaseRequest // nil for a grant
-	grant       *membership.LeaseGrant   // nil for a request
-	incarnation uint64                   // of the receiver at the time of sending; a later incarnation does not receive it
+	at       policy.Micros // time of arrival
+	from, to int
+	request  *membership.LeaseRequest // nil for a grant
+	grant    *membership.LeaseGrant   // nil for a request
+	// incarnation is the receiver's at the time of sending; a later incarnation does not receive
+	// the message.
+	incarnation uint64
 }
 
 // report passes a detected state of a director to the observer's view.
@@ -51,8 +53,8 @@
 	m.makeReports()
 }
 
-// scheduleReports schedules the reports that a director's detector will make: up to 1.1 s after a
-// director is up, and a second later than that after it is not.
+// scheduleReports schedules the reports that a director's detector will make: 0.1 to 1.1 s after
+// another director becomes reachable, and 1.1 to 2.1 s after it becomes unreachable.
 func (m *membershipSim) scheduleReports(observer int, wrongReports bool) {
 	for subject := range m.directors {
 		pair, state := m.pair(observer, subject), membership.Failed
@@ -119,7 +121,8 @@
 	for _, message := range inTransit {
 		receiver := &m.directors[message.to]
 		switch {
-		case m.now < message.at || receiver.alive && receiver.paused: // still in transit, or in the socket of a paused process
+		// The message is still in transit, or in the socket of a paused process.
+		case m.now < message.at || receiver.alive && receiver.paused:
 			m.messages = append(m.messages, message)
 		case receiver.alive && receiver.settings.Incarnation == message.incarnation:
 			sent += m.receive(message)
--- a/internal/experiment/membershipsim.go
+++ b/internal/experiment/membershipsim.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	membershipStep             = 50 * millisecond
-	maxSimulatedDirectors      = 1200
-	faultsBeginAfter           = 2 * policy.Second
-	convergenceLimit           = 120 * policy.Second // time after the faults to reach a common view
-	quotaTolerance             = 1e-6                // for rounding errors of the sum
-	clockSkew                  = 1.0 / 64            // relative difference between the fastest and the slowest clock
-	notReported           int8 = -1                  // the failure detector has made no report
+	membershipStep        = 50 * millisecond
+	maxSimulatedDirectors = 1200
+	faultsBeginAfter      = 2 * policy.Second
+	convergenceLimit      = 120 * policy.Second // time after the faults to reach a common view
+	quotaTolerance        = 1e-6                // for rounding errors of the sum
+	// clockSkew is the relative difference between the fastest and the slowest clock.
+	clockSkew        = 1.0 / 64
+	notReported int8 = -1 // the failure detector has made no report
 )
 
 // membershipSim runs the membership views of directors against each other in simulated time. The
@@ -27,10 +28,12 @@
 // report is wrong. Only the goroutine of the simulation uses it. Slices by pair are indexed by the
 // method pair.
 type membershipSim struct {
-	random          *rand.Rand
-	now             policy.Micros
-	directors       []simulatedMember
-	blocked         []int32 // by pair: number of faults that block messages from the second to the first
+	random    *rand.Rand
+	now       policy.Micros
+	directors []simulatedMember
+	// blocked has, for each pair, the number of faults that block messages from the second to the
+	// first.
+	blocked         []int32
 	lossRate        float64
 	reports         []detectorReport // that the detector has scheduled
 	reportPending   []bool           // by pair
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -28,24 +28,43 @@
 
 // RolloutRun summarizes the schedules of one fleet size. Times are simulated, in ms.
 type RolloutRun struct {
-	Instances      int      `json:"instances"`       // number of agents, each with one director
-	Schedules      int      `json:"schedules"`       // changes that were run
-	Changed        int      `json:"changed"`         // schedules in which all directors were changed
-	Untouched      int      `json:"untouched"`       // schedules in which no director was changed
-	Partial        int      `json:"partly"`          // schedules that stopped between waves and were reported as such
-	Inconsistent   int      `json:"neither"`         // schedules with directors in any other state, or with a wrong report
-	Unfinished     int      `json:"unended"`         // schedules that did not end
-	P50            float64  `json:"p50_ms"`          // from the start until the last tool ended
-	P99            float64  `json:"p99_ms"`          // from the start until the last tool ended
-	NoCrashP99     float64  `json:"lived_p99_ms"`    // P99 over schedules in which no tool crashed
-	ToolMessages   float64  `json:"messages"`        // mean number of messages that tools sent
-	AgentMessages  float64  `json:"between"`         // mean number of messages between agents
-	KnownP50       float64  `json:"known_p50_ms"`    // from the start until every agent knew the outcome
-	KnownP99       float64  `json:"known_p99_ms"`    // from the start until every agent knew the outcome
-	ConvergenceP99 float64  `json:"settled_ms"`      // from the end of the last fault until every director was in its final state
-	MaxEvents      int      `json:"events"`          // largest number of events of a schedule
-	Sequential     float64  `json:"by_hand_ms"`      // estimate for sequential changes without faults
-	Problems       []string `json:"stuck,omitempty"` // for each failed schedule: flags that repeat it, and what each party waits for
+	// Number of agents, each with one director.
+	Instances int `json:"instances"`
+	// Changes that were run.
+	Schedules int `json:"schedules"`
+	// Schedules in which all directors were changed.
+	Changed int `json:"changed"`
+	// Schedules in which no director was changed.
+	Untouched int `json:"untouched"`
+	// Schedules that stopped between waves and were reported as such.
+	Partial int `json:"partly"`
+	// Schedules with directors in any other state, or with a wrong report.
+	Inconsistent int `json:"neither"`
+	// Schedules that did not end.
+	Unfinished int `json:"unended"`
+	// Median of the time from the start until the last tool ended.
+	P50 float64 `json:"p50_ms"`
+	// 99th percentile of the time from the start until the last tool ended.
+	P99 float64 `json:"p99_ms"`
+	// P99 over schedules in which no tool crashed.
+	NoCrashP99 float64 `json:"lived_p99_ms"`
+	// Mean number of messages that tools sent.
+	ToolMessages float64 `json:"messages"`
+	// Mean number of messages between agents.
+	AgentMessages float64 `json:"between"`
+	// Median of the time from the start until every agent knew the outcome.
+	KnownP50 float64 `json:"known_p50_ms"`
+	// 99th percentile of the time from the start until every agent knew the outcome.
+	KnownP99 float64 `json:"known_p99_ms"`
+	// 99th percentile of the time from the end of the last fault until every director was in its
+	// final state.
+	ConvergenceP99 float64 `json:"settled_ms"`
+	// Largest number of events of a schedule.
+	MaxEvents int `json:"events"`
+	// Estimated time of sequential changes without faults.
+	Sequential float64 `json:"by_hand_ms"`
+	// For each failed schedule: flags that repeat it, and what each party waits for.
+	Problems []string `json:"stuck,omitempty"`
 }
 
 const maxProblems = 20 // reported for one fleet size
@@ -116,7 +135,8 @@
 	run.P50, run.P99, run.NoCrashP99 = quantile(reported, 0.5), quantile(reported, 0.99), quantile(noCrash, 0.99)
 	run.KnownP50, run.KnownP99 = quantile(known, 0.5), quantile(known, 0.99)
 	run.ConvergenceP99 = quantile(convergences, 0.99)
-	run.Sequential = float64(n) * (110 + 2*11) // for each director a write with read-back, and two network delays
+	// For each director: a write with read-back, and two network delays.
+	run.Sequential = float64(n) * (110 + 2*11)
 	return run
 }
 
--- a/internal/experiment/rolloutschedule.go
+++ b/internal/experiment/rolloutschedule.go
@@ -11,10 +11,11 @@
 type fleetState int
 
 const (
-	fleetInconsistent fleetState = iota // directors differ, or an agent's record differs from its director's script
-	fleetChanged                        // all directors run the new script
-	fleetUntouched                      // all directors run the old script
-	fleetPartial                        // the change was stopped between waves
+	// fleetInconsistent: directors differ, or an agent's record differs from its director's script.
+	fleetInconsistent fleetState = iota
+	fleetChanged                 // all directors run the new script
+	fleetUntouched               // all directors run the old script
+	fleetPartial                 // the change was stopped between waves
 )
 
 // rolloutOutcome is the result of one schedule. Times are durations.
--- a/internal/experiment/rolloutsim.go
+++ b/internal/experiment/rolloutsim.go
@@ -29,9 +29,10 @@
 	recovery       *rollout.Recovery
 	stored         rollout.State // state on disk, which survives a crash
 	running        string        // script that the director runs
-	starts         int           // number of starts; timers and replies of an earlier process are ignored
-	up             bool
-	partitioned    bool // reaches only agents that are partitioned too
+	// starts is the number of starts; timers and replies of an earlier process are ignored.
+	starts      int
+	up          bool
+	partitioned bool // reaches only agents that are partitioned too
 }
 
 // rolloutSim simulates one schedule: agents, a tool and the network between them. Only the
--- a/internal/experiment/singledirector_test.go
+++ b/internal/experiment/singledirector_test.go
@@ -48,7 +48,8 @@
 		c.Rand = rand.New(rand.NewPCG(rand.Uint64(), 1))
 		requests.Go(func() {
 			defer c.Close()
-			_, _, _, _ = c.Attempt(t.Context(), b.Object(&b.ContentTypes[2], 1), 3*time.Second, false, key) // only the number of effects is checked
+			// Only the number of effects is checked.
+			_, _, _, _ = c.Attempt(t.Context(), b.Object(&b.ContentTypes[2], 1), 3*time.Second, false, key)
 		})
 	}
 	requests.Wait()
@@ -66,7 +67,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	flood := newLoadConnection(b.Cluster, b.director.Addr, 32, 0, 1)
 	var requests sync.WaitGroup
-	requests.Go(func() { _ = flood.run(ctx, time.Now()) }) // only the answers to the other clients are checked
+	// Only the answers to the other clients are checked.
+	requests.Go(func() { _ = flood.run(ctx, time.Now()) })
 	for i := range 40 {
 		c := b.newClient()
 		c.Rand = rand.New(rand.NewPCG(uint64(i), 9))
@@ -148,7 +150,8 @@
 		if err := first.Connect(ctx); err != nil {
 			t.Fatal(err)
 		}
-		_, _, _, _ = first.Attempt(ctx, b.Object(pick, i), 10*time.Second, false, key) // interrupted
+		// The attempt is interrupted, so its result is ignored.
+		_, _, _, _ = first.Attempt(ctx, b.Object(pick, i), 10*time.Second, false, key)
 		if b.EffectCount(key) != 1 {
 			t.Fatalf("key %d: %d effects of the first attempt", i, b.EffectCount(key))
 		}
@@ -185,7 +188,8 @@
 	for _, n := range b.Nodes {
 		n.SetFault(fakes.FaultNone, 1)
 	}
-	time.Sleep(1200 * time.Millisecond) // cache nodes that returned errors get requests again after this time
+	// Cache nodes that returned errors get requests again after this time.
+	time.Sleep(1200 * time.Millisecond)
 	if status, _, _, err := b.newClient().Attempt(t.Context(), b.Object(&b.ContentTypes[0], 1), 3*time.Second, false, ""); status != "200" {
 		t.Errorf("another client: %s, %v", status, err)
 	}
--- a/internal/experiment/startup.go
+++ b/internal/experiment/startup.go
@@ -44,56 +44,95 @@
 
 // StartupPhase is what the command channel observed in one phase.
 type StartupPhase struct {
-	Name         string  `json:"name"`        // event that began the phase
-	CallRate     float64 `json:"calls_per_s"` // calls per second of all directors together
-	PeakShare    float64 `json:"peak_share"`  // largest number of calls in 100 ms, per director
-	Refused      int     `json:"turned_away"` // calls that were refused
-	RelativeRate float64 `json:"over_calm"`   // CallRate relative to that of the phase "calm"
-	AllCalledP99 float64 `json:"know_ms_p99"` // ms until 0.99 calls per director had arrived; 0: they did not
+	// Event that began the phase.
+	Name string `json:"name"`
+	// Calls per second of all directors together.
+	CallRate float64 `json:"calls_per_s"`
+	// Largest number of calls in 100 ms, per director.
+	PeakShare float64 `json:"peak_share"`
+	// Calls that were refused.
+	Refused int `json:"turned_away"`
+	// CallRate relative to that of the phase "calm".
+	RelativeRate float64 `json:"over_calm"`
+	// Milliseconds until 0.99 calls per director had arrived; 0: they did not arrive.
+	AllCalledP99 float64 `json:"know_ms_p99"`
 }
 
 // StartupRun is the result for one number of directors.
 type StartupRun struct {
-	Directors     int            `json:"directors"`         // number of directors that started at the same time
-	Alone         bool           `json:"alone"`             // directors form no cluster
-	Simulated     bool           `json:"simulated"`         // in simulated time
-	Phases        []StartupPhase `json:"phases"`            // in chronological order
-	Memory        float64        `json:"memory_mb"`         // peak of any director
-	ListKnownP99  float64        `json:"know_list_ms_p99"`  // ms from the end of the outage until 99 % had the endpoint list that changed during it
-	EventKnownP99 float64        `json:"know_event_ms_p99"` // ms from the announcement until 99 % knew of a purge
-	NeverKnown    int            `json:"unknown"`           // endpoint lists and purges that fewer than 99 % knew of at the end of the phase
-	Crashes       int            `json:"crashes"`           // crashes of directors and other failures of the run
-	CrashReasons  string         `json:"why,omitempty"`     // one line for each crash
-	ColdStart     ColdStart      `json:"cold"`              // only with processes
+	// Number of directors that started at the same time.
+	Directors int `json:"directors"`
+	// The directors form no cluster.
+	Alone bool `json:"alone"`
+	// The run was in simulated time.
+	Simulated bool `json:"simulated"`
+	// The phases in chronological order.
+	Phases []StartupPhase `json:"phases"`
+	// Peak memory of any director.
+	Memory float64 `json:"memory_mb"`
+	// Milliseconds from the end of the outage until 99 % of the directors had the endpoint list
+	// that changed during the outage.
+	ListKnownP99 float64 `json:"know_list_ms_p99"`
+	// Milliseconds from the announcement until 99 % of the directors knew of a purge.
+	EventKnownP99 float64 `json:"know_event_ms_p99"`
+	// Endpoint lists and purges that fewer than 99 % of the directors knew of at the end of the
+	// phase.
+	NeverKnown int `json:"unknown"`
+	// Crashes of directors and other failures of the run.
+	Crashes int `json:"crashes"`
+	// One line for each crash.
+	CrashReasons string `json:"why,omitempty"`
+	// Result of the cold start; only with processes.
+	ColdStart ColdStart `json:"cold"`
 }
 
 // ColdStart is the result of a start with cold caches under load.
 type ColdStart struct {
-	RulesBroken     int     `json:"rules_broken"`    // violations of rules on answers, copies, drains and processes
-	Lost            int     `json:"lost"`            // attempts that a director should have answered but did not
-	OverloadedNodes int     `json:"fallen"`          // cache nodes that were overloaded
-	Unfinished      int     `json:"unended"`         // 1 if the run did not complete
-	Requests        int     `json:"asked"`           // requests that ended
-	SuccessShare    float64 `json:"fulfilled_share"` // share of requests that succeeded
-	Recovery        float64 `json:"recovery_ms"`     // ms until nine tenths of the requests succeeded; -1: never
-	PeakLoad        float64 `json:"cold_peak_load"`  // peak load of any cache node, relative to its overload threshold
+	// Violations of rules on answers, copies, drains and processes.
+	RulesBroken int `json:"rules_broken"`
+	// Attempts that a director should have answered but did not.
+	Lost int `json:"lost"`
+	// Cache nodes that were overloaded.
+	OverloadedNodes int `json:"fallen"`
+	// 1 if the run did not complete.
+	Unfinished int `json:"unended"`
+	// Requests that ended.
+	Requests int `json:"asked"`
+	// Share of requests that succeeded.
+	SuccessShare float64 `json:"fulfilled_share"`
+	// Milliseconds until nine tenths of the requests succeeded; -1: never.
+	Recovery float64 `json:"recovery_ms"`
+	// Peak load of any cache node, relative to its overload threshold.
+	PeakLoad float64 `json:"cold_peak_load"`
 }
 
 // StartupResult has all runs, and the worst values or the sums of the runs under test: with Peers
 // those of clusters, else those of directors that form no cluster.
 type StartupResult struct {
-	Runs               []StartupRun `json:"runs"`              // includes the runs for comparison
-	OutageRelativeRate float64      `json:"outage_over_calm"`  // largest RelativeRate of a phase in which the channel was unavailable
-	ReturnPeakShare    float64      `json:"back_peak_share"`   // largest PeakShare of a phase in which the channel was available again
-	ListKnownP99       float64      `json:"know_list_ms_p99"`  // ms from the end of the outage
-	EventKnownP99      float64      `json:"know_event_ms_p99"` // ms from the announcement
-	PeakCallShare      float64      `json:"peak_calls_share"`  // largest PeakShare of any phase
-	PeakColdLoad       float64      `json:"cold_peak_load"`    // largest PeakLoad of any cold start
-	RulesBroken        int          `json:"rules_broken"`      // violations of rules on answers, copies, drains and processes
-	Lost               int          `json:"lost"`              // attempts that a director should have answered but did not
-	OverloadedNodes    int          `json:"fallen"`            // cache nodes that were overloaded
-	Unfinished         int          `json:"unended"`           // cold starts that did not complete, plus NeverKnown
-	Crashes            int          `json:"crashes"`           // crashes of directors and other failures of the run
+	// Includes the runs for comparison.
+	Runs []StartupRun `json:"runs"`
+	// Largest RelativeRate of a phase in which the channel was unavailable.
+	OutageRelativeRate float64 `json:"outage_over_calm"`
+	// Largest PeakShare of a phase in which the channel was available again.
+	ReturnPeakShare float64 `json:"back_peak_share"`
+	// Largest ListKnownP99 of any run, in milliseconds.
+	ListKnownP99 float64 `json:"know_list_ms_p99"`
+	// Largest EventKnownP99 of any run, in milliseconds.
+	EventKnownP99 float64 `json:"know_event_ms_p99"`
+	// Largest PeakShare of any phase.
+	PeakCallShare float64 `json:"peak_calls_share"`
+	// Largest PeakLoad of any cold start.
+	PeakColdLoad float64 `json:"cold_peak_load"`
+	// Violations of rules on answers, copies, drains and processes.
+	RulesBroken int `json:"rules_broken"`
+	// Attempts that a director should have answered but did not.
+	Lost int `json:"lost"`
+	// Cache nodes that were overloaded.
+	OverloadedNodes int `json:"fallen"`
+	// Cold starts that did not complete, plus NeverKnown.
+	Unfinished int `json:"unended"`
+	// Crashes of directors and other failures of the run.
+	Crashes int `json:"crashes"`
 }
 
 // Broken returns the names and counts of the rules that were broken.
--- a/internal/experiment/startupchannel.go
+++ b/internal/experiment/startupchannel.go
@@ -52,7 +52,8 @@
 	s.announceEvent()
 }
 
-// answerHeldPolls answers all held polls, in the order of their directors.
+// answerHeldPolls answers all held polls, in the order of their directors, or refuses them if the
+// channel does not serve.
 func (s *startupSim) answerHeldPolls() {
 	for _, index := range slices.Sorted(maps.Keys(s.channel.heldPolls)) {
 		s.channel.heldPolls[index]()
--- a/internal/experiment/startupphases.go
+++ b/internal/experiment/startupphases.go
@@ -27,9 +27,10 @@
 )
 
 const (
-	eventInterval   = 200 * time.Millisecond // between the events of phaseEvents
-	retryAfter      = 5                      // seconds, sent in phaseRetryAfter
-	phaseCacheNodes = 4                      // number of cache nodes; no client uses them in the phases
+	eventInterval = 200 * time.Millisecond // between the events of phaseEvents
+	retryAfter    = 5                      // seconds, sent in phaseRetryAfter
+	// phaseCacheNodes is the number of cache nodes. No client uses them in the phases.
+	phaseCacheNodes = 4
 )
 
 // channelPhase is a phase of the command channel.
@@ -54,7 +55,7 @@
 	knownMS *float64                   // where the largest propagation time is stored
 }
 
-// runPhases starts n directors at the same time and puts the command channel through its phases. No
+// runPhases starts n directors at the same time and runs the phases of the command channel. No
 // client sends requests.
 func (s *Startup) runPhases(ctx context.Context, n int, alone bool) (result StartupRun, err error) {
 	result.Directors, result.Alone = n, alone
--- a/internal/experiment/startupsim.go
+++ b/internal/experiment/startupsim.go
@@ -15,12 +15,17 @@
 
 const (
 	simulatedZoneSize = 500 // directors per location in simulated time
-	gossipFanout      = 4   // directors to which an event is forwarded immediately, as in package gossipnet
-	delegates         = 3   // directors of a location that poll the channel
-	delegateZones     = 8
-	delegateKinds     = 4
-	pollRecheck       = 40 * millisecond  // interval at which a director that is not a delegate checks whether it should poll
-	memberRecheck     = policy.Second / 5 // minimum interval between updates of a director's members
+	// gossipFanout is the number of directors to which an event is forwarded immediately, as in
+	// package gossipnet.
+	gossipFanout  = 4
+	delegates     = 3 // directors of a location that poll the channel
+	delegateZones = 8
+	delegateKinds = 4
+	// pollRecheck is the interval at which a director that is not a delegate checks whether it
+	// should poll.
+	pollRecheck = 40 * millisecond
+	// memberRecheck is the minimum interval between updates of a director's members.
+	memberRecheck = policy.Second / 5
 )
 
 // startupSim simulates a fleet's polls of the command channel, for fleets that are too large to run
@@ -58,12 +63,13 @@
 	listVersion   int           // version of the endpoint list in force
 	listAppliedAt policy.Micros // when that list came into force
 	joined        bool          // it has joined the cluster
-	membersSeen   int           // number of joined directors of its zone at the last update of its members
-	membersAt     policy.Micros // earliest time of the next update of its members
-	known         int           // number of events known, from any source
-	knownAt       policy.Micros // when it learned of the last event
-	pollAt        policy.Micros // the earliest time of its next poll
-	longPoll      policy.Micros // how long that poll waits for new events
+	// membersSeen is the number of joined directors in its zone at the last update of its members.
+	membersSeen int
+	membersAt   policy.Micros // earliest time of the next update of its members
+	known       int           // number of events known, from any source
+	knownAt     policy.Micros // when it learned of the last event
+	pollAt      policy.Micros // the earliest time of its next poll
+	longPoll    policy.Micros // how long that poll waits for new events
 }
 
 // newStartupSim creates n directors, in locations of about zoneSize, that all start within a
--- a/internal/experiment/storm.go
+++ b/internal/experiment/storm.go
@@ -226,7 +226,8 @@
 		at := r.begin + time.Duration(random.Float64()*float64(window))
 		r.running.Go(func() {
 			if r.Scenario == scenarioPopular {
-				client.Zipf = fakes.NewZipf(2, 3) // two objects, the first of which is drawn most of the time
+				// Two objects, the first of which is drawn most of the time.
+				client.Zipf = fakes.NewZipf(2, 3)
 			}
 			client.Run(ctx, at, thinkTime)
 		})
--- a/internal/experiment/storm_test.go
+++ b/internal/experiment/storm_test.go
@@ -37,7 +37,8 @@
 			s := c.storm
 			s.ConnectWindow, s.Seed, s.OverloadMode, s.Argv = time.Second, 1, "on", built
 			s.MaxRetries, s.RetryPause, s.MemoryLimitMB = 12, 100*time.Millisecond, 64
-			if s.Duration = 3500 * time.Millisecond; len(s.Faults) > 0 || s.Clients > 1000 { // that many clients on cold caches take this long
+			// Storms with more than 1,000 clients on cold caches need the longer time.
+			if s.Duration = 3500 * time.Millisecond; len(s.Faults) > 0 || s.Clients > 1000 {
 				s.Duration = 6500 * time.Millisecond
 			}
 			if s.Directors, s.CacheNodes = 2, 6; s.Scenario == "" {
--- a/internal/experiment/stormpause_test.go
+++ b/internal/experiment/stormpause_test.go
@@ -7,9 +7,9 @@
 )
 
 // TestPausedDirector guards against a director that was stopped (SIGSTOP) and then handles the
-// requests in its sockets before it reads the events of the command channel. A cache node drains
-// and half of the groups are purged meanwhile. However long it was stopped, on one core or several,
-// it must not send requests to the node or serve copies older than the purges.
+// requests in its sockets before it reads the events of the command channel. While it is stopped, a
+// cache node drains and half of the groups are purged. However long the director was stopped, on
+// one core or several, it must not send requests to the node or serve copies older than the purges.
 func TestPausedDirector(t *testing.T) {
 	cases := []struct {
 		name      string
--- a/internal/experiment/stormresult.go
+++ b/internal/experiment/stormresult.go
@@ -11,39 +11,72 @@
 // StormResult is what clients, cache nodes and directors counted in a storm. Shares are from 0 to
 // 1. RecoveryMS is -1 if requests did not recover.
 type StormResult struct {
-	Clients            int         `json:"clients"`            // clients, not counting idle ones
-	Requests           int         `json:"asked"`              // requests that ended
-	FirstAnswered      int         `json:"answered"`           // requests with an answer to the first attempt, whether ended or not
-	Attempts           int         `json:"tries"`              // attempts of requests that ended
-	Succeeded          int         `json:"fulfilled"`          // requests that succeeded
-	Rejected           int         `json:"throttled"`          // requests whose last answer was a rejection
-	Failed             int         `json:"abandoned"`          // requests whose last answer had any other status
-	Unanswered         int         `json:"unanswered"`         // requests without an answer
-	Lost               int         `json:"lost"`               // attempts that a director should have answered but did not
-	DoubleFinal        int         `json:"double_final"`       // further answers to an attempt that was already answered
-	WrongBodies        int         `json:"wrong_bytes"`        // answers with another object's bytes
-	RepeatedEffects    int         `json:"effects_twice"`      // further effects of the same idempotency key
-	ConcurrentAttempts int         `json:"pulls_together"`     // upstream attempts of a request while another one was open
-	OverloadedNodes    int         `json:"boxes_fallen"`       // cache nodes that were overloaded
-	DrainedUses        int         `json:"drains_broken"`      // attempts sent to a drained node
-	StaleCopies        int         `json:"purges_broken"`      // answers older than a purge
-	PeakLoad           float64     `json:"peak_load"`          // highest load of any cache node, relative to its overload threshold
-	RecoveryMS         int64       `json:"settle_ms"`          // ms until 95 % of the requests succeeded in two consecutive seconds
-	WastedShare        float64     `json:"wasted_share"`       // share of attempts without success
-	WeightShare        float64     `json:"benefit_share"`      // share of the requests' priority weight that succeeded; late answers count a tenth
-	CacheUtilization   float64     `json:"boxes_used"`         // work completed in the first ten seconds, relative to the caches' capacity
-	EarlyRetries       int         `json:"early_tries"`        // attempts before the advised retry time
-	ObeyingSuccess     float64     `json:"heeders_served"`     // share of successful requests, of clients that obey the advised retry time
-	IgnoringSuccess    float64     `json:"ignorers_served"`    // share of successful requests, of clients that ignore the advised retry time
-	LostToKills        int         `json:"killed_tries"`       // attempts lost because their director was killed
-	LostToPauses       int         `json:"lost_paused"`        // attempts that timed out while their director was paused
-	ClockStalls        int         `json:"jumps_noticed"`      // clock stalls that directors logged
-	Crashes            int         `json:"crashes"`            // directors that did not stop cleanly
-	PeakMemoryMB       float64     `json:"rss_mb_peak"`        // peak memory of any director
-	OverloadsDetected  int         `json:"storms_noticed"`     // overloads that directors logged
-	Series             StormSeries `json:"-"`                  // for the plot
-	SuccessBySecond    []float64   `json:"met"`                // share of requests that succeeded, by second of their start
-	LostReasons        string      `json:"lost_how,omitempty"` // errors of the attempts in Lost, with counts
+	// Clients, not counting idle ones.
+	Clients int `json:"clients"`
+	// Requests that ended.
+	Requests int `json:"asked"`
+	// Requests with an answer to the first attempt, whether ended or not.
+	FirstAnswered int `json:"answered"`
+	// Attempts of requests that ended.
+	Attempts int `json:"tries"`
+	// Requests that succeeded.
+	Succeeded int `json:"fulfilled"`
+	// Requests whose last answer was a rejection.
+	Rejected int `json:"throttled"`
+	// Requests whose last answer had any other status.
+	Failed int `json:"abandoned"`
+	// Requests without an answer.
+	Unanswered int `json:"unanswered"`
+	// Attempts that a director should have answered but did not.
+	Lost int `json:"lost"`
+	// Further answers to an attempt that was already answered.
+	DoubleFinal int `json:"double_final"`
+	// Answers with another object's bytes.
+	WrongBodies int `json:"wrong_bytes"`
+	// Further effects of the same idempotency key.
+	RepeatedEffects int `json:"effects_twice"`
+	// Upstream attempts of a request while another one was open.
+	ConcurrentAttempts int `json:"pulls_together"`
+	// Cache nodes that were overloaded.
+	OverloadedNodes int `json:"boxes_fallen"`
+	// Attempts sent to a drained node.
+	DrainedUses int `json:"drains_broken"`
+	// Answers older than a purge.
+	StaleCopies int `json:"purges_broken"`
+	// Highest load of any cache node, relative to its overload threshold.
+	PeakLoad float64 `json:"peak_load"`
+	// Milliseconds until 95 % of the requests succeeded in two consecutive seconds.
+	RecoveryMS int64 `json:"settle_ms"`
+	// Share of attempts without success.
+	WastedShare float64 `json:"wasted_share"`
+	// Share of the requests' priority weight that succeeded; late answers count a tenth.
+	WeightShare float64 `json:"benefit_share"`
+	// Work completed in the first ten seconds, relative to the caches' capacity.
+	CacheUtilization float64 `json:"boxes_used"`
+	// Attempts before the advised retry time.
+	EarlyRetries int `json:"early_tries"`
+	// Share of successful requests, of clients that obey the advised retry time.
+	ObeyingSuccess float64 `json:"heeders_served"`
+	// Share of successful requests, of clients that ignore the advised retry time.
+	IgnoringSuccess float64 `json:"ignorers_served"`
+	// Attempts lost because their director was killed.
+	LostToKills int `json:"killed_tries"`
+	// Attempts that timed out while their director was paused.
+	LostToPauses int `json:"lost_paused"`
+	// Clock stalls that directors logged.
+	ClockStalls int `json:"jumps_noticed"`
+	// Directors that did not stop cleanly.
+	Crashes int `json:"crashes"`
+	// Peak memory of any director.
+	PeakMemoryMB float64 `json:"rss_mb_peak"`
+	// Overloads that directors logged.
+	OverloadsDetected int `json:"storms_noticed"`
+	// For the plot.
+	Series StormSeries `json:"-"`
+	// Share of requests that succeeded, by second of their start.
+	SuccessBySecond []float64 `json:"met"`
+	// Errors of the attempts in Lost, with counts.
+	LostReasons string `json:"lost_how,omitempty"`
 }
 
 // StormSeries has counts over time, one value for each fakes.SeriesInterval.
@@ -135,7 +168,9 @@
 	ignoring     requestCount   // of clients that ignore the advised retry time
 	weight       float64        // priority weight of all requests
 	weightGained float64        // priority weight of requests that succeeded
-	earlyWork    float64        // µs of transfer of successful requests that ended in utilizationWindow
+	// earlyWork is the transfer time, in µs, of successful requests that ended in
+	// utilizationWindow.
+	earlyWork float64
 }
 
 // add adds a request to the sums and to the result's counts of requests.
--- a/internal/fakes/channel.go
+++ b/internal/fakes/channel.go
@@ -56,7 +56,7 @@
 	c.channelState.capacity = capacity
 }
 
-// refusalCost is the divisor that gives the cost of refusing a call from its service time.
+// refusalCost is the divisor of PerCall that gives the service time of a refusal.
 const refusalCost = 8
 
 // schedule reserves channel capacity for an answer with the given number of events and returns the
@@ -109,8 +109,8 @@
 }
 
 // SetChannelMode changes the behavior of the command channel. retryAfter is the Retry-After value
-// in seconds that ChannelUnavailable sends, 0 for none. Waiting calls are answered at once, as by a
-// service that restarts.
+// in seconds that ChannelUnavailable sends, 0 for none. If the channel stops serving, the new mode
+// applies to waiting calls at once, as at a service that restarts.
 func (c *Cluster) SetChannelMode(mode ChannelMode, retryAfter int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,7 +210,8 @@
 }
 
 // awaitEvents waits until there are events after the cursor, the channel stops serving, or the
-// timeout expires. It returns false if the caller has disconnected. The caller holds the lock,
+// timeout expires. It does not wait if the cursor is beyond the last event, as after
+// RollBackChannel. It returns false if the caller has disconnected. The caller holds the lock,
 // which is released while waiting.
 func (c *Cluster) awaitEvents(ctx context.Context, cursor int, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -102,7 +102,7 @@
 		killed, paused := target.isKilled(), target.pausedAt(sentAt+timeout)
 		c.Close()
 		if reused && !resent && !killed && !errors.Is(err, errNoAnswer) {
-			continue // the director closed the idle connection meanwhile; resend the request once
+			continue // the director has closed the idle connection; resend the request once
 		}
 		c.recordLoss(ctx, err, killed, paused, reused)
 		return "", 0, "", err
--- a/internal/fakes/request.go
+++ b/internal/fakes/request.go
@@ -84,7 +84,7 @@
 }
 
 // checkDrained counts uses of nodes whose drain was published so long ago that all directors must
-// know.
+// know of it.
 func (c *Cluster) checkDrained(used ...*Node) {
 	for _, n := range used {
 		if n != nil && n.drainedAt > 0 && c.now() > c.channelState.knownFrom(n.drainedAt)+drainDeadline {
--- a/internal/faulttest/address.go
+++ b/internal/faulttest/address.go
@@ -32,6 +32,6 @@
 	return host
 }
 
-// closeQuietly closes a connection or listener and ignores the error. It is used where closing
-// can't lose data that anyone waits for, so that the error would have no consequence.
+// closeQuietly closes a connection or listener and ignores the error. It is used only where a
+// failed close can't lose data that is still needed.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/faulttest/check_membership.go
+++ b/internal/faulttest/check_membership.go
@@ -19,14 +19,15 @@
 	stateLeft      = membership.Left.String()
 )
 
-// minUptime is how long a director must have been up when another one dies for its detection of
-// that death to be awaited.
+// minUptime is how long a director must have been up when another one dies to be expected to detect
+// that death.
 const minUptime = 500 * time.Millisecond
 
-// DetectionTimes returns how long it took, for each death, until all live directors knew of it, and
-// the number of deaths that some director never learned of. It counts directors, by name, that were
-// killed and not restarted before all knew, provided that no link was disrupted and no director was
-// paused in the meantime. Other deaths say nothing about the failure detector.
+// DetectionTimes returns, for each death, the time until all live directors knew of it, and the
+// number of deaths that some live director never learned of. names are the names of the directors,
+// by number. A death counts if the director was killed and was not restarted before all others knew
+// of the death, and if no link was disrupted and no director was paused until then. Other deaths do
+// not measure the failure detector.
 func DetectionTimes(entries []Entry, names []string) (took []time.Duration, unknown int) {
 	d := deathTracker{names: names, upSince: map[int]time.Time{}, incarnations: map[string]string{}}
 	for _, e := range entries {
@@ -41,7 +42,7 @@
 	at       time.Time
 	director int
 	knows    map[int]bool // whether a director knows, for each one alive since the death
-	excluded bool         // the death says nothing about the failure detector
+	excluded bool         // the death does not measure the failure detector
 }
 
 // isDetected reports whether all live directors know of the death.
@@ -140,8 +141,9 @@
 	return took
 }
 
-// PropagationTime returns how long after from the given share of the directors had first logged an
-// entry for which shows returns true. The result is negative if fewer directors ever did.
+// PropagationTime returns the time from the given start until the given share of the directors had
+// each logged an entry for which shows returns true. It returns a negative time if fewer directors
+// ever logged one.
 func PropagationTime(entries []Entry, from time.Time, directors int, share float64, shows func(Entry) bool) time.Duration {
 	first := map[int]time.Duration{}
 	for _, e := range entries {
@@ -156,9 +158,9 @@
 	return -1
 }
 
-// FalsePositives counts, by directors' names, how often a director was marked failed or suspected
-// although it was up and not paused, and although no link had been disrupted for longer than
-// minSettled.
+// FalsePositives counts how often a director was marked failed or suspected although it was up and,
+// for longer than minSettled, no link had been disrupted and no director had been paused. names are
+// the names of the directors, by number.
 func FalsePositives(entries []Entry, names []string, minSettled time.Duration) (failed, suspected int) {
 	up, clearSince, disruptions := map[string]bool{}, time.Time{}, 0
 	for _, e := range entries {
@@ -181,8 +183,9 @@
 	return failed, suspected
 }
 
-// ConvergenceTime returns how long after from all live directors first had the same view and kept
-// it to the end: 0 if they had it before, negative if they have none. The history ends early if a
+// ConvergenceTime returns the time from the given start until all live directors had the same view
+// that they kept to the end of the history. It returns 0 if they had that view before the start,
+// and a negative time if they have no common view at the end. The history counts as ended when a
 // director is asked to stop while all have the same view.
 func ConvergenceTime(entries []Entry, from time.Time) time.Duration {
 	digests := map[int]string{} // view of each live director; empty before its first
--- a/internal/faulttest/check_quotas.go
+++ b/internal/faulttest/check_quotas.go
@@ -13,10 +13,11 @@
 // unboundedQuota is how long a quota holds if its log line gives no end of validity.
 const unboundedQuota = 24 * time.Hour
 
-// QuotaSums returns how the quotas of a scope ("zone" or "fleet") summed up over the given number
-// of directors, in multiples of the whole: the peak over time, and the number of instants at which
-// the sum was above the limit. A running director holds the fixed quota, 1, or a higher one for as
-// long as its log line says. A paused director may still hold the quota that it had.
+// QuotaSums sums up the quotas of a scope ("zone" or "fleet") over the given number of directors,
+// as a multiple of the sum of their fixed quotas. It returns the peak of the sum, and the number of
+// entries about quotas after which the sum was above the limit. A running director holds the fixed
+// quota, 1, or a higher quota for as long as its log line says. A paused director may still hold
+// the quota that it had.
 func QuotaSums(entries []Entry, directors int, scope string, limit float64) (peak float64, over int) {
 	sums := quotaSums{directors: directors, scope: scope, byDirector: map[int]*directorQuota{}}
 	for _, e := range entries {
--- a/internal/faulttest/delegates_test.go
+++ b/internal/faulttest/delegates_test.go
@@ -88,8 +88,9 @@
 }
 
 // checkUnconfirmedViews checks that at least half of the directors marked their views as
-// unconfirmed while the channel was unavailable, and for at least a second. Until the channel is
-// back nobody can confirm the state in force, and directors must not confirm it to each other.
+// unconfirmed while the channel was unavailable, and for at least a second. Only the channel can
+// confirm the state in force: while it is unavailable, directors must not confirm the state to each
+// other.
 func checkUnconfirmedViews(t *testing.T, o Outcome) {
 	since := map[int]time.Time{}
 	for _, e := range o.History.Entries() {
--- a/internal/faulttest/fault_restarts.go
+++ b/internal/faulttest/fault_restarts.go
@@ -22,13 +22,13 @@
 	killSlack = 700 * time.Millisecond
 	// earliestKill is the earliest SIGKILL in a cluster with a content type of 3 s or more.
 	earliestKill = maxCountedTimeout + killSlack
-	// lastReloadMargin is the time before the kill in which no further signal is sent.
+	// lastReloadMargin is the time before earliestKill in which no further signal is sent.
 	lastReloadMargin = 200 * time.Millisecond
-	// signalSpan is the time in which further signals are sent.
+	// signalSpan is the time after the first SIGTERM in which further signals are sent.
 	signalSpan = earliestKill - lastReloadMargin
 	// simultaneousSpan is the longest delay of a signal that must arrive during an operation.
 	simultaneousSpan = time.Millisecond
-	// momentTimeout is how long a signal waits for a request or an answer at most.
+	// momentTimeout is the longest time that a signal waits for a request or an answer.
 	momentTimeout = 300 * time.Millisecond
 	// reloadPause is the longest pause between two reloads of a series.
 	reloadPause = 40 * time.Millisecond
@@ -209,7 +209,7 @@
 }
 
 // replaceFiles replaces a director's configuration file with one that has the channel's present
-// address and different limits.
+// address and a different limit of sockets.
 func (h *Harness) replaceFiles(p *Process, random *rand.Rand) error {
 	limits := h.limits()
 	limits.Sockets -= random.IntN(limits.Sockets / 8)
--- a/internal/faulttest/outcome.go
+++ b/internal/faulttest/outcome.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// falsePositiveSettling is how long links must have been undisrupted before a suspicion counts as
-// false.
+// falsePositiveSettling is how long there must have been no disruption before a reported failure or
+// suspicion counts as false.
 const falsePositiveSettling = 10 * time.Second
 
 // check runs the checkers of quotas and failure detection over the entries up to convergence. names
