--- a/gossip/channel.go
+++ b/gossip/channel.go
@@ -25,8 +25,8 @@
 
 // ShouldPoll reports whether to poll this director's channel now because the channel has not
 // published an update that another director sent at least ConfirmTimeout ago. If so, it records the
-// poll. If the channel is failing, ShouldPoll returns false, because the channel's own backoff
-// schedules the polls.
+// poll. It returns true at most once per MinPollInterval, and never while the channel is failing,
+// because the channel's own backoff then schedules the polls.
 func (s *Store) ShouldPoll(now policy.Micros, failing bool) bool {
 	if failing || now-s.lastPoll < s.settings.MinPollInterval {
 		return false
--- a/gossip/store.go
+++ b/gossip/store.go
@@ -51,14 +51,14 @@
 	listedAt policy.Micros
 }
 
-// senderWindow counts the updates that a director has sent since start.
+// senderWindow counts the updates that a director has sent since the start of the window.
 type senderWindow struct {
 	start policy.Micros
 	count int
 }
 
-// New returns an empty store. A newly started director knows only the state in its files, so its
-// channel age is set too high to confirm the state of others.
+// New returns an empty store. A newly started director knows only the state in its files, so the
+// store starts with a channel age that Confirms rejects.
 func New(now policy.Micros, s Settings) *Store {
 	return &Store{
 		settings:    s,
--- a/gossip/update.go
+++ b/gossip/update.go
@@ -17,7 +17,8 @@
 	Age      policy.Micros `json:"a"`           // time since publication, as known to the sender
 }
 
-// key returns the update without its age, which identifies the update whenever it was received.
+// key returns the update without its age, which identifies the update regardless of when it was
+// received.
 func (u Update) key() Update {
 	u.Age = 0
 	return u
--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// advance moves the clock forward. Meanwhile the live directors request and grant leases.
+// advance moves the clock forward while the live directors request and grant leases.
 func (c *testCluster) advance(duration policy.Micros, alive ...int) {
 	for until := c.now + duration; c.now < until; c.now += 50 * ms {
 		for _, i := range alive {
--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -52,7 +52,7 @@
 }
 
 // TestGoldenDigests guards against changes of a view's digest and of the choice of grantors. Both
-// follow from hashes that all versions must compute alike.
+// follow from hashes that must be the same in all versions.
 func TestGoldenDigests(t *testing.T) {
 	for text, want := range map[string]uint64{"": 0xc3817c016ba4ff30, "n0": 0x6401c4a877e40bdc, "director-17": 0x614f8dfaa02db980} {
 		if got := hash.String(text); got != want {
--- a/membership/hints.go
+++ b/membership/hints.go
@@ -90,8 +90,8 @@
 
 // ShouldProbe reports whether to probe the node of a hint and, if so, counts the node as probed.
 // lastAnswer is when the node last answered this director; a recent answer takes precedence over a
-// hint. A peer that constantly sends hints about all nodes causes at most HintsPerInterval probes
-// in each HintInterval, and one probe per node.
+// hint with any condition except Recovered. In each HintInterval, a peer that constantly sends
+// hints about all nodes causes at most HintsPerInterval probes, and at most one probe per node.
 func (v *View) ShouldProbe(now policy.Micros, from string, hint Hint, lastAnswer policy.Micros) bool {
 	p := v.peers[from]
 	if p == nil || !p.present() || hint.Age < 0 || hint.Age > v.settings.MaxHintAge || !hint.Condition.valid() {
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -14,7 +14,7 @@
 const clockDrift = 1.0 / 64
 
 // LeaseRequest asks a peer for a lease: a commitment to count the requester for LeaseDuration, even
-// if the requester fails meanwhile. The reply is a LeaseGrant.
+// if the requester fails during that time. The reply is a LeaseGrant.
 type LeaseRequest struct {
 	RequestedAt policy.Micros `json:"Number"` // start of the lease, by the requester's clock
 	Incarnation uint64        `json:"Born"`   // of the requester
@@ -57,9 +57,9 @@
 		(v.Count(now, ScopeZone) < configured[ScopeZone] || v.Count(now, ScopeFleet) < configured[ScopeFleet])
 }
 
-// currentGrantors returns the RequiredGrants present peers that this director asks for leases. They
-// are chosen by rendezvous hashing, so they stay the same while the view is unchanged, and differ
-// between directors.
+// currentGrantors returns the present peers that this director asks for leases: RequiredGrants of
+// them, or all if there are fewer. They are chosen by rendezvous hashing, so they stay the same
+// while the view is unchanged, and differ between directors.
 func (v *View) currentGrantors() []*peer {
 	if v.grantorsDigest == v.digest {
 		return v.grantors
@@ -83,8 +83,8 @@
 }
 
 // HandleLeaseRequest grants a lease to a present peer. From then on the peer is counted for as long
-// as the lease may be valid by any clock, even if the peer fails meanwhile. It returns false if no
-// lease is granted.
+// as the lease may be valid by any clock, even if the peer fails during that time. It returns false
+// if no lease is granted.
 func (v *View) HandleLeaseRequest(now policy.Micros, from string, request LeaseRequest) (LeaseGrant, bool) {
 	p := v.peers[from]
 	if p == nil || p.incarnation != request.Incarnation || !p.present() || v.nameConflict != "" {
--- a/membership/quota.go
+++ b/membership/quota.go
@@ -54,12 +54,14 @@
 }
 
 // Quota returns the share of a scope's limits that this director may use now, as a multiple of the
-// fixed quota (one share of ConfiguredDirectors), and the time until which the share is valid
-// without a renewal. Callers read the quota at each send, so that they do not use an expired lease.
+// fixed quota (the limit divided by ConfiguredDirectors), and the time until which the share is
+// valid without a renewal. Callers read the quota at each send, so that they do not use an expired
+// lease.
 //
 // A quota above 1 is ConfiguredDirectors divided by the highest number of directors that this
-// director or one of its grantors counts, up to MaxQuotaFactor. The quota is below 1 if there are
-// more directors than configured. A quota of 1 or less does not expire.
+// director or one of its grantors counts, up to MaxQuotaFactor. The quota is below 1, but at least
+// 1/MaxQuotaFactor, if there are more directors than configured. A quota of 1 or less does not
+// expire.
 func (v *View) Quota(now policy.Micros, scope Scope) (quota float64, until policy.Micros) {
 	count, configured := v.Count(now, scope), float64(v.settings.ConfiguredDirectors[scope])
 	quota = min(1, max(1/float64(MaxQuotaFactor), configured/float64(count)))
--- a/membership/quota_test.go
+++ b/membership/quota_test.go
@@ -125,7 +125,7 @@
 // and restarts. Regardless of what each director believes, no quota exceeds MaxQuotaFactor, each
 // quota above the fixed one has the required grants within the lease duration, and the sum of all
 // quotas stays within MaxQuotaFactor. Once all live directors have had the correct view for a lease
-// and the stabilization time, the sum is one, or as much of it as MaxQuotaFactor allows.
+// and the stabilization time, the sum is 1, or as close to 1 as MaxQuotaFactor allows.
 func TestQuotaSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(t, "directors")
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -11,7 +11,7 @@
 	Zone        int    // index in the platform's settings
 	Incarnation uint64 // identifies this process; higher for a later process of this name
 	// ConfiguredDirectors is the number of directors in the platform's settings, by Scope. The
-	// fixed quota is one share of that number.
+	// fixed quota is a limit divided by that number.
 	ConfiguredDirectors [2]int
 
 	LeaseDuration       policy.Micros // validity of a quota above the fixed one without a renewal
@@ -21,13 +21,14 @@
 	FailedRetention     policy.Micros // a failed or left peer is forgotten after this time
 	ProbeInterval       policy.Micros // failure detector: time between two probes
 	ProbeTimeout        policy.Micros // failure detector: time to wait for the response to a probe
-	// SuspicionMultiplier sets how long a suspected peer may refute the failure detector's
-	// suspicion: ProbeInterval times SuspicionMultiplier times log10 of the number of members.
+	// SuspicionMultiplier sets the least time that a suspected peer has to refute the failure
+	// detector's suspicion: ProbeInterval times SuspicionMultiplier times log10 of the number of
+	// members, with 1 in place of a lower logarithm.
 	SuspicionMultiplier int
 
 	MaxHintAge policy.Micros // hints older than this are ignored
-	// HintInterval is the least time between two probes of a node that hints cause, and between
-	// two hints that this director sends about the same condition of a node.
+	// HintInterval is the least time between two probes of the same node because of hints, and
+	// between two hints that this director sends about the same condition of a node.
 	HintInterval     policy.Micros
 	HintsPerInterval int // hints sent, and hints accepted per peer, in HintInterval
 	MaxEntries       int // bound on remembered peers, and on nodes remembered for hints
--- a/relays/golden_test.go
+++ b/relays/golden_test.go
@@ -15,7 +15,7 @@
 	{ID: "box-2"},
 }
 
-// TestGoldenJSON guards against changes of the encoded messages, which instances of different
+// TestGoldenJSON guards against changes of the encoded messages, which directors of different
 // versions exchange during a rolling upgrade. The literals were recorded before any rename and must
 // not be recorded again.
 func TestGoldenJSON(t *testing.T) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestGoldenSum guards against changes of the sum, which instances of different versions compare.
+// TestGoldenSum guards against changes of the sum, which directors of different versions compare.
 func TestGoldenSum(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestGoldenOrder guards against changes of the order in which instances become delegates, and of
-// the order in which an instance queries the others. Both follow from the names alone and must be
+// TestGoldenOrder guards against changes of the order in which directors become delegates, and of
+// the order in which a director queries the others. Both follow from the names alone and must be
 // the same in every version.
 func TestGoldenOrder(t *testing.T) {
 	relay := New(0, testSettings("n3"))
--- a/relays/query.go
+++ b/relays/query.go
@@ -7,9 +7,10 @@
 
 // Tick returns the directors to send a Query to now. The queries' SentAt must be now.
 //
-// Tick must be called every half of QueryInterval. If a call is late, this director itself was
-// delayed, and responses may be waiting unread, so the delay is not counted against any source.
-// Otherwise all directors of a fleet that briefly had no CPU time would poll the channel at once.
+// Tick must be called at intervals of half of QueryInterval. If a call is late, this director
+// itself was delayed, and responses may be waiting unread, so the delay is not counted against any
+// source. Otherwise all directors of a fleet that briefly had no CPU time would poll the channel at
+// once.
 func (r *Relay) Tick(now policy.Micros) (query []string) {
 	r.excludeOwnDelay(now)
 	if r.isDelegate() {
@@ -112,8 +113,8 @@
 	if response.Age < 0 || response.ListSum == "" {
 		return ""
 	}
-	// The source responded after the query was sent, so its poll started no earlier than this
-	// time.
+	// The source responded after the query was sent, so its list was last known to match the
+	// channel's at this time or later.
 	s.addList(response.ListSum, response.SentAt-response.Age)
 	agreed := r.newestAgreedList()
 	if agreed.at <= r.inForce.at {
--- a/relays/relay_test.go
+++ b/relays/relay_test.go
@@ -255,8 +255,8 @@
 }
 
 // TestOwnDelay guards against a director that counts its own lack of CPU time against its sources
-// and therefore polls the channel. A director whose sources are silent while it runs must poll as
-// early as ever.
+// and therefore polls the channel, or discards responses that waited unread. A director whose
+// sources are silent while it runs must poll as early as without a delay.
 func TestOwnDelay(t *testing.T) {
 	for _, c := range []struct {
 		name         string
--- a/relays/source.go
+++ b/relays/source.go
@@ -12,7 +12,7 @@
 // this director's clock.
 type source struct {
 	outstanding policy.Micros // when the unanswered query was sent; 0 if there is none
-	ownDelay    policy.Micros // delay of this director itself since then
+	ownDelay    policy.Micros // delay of this director itself since that time
 	queriedAt   policy.Micros // when the source was last queried
 	missed      int           // consecutive unanswered queries
 	skipUntil   policy.Micros // the source is not queried before this time
