--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -68,7 +68,8 @@
 }
 
 // TestServeReturnsAfterSaving guards against an agent that returns from ServeListener while it
-// still stores a promise: the work that the message has started would then use a closed store.
+// still stores a promise: the work that the message has started would then use a closed store. The
+// promise must be in the store when it is next read.
 func TestServeReturnsAfterSaving(t *testing.T) {
 	checkReturnsAfterSaving(t, func(cancel func(), _ net.Listener) { cancel() }, false)
 }
--- a/internal/agent/audit.go
+++ b/internal/agent/audit.go
@@ -16,9 +16,9 @@
 // maxAuditRecords is the number of records that are kept.
 const maxAuditRecords = 10_000
 
-// AuditRecord is a record of who made this agent do what. Each record has the hash of the previous
-// one, so that a changed or missing record is detected. The hash covers the JSON text: the names,
-// the order and the form of the fields are part of the stored chain.
+// AuditRecord records an action of this agent and who requested it. Each record has the hash of the
+// previous one, so that a changed or missing record is detected. The hash covers the JSON text: the
+// names, the order and the form of the fields are part of the stored chain.
 type AuditRecord struct {
 	Number       int64  `json:"number"`  // from 1, without gaps
 	UnixMS       int64  `json:"unix_ms"` // time in milliseconds since 1970
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -52,8 +52,8 @@
 	return ""
 }
 
-// recordDone stores the result of a command and retries until that succeeds. Before that, the result
-// is not reported to anyone.
+// recordDone stores the result of a command and retries until that succeeds. The result is not
+// reported to anyone before it is stored.
 func (a *Agent) recordDone(c rollout.Command, failure string) {
 	for a.runContext.Err() == nil {
 		a.mu.Lock()
--- a/internal/agent/director.go
+++ b/internal/agent/director.go
@@ -44,8 +44,8 @@
 	exited  chan struct{} // guarded by mu; closed once command has exited
 }
 
-// pid returns the director's process ID. The sources, in this order, are a running process that this
-// agent started, the PID file if one is configured, and the director's status.
+// pid returns the director's process ID. The sources, in this order, are a running process that
+// this agent started, the PID file if one is configured, and the director's status.
 func (d *Director) pid() (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,7 +79,7 @@
 }
 
 // process reports whether the process that this agent started is running and, if it is not, whether
-// it exited successfully, as a director does after it was told to stop. Nothing is known about a
+// it exited successfully, as a director does after a request to stop. Nothing is known about a
 // process that an earlier run of the agent started.
 func (d *Director) process() (running, stopped bool) {
 	d.mu.Lock()
@@ -142,7 +142,7 @@
 	return d.waitForReport(ctx)
 }
 
-// Stop tells the director to shut down and waits until it has answered all accepted requests. It
+// Stop asks the director to shut down and waits until it has answered all accepted requests. It
 // returns errDidNotExit if the director takes longer than shutdownTimeout, and the context's error
 // if the context ends first.
 func (d *Director) Stop(ctx context.Context) error {
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -41,9 +41,9 @@
 	return a.ServeListener(ctx, listener)
 }
 
-// ServeListener is like Serve with a listener of the caller, which it closes. When the context ends
-// or serving fails, it returns after the accepted calls and commands have finished, so that the
-// caller can close the store.
+// ServeListener is like Serve, but uses and closes a listener that the caller has opened. When the
+// context ends or serving fails, it returns after the accepted calls and commands have finished, so
+// that the caller can close the store.
 func (a *Agent) ServeListener(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -43,7 +43,8 @@
 }
 
 // authorize handles a call if the caller's certificate is currently valid and has one of the roles
-// that the call needs. A panic ends only the call.
+// that the call needs. The holder of a message's ballot must belong to the caller, except in a
+// Query. A panic ends only the call.
 func (a *Agent) authorize(ctx context.Context, req any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (resp any, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -25,10 +25,10 @@
 
 // The roles. Certificates contain these values.
 const (
-	RoleAgent    Role = "agent"  // an agent, which may query and probe other agents
+	RoleAgent    Role = "agent"  // an agent, which may query others and complete changes
 	RoleViewer   Role = "see"    // an operator who may read the state of the fleet
 	RoleEditor   Role = "change" // an operator who may change the fleet
-	RoleKeyAdmin Role = "keys"   // an operator who may revoke certificates
+	RoleKeyAdmin Role = "keys"   // an operator who revokes certificates; may read the state
 )
 
 var allRoles = []Role{RoleAgent, RoleViewer, RoleEditor, RoleKeyAdmin}
--- a/internal/authority/golden_test.go
+++ b/internal/authority/golden_test.go
@@ -14,7 +14,7 @@
 
 // goldenFiles are the stored files of an authority and of its certificates. They were created on 1
 // December 2026 for this test only, and the certificates are valid for a day. Fleets in production
-// have such files, so they must never be recorded anew.
+// have such files, so they must never be recorded again.
 var goldenFiles = map[string]string{
 	"ca.pem": `-----BEGIN CERTIFICATE-----
 MIIBZTCCAQugAwIBAgIQAODo1zq53CfmH+Dm5cvugTAKBggqhkjOPQQDAjARMQ8w
@@ -88,8 +88,8 @@
 `,
 }
 
-// goldenFolder writes the golden files to a new directory.
-func goldenFolder(t *testing.T) string {
+// writeGoldenFiles writes the golden files to a new directory.
+func writeGoldenFiles(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	for name, text := range goldenFiles {
@@ -102,7 +102,7 @@
 // differently than before. A certificate stores its roles as a set, whose encoding sorts them by
 // length.
 func TestGoldenFilesAreRead(t *testing.T) {
-	dir := goldenFolder(t)
+	dir := writeGoldenFiles(t)
 	now := time.Date(2026, 12, 1, 18, 0, 0, 0, time.UTC)
 	id, err := Open(dir, filepath.Join(dir, "agent-0.pem"), filepath.Join(dir, "agent-0-key.pem"))
 	requireNoError(t, err)
@@ -179,7 +179,7 @@
 // checkGoldenCertificates compares the certificates in a directory with the golden ones.
 func checkGoldenCertificates(t *testing.T, dir string) {
 	t.Helper()
-	golden := goldenFolder(t)
+	golden := writeGoldenFiles(t)
 	for _, name := range []string{"ca.pem", "agent-0.pem", "viewer.pem"} {
 		written, err := LoadCertificate(filepath.Join(dir, name))
 		requireNoError(t, err)
@@ -199,7 +199,7 @@
 func checkGoldenRevocations(t *testing.T, dir string, revoked *x509.Certificate) {
 	t.Helper()
 	list := loadRevocationList(t, dir)
-	stored := loadRevocationList(t, goldenFolder(t))
+	stored := loadRevocationList(t, writeGoldenFiles(t))
 	if list.Number.Cmp(stored.Number) != 0 || !list.ThisUpdate.Equal(stored.ThisUpdate) || !list.NextUpdate.Equal(stored.NextUpdate) ||
 		len(list.RevokedCertificateEntries) != 1 || len(stored.RevokedCertificateEntries) != 1 ||
 		list.RevokedCertificateEntries[0].SerialNumber.Cmp(revoked.SerialNumber) != 0 ||
--- a/internal/gossipnet/config.go
+++ b/internal/gossipnet/config.go
@@ -13,7 +13,7 @@
 
 const (
 	// suspicionMaxMultiplier is the longest time in which a suspect may refute the suspicion, if
-	// nobody else suspects it, as a multiple of the shortest time.
+	// no other member suspects it, as a multiple of the shortest time.
 	suspicionMaxMultiplier = 2
 	// awarenessMaxMultiplier is the maximum factor by which a member that misses answers slows down
 	// its own probes.
--- a/internal/gossipnet/driver.go
+++ b/internal/gossipnet/driver.go
@@ -67,7 +67,7 @@
 )
 
 // Driver connects one director to the group of directors. Its methods may be called from any
-// goroutine. Methods that document it accept a nil Driver, which stands for a director without
+// goroutine. Methods that document it accept a nil Driver, which represents a director without
 // peers.
 type Driver struct {
 	// Set by Start before the loops begin, and constant afterwards.
@@ -85,7 +85,7 @@
 	reliableSends    chan struct{}            // one slot for each message being sent
 	quotas           [2]atomic.Pointer[quota] // in force, by membership.Scope
 	memberCount      atomic.Int64             // number of directors, including this one
-	snapshotReceived atomic.Bool              // another's sufficient snapshot was received
+	snapshotReceived atomic.Bool              // a sufficient snapshot was received
 
 	cancel  context.CancelFunc // ends the loops
 	running sync.WaitGroup     // the loops and the goroutines that they start
@@ -181,10 +181,10 @@
 	d.leaving = true
 	d.mu.Unlock()
 	// memberlist does not distinguish a member that leaves from one that has failed; the metadata
-	// does. Members that neither message reaches in time detect a failure.
+	// does. Members that receive neither message in time detect a failure instead.
 	_ = d.memberlist.UpdateNode(leaveTimeout)
 	_ = d.memberlist.Leave(leaveTimeout)
-	_ = d.memberlist.Shutdown() // the sockets are gone either way
+	_ = d.memberlist.Shutdown() // the sockets are closed even if it fails
 }
 
 // stopLoops ends the loops and waits for them.
--- a/internal/gossipnet/driver_test.go
+++ b/internal/gossipnet/driver_test.go
@@ -13,7 +13,7 @@
 	"tallyproxy/policy"
 )
 
-// freeAddress returns an address on which nobody listens.
+// freeAddress returns an address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/gossipnet/golden_test.go
+++ b/internal/gossipnet/golden_test.go
@@ -63,7 +63,7 @@
 	}
 	driver.leaving = true
 	if got := string(calls.NodeMeta(512)); got != `{"b":7,"z":2,"l":true}` {
-		t.Errorf("the metadata of one that leaves is %s", got)
+		t.Errorf("the metadata of a leaving director is %s", got)
 	}
 	driver.handlers.ChannelAge = func() policy.Micros { return 300 }
 	if got := string(calls.AckPayload()); got != "56266a736aea3e1e 12c" {
--- a/internal/gossipnet/join.go
+++ b/internal/gossipnet/join.go
@@ -18,7 +18,7 @@
 )
 
 // joinLoop joins missing members: seeds and directors that were present before. memberlist itself
-// gives up on both.
+// does not keep trying to reach either.
 func (d *Driver) joinLoop(ctx context.Context) {
 	d.bootstrap(ctx)
 	probeInterval := d.settings.ProbeInterval.Duration()
--- a/internal/gossipnet/message.go
+++ b/internal/gossipnet/message.go
@@ -12,19 +12,19 @@
 type message struct {
 	// Name of the sender.
 	From string `json:"f"`
-	// For the view.
+	// Lease request, handled by the view.
 	LeaseRequest *membership.LeaseRequest `json:"a,omitempty"`
-	// For the view.
+	// Reply to a lease request, handled by the view.
 	LeaseGrant *membership.LeaseGrant `json:"g,omitempty"`
-	// About a cache node, broadcast.
+	// Hint about a cache node, broadcast.
 	Hint *membership.Hint `json:"h,omitempty"`
-	// Of the command channel, broadcast or sent.
+	// Updates of the command channel, broadcast or sent to one director.
 	Updates []gossip.Update `json:"w,omitempty"`
 	// About relaying the command channel.
 	Relay *relays.Message `json:"o,omitempty"`
 	// SnapshotRequest asks for a snapshot. It is the requester's time, which the reply returns.
 	SnapshotRequest policy.Micros `json:"q,omitempty"`
-	// Sent over a connection.
+	// Reply to a snapshot request, sent over a connection.
 	SnapshotReply *snapshotReply `json:"r,omitempty"`
 }
 
--- a/internal/gossipnet/send.go
+++ b/internal/gossipnet/send.go
@@ -155,7 +155,7 @@
 // Message returns the encoded message.
 func (b updateBroadcast) Message() []byte { return b.raw }
 
-// Finished does nothing, since nobody waits for a broadcast.
+// Finished does nothing, since no goroutine waits for a broadcast.
 func (b updateBroadcast) Finished() {}
 
 // hintBroadcast is a message with a hint that is sent with memberlist's gossip.
@@ -173,5 +173,5 @@
 // Message returns the encoded message.
 func (b hintBroadcast) Message() []byte { return b.raw }
 
-// Finished does nothing, since nobody waits for a broadcast.
+// Finished does nothing, since no goroutine waits for a broadcast.
 func (b hintBroadcast) Finished() {}
--- a/internal/gossipnet/snapshot.go
+++ b/internal/gossipnet/snapshot.go
@@ -33,7 +33,8 @@
 }
 
 // replySnapshot sends this director's state to one that requested it, unless the state is too old
-// to be useful: as long as no director has a newer state, many directors ask.
+// to be useful. As long as no director has a newer state, many directors send requests, and none of
+// them could use the reply.
 func (d *Driver) replySnapshot(to string, requestedAt policy.Micros) {
 	snapshot, confirmed := d.handlers.Snapshot()
 	if !confirmed {
--- a/rollout/coordinator_test.go
+++ b/rollout/coordinator_test.go
@@ -140,7 +140,7 @@
 func TestPromiseReportsCompletedChanges(t *testing.T) {
 	cases := []struct {
 		name         string
-		laterChanges int // number of changes after it
+		laterChanges int // number of changes after the tested one
 	}{{"its entry is kept", 0}, {"its entry was dropped", maxEntries + 10}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -155,8 +155,8 @@
 				return r
 			}
 			ballot := Ballot{1, "op1"}
-			// All agents have prepared it, two have accepted the outcome, and one of these has
-			// completed it.
+			// All agents have prepared the change, two have accepted the outcome, and one of these
+			// has completed the change.
 			for _, name := range f.names {
 				send(name, Message{Type: Prepare, Ballot: ballot, Change: change})
 			}
--- a/rollout/message.go
+++ b/rollout/message.go
@@ -53,8 +53,8 @@
 	Entries []Entry `json:"entries,omitempty"`
 }
 
-// Command tells an agent's driver to apply a script to one of the agent's directors and to verify
-// that the director runs it. The driver reports the result to Agent.CommandDone.
+// Command makes an agent's driver apply a script to one of the agent's directors and verify that
+// the director runs it. The driver reports the result to Agent.CommandDone.
 type Command struct {
 	ChangeID       string // change that the script belongs to
 	Instance       string // name of the director
--- a/rollout/recovery.go
+++ b/rollout/recovery.go
@@ -26,7 +26,8 @@
 const recoverySuffix = "/settles"
 
 // IsRecoveryHolder reports whether the holder of the right to change is an agent that completes a
-// change that a tool left undecided. Such a holder does no other operator's work and finishes soon.
+// change that a tool left undecided. Such a holder does not work for another operator, and it
+// finishes soon.
 func IsRecoveryHolder(holder string) bool {
 	agent, found := strings.CutSuffix(holder, recoverySuffix)
 	return found && agent != ""
@@ -161,8 +162,8 @@
 		return false
 	}
 	// A recovery that gave the right back was refused or is done. The turns of the other agents
-	// then continue. If the turns started anew, agents that refuse each other again and again would
-	// keep the turns of later agents from coming.
+	// then continue. If the turns started again from the first agent, agents that repeatedly refuse
+	// each other would keep the turns of later agents from coming.
 	if !r.agent.leaseReleased || !IsRecoveryHolder(r.agent.State.Promised.Holder) {
 		r.turnsSince = r.agent.leaseEnd
 	}
@@ -171,7 +172,8 @@
 		if e.Outcome != Undecided || q == nil {
 			continue
 		}
-		// The operator's tool has priority: it resends its messages, waits, and only then gives up.
+		// The operator's tool has priority, so the turns start only after it has had time to resend
+		// its messages and wait for replies.
 		silentSince := max(r.turnsSince, q.inDoubtSince+queryDelay*r.timeouts.Resend)
 		if now >= silentSince+policy.Micros(r.rank(e.Change.ID))*r.timeouts.Resend {
 			return true
--- a/rollout/recovery_test.go
+++ b/rollout/recovery_test.go
@@ -16,7 +16,7 @@
 	// Competing agents must not need longer.
 	maxToolTime = 70 * policy.Second
 	// maxLateTime is the time after which a schedule of `tallybench fleet` counts as unfinished. It
-	// is the limit if messages are as late as the lease.
+	// is the limit if messages are delayed by as much as the lease.
 	maxLateTime = 600 * policy.Second
 
 	contentionTick = 50 * policy.Second / 1000 // between two ticks of an agent
--- a/rollout/restart.go
+++ b/rollout/restart.go
@@ -10,7 +10,7 @@
 
 // RestartPolicy decides when to restart a director that exited on its own. It uses an exponential
 // backoff, so that a director that cannot run does not use up its machine's time. A director that
-// exited because it was told to stop stays down. The zero value is ready to use.
+// exited after a request to stop stays down. The zero value is ready to use.
 type RestartPolicy struct {
 	up    bool
 	at    policy.Micros // when it was found up, or when its next start is due
@@ -19,7 +19,7 @@
 }
 
 // ShouldStart reports whether to start the director now. up says whether the director is running,
-// and stopRequested whether it exited because it was told to stop.
+// and stopRequested whether it exited after a request to stop.
 func (p *RestartPolicy) ShouldStart(now policy.Micros, up, stopRequested bool) bool {
 	switch {
 	case up && !p.up:
--- a/rollout/restart_test.go
+++ b/rollout/restart_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestRestartPolicy guards against a director that is restarted too often, not at all, or although
-// it was told to stop.
+// it exited after a request to stop.
 func TestRestartPolicy(t *testing.T) {
 	cases := []struct {
 		name string
