--- a/internal/bufpool/bufpool.go
+++ b/internal/bufpool/bufpool.go
@@ -33,8 +33,8 @@
 	inUse, limit atomic.Int64 // in units of unitSize
 }
 
-// New returns a pool that provides buffers for bodies while the buffers in use have fewer bytes
-// than limit buffers of BufferSize.
+// New returns a pool that provides buffers for bodies as long as all buffers in use together have
+// fewer bytes than limit buffers of BufferSize.
 func New(limit int) *Pool {
 	p := &Pool{}
 	p.SetLimit(limit)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -64,7 +64,7 @@
 }
 
 // Reload returns the configuration that a director running on c uses after a reload has read next:
-// next, but with the seed of the start. If next changes a setting that can't change while requests
+// next, but with the seed that c has. If next changes a setting that can't change while requests
 // are open, Reload returns c and an error that wraps ErrNeedsRestart.
 func (c Config) Reload(next Config) (Config, error) {
 	next.Seed, next.Site.Seed = c.Seed, c.Site.Seed
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -205,7 +205,7 @@
 		golden.change(&want)
 		got, err := ParseOperator("d.star", []byte(golden.script))
 		if got.Digest != Digest([]byte(golden.script)) {
-			t.Errorf("%s: sum %s", golden.script, got.Digest)
+			t.Errorf("%s: digest %s", golden.script, got.Digest)
 		}
 		if got.Digest = ""; err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %#v, %v, want %#v", golden.script, got, err, want)
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -12,10 +12,10 @@
 		l := Limits{Sockets: sockets}
 		firstConnections := max(1, l.MaxNodeConnections()/4)
 		if sum := l.MaxClientConnections() + l.MaxNodeConnections() + firstConnections + own; sum > sockets {
-			t.Fatalf("limit %d: %d to clients, %d to nodes, %d first ones and %d of the director add up to %d", sockets, l.MaxClientConnections(), l.MaxNodeConnections(), firstConnections, own, sum)
+			t.Fatalf("limit %d: %d for clients, %d for nodes, %d for first connections and %d for the director add up to %d", sockets, l.MaxClientConnections(), l.MaxNodeConnections(), firstConnections, own, sum)
 		}
 		if l.MaxClientConnections() < sockets/3 || l.MaxNodeConnections() < sockets/4 {
-			t.Fatalf("limit %d: only %d to clients, %d to nodes", sockets, l.MaxClientConnections(), l.MaxNodeConnections())
+			t.Fatalf("limit %d: only %d for clients, %d for nodes", sockets, l.MaxClientConnections(), l.MaxNodeConnections())
 		}
 	}
 }
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -99,9 +99,9 @@
 // advances the position past them. On an error, the position does not change.
 //
 // If other directors poll for this one and the channel's position is behind the client's, the
-// channel has restarted with fewer events than it had sent before. Decode then resets the position
-// to the beginning, so that the next poll reads all events again. This reverts nothing, because the
-// events are combined into full lists before those take effect.
+// channel has restarted with fewer events than it had sent before. Decode then returns no events
+// and resets the position to the beginning, so that the next poll reads all events again. This
+// reverts nothing, because the events are combined into full lists before those take effect.
 func (c *Client) Decode(raw []byte) ([]Event, error) {
 	var answer response
 	if err := json.Unmarshal(raw, &answer); err != nil {
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -34,7 +34,7 @@
 // Error returns a text with the status.
 func (e statusError) Error() string { return fmt.Sprintf("HTTP status %d", e.status) }
 
-// overloaded reports whether the channel may answer a later poll.
+// overloaded reports whether the status is of a temporary kind, so that a later poll may succeed.
 func (e statusError) overloaded() bool {
 	return e.status >= http.StatusInternalServerError || e.status == http.StatusTooManyRequests
 }
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -95,13 +95,13 @@
 		}
 		for _, e := range got {
 			if e.Cursor != next {
-				t.Fatalf("event %d came, want %d", e.Cursor, next)
+				t.Fatalf("received event %d, want %d", e.Cursor, next)
 			}
 			next++
 		}
 	}
 	if t.Logf("%d polls", polls); next <= events {
-		t.Errorf("%d polls brought %d of %d events", polls, next-1, events)
+		t.Errorf("%d polls returned %d of %d events", polls, next-1, events)
 	}
 }
 
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -134,8 +134,8 @@
 	s.schedule(req)
 }
 
-// rejectOrFail answers a request without the result of an attempt. It rejects the request, which
-// makes a retry harmless, or fails it, which guarantees nothing.
+// rejectOrFail answers a request without the result of an attempt. If it rejects the request, a
+// retry is harmless; if it fails the request, the request may or may not have run.
 func (s *Shard) rejectOrFail(req *request, d decision) {
 	if d.Unprocessable {
 		req.conn.MarkSuspect()
@@ -199,8 +199,8 @@
 }
 
 // schedule sets a request's timer to its recheck time or the earliest deadline of its attempts,
-// whichever comes first. If that time is later than before, the timer stays as it is and finds
-// nothing to do when it expires.
+// whichever comes first. If that time is later than before, the timer is not changed: it expires
+// early, finds nothing due and is set again.
 func (s *Shard) schedule(req *request) {
 	next := req.recheckAt
 	for _, a := range req.attempts {
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -14,15 +14,15 @@
 	timerTick  = 250  // in microseconds (µs)
 )
 
-// StallMonitor tells whether the director may act on its state after a pause in which it may have
+// StallMonitor reports whether the director may act on its state after a pause in which it may have
 // missed updates.
 type StallMonitor interface {
 	// Trusted reports whether the director may act now.
 	Trusted() bool
 	// Resolved returns a channel that is closed once the director may act again.
 	Resolved() <-chan struct{}
-	// StaleBy returns by how much input may be older than the time at which it was read, because it
-	// was unread during a stall.
+	// StaleBy returns the longest time that input read at the given time may have waited before it
+	// was read, because the process was stalled.
 	StaleBy(read time.Time) time.Duration
 }
 
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -32,9 +32,9 @@
 }
 
 // evictIdle starts the eviction of up to limit connections without pending requests and returns how
-// many it chose. Connections used within PollRetry are kept, since a request may be in transit;
-// those whose client was told to retry later are kept only for MaxDecisionAge. Connections that are
-// already closed or being evicted count towards the limit.
+// many it marked for eviction. Connections used within PollRetry are kept, since a request may be
+// in transit; those whose client was told to retry later are kept only for MaxDecisionAge.
+// Connections that are already closed or being evicted count towards the limit.
 func (s *Server) evictIdle(limit int) (evicted int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/reader.go
+++ b/internal/downstream/reader.go
@@ -205,8 +205,8 @@
 }
 
 // register makes a message's tag pending. It returns false if the connection no longer accepts
-// messages other than cancellations: the client sent the message before it saw the connection end,
-// and sends it again on another connection.
+// messages other than cancellations. If the connection is ending, the client sent the message
+// before it noticed, and sends it again on another connection.
 func (c *Conn) register(msg *message, now time.Time) (a admission, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -41,7 +41,8 @@
 	UnprocessableRequest   = "unprocessable_request"    // cache nodes agree: a request is invalid
 	DownstreamMalformed    = "downstream_malformed"     // a client sent a malformed message
 	DownstreamWriteStalled = "downstream_write_stalled" // a client does not read its answers
-	// The machine delayed the close of a connection; requests that crossed it are lost.
+	// The close of a connection was delayed because the process was descheduled; requests that
+	// arrived during the delay are lost.
 	HalfCloseDelayed = "half_close_delayed"
 )
 
--- a/internal/server/gossip.go
+++ b/internal/server/gossip.go
@@ -62,14 +62,16 @@
 	operatorAvoids []string   // nodes that the operator's script avoids
 
 	// Owned by the goroutine of observe.
-	nodeStatuses       map[string]membership.NodeStatus
-	channelUnreachable bool // no reachable director has heard the channel during the retention time
+	nodeStatuses map[string]membership.NodeStatus
+	// no reachable director has received an answer from the channel within the retention time
+	channelUnreachable bool
 }
 
 // start opens the sockets and starts the goroutines, which run until stop is called or ctx ends.
 // The routers must be running. bootstrap holds the events from the configuration file. They may be
 // out of date, so the director is suspect, and sends and serves nothing, until the command channel
-// or another director has confirmed its state.
+// or another director has confirmed its state or the suspect timeout has passed; see
+// suspicionResolved.
 func (g *gossipDriver) start(ctx context.Context, peers config.Peers, platform config.Config, bootstrap []discovery.Event) error {
 	settings := platform.Site.Settings
 	storeSettings := gossip.Derive(settings)
@@ -144,7 +146,8 @@
 	return g.network.Load().Quota(now, scope)
 }
 
-// channelAge returns the time since this director's command channel last answered.
+// channelAge returns the time since the start of the latest poll that this director's command
+// channel answered.
 func (g *gossipDriver) channelAge() policy.Micros {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -166,8 +169,9 @@
 	g.updateAvoided()
 }
 
-// updateAvoided makes the routers treat as draining the nodes that the operator's script names and
-// those known only from updates of other directors. The caller holds the lock.
+// updateAvoided makes the routers treat as draining the nodes that the operator's script names, and
+// those that are draining or removed only according to updates of other directors. The caller holds
+// the lock.
 func (g *gossipDriver) updateAvoided() {
 	avoided := g.operatorAvoids
 	if g.enabled() {
@@ -192,8 +196,8 @@
 }
 
 // checkChannel polls this director's channel if other directors have newer information. It logs
-// when no reachable director hears the channel any more, and when one hears it again. Only observe
-// calls it.
+// when no reachable director has received an answer from the channel within the retention time, and
+// when one has received an answer again. Only observe calls it.
 func (g *gossipDriver) checkChannel() {
 	failing, newestOfOthers := g.channel.Failing(), g.network.Load().NewestChannelAge()
 	g.mu.Lock()
--- a/internal/server/gossip_updates.go
+++ b/internal/server/gossip_updates.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// suspicionResolved handles the end of the suspect state. If it ended by its timeout, nobody has
-// confirmed this director's state. The state then stays unconfirmed until the channel has answered
-// or another director has confirmed it.
+// suspicionResolved handles the end of the suspect state. If it ended by its timeout, neither the
+// channel nor another director has confirmed this director's state. The state then stays
+// unconfirmed until the channel has answered or another director has confirmed it.
 func (g *gossipDriver) suspicionResolved(resolution stall.Resolution) {
 	if g.enabled() && resolution == stall.ByTimeout {
 		g.setUnconfirmed(true)
@@ -149,8 +149,8 @@
 
 // setUnconfirmed marks this director's state as unconfirmed or confirmed. While it is unconfirmed,
 // no copy is served that is older than the beginning of that time, and each node counts as cold
-// until its answers show that it holds the requested objects. A purge or a restart that this
-// director missed then does no harm.
+// until its answers show that it holds the requested objects. This makes a purge or a restart of a
+// node that this director has missed harmless.
 func (g *gossipDriver) setUnconfirmed(unconfirmed bool) {
 	if g.unconfirmed.Swap(unconfirmed) == unconfirmed {
 		return
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -146,7 +146,7 @@
 	return d
 }
 
-// freeAddress returns an address on which nobody listens.
+// freeAddress returns an address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/server/relayclient.go
+++ b/internal/server/relayclient.go
@@ -78,8 +78,8 @@
 }
 
 // mergeEvents merges all changes that events of this director's channel make to the endpoint list
-// into one change at the end of the events. The events may begin long ago, and the intermediate
-// lists must not temporarily undo changes received from other directors.
+// into one change at the end of the events. The first events may be old, and the intermediate lists
+// must not temporarily undo changes received from other directors.
 func (c *relayClient) mergeEvents(events []discovery.Event) (merged []discovery.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,8 +101,8 @@
 	return merged
 }
 
-// activate records a list as the one in force and returns the event that puts it in force; none if
-// it already is. The caller holds the lock.
+// activate records a list as the one in force and returns the event that puts it in force, or no
+// event if the list is already in force. The caller holds the lock.
 func (c *relayClient) activate(endpoints []relays.Endpoint) []discovery.Event {
 	changed := relays.Diff(c.activeList, endpoints)
 	relays.Merge(c.activeList, endpoints, true)
@@ -213,7 +213,8 @@
 	return digest
 }
 
-// missingPurges returns the purges that a director may lack whose digest of recent purges is given.
+// missingPurges returns the purges that another director may lack, given that director's digest of
+// recent purges.
 func (c *relayClient) missingPurges(digest uint64) []gossip.Update {
 	c.gossip.mu.Lock()
 	defer c.gossip.mu.Unlock()
@@ -260,7 +261,7 @@
 		network.SendRelay(from, relays.Message{WantList: wanted})
 		return
 	}
-	// Otherwise no list is known to have been current since this process started.
+	// If until is earlier, no list is known to have been current since this process started.
 	if until > c.startedAt {
 		c.gossip.channelAnswered(until)
 	}
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -160,7 +160,7 @@
 		t.Errorf("got %v", err)
 	}
 	if err := run(f, os.Getenv, new(slog.LevelVar), nil, nil); err == nil {
-		t.Error("started with a faulty script")
+		t.Error("started with an invalid script")
 	}
 	writeFile(t, script, "storm(mode = \"guard\")\nmachine(cores = 4)")
 	c, err := load(f, os.Getenv)
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -20,10 +20,11 @@
 	d.clients.SetNotServing()
 	d.reporter.setStopping()
 	d.awaitQuiet(signaledAt)
-	_ = d.listener.Close() // loses no connection: those in the listener's queue were accepted
+	// Loses no connection if the quiet period has passed: the listener's queue is then empty.
+	_ = d.listener.Close()
 	d.routers.drainBy(signaledAt.Add(d.timeouts.DrainDeadline.Duration()))
-	// Shutdown returns after all requests, even late ones, are answered and the clients are told to
-	// disconnect.
+	// Shutdown returns after all requests, even late ones, are answered and the connections have
+	// ended, or after WriteFlush at the latest.
 	d.clients.Shutdown()
 	d.gossip.stop()
 	cancel()
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -103,7 +103,7 @@
 				c.request("1", fmt.Sprint(n, "-1"), time.Second)
 				for tag := 2; ; tag++ {
 					c.request(fmt.Sprint(tag), fmt.Sprint(n, "-", tag), time.Second)
-					// At most two requests crossed the end and stay unanswered.
+					// At most two requests are sent while the connection ends and stay unanswered.
 					if _, err := c.in.ReadByte(); err != nil {
 						return err
 					}
@@ -143,14 +143,14 @@
 	}
 	d.stop <- syscall.SIGTERM
 	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("got %v, want the end", err)
+		t.Errorf("got %v, want EOF", err)
 	}
 	if _, err := sending.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("got %v, want the end", err)
+		t.Errorf("got %v, want EOF", err)
 	}
 	sending.request("2", "o", time.Second)
 	if _, err := sending.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after a request that crossed the end: %v, want EOF", err)
+		t.Errorf("after a request sent after the connection ended: %v, want EOF", err)
 	}
 	idle.close(t)
 	sending.close(t)
--- a/internal/status/client.go
+++ b/internal/status/client.go
@@ -11,9 +11,9 @@
 
 const maxReportBytes = 4 << 20
 
-// Read requests the report of the director that listens on the Unix socket at path. It fails if
-// nobody listens, if the whole answer does not arrive within two seconds, if the server answers
-// with an HTTP status other than 200 (which the error holds), or if ctx ends.
+// Read requests the report of the director that listens on the Unix socket at path. It fails if no
+// process listens, if the whole answer does not arrive within two seconds, if the server answers
+// with an HTTP status other than 200 (which the error contains), or if ctx ends.
 func Read(ctx context.Context, path string) (report Report, err error) {
 	client := http.Client{Timeout: ioTimeout, Transport: &http.Transport{
 		DisableKeepAlives: true,
--- a/internal/status/server.go
+++ b/internal/status/server.go
@@ -65,7 +65,7 @@
 	return s, nil
 }
 
-// removeStaleSocket removes a socket at path on which nobody listens.
+// removeStaleSocket removes a socket at path on which no process listens.
 func removeStaleSocket(path string) error {
 	if conn, err := net.DialTimeout("unix", path, ioTimeout); err == nil {
 		_ = conn.Close() // nothing was sent
--- a/internal/status/server_test.go
+++ b/internal/status/server_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("the socket still exists: %v", err)
 	}
 	if _, err := Read(t.Context(), path); err == nil {
-		t.Error("Read succeeded although nobody listens")
+		t.Error("Read succeeded although no server listens")
 	}
 	if err := os.WriteFile(path, []byte("mine"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -48,9 +48,10 @@
 	return a
 }
 
-// Cancel tells the endpoint to drop the request. Done is still called: once the cancel message has
-// been written, or with the response if that arrives first. Calls of Cancel on an attempt that was
-// already cancelled or has ended do nothing.
+// Cancel makes the endpoint drop the request, or drops it here if it was not written. Done is still
+// called: immediately if the connection is not open, otherwise once the writer has written the
+// cancel message or dropped the unwritten request, or with the response if that arrives first.
+// Calls of Cancel on an attempt that was already cancelled or has ended do nothing.
 //
 // An unresponsive endpoint would not read the cancel message and might still run the request. If a
 // retry may follow, the caller sets confirm to make sure that the request has ended. In that case
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -119,7 +119,7 @@
 
 // evictIdle closes the connection that has been idle longest, of any endpoint, if the limit is
 // reached and the target has no unused connection. This way each endpoint gets a first connection
-// within the limit, whatever the number of endpoints.
+// within the limit, regardless of the number of endpoints.
 func (p *Pool) evictIdle(target *Endpoint) {
 	if p.connections.Load() < p.limit.Load() || target.hasUnusedConn() {
 		return
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -7,9 +7,9 @@
 
 const probeID = "1" // any ID works, since a probe uses a connection of its own
 
-// Probe checks that the node at an address responds. It opens a separate connection and waits for
-// the answer until the connect timeout. It returns ErrConnectionLimit if the pool's limit is
-// reached, and an *Error if the node did not answer.
+// Probe checks that the node at an address responds, over a separate connection. The dial may take
+// the connect timeout, and the write and the answer together the same time again. Probe returns
+// ErrConnectionLimit if the pool's limit is reached, and an *Error if the node did not answer.
 func (p *Pool) Probe(address string) error {
 	defer p.connections.Add(-1)
 	if p.connections.Add(1) > p.limit.Load() {
