--- a/internal/fakes/node.go
+++ b/internal/fakes/node.go
@@ -38,7 +38,7 @@
 
 // Node is a cache, a parent or the origin. The lock of the cluster guards it.
 type Node struct {
-	Kind Kind
+	Kind Kind   // role: Edge, Parent or Origin
 	Name string // as on the command channel
 
 	cluster      *Cluster
--- a/overload/state.go
+++ b/overload/state.go
@@ -30,8 +30,8 @@
 // Report describes the load for operators. The state socket encodes it as JSON under the names in
 // the tags, which tools of other versions read. Counts cover the recent windows.
 type Report struct {
-	State          State   `json:"State"` // phase of the storm
-	Requests       int     `json:"Asks"`
+	State          State   `json:"State"`     // phase of the storm
+	Requests       int     `json:"Asks"`      // requests, including rejected ones
 	Retries        int     `json:"Repeats"`   // requests marked as retries
 	EarlyRetries   int     `json:"Early"`     // retries that came before their slot
 	NewConnections int     `json:"Connects"`  // new client connections
--- a/policy/decision.go
+++ b/policy/decision.go
@@ -20,7 +20,7 @@
 
 // Decision is what the policy wants done for one request.
 type Decision struct {
-	Action Action
+	Action Action // what the adapter is asked to do with the request
 
 	// With Send.
 	Endpoint     *Endpoint // target of the attempt
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -48,7 +48,7 @@
 
 	// The endpoint fails if its load exceeds OverloadFactor times its share over OverloadWindow.
 	OverloadFactor float64
-	OverloadWindow Micros
+	OverloadWindow Micros // period in µs over which the load is measured
 }
 
 // Settings are passed once, when an instance of the policy is created.
--- a/relays/settings.go
+++ b/relays/settings.go
@@ -18,7 +18,7 @@
 	// DirectorsPerInterval directors. It grows by its own length with each further
 	// DirectorsPerInterval directors.
 	QueryInterval        policy.Micros
-	DirectorsPerInterval int
+	DirectorsPerInterval int // number of directors in a zone that one QueryInterval is for
 	// StaleAfter is the age of a source's state of the channel beyond which the source is
 	// stale.
 	StaleAfter policy.Micros
